--- a/internal/core/day_test.go
+++ b/internal/core/day_test.go
@@ -21,7 +21,11 @@
 
 // TestMain fixes the seed and the number of the property tests; -rapid.seed and
 // -rapid.checks search further.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, repeatable.Flags{"rapid.checks": "2"})) }
+func TestMain(m *testing.M) {
+	status := repeatable.Run(m, repeatable.Flags{"rapid.checks": "2"})
+	printEffectsDigest()
+	os.Exit(status)
+}
 
 // event is one moment of a day of troubles: jobs come, one may be cancelled, and
 // something fails, after a pause.
@@ -262,6 +266,8 @@
 	cancelledAt map[string]time.Duration
 	// atEnd is until when jobs are called off as they end.
 	atEnd time.Duration
+	// recorder hashes what leaves the controllers.
+	recorder *effectRecorder
 }
 
 // shapes are the kinds of jobs beside arrays that may run anywhere.
@@ -296,7 +302,10 @@
 	}
 	w.ready().run(10*time.Second, nil)
 	d := &day{world: w, final: map[string]string{}, replies: map[uint64]func(Answer){}, calledOff: map[string]bool{}, cancelledAt: map[string]time.Duration{}}
-	w.tell = func(_ string, e Effect) {
+	recorder := newEffectRecorder()
+	d.recorder = recorder
+	w.tell = func(node string, e Effect) {
+		recorder.record(w.now, node, e)
 		if a, is := e.(Answer); is && d.replies[a.Req] != nil {
 			d.replies[a.Req](a)
 			delete(d.replies, a.Req)
@@ -310,6 +319,7 @@
 // and that all that was accepted is known, begins and ends once all troubles are over.
 func playDay(t tester, events []event) {
 	d := newDay(t, len(events)%4 == 0)
+	defer d.recorder.finish()
 	for n, e := range events {
 		d.rng = rand.New(rand.NewPCG(e.Seed, 23))
 		d.submitAll(n, e)
