--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -27,9 +27,9 @@
 	cmd.AddCommand(keysCommand(),
 		gatewayAsk("status", "Tell how hand-offs with each site stand", showStatus),
 		gatewayAsk("handoffs", "List the open hand-offs", showHandOffs),
-		gatewayWord(core.AskGiveUp, "give-up JOB", "Take a job back without the far site's word: it may have run there"),
-		gatewayWord(core.AskDrain, "drain SITE", "Have no new hand-offs with a site, or have them again (--off)"),
-		gatewayWord(core.AskRenew, "renew SITE", "Go on with a site after this site's state was restored from an old copy"))
+		gatewayWord(core.ActionGiveUp, "give-up JOB", "Take a job back without the far site's word: it may have run there"),
+		gatewayWord(core.ActionDrain, "drain SITE", "Have no new hand-offs with a site, or have them again (--off)"),
+		gatewayWord(core.ActionRenew, "renew SITE", "Go on with a site after this site's state was restored from an old copy"))
 	return cmd
 }
 
@@ -62,7 +62,7 @@
 func gatewayAsk(name, short string, show func(w io.Writer, raw []byte) error) *cobra.Command {
 	var f jobFlags
 	return f.add(&cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		raw, err := f.gateway(cmd, http.MethodGet, core.AskOp(name), nil)
+		raw, err := f.gateway(cmd, http.MethodGet, core.OperatorAction(name), nil)
 		if err != nil {
 			return err
 		}
@@ -75,10 +75,10 @@
 }
 
 // gatewayWord makes a command that is an operator's word on a job or a site.
-func gatewayWord(op core.AskOp, use, short string) *cobra.Command {
+func gatewayWord(op core.OperatorAction, use, short string) *cobra.Command {
 	var f jobFlags
 	var off bool
-	m := core.SiteAsk{}
+	m := core.OperatorRequest{}
 	if u, err := user.Current(); err == nil {
 		m.Operator = u.Username
 	}
@@ -92,14 +92,14 @@
 		if err != nil {
 			return err
 		}
-		var said core.SiteWord
+		var said core.OperatorResult
 		if err := json.Unmarshal(raw, &said); err != nil {
 			return err
 		}
 		fmt.Fprintln(cmd.OutOrStdout(), args[0], said.Said)
 		return nil
 	}})
-	if op == core.AskDrain {
+	if op == core.ActionDrain {
 		cmd.Flags().BoolVar(&off, "off", false, "end the drain")
 		return cmd
 	}
@@ -109,7 +109,7 @@
 }
 
 // gateway asks one controller after the other until one answers.
-func (f *jobFlags) gateway(cmd *cobra.Command, method string, op core.AskOp, body []byte) ([]byte, error) {
+func (f *jobFlags) gateway(cmd *cobra.Command, method string, op core.OperatorAction, body []byte) ([]byte, error) {
 	var last error
 	for _, to := range f.to {
 		req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+to+protocol.PathGateway+"/"+string(op), bytes.NewReader(body))
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -101,7 +101,7 @@
 			a.ask(ctx, func(req uint64) core.Command { return core.List{Req: req, After: after} })
 		})
 	case a.refused != nil && strings.HasPrefix(path, protocol.PathGateway+"/"):
-		a.gateway(ctx, method, core.AskOp(strings.TrimPrefix(path, protocol.PathGateway+"/")))
+		a.gateway(ctx, method, core.OperatorAction(strings.TrimPrefix(path, protocol.PathGateway+"/")))
 	case path == protocol.PathJobs:
 		a.only(ctx, method, fasthttp.MethodPost, func(ctx *fasthttp.RequestCtx) {
 			body := append([]byte(nil), ctx.PostBody()...)
@@ -145,7 +145,7 @@
 		fail(ctx, fasthttp.StatusBadRequest, "malformed report")
 		return
 	}
-	a.ask(ctx, func(req uint64) core.Command { return core.Beat{Req: req, Report: r} })
+	a.ask(ctx, func(req uint64) core.Command { return core.Heartbeat{Req: req, Report: r} })
 }
 
 // ask hands a command to the core and waits for its answer. A core that falls
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -53,14 +53,14 @@
 		return &core.Answer{Req: c.Req, Status: 200, Body: "list after " + c.After}
 	case core.Health:
 		return &core.Answer{Req: c.Req, Status: 200}
-	case core.Served:
+	case core.JobStatistics:
 		return &core.Answer{Req: c.Req, Status: 200, Body: core.ServedRows{Unanswered: 8 * time.Second, Owed: 3, Unsure: 7 * time.Second,
 			Waiting: core.Waiting{Awaits: 5, Limit: 6}, Counts: core.Counts{Cascades: 4, Oversized: 2},
 			Rows: []tally.Row{{Kind: "class", Name: "train", Accepted: 3, LargestStarted: 1, Oldest: 7 * time.Second}}}}
-	case core.Beat:
+	case core.Heartbeat:
 		return &core.Answer{Req: c.Req, Status: 200, Body: c.Report.Machine}
-	case core.SiteAsk:
-		if c.Op == core.AskStatus {
+	case core.OperatorRequest:
+		if c.Op == core.ActionStatus {
 			return &core.Answer{Req: c.Req, Status: 200, Body: core.SiteStatus{Node: "a", Status: gateway.Status{Site: "near",
 				Peers: []gateway.PeerStatus{{Site: "far", Breaker: "open", Away: map[string]int{"offered": 2}, Retries: 7}}}}}
 		}
--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -14,18 +14,18 @@
 )
 
 // gateway answers operators' questions about hand-offs, and takes their word.
-func (a *API) gateway(ctx *fasthttp.RequestCtx, method string, op core.AskOp) {
+func (a *API) gateway(ctx *fasthttp.RequestCtx, method string, op core.OperatorAction) {
 	want := fasthttp.MethodPost
 	switch op {
-	case core.AskStatus, core.AskHandOffs:
+	case core.ActionStatus, core.ActionHandoffs:
 		want = fasthttp.MethodGet
-	case core.AskGiveUp, core.AskDrain, core.AskRenew:
+	case core.ActionGiveUp, core.ActionDrain, core.ActionRenew:
 	default:
 		fail(ctx, fasthttp.StatusNotFound, "no such path")
 		return
 	}
 	a.only(ctx, method, want, func(ctx *fasthttp.RequestCtx) {
-		var m core.SiteAsk
+		var m core.OperatorRequest
 		if want == fasthttp.MethodPost && json.Unmarshal(ctx.PostBody(), &m) != nil {
 			fail(ctx, fasthttp.StatusBadRequest, "malformed request")
 			return
@@ -43,7 +43,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "pepperlever_gateway_refused %d\n", a.refused())
-	ans := a.await(func(req uint64) core.Command { return core.SiteAsk{Req: req, Op: core.AskStatus} })
+	ans := a.await(func(req uint64) core.Command { return core.OperatorRequest{Req: req, Op: core.ActionStatus} })
 	s, here := ans.Body.(core.SiteStatus)
 	if !here {
 		return []byte(b.String())
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -79,7 +79,7 @@
 
 // servedMetrics tells what has become of jobs since this controller began.
 func (a *API) servedMetrics() []byte {
-	ans := a.await(func(req uint64) core.Command { return core.Served{Req: req} })
+	ans := a.await(func(req uint64) core.Command { return core.JobStatistics{Req: req} })
 	s, ok := ans.Body.(core.ServedRows)
 	if !ok {
 		return nil
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -86,7 +86,7 @@
 		status, err := c.call(fasthttp.MethodGet, protocol.PathTypes, nil, &cat)
 		c.note(status, err)
 		if err == nil && status == fasthttp.StatusOK && len(cat.Types) > 0 {
-			c.emit(core.CatalogIn{Types: cat.Types})
+			c.emit(core.CatalogReceived{Types: cat.Types})
 		}
 	}, func() {})
 }
@@ -96,7 +96,7 @@
 func (c *Cloud) List() {
 	c.enqueue(func() {
 		if all, whole := c.pages(); whole {
-			c.emit(core.ListIn{Machines: all})
+			c.emit(core.InventoryReceived{Machines: all})
 		}
 	}, func() {})
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -15,7 +15,7 @@
 
 // listing runs List against a cloud that answers as page says, and gives what
 // the core is told, or nil.
-func listing(t *testing.T, page func() (int, protocol.MachineList)) *core.ListIn {
+func listing(t *testing.T, page func() (int, protocol.MachineList)) *core.InventoryReceived {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		status, list := page()
@@ -28,9 +28,9 @@
 	cfg := &settings.Settings{}
 	cfg.Services.Cloud = s.Listener.Addr().String()
 	cfg.Params.Workers.LeaseS, cfg.Params.Cloud.RPS = 240, 10
-	var got *core.ListIn
+	var got *core.InventoryReceived
 	c := New(cfg, func(cmd core.Command) {
-		l := cmd.(core.ListIn)
+		l := cmd.(core.InventoryReceived)
 		got = &l
 	})
 	c.List()
--- a/internal/core/ask_test.go
+++ b/internal/core/ask_test.go
@@ -84,7 +84,7 @@
 func TestFloodOfPollsIsTurnedAwayAtOnceBeyondWhatCanBeAnswered(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
-	limit := int(c.asksRate()) * c.maxConditions()
+	limit := int(c.lookupRate()) * c.maxConditions()
 	w.answers = map[uint64]Answer{}
 	for i := range 6 * limit {
 		w.send("a", Status{Req: 1<<32 + uint64(i), ID: fmt.Sprintf("req-nobody-%d", i)})
@@ -100,7 +100,7 @@
 		t.Errorf("%d of %d were turned away at once", turned, 6*limit)
 	}
 	w.run(10*time.Second, nil)
-	if n := len(c.asks.known) + len(c.asks.strange); n > 0 {
+	if n := len(c.lookups.known) + len(c.lookups.unknown); n > 0 {
 		t.Errorf("%d questions are left", n)
 	}
 }
@@ -109,13 +109,13 @@
 func TestAcceptanceToldLateDoesNotBringAJobBack(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 1, ""))
-	item := w.kv[activeKey("req-blue-1")]
+	item := w.kv[jobKey("req-blue-1")]
 	if !w.run(time.Minute, w.finished("req-blue-1")) {
 		t.Fatal("job does not end")
 	}
 	w.run(time.Second, nil)
 	for _, n := range nodeNames {
-		w.send(n, PeerIn{Node: nodeNames[0], Msg: PeerMsg{Accepted: &item}})
+		w.send(n, PeerMessageReceived{Node: nodeNames[0], Message: PeerMessage{Accepted: &item}})
 		w.step(n)
 		if w.cores[n].jobs["req-blue-1"] != nil {
 			t.Errorf("%s holds a job that has ended", n)
--- a/internal/core/awaits.go
+++ b/internal/core/awaits.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// awaits is what this controller knows of jobs that await others (docs/chains.md).
-type awaits struct {
+// dependencyState is what this controller knows of jobs that await others (docs/chains.md).
+type dependencyState struct {
 	graph *chain.Graph
 	// asking holds the awaited jobs whose state is being read.
 	asking map[string]bool
@@ -24,10 +24,10 @@
 	next time.Duration
 }
 
-// follow takes in which jobs a job awaits, when the replica gets it.
-func (c *Core) follow(j *job.Job) {
+// trackDependencies takes in which jobs a job awaits, when the replica gets it.
+func (c *Core) trackDependencies(j *job.Job) {
 	if j.Attempt > 0 || len(j.Awaits) == 0 {
-		c.awaits.graph.Forget(j.ID)
+		c.dependencies.graph.Forget(j.ID)
 		j.Awaiting = false // nothing is bound before all are done
 		return
 	}
@@ -36,18 +36,18 @@
 	}
 	var open []string
 	for _, id := range j.Awaits {
-		if c.finals[id].State != protocol.Done {
+		if c.finalStates[id].State != protocol.Done {
 			open = append(open, id)
 		}
 	}
-	c.awaits.graph.Wait(j.ID, open)
+	c.dependencies.graph.Wait(j.ID, open)
 	if len(open) == 0 {
-		c.ready(j)
+		c.becameReady(j)
 		return
 	}
 	j.Awaiting = true
 	if i := slices.IndexFunc(open, c.cancelled); i >= 0 {
-		c.cancelWith(j, open[i])
+		c.cancelDependent(j, open[i])
 	}
 }
 
@@ -55,38 +55,38 @@
 // cancellation that is not stored with it yet.
 func (c *Core) hasEnded(id string) bool {
 	if j := c.jobs[id]; j != nil && j.Cancelled {
-		c.remember(id, protocol.JobState{ID: id, State: protocol.Cancelled})
+		c.rememberFinalState(id, protocol.JobState{ID: id, State: protocol.Cancelled})
 	}
-	_, ended := c.finals[id]
+	_, ended := c.finalStates[id]
 	return ended
 }
 
-// ready lets a job begin whose last awaited job is done.
-func (c *Core) ready(j *job.Job) {
+// becameReady lets a job begin whose last awaited job is done.
+func (c *Core) becameReady(j *job.Job) {
 	j.Ready(c.now.Steady, c.now.Wall)
-	c.sched.dirty = true
+	c.scheduler.dirty = true
 	c.log(Debug, "job awaits nothing any more", "job", j.ID)
 }
 
-// upstreamEnded tells the jobs that wait for a job what has become of it, for good.
-func (c *Core) upstreamEnded(id, state string) {
+// dependencyEnded tells the jobs that wait for a job what has become of it, for good.
+func (c *Core) dependencyEnded(id, state string) {
 	if state == protocol.Done {
-		for _, f := range c.awaits.graph.Done(id) {
+		for _, f := range c.dependencies.graph.Done(id) {
 			if j := c.jobs[f]; j != nil {
-				c.ready(j)
+				c.becameReady(j)
 			}
 		}
 		return
 	}
-	for _, f := range c.awaits.graph.Followers(id) {
-		c.cancelWith(c.jobs[f], id)
+	for _, f := range c.dependencies.graph.Followers(id) {
+		c.cancelDependent(c.jobs[f], id)
 	}
 }
 
-// cancelWith cancels a job because one that it awaits is cancelled. Nothing of it was ever
+// cancelDependent cancels a job because one that it awaits is cancelled. Nothing of it was ever
 // bound. Every controller derives that for itself; the home stores it when it next writes
 // the job.
-func (c *Core) cancelWith(j *job.Job, upstream string) {
+func (c *Core) cancelDependent(j *job.Job, upstream string) {
 	if j == nil {
 		return
 	}
@@ -95,38 +95,38 @@
 		c.counts.Cascades++
 		c.markCancelled(j)
 	}
-	c.remember(j.ID, protocol.JobState{ID: j.ID, State: protocol.Cancelled})
+	c.rememberFinalState(j.ID, protocol.JobState{ID: j.ID, State: protocol.Cancelled})
 }
 
-// tendAwaits reads what has become of awaited jobs that the replica does not hold: they
+// checkDependencies reads what has become of awaited jobs that the replica does not hold: they
 // ended before this controller had read the stored state.
-func (c *Core) tendAwaits() {
-	if !c.every(&c.awaits.next, c.reportInterval()/6) {
+func (c *Core) checkDependencies() {
+	if !c.every(&c.dependencies.next, c.reportInterval()/6) {
 		return
 	}
-	for _, id := range c.awaits.graph.Waiting() {
-		if j := c.jobs[id]; j != nil && c.mine(j) {
-			c.readUpstream(c.awaits.graph.Awaited(id))
+	for _, id := range c.dependencies.graph.Waiting() {
+		if j := c.jobs[id]; j != nil && c.leads(j) {
+			c.lookUpDependencies(c.dependencies.graph.Awaited(id))
 		}
 	}
 }
 
-// readUpstream reads the states of those jobs that the replica does not hold, and reports
+// lookUpDependencies reads the states of those jobs that the replica does not hold, and reports
 // whether there are any.
-func (c *Core) readUpstream(ids []string) (unknown bool) {
+func (c *Core) lookUpDependencies(ids []string) (unknown bool) {
 	for _, id := range ids {
 		if c.jobs[id] != nil {
 			continue
 		}
 		unknown = true
-		if c.awaits.asking[id] || c.awaits.reloading {
+		if c.dependencies.asking[id] || c.dependencies.reloading {
 			continue
 		}
-		c.awaits.asking[id] = true
-		c.inquire(id, func(f finding, s protocol.JobState) {
-			delete(c.awaits.asking, id)
-			if f == final {
-				c.upstreamEnded(id, s.State)
+		c.dependencies.asking[id] = true
+		c.lookUp(id, func(f lookupResult, s protocol.JobState) {
+			delete(c.dependencies.asking, id)
+			if f == lookupFinal {
+				c.dependencyEnded(id, s.State)
 			}
 		})
 	}
@@ -135,14 +135,14 @@
 
 // inheritUrgency lets awaited jobs be as urgent as those that need them.
 func (c *Core) inheritUrgency() {
-	if !c.awaits.graph.Changed() {
+	if !c.dependencies.graph.Changed() {
 		return
 	}
-	for _, j := range c.awaits.inheriting {
+	for _, j := range c.dependencies.inheriting {
 		j.Inherit(nil)
 	}
-	c.awaits.inheriting = c.awaits.inheriting[:0]
-	urgencies := c.awaits.graph.Inherit(func(id string) (chain.Urgency, int64, bool) {
+	c.dependencies.inheriting = c.dependencies.inheriting[:0]
+	urgencies := c.dependencies.graph.Inherit(func(id string) (chain.Urgency, int64, bool) {
 		j := c.jobs[id]
 		if j == nil || j.Cancelled {
 			return chain.Urgency{}, 0, false
@@ -152,8 +152,8 @@
 	for id, u := range ordered(urgencies) {
 		if j := c.jobs[id]; j != nil {
 			j.Inherit(&u)
-			c.awaits.inheriting = append(c.awaits.inheriting, j)
+			c.dependencies.inheriting = append(c.dependencies.inheriting, j)
 		}
 	}
-	c.sched.dirty = true
+	c.scheduler.dirty = true
 }
--- a/internal/core/awaits_test.go
+++ b/internal/core/awaits_test.go
@@ -150,10 +150,10 @@
 	w.run(10*time.Second, nil)
 	c := w.cores[w.homeOf("red")]
 	j, team := c.jobs["req-red-2"], c.teamBy["red"]
-	if !j.Awaiting || c.allowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
-		t.Errorf("it asks for %d tasks, its team for %v", c.allowance(j), c.waitingNeed(team))
+	if !j.Awaiting || c.startAllowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
+		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingNeed(team))
 	}
-	if slices.ContainsFunc(c.sched.unplaced, func(d fleet.Demand) bool { return d.Spec.ID == j.ID }) {
+	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d fleet.Demand) bool { return d.Spec.ID == j.ID }) {
 		t.Error("machines are rented for it")
 	}
 	asked := team.record
@@ -255,7 +255,7 @@
 			}
 			stored := func() bool {
 				return !slices.ContainsFunc(ids, func(id string) bool {
-					_, active := w.kv[activeKey(id)]
+					_, active := w.kv[jobKey(id)]
 					s, _ := w.state(id)
 					return active || s.State != protocol.Cancelled
 				})
@@ -287,8 +287,8 @@
 	w.recover()
 	w.ready().run(10*time.Second, nil)
 	for _, node := range w.names {
-		if c := w.cores[node]; len(c.finals) > 1 {
-			t.Fatalf("%s remembers %v", node, c.finals)
+		if c := w.cores[node]; len(c.finalStates) > 1 {
+			t.Fatalf("%s remembers %v", node, c.finalStates)
 		}
 	}
 	accepted(t, w.submit("c", "req-red-1", 1, awaiting("req-free-1")))
@@ -322,7 +322,7 @@
 	w.slowWatcher = behind
 	home := w.homeOf("blue")
 	w.lateWrite = func(node string, e StoreTxn) time.Duration { // the cascade is not stored meanwhile
-		if node == home && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Delete, keyActive) }) {
+		if node == home && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Delete, keyJob) }) {
 			return time.Minute
 		}
 		return 0
@@ -360,7 +360,7 @@
 		accepted(t, w.submit("a", id, 1, ""))
 	}
 	w.cancelJob("b", "req-free-1")
-	if !w.run(time.Minute, func() bool { return w.finished("req-free-2")() && w.kv[activeKey("req-free-1")].Version == 0 }) {
+	if !w.run(time.Minute, func() bool { return w.finished("req-free-2")() && w.kv[jobKey("req-free-1")].Version == 0 }) {
 		t.Fatal("jobs do not end")
 	}
 	w.allAway(time.Second)
@@ -372,7 +372,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.change(protocol.Change{Put: activeKey(waits), Value: job.New(*s, w.cores["a"].chunkSize(), 0).Head()})
+		w.change(protocol.Change{Put: jobKey(waits), Value: job.New(*s, w.cores["a"].chunkSize(), 0).Head()})
 		w.step("a")
 		for _, node := range w.names {
 			if got := w.stance(node, waits); got != "" && got != want {
@@ -397,11 +397,11 @@
 	home := w.homeOf("blue")
 	users := protocol.Txn{ // as any controller would store it
 		If:   []protocol.Condition{{Key: keyState + "req-blue-1"}},
-		Then: []protocol.Change{put(keyState+"req-blue-1", stateKey{State: protocol.Cancelled}), put(cancelKey("req-blue-1"), cancelMark{})},
+		Then: []protocol.Change{putJSON(keyState+"req-blue-1", finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey("req-blue-1"), cancelRecord{})},
 	}
 	met := false
 	w.lateWrite = func(node string, e StoreTxn) time.Duration { // the home's write waits for the user's
-		if node == home && !met && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return ch.Delete == activeKey("req-blue-1") }) {
+		if node == home && !met && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return ch.Delete == jobKey("req-blue-1") }) {
 			met = w.decide(users).Outcome == Applied
 			return 3 * time.Second
 		}
@@ -440,7 +440,7 @@
 	w.started("req-blue-1", 4)
 	left := 0
 	for key := range w.kv {
-		if strings.HasPrefix(key, activeKey("req-blue-w")) {
+		if strings.HasPrefix(key, jobKey("req-blue-w")) {
 			left++
 		}
 	}
@@ -469,7 +469,7 @@
 			t.Errorf("%s says that it is %q", node, got)
 		}
 	}
-	if w.kv[activeKey("req-free-1")].Version == 0 {
+	if w.kv[jobKey("req-free-1")].Version == 0 {
 		t.Fatal("the awaited job has ended by then")
 	}
 }
@@ -497,7 +497,7 @@
 				t.Fatal("split before all are upgraded")
 			}
 			w.lateWrite = func(_ string, e StoreTxn) time.Duration {
-				if late && strings.HasPrefix(e.Txn.Then[0].Put, keyActive) {
+				if late && strings.HasPrefix(e.Txn.Then[0].Put, keyJob) {
 					return 3 * time.Second
 				}
 				return 0
@@ -513,7 +513,7 @@
 			}
 			w.run(5*time.Second, nil)
 			for key := range w.kv {
-				if strings.HasPrefix(key, activeKey("req-free-1")) {
+				if strings.HasPrefix(key, jobKey("req-free-1")) {
 					t.Errorf("%s is left", key)
 				}
 			}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -18,10 +18,10 @@
 // each machine and one job to every ten.
 func busyCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
-	c.now.Steady, c.loaded, c.term.term = time.Second, true, 1
-	c.catalogIn(CatalogIn{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50}}})
+	c.now.Steady, c.loaded, c.tokens.current = time.Second, true, 1
+	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50}}})
 	for _, t := range c.teams {
-		t.acting, t.home, t.version, t.CPUsMax = true, "a", 1, 0
+		t.leading, t.leader, t.version, t.CPUsMax = true, "a", 1, 0
 	}
 	var j *job.Job
 	for n := range machines {
@@ -33,8 +33,8 @@
 		}
 		r := benchReport(n, j.TaskID(n%10))
 		j.Bind(n%10, &job.Binding{Machine: r.Machine, Attempt: 1, Term: 1, Session: 1, Stored: true, Sent: true})
-		c.observe(Observation{Node: "a", Term: 1, Report: r})
-		c.own[r.Machine] = &control{term: 1, session: 1, sent: map[taskAttempt]job.Resources{}, orders: map[taskAttempt]protocol.Command{}}
+		c.applyObservation(Observation{Node: "a", Token: 1, Report: r})
+		c.agents[r.Machine] = &agentSession{token: 1, epoch: 1, pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
 	}
 	for _, j := range c.jobs {
 		j.TakeDirty(1) // all is stored
@@ -61,12 +61,12 @@
 func BenchmarkReport(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, machines int) {
 		for n := 0; b.Loop(); n++ {
-			r := c.machines[c.ids[n%machines]].Report
+			r := c.machines[c.machineNames[n%machines]].Report
 			r.Seq++
 			r.Token = 1 + uint64(n/machines%2)
-			c.own[r.Machine].term = 2
-			c.effects, c.observed = nil, nil
-			c.handle(Beat{Req: 1, Report: r})
+			c.agents[r.Machine].token = 2
+			c.effects, c.pendingObservations = nil, nil
+			c.handle(Heartbeat{Req: 1, Report: r})
 		}
 	})
 }
@@ -75,7 +75,7 @@
 func BenchmarkRound(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, _ int) {
 		t := c.teams[0]
-		t.acting = false // a plan for another home changes nothing, so rounds stay alike
+		t.leading = false // a plan for another home changes nothing, so rounds stay alike
 		for n := range 10 {
 			j := job.New(job.Spec{ID: fmt.Sprintf("req-9%d", n), Team: t.Name, Tasks: 20, Need: job.Resources{CPUs: 2}, Spot: true}, 64, 0)
 			j.Version = 1
@@ -83,7 +83,7 @@
 		}
 		for b.Loop() {
 			c.now.Steady += time.Nanosecond
-			c.sched.dirty, c.sched.next, c.effects = true, 0, nil
+			c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
 			c.schedule()
 		}
 	})
@@ -112,7 +112,7 @@
 			j.Version = 1
 			c.addJob(t, j)
 			if bound {
-				j.Bind(0, &job.Binding{Machine: c.ids[n%len(c.ids)], Attempt: 1, Term: 1, Session: 1})
+				j.Bind(0, &job.Binding{Machine: c.machineNames[n%len(c.machineNames)], Attempt: 1, Term: 1, Session: 1})
 				j.Urgent = true
 			}
 		}
@@ -123,10 +123,10 @@
 			swarm(c, bound)
 			for b.Loop() {
 				c.now.Steady += time.Nanosecond
-				c.sched.dirty, c.sched.next, c.effects = true, 0, nil
-				c.budget.at, c.budget.level, c.sched.storeAfter = c.now.Steady, 0, 0
+				c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
+				c.writeBudget.at, c.writeBudget.level, c.scheduler.storeAfter = c.now.Steady, 0, 0
 				c.schedule()
-				c.flushAll()
+				c.flushJobs()
 			}
 		})
 	}
@@ -144,7 +144,7 @@
 				for _, m := range c.machines {
 					m.Seen, m.Reported = c.now.Steady, c.now.Steady
 				}
-				c.sched.dirty, c.sched.next, c.effects, c.claims = true, 0, nil, nil
+				c.scheduler.dirty, c.scheduler.next, c.effects, c.claims = true, 0, nil, nil
 				c.schedule()
 			}
 		})
@@ -155,12 +155,12 @@
 // in ten that has accelerators and runs a gang's task.
 func mixedCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
-	c.now.Steady, c.loaded, c.term.term = time.Second, true, 1
-	c.catalogIn(CatalogIn{Types: []protocol.MachineType{
+	c.now.Steady, c.loaded, c.tokens.current = time.Second, true, 1
+	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{
 		{Name: "small", CPUs: 8, MemoryGB: 64, CacheGB: 50, Price: 1, SpotPrice: 0.4},
 		{Name: "large", CPUs: 48, GPUs: 8, MemoryGB: 288, CacheGB: 50, Price: 20, SpotPrice: 8}}})
 	t := c.teams[2]
-	t.acting, t.home, t.version = true, "a", 1
+	t.leading, t.leader, t.version = true, "a", 1
 	add := func(id string, kind job.Kind, class string, tasks, priority int, need job.Resources) *job.Job {
 		j := job.New(job.Spec{ID: id, Team: t.Name, Class: class, Kind: kind, Tasks: tasks, Priority: priority, Need: need, Image: id, ImageGB: 1,
 			EstimateS: 30, Spot: kind == job.Array, Spread: kind == job.Service, OneZone: kind == job.Gang}, 512, 0)
@@ -195,7 +195,7 @@
 				on(array, 8*n+i)
 			}
 		}
-		c.observe(Observation{Node: "a", Term: 1, Report: r})
+		c.applyObservation(Observation{Node: "a", Token: 1, Report: r})
 	}
 	for n := range 20 {
 		add(fmt.Sprint("req-w", n), job.Service, "watch", 6, 0, job.Resources{CPUs: 4, MemoryGB: 30})
@@ -210,12 +210,12 @@
 // jobs as machines, and as many marks of returned machines as jobs.
 func BenchmarkReload(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, machines int) {
-		l := Loaded{Revision: 2}
+		l := SnapshotLoaded{Revision: 2}
 		for id, j := range c.jobs {
-			l.Items = append(l.Items, protocol.KeyValue{Key: activeKey(id), Value: j.Head(), Version: 2})
+			l.Items = append(l.Items, protocol.KeyValue{Key: jobKey(id), Value: j.Head(), Version: 2})
 		}
 		for n := range machines / 10 {
-			l.Items = append(l.Items, protocol.KeyValue{Key: fmt.Sprintf("%svm-9%05d", keyMark, n), Value: raw(mark{Gone: true}), Version: 2})
+			l.Items = append(l.Items, protocol.KeyValue{Key: fmt.Sprintf("%svm-9%05d", keyCordon, n), Value: mustMarshal(cordonRecord{Terminated: true}), Version: 2})
 		}
 		for b.Loop() {
 			fresh := New(c.cfg, settings.DefaultPolicy(), "y")
@@ -239,7 +239,7 @@
 			j.Version = 1
 			c.addJob(c.teams[0], j)
 			c.now.Steady += time.Nanosecond
-			c.sched.dirty, c.sched.next, c.effects, c.claims = true, 0, nil, nil
+			c.scheduler.dirty, c.scheduler.next, c.effects, c.claims = true, 0, nil, nil
 			b.StartTimer()
 			c.schedule()
 			b.StopTimer()
@@ -270,8 +270,8 @@
 		r.Seq++
 		r.Tasks = slices.Clone(r.Tasks)
 		r.Tasks[n%600].State = states[n/600%2]
-		c.effects, c.observed = nil, nil
-		c.handle(Beat{Req: 1, Report: r})
+		c.effects, c.pendingObservations = nil, nil
+		c.handle(Heartbeat{Req: 1, Report: r})
 	}
 }
 
@@ -285,7 +285,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		c.effects = nil
-		clear(c.waits)
+		clear(c.pendingReplies)
 		for _, cmd := range commands {
 			c.handle(cmd)
 		}
@@ -298,18 +298,18 @@
 // BenchmarkList is the cloud's list of all machines, and what the renter makes of it.
 func BenchmarkList(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, _ int) {
-		c.fleet.acting = true
-		c.rental.reset(0)
-		var l ListIn
-		for _, id := range c.ids {
+		c.fleet.leading = true
+		c.autoscaler.reset(0)
+		var l InventoryReceived
+		for _, id := range c.machineNames {
 			l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, Type: "small", Zone: "z1", Spot: true, State: protocol.Running, AgeS: 60})
 		}
 		for b.Loop() {
 			c.effects = nil
-			c.listIn(l)
-			c.tendListed()
+			c.handleInventory(l)
+			c.reconcileInventory()
 		}
-		if len(c.rental.returning) > 0 {
+		if len(c.autoscaler.returnReasons) > 0 {
 			b.Fatal("a machine is given up")
 		}
 	})
--- a/internal/core/boots_test.go
+++ b/internal/core/boots_test.go
@@ -14,21 +14,21 @@
 func renter(t *testing.T, n int, age time.Duration) *Core {
 	t.Helper()
 	c := newWorld(t).ready().cores[nodeNames[0]]
-	c.fleet.acting = true
-	c.rental.reset(c.now.Steady)
+	c.fleet.leading = true
+	c.autoscaler.reset(c.now.Steady)
 	c.now.Steady += time.Hour
-	var l ListIn
+	var l InventoryReceived
 	for i := range n {
 		l.Machines = append(l.Machines, protocol.ListedMachine{ID: fmt.Sprintf("vm-9%03d", i), Type: "small", Zone: "z1", Spot: true,
 			State: protocol.Booting, AgeS: age.Seconds()})
 	}
-	c.listIn(l)
-	c.weighBoots()
+	c.handleInventory(l)
+	c.updateProvisioningTimes()
 	return c
 }
 
 func (c *Core) comesUp(id string) {
-	c.handle(Beat{Req: 1, Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: 1}})
+	c.handle(Heartbeat{Req: 1, Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: 1}})
 }
 
 // When all machines came up late, the renter used to count none of them as
@@ -36,11 +36,11 @@
 func TestMachinesThatAreAllLateAreAwaitedAndNotRentedTwice(t *testing.T) {
 	const boot = 5 * time.Second
 	c := renter(t, 10, 5*boot)
-	if n := len(c.coming()); n != 10 {
+	if n := len(c.pendingCapacity()); n != 10 {
 		t.Errorf("%d of 10 late machines are awaited", n)
 	}
-	c.tendListed()
-	if n := len(c.rental.returning); n > 0 {
+	c.reconcileInventory()
+	if n := len(c.autoscaler.returnReasons); n > 0 {
 		t.Errorf("%d late machines are given up", n)
 	}
 }
@@ -51,13 +51,13 @@
 	for i := range 9 {
 		c.comesUp(fmt.Sprintf("vm-9%03d", i))
 	}
-	c.now.Steady += 2*boot + c.silence() + boot
-	c.weighBoots()
-	if n := len(c.coming()); n > 0 {
+	c.now.Steady += 2*boot + c.silenceLimit() + boot
+	c.updateProvisioningTimes()
+	if n := len(c.pendingCapacity()); n > 0 {
 		t.Errorf("%d machines are awaited that hardly come", n)
 	}
-	c.tendListed()
-	if c.rental.returning["vm-9009"] == "" {
+	c.reconcileInventory()
+	if c.autoscaler.returnReasons["vm-9009"] == "" {
 		t.Error("the machine that does not come up is kept")
 	}
 }
@@ -66,9 +66,9 @@
 // stayed rented for good.
 func TestMachinesThatNeverComeAreGivenUpHoweverManyTheyAre(t *testing.T) {
 	c := renter(t, 40, 2*(slowest+1)*2*5*time.Second)
-	c.now.Steady += c.silence() + time.Second
-	c.tendListed()
-	if n := len(c.rental.returning); n != 40 {
+	c.now.Steady += c.silenceLimit() + time.Second
+	c.reconcileInventory()
+	if n := len(c.autoscaler.returnReasons); n != 40 {
 		t.Errorf("%d of 40 machines that never come are given up", n)
 	}
 }
@@ -78,7 +78,7 @@
 	l := protocol.ListedMachine{Type: "small", Zone: "z1", Spot: true}
 	before := len(c.offers(0))
 	for range dudsAllowed {
-		c.dud(l)
+		c.failedProvisioning(l)
 	}
 	if n := len(c.offers(0)); n != before-1 {
 		t.Errorf("%d offers of %d are left", n, before)
@@ -89,16 +89,16 @@
 // while there were cheap machines left, and the next round came seconds later.
 func TestLargeDemandIsRentedOfTheCheapestOfferFirstAndWithoutPauses(t *testing.T) {
 	c := renter(t, 0, 0)
-	c.catalogIn(CatalogIn{Types: []protocol.MachineType{
+	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{
 		{Name: "cheap", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.1, BootS: 5, Zones: []string{"z1"}},
 		{Name: "dear", CPUs: 4, MemoryGB: 16, Price: 2, SpotPrice: 0.5, BootS: 5, Zones: []string{"z1"}},
 	}})
 	const tasks = 1000
-	c.sched.unplaced = []fleet.Demand{{Spec: &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: 4}, Spot: true}, Tasks: tasks, Right: fleet.Plain}}
+	c.scheduler.pendingDemand = []fleet.Demand{{Spec: &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: 4}, Spot: true}, Tasks: tasks, Right: fleet.Plain}}
 	got, rounds := 0, 0
 	for ; got < tasks && rounds < 10; rounds++ {
 		c.effects = nil
-		c.rentMore()
+		c.scaleOut()
 		asked := 0
 		for _, e := range c.effects {
 			put, ok := e.(StoreTxn)
@@ -115,9 +115,9 @@
 				got++
 				names = append(names, fmt.Sprintf("vm-8%04d", got))
 			}
-			c.timers.fleet = time.Hour
+			c.timers.autoscaler = time.Hour
 			c.handle(Rented{Rental: rent.Rental, Outcome: Applied, Machines: names})
-			if c.timers.fleet > c.now.Steady {
+			if c.timers.autoscaler > c.now.Steady {
 				t.Fatal("the next round waits")
 			}
 		}
@@ -135,10 +135,10 @@
 func TestRentalWithoutAnAnswerIsNotRepeatedAtOnce(t *testing.T) {
 	for outcome, atOnce := range map[Outcome]bool{Applied: true, Refused: true, Unknown: false} {
 		c := renter(t, 0, 0)
-		c.intents["r"] = &intent{}
-		c.timers.fleet = c.now.Steady + time.Second
-		c.rented(Rented{Rental: protocol.Rental{Request: "r", Type: "small", Zone: "z1", Count: 1}, Outcome: outcome, Machines: []string{"vm-1"}})
-		if (c.timers.fleet == 0) != atOnce {
+		c.intents["r"] = &rentalIntent{}
+		c.timers.autoscaler = c.now.Steady + time.Second
+		c.handleRental(Rented{Rental: protocol.Rental{Request: "r", Type: "small", Zone: "z1", Count: 1}, Outcome: outcome, Machines: []string{"vm-1"}})
+		if (c.timers.autoscaler == 0) != atOnce {
 			t.Errorf("outcome %v: asked again at once: %v", outcome, !atOnce)
 		}
 	}
--- a/internal/core/broadcast.go
+++ b/internal/core/broadcast.go
@@ -18,81 +18,81 @@
 	Asked    int64  `json:"t,omitempty"`
 }
 
-// broadcast is a Cancellation that is known here, and which controllers have acknowledged it.
-type broadcast struct {
+// cancelAnnouncement is a Cancellation that is known here, and which controllers have acknowledged it.
+type cancelAnnouncement struct {
 	Cancellation
 	at time.Duration
-	// had holds the controllers that have said that they know. A later run of one reads
+	// acknowledgedBy holds the controllers that have said that they know. A later run of one reads
 	// it in the stored state before it answers a worker.
-	had map[string]bool
+	acknowledgedBy map[string]bool
 	// waiting are the questions whose answer waits for another controller to know.
-	waiting []question
+	waiting []pendingLookup
 }
 
 const (
 	// cancellationsPerMsg bounds a message, maxBroadcasts the memory. Past it the oldest are
 	// dropped, which are left to the watch of those that have not heard of them.
 	cancellationsPerMsg = 256
-	maxBroadcasts       = 4 * finalsKept
+	maxBroadcasts       = 4 * maxFinalStates
 	// broadcastLife is for how many times the time allowed a cancellation is broadcast.
 	broadcastLife = 4
 )
 
-// cancelKnown notes a cancellation that the state service holds, whoever told of it:
+// noteCancellation notes a cancellation that the state service holds, whoever told of it:
 // this node's own write, its watch, an answer of the store, or another controller.
-func (c *Core) cancelKnown(k Cancellation) {
-	if s, known := c.finals[k.Job]; known && s.State != protocol.Cancelled {
+func (c *Core) noteCancellation(k Cancellation) {
+	if s, known := c.finalStates[k.Job]; known && s.State != protocol.Cancelled {
 		c.log(Error, "cancellation of a job that has ended otherwise is ignored", "job", k.Job, "state", s.State)
 		return
 	}
-	c.remember(k.Job, protocol.JobState{ID: k.Job, State: protocol.Cancelled})
-	if w := c.broadcasts[k.Job]; w != nil {
+	c.rememberFinalState(k.Job, protocol.JobState{ID: k.Job, State: protocol.Cancelled})
+	if w := c.announcements[k.Job]; w != nil {
 		w.Revision, w.Asked = min(w.Revision, k.Revision), max(w.Asked, k.Asked)
-	} else if c.goneAt[k.Job] == 0 {
-		c.startBroadcast(k)
+	} else if c.endRevisions[k.Job] == 0 {
+		c.startAnnouncement(k)
 	}
 	c.markCancelled(c.jobs[k.Job])
 }
 
-func (c *Core) startBroadcast(k Cancellation) {
-	w := &broadcast{Cancellation: k, at: c.now.Steady, had: map[string]bool{}}
-	c.broadcasts[k.Job] = w
-	c.broadcastOrder = append(c.broadcastOrder, k.Job)
-	for len(c.broadcastOrder) > maxBroadcasts {
-		delete(c.broadcasts, c.broadcastOrder[0])
-		c.broadcastOrder = c.broadcastOrder[1:]
+func (c *Core) startAnnouncement(k Cancellation) {
+	w := &cancelAnnouncement{Cancellation: k, at: c.now.Steady, acknowledgedBy: map[string]bool{}}
+	c.announcements[k.Job] = w
+	c.announcementOrder = append(c.announcementOrder, k.Job)
+	for len(c.announcementOrder) > maxBroadcasts {
+		delete(c.announcements, c.announcementOrder[0])
+		c.announcementOrder = c.announcementOrder[1:]
 	}
-	c.timers.stop = 0
+	c.timers.stopReported = 0
 }
 
 // stopReported stops the tasks of cancelled jobs that the newest reports of own machines
 // show: neither the job, nor a binding, nor the state service is needed for it.
 func (c *Core) stopReported() {
-	if len(c.broadcasts) == 0 {
+	if len(c.announcements) == 0 {
 		return
 	}
-	for machine := range ordered(c.own) {
+	for machine := range ordered(c.agents) {
 		m := c.machines[machine]
 		if m == nil || m.Node != c.cfg.Node {
 			continue
 		}
 		for _, t := range m.Tasks {
-			if id, _, ok := job.SplitTask(t.Task); ok && t.State != protocol.Exited && c.broadcasts[id] != nil {
-				c.dismiss(m, t)
+			if id, _, ok := job.SplitTask(t.Task); ok && t.State != protocol.Exited && c.announcements[id] != nil {
+				c.stopOrForgetTask(m, t)
 			}
 		}
 	}
 }
 
-// knows tells whether a controller is known to know of a cancellation: it has said so,
+// hasAcknowledged tells whether a controller is known to know of a cancellation: it has said so,
 // or its replica is past it.
-func (c *Core) knows(node string, w *broadcast) bool {
+func (c *Core) hasAcknowledged(node string, w *cancelAnnouncement) bool {
 	p := c.peers[node]
-	return node == c.cfg.Node || p != nil && (w.had[node] || p.revision >= w.Revision)
+	return node == c.cfg.Node || p != nil && (w.acknowledgedBy[node] || p.revision >= w.Revision)
 }
 
-// cancellationsIn takes cancellations of another controller, and acknowledges them.
-func (c *Core) cancellationsIn(node string, told []Cancellation) {
+// handleCancellations takes cancellations of another controller, and acknowledges them.
+func (c *Core) handleCancellations(node string, told []Cancellation) {
 	if c.peers[node] == nil {
 		return
 	}
@@ -102,22 +102,22 @@
 			c.log(Error, "cancellation is not understood", "node", node, "job", k.Job)
 			continue
 		}
-		c.cancelKnown(k)
+		c.noteCancellation(k)
 		known = append(known, k.Job)
-		if w := c.broadcasts[k.Job]; w != nil {
-			w.had[node] = true
+		if w := c.announcements[k.Job]; w != nil {
+			w.acknowledgedBy[node] = true
 		}
 	}
 	if len(known) > 0 {
-		c.tell(node, PeerMsg{Known: known})
+		c.sendTo(node, PeerMessage{Acknowledged: known})
 	}
 }
 
-// acknowledgedIn notes of which jobs a controller has said that it knows them to be cancelled.
-func (c *Core) acknowledgedIn(node string, jobs []string) {
+// handleAcknowledgements notes of which jobs a controller has said that it knows them to be cancelled.
+func (c *Core) handleAcknowledgements(node string, jobs []string) {
 	for _, id := range jobs {
-		if w := c.broadcasts[id]; w != nil {
-			w.had[node] = true
+		if w := c.announcements[id]; w != nil {
+			w.acknowledgedBy[node] = true
 		}
 	}
 }
@@ -127,25 +127,25 @@
 // moment. No user is told before another controller knows: else nobody would, if this node
 // ended and the state service with it.
 func (c *Core) announceCancel(id string) {
-	if w := c.broadcasts[id]; w != nil && !c.anotherKnows(w) {
-		c.broadcast(PeerMsg{Cancellations: []Cancellation{w.Cancellation}})
-		c.untold[id] = w
+	if w := c.announcements[id]; w != nil && !c.acknowledgedByAnother(w) {
+		c.broadcast(PeerMessage{Cancellations: []Cancellation{w.Cancellation}})
+		c.unannounced[id] = w
 	}
 }
 
-// tellUsers answers what waits for another controller to know of a cancellation, or turns
+// answerAnnounced answers what waits for another controller to know of a cancellation, or turns
 // it away before its user has gone.
-func (c *Core) tellUsers() {
-	for id, w := range ordered(c.untold) {
-		f := untold
-		if c.anotherKnows(w) {
-			f = final
-			delete(c.untold, id)
+func (c *Core) answerAnnounced() {
+	for id, w := range ordered(c.unannounced) {
+		f := lookupUnavailable
+		if c.acknowledgedByAnother(w) {
+			f = lookupFinal
+			delete(c.unannounced, id)
 		}
 		rest := w.waiting[:0]
 		for _, q := range w.waiting {
-			if f == final || c.now.Steady-q.at > protocol.PollTimeout/2 {
-				q.tell(f, protocol.JobState{ID: id, State: protocol.Cancelled})
+			if f == lookupFinal || c.now.Steady-q.since > protocol.PollTimeout/2 {
+				q.resolve(f, protocol.JobState{ID: id, State: protocol.Cancelled})
 			} else {
 				rest = append(rest, q)
 			}
@@ -154,25 +154,25 @@
 	}
 }
 
-// anotherKnows tells whether a second controller knows of a cancellation, or there is
+// acknowledgedByAnother tells whether a second controller knows of a cancellation, or there is
 // none. One of the release before can't say so: it is left to its watch.
-func (c *Core) anotherKnows(w *broadcast) bool {
+func (c *Core) acknowledgedByAnother(w *cancelAnnouncement) bool {
 	alone := true
 	for node, p := range c.peers {
 		_, live := c.nodes[node]
-		if c.knows(node, w) || c.hears(node) && p.stamp == "" {
+		if c.hasAcknowledged(node, w) || c.inDirectContact(node) && p.stamp == "" {
 			return true
 		}
-		alone = alone && !live && !c.hears(node)
+		alone = alone && !live && !c.inDirectContact(node)
 	}
 	return alone
 }
 
 // unacknowledged counts the cancellations that some controller is not known to know.
 func (c *Core) unacknowledged() (n int) {
-	for _, w := range c.broadcasts {
+	for _, w := range c.announcements {
 		for node := range c.peers {
-			if !c.knows(node, w) {
+			if !c.hasAcknowledged(node, w) {
 				n++
 				break
 			}
@@ -181,42 +181,42 @@
 	return n
 }
 
-// tendBroadcasts broadcasts cancellations again to all that are not known to know, until they do, over
+// repeatAnnouncements broadcasts cancellations again to all that are not known to know, until they do, over
 // every way there is. Stops go out again until reports show the end.
-func (c *Core) tendBroadcasts() {
-	kept := c.broadcastOrder[:0]
-	for _, id := range c.broadcastOrder {
-		w := c.broadcasts[id]
+func (c *Core) repeatAnnouncements() {
+	kept := c.announcementOrder[:0]
+	for _, id := range c.announcementOrder {
+		w := c.announcements[id]
 		if w == nil {
 			continue
 		}
-		if c.now.Steady-w.at > broadcastLife*c.allowed() {
-			delete(c.broadcasts, id)
+		if c.now.Steady-w.at > broadcastLife*c.cancelDeadline() {
+			delete(c.announcements, id)
 			continue
 		}
 		kept = append(kept, id)
 	}
-	c.broadcastOrder = kept
+	c.announcementOrder = kept
 	for _, p := range c.cfg.Peers {
-		c.rebroadcast(p.Node)
+		c.announceAgainTo(p.Node)
 	}
-	if c.every(&c.timers.stop, c.reportInterval()) {
+	if c.every(&c.timers.stopReported, c.reportInterval()) {
 		c.stopReported()
 	}
 }
 
-// rebroadcast tells a controller the cancellations that it is not known to know. For a report interval
+// announceAgainTo tells a controller the cancellations that it is not known to know. For a report interval
 // they are left to its watch.
-func (c *Core) rebroadcast(node string) {
+func (c *Core) announceAgainTo(node string) {
 	var out []Cancellation
-	for _, id := range c.broadcastOrder {
-		if w := c.broadcasts[id]; w != nil && c.now.Steady-w.at >= c.reportInterval() && !c.knows(node, w) {
+	for _, id := range c.announcementOrder {
+		if w := c.announcements[id]; w != nil && c.now.Steady-w.at >= c.reportInterval() && !c.hasAcknowledged(node, w) {
 			if out = append(out, w.Cancellation); len(out) == cancellationsPerMsg {
 				break
 			}
 		}
 	}
 	if len(out) > 0 {
-		c.sendPeer(node, PeerMsg{Cancellations: out})
+		c.route(node, PeerMessage{Cancellations: out})
 	}
 }
--- a/internal/core/broadcast_test.go
+++ b/internal/core/broadcast_test.go
@@ -15,10 +15,10 @@
 // the state service once the replica has reached it, and beats that answer own beats.
 func TestWhatProvesThatNoCancellationIsUnknown(t *testing.T) {
 	const sent, later = 10 * time.Second, 20 * time.Second
-	beat := func(b NodeBeat) func(c *Core) {
+	beat := func(b NodeHeartbeat) func(c *Core) {
 		return func(c *Core) {
-			c.peers["c"].sure = later
-			c.nodeBeatIn("b", b)
+			c.peers["c"].freshUntil = later
+			c.handleNodeHeartbeat("b", b)
 		}
 	}
 	for name, d := range map[string]struct {
@@ -26,32 +26,32 @@
 		want    time.Duration
 	}{
 		"nothing":                        {func(*Core) {}, 0},
-		"a beat that answers":            {beat(NodeBeat{Revision: 5, Echoes: []Echo{{"c", "b.1"}, {"a", "a.1"}}}), sent},
-		"one that answers another's":     {beat(NodeBeat{Revision: 5, Echoes: []Echo{{"c", "a.1"}}}), 0},
-		"one that answers a former run":  {beat(NodeBeat{Revision: 5, Echoes: []Echo{{"a", "x.1"}}}), 0},
-		"one that owes others":           {beat(NodeBeat{Revision: 5, Owes: []string{"a"}, Echoes: []Echo{{"a", "a.1"}}}), 0},
-		"one of a run that has not read": {beat(NodeBeat{Echoes: []Echo{{"a", "a.1"}}}), 0},
+		"a beat that answers":            {beat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "b.1"}, {"a", "a.1"}}}), sent},
+		"one that answers another's":     {beat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "a.1"}}}), 0},
+		"one that answers a former run":  {beat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"a", "x.1"}}}), 0},
+		"one that owes others":           {beat(NodeHeartbeat{Revision: 5, Unacknowledged: []string{"a"}, Acknowledgements: []Acknowledgement{{"a", "a.1"}}}), 0},
+		"one of a run that has not read": {beat(NodeHeartbeat{Acknowledgements: []Acknowledgement{{"a", "a.1"}}}), 0},
 		"one of two others": {func(c *Core) {
-			c.nodeBeatIn("b", NodeBeat{Revision: 5, Echoes: []Echo{{"a", "a.1"}}})
+			c.handleNodeHeartbeat("b", NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"a", "a.1"}}})
 		}, 0},
-		"an answer of the state service":   {func(c *Core) { c.answered(sent, StoreReply{Outcome: Conflict, Revision: 5}) }, sent},
-		"one that the replica is short of": {func(c *Core) { c.answered(sent, StoreReply{Outcome: Applied, Revision: 6}) }, 0},
+		"an answer of the state service":   {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Conflict, Revision: 5}) }, sent},
+		"one that the replica is short of": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 6}) }, 0},
 		"the replica gets there": {func(c *Core) {
-			c.answered(sent, StoreReply{Outcome: Applied, Revision: 6})
-			c.watched(Watched{Revision: 6})
+			c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 6})
+			c.applyEvents(StoreChanged{Revision: 6})
 		}, sent},
 		"it gets half way": {func(c *Core) {
-			c.answered(sent, StoreReply{Outcome: Applied, Revision: 8})
-			c.watched(Watched{Revision: 7})
+			c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 8})
+			c.applyEvents(StoreChanged{Revision: 7})
 		}, 0},
-		"a refusal": {func(c *Core) { c.answered(sent, StoreReply{Outcome: Refused, Revision: 5}) }, 0},
+		"a refusal": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Refused, Revision: 5}) }, 0},
 	} {
 		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
 		c.revision, c.now.Steady = 5, sent
-		c.stamp()
+		c.nextStamp()
 		c.now.Steady = later
 		d.happens(c)
-		if got := c.sureUntil(); got != d.want {
+		if got := c.freshUntil(); got != d.want {
 			t.Errorf("%s: sure until %v, not %v", name, got, d.want)
 		}
 	}
@@ -61,26 +61,26 @@
 // is cancelled: neither is given, though the job is not known here.
 func TestCancellationKeepsStartsBack(t *testing.T) {
 	told := Cancellation{Job: "req-free-1", Revision: 3}
-	start := Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Term: 1, Session: 1}
+	start := Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Epoch: 1}
 	for name, toldFirst := range map[string]bool{"the broadcast comes first": true, "the start comes first": false} {
 		c := newWorld(t).cores["a"]
-		c.catalogIn(CatalogIn{Types: newWorld(t).types})
-		c.term.own[1] = true
-		w := &control{term: 1, session: 1, sent: map[taskAttempt]job.Resources{}, orders: map[taskAttempt]protocol.Command{}}
-		c.own["vm"] = w
+		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
+		c.tokens.acquired[1] = true
+		w := &agentSession{token: 1, epoch: 1, pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
+		c.agents["vm"] = w
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node = "vm", "small", "a"
 		if toldFirst {
-			c.cancellationsIn("b", []Cancellation{told})
+			c.handleCancellations("b", []Cancellation{told})
 		}
-		c.start("b", start)
-		if waits := len(w.queue) > 0; waits == toldFirst {
+		c.forwardStart("b", start)
+		if waits := len(w.queuedStarts) > 0; waits == toldFirst {
 			t.Errorf("%s: the start waits: %v", name, waits)
 		}
-		c.cancellationsIn("b", []Cancellation{told})
-		c.deliver("vm", w)
-		if len(w.queue) > 0 || len(w.sent) > 0 {
-			t.Errorf("%s: %d starts wait, %d were sent", name, len(w.queue), len(w.sent))
+		c.handleCancellations("b", []Cancellation{told})
+		c.deliverTo("vm", w)
+		if len(w.queuedStarts) > 0 || len(w.pendingStarts) > 0 {
+			t.Errorf("%s: %d starts wait, %d were sent", name, len(w.queuedStarts), len(w.pendingStarts))
 		}
 		for _, e := range c.effects {
 			if d, is := e.(Deliver); is && len(d.Orders.Commands) > 0 {
@@ -95,8 +95,8 @@
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-free-1", 3, ""))
 	c := New(testSettings("a"), w.cores["a"].policy, "a")
-	c.cancellationsIn("b", []Cancellation{{Job: "req-free-1", Revision: 99}})
-	c.written(w.kv[activeKey("req-free-1")])
+	c.handleCancellations("b", []Cancellation{{Job: "req-free-1", Revision: 99}})
+	c.onPut(w.kv[jobKey("req-free-1")])
 	if j := c.jobs["req-free-1"]; j == nil || !j.Cancelled {
 		t.Errorf("it is taken for a live one: %+v", j)
 	}
@@ -113,10 +113,10 @@
 		"said twice":        {good, good},
 	} {
 		c := newWorld(t).cores["a"]
-		c.remember("req-done-1", protocol.JobState{ID: "req-done-1", State: protocol.Done})
-		c.peerIn(PeerIn{Node: "b", Msg: PeerMsg{Cancellations: told}})
-		c.peerIn(PeerIn{Node: "b", Msg: PeerMsg{Known: []string{"req-else-1", good.Job}}})
-		if c.finals["req-done-1"].State != protocol.Done || c.broadcasts["req-done-1"] != nil || c.cancelled("req-free-1") || c.cancelled("../x") {
+		c.rememberFinalState("req-done-1", protocol.JobState{ID: "req-done-1", State: protocol.Done})
+		c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{Cancellations: told}})
+		c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{Acknowledged: []string{"req-else-1", good.Job}}})
+		if c.finalStates["req-done-1"].State != protocol.Done || c.announcements["req-done-1"] != nil || c.cancelled("req-free-1") || c.cancelled("../x") {
 			t.Errorf("%s: taken", name)
 		}
 		if !c.cancelled(good.Job) {
@@ -124,7 +124,7 @@
 		}
 	}
 	c := newWorld(t).cores["a"]
-	c.peerIn(PeerIn{Node: "b", Msg: PeerMsg{From: "stranger", Cancellations: []Cancellation{good}}})
+	c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{From: "stranger", Cancellations: []Cancellation{good}}})
 	if c.cancelled(good.Job) {
 		t.Error("what an unknown node says is taken")
 	}
@@ -134,20 +134,20 @@
 func TestBroadcastsAreBounded(t *testing.T) {
 	c := newWorld(t).cores["a"]
 	for i := range 2 * maxBroadcasts {
-		c.cancelKnown(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
+		c.noteCancellation(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
 	}
-	if len(c.broadcasts) > maxBroadcasts || len(c.broadcastOrder) > maxBroadcasts {
-		t.Errorf("%d broadcasts are kept", len(c.broadcasts))
+	if len(c.announcements) > maxBroadcasts || len(c.announcementOrder) > maxBroadcasts {
+		t.Errorf("%d broadcasts are kept", len(c.announcements))
 	}
 	c.peers["b"].connected = true
 	c.effects = nil
 	c.now.Steady = time.Minute
-	c.rebroadcast("b")
-	if m := c.effects[0].(SendPeer); len(m.Msg.Cancellations) != cancellationsPerMsg {
-		t.Errorf("a message has %d cancellations", len(m.Msg.Cancellations))
+	c.announceAgainTo("b")
+	if m := c.effects[0].(SendPeer); len(m.Message.Cancellations) != cancellationsPerMsg {
+		t.Errorf("a message has %d cancellations", len(m.Message.Cancellations))
 	}
-	if b := c.signOfLife(); len(b.Owes) != 2 {
-		t.Errorf("it owes news to %v", b.Owes)
+	if b := c.newHeartbeat(); len(b.Unacknowledged) != 2 {
+		t.Errorf("it owes news to %v", b.Unacknowledged)
 	}
 }
 
@@ -159,7 +159,7 @@
 	w.started("req-free-1", 40)
 	messages, machines := 0, len(w.workers)
 	w.tell = func(_ string, e Effect) {
-		if m, is := e.(SendPeer); is && m.Msg.Cancellations != nil {
+		if m, is := e.(SendPeer); is && m.Message.Cancellations != nil {
 			messages += len(m.Nodes)
 		}
 	}
@@ -188,7 +188,7 @@
 			w.started("req-free-1", 40)
 			given := 0
 			w.tell = func(_ string, e Effect) {
-				if l, is := e.(Log); is && slices.Contains(l.Attrs, any(unended)) {
+				if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonNotStopped)) {
 					given++
 				}
 			}
@@ -224,7 +224,7 @@
 	w.crash("d")
 	w.run(2*time.Second, nil)
 	b := w.cores["b"]
-	if b.broadcasts[refusedJob] == nil || b.anotherKnows(b.broadcasts[refusedJob]) {
+	if b.announcements[refusedJob] == nil || b.acknowledgedByAnother(b.announcements[refusedJob]) {
 		t.Fatal("b is not the only one that knows")
 	}
 	for _, make1 := range []func(req uint64) Command{
--- a/internal/core/budget.go
+++ b/internal/core/budget.go
@@ -8,13 +8,13 @@
 	"pepperlever/internal/core/job"
 )
 
-// budget spreads the changes that the state service takes over what has to be
+// writeBudget spreads the changes that the state service takes over what has to be
 // stored. Submissions, terms and machines need theirs at once, so jobs that run
 // already share a part of the limit. What is the most urgent anywhere goes first,
 // each home in proportion to what it has of that: an array of thousands is one
 // job, and a swarm of small jobs of one team must not hold up the urgent work of
 // the others.
-type budget struct {
+type writeBudget struct {
 	rate, level float64
 	at          time.Duration
 	// due is how many changes wait to be stored, by rank.
@@ -34,7 +34,7 @@
 
 // refill adds what has come in since the last time.
 func (c *Core) refill() {
-	b := &c.budget
+	b := &c.writeBudget
 	part := c.part()
 	b.rate = part
 	b.level = min(b.level+b.rate*(c.now.Steady-b.at).Seconds(), max(savings*b.rate, 1))
@@ -48,9 +48,9 @@
 	left := c.writeRate() * jobsPart
 	homes := float64(len(c.roster))
 	least := left / 4 / homes
-	all := c.budget.due
+	all := c.writeBudget.due
 	for node, p := range c.peers {
-		if c.reaches(node) {
+		if c.hasContact(node) {
 			for r, n := range p.due {
 				all[r] += n
 			}
@@ -60,34 +60,34 @@
 	for r, n := range all {
 		if n > 0 {
 			want := min(left, float64(n))
-			mine += want * float64(c.budget.due[r]) / float64(n)
+			mine += want * float64(c.writeBudget.due[r]) / float64(n)
 			left -= want
 		}
 	}
 	return max(mine+left/homes, least)
 }
 
-// flushAll stores what has changed of the jobs that this node is home of, what
+// flushJobs stores what has changed of the jobs that this node is home of, what
 // users wait for first, as far as the budget goes. The longer a job waits the
 // more of its changes share one write.
-func (c *Core) flushAll() {
-	if c.now.Steady < c.sched.storeAfter {
+func (c *Core) flushJobs() {
+	if c.now.Steady < c.scheduler.storeAfter {
 		return
 	}
 	c.refill()
 	due := c.due()
-	if c.budget.level <= 0 {
+	if c.writeBudget.level <= 0 {
 		return
 	}
 	slices.SortFunc(due, func(a, b *job.Job) int {
 		return cmp.Or(cmp.Compare(flushRank(a), flushRank(b)), cmp.Compare(a.StoredAt, b.StoredAt), cmp.Compare(a.ID, b.ID))
 	})
 	for n, j := range due {
-		if c.budget.level <= 0 {
+		if c.writeBudget.level <= 0 {
 			c.usedUp(due[n:])
 			return
 		}
-		c.yield(j)
+		c.resolveConflict(j)
 		c.flush(c.teamBy[j.Team], j)
 	}
 }
@@ -95,14 +95,14 @@
 // due lists the jobs whose changes are to be stored now, and counts them.
 func (c *Core) due() []*job.Job {
 	var due []*job.Job
-	c.budget.due = ranks{}
+	c.writeBudget.due = ranks{}
 	for _, t := range c.teams {
-		if !t.acting {
+		if !t.leading {
 			continue
 		}
 		for _, j := range t.jobs {
 			if j.Dirty() && c.flushDue(j) {
-				c.budget.due[flushRank(j)] += 1 + j.DirtyChunks()
+				c.writeBudget.due[flushRank(j)] += 1 + j.DirtyChunks()
 				if !j.InFlight {
 					due = append(due, j)
 				}
@@ -116,7 +116,7 @@
 // service's changes and not for room.
 func (c *Core) usedUp(waiting []*job.Job) {
 	if waiting[0].Urgent && c.every(&c.timers.short, 10*c.reportInterval()) {
-		c.log(Info, "state service's changes are used up", "jobs waiting", len(waiting), "a second", c.budget.rate)
+		c.log(Info, "state service's changes are used up", "jobs waiting", len(waiting), "a second", c.writeBudget.rate)
 	}
 }
 
@@ -160,7 +160,7 @@
 		return c.now.Steady >= max(j.StoredAt+c.reportInterval()/30, j.ClaimedAt+c.claimTime())
 	}
 	wait := max(c.reportInterval(), c.gatherTime())
-	if c.budget.level < savings*c.budget.rate/2 {
+	if c.writeBudget.level < savings*c.writeBudget.rate/2 {
 		wait *= 3
 	}
 	return c.now.Steady >= j.StoredAt+wait
--- a/internal/core/budget_test.go
+++ b/internal/core/budget_test.go
@@ -11,12 +11,12 @@
 
 // stored lists the jobs that a flush with this much saved writes.
 func stored(c *Core, level float64) []string {
-	c.effects, c.budget.at, c.budget.level = nil, c.now.Steady, level
-	c.flushAll()
+	c.effects, c.writeBudget.at, c.writeBudget.level = nil, c.now.Steady, level
+	c.flushJobs()
 	var out []string
 	for _, e := range c.effects {
 		if txn, ok := e.(StoreTxn); ok {
-			id, _, _ := splitActive(txn.Txn.If[1].Key)
+			id, _, _ := parseJobKey(txn.Txn.If[1].Key)
 			out = append(out, id)
 		}
 	}
@@ -48,10 +48,10 @@
 	j.Finish(0)
 	c.refill()
 	j.StoredAt = c.now.Steady - 2*max(c.reportInterval(), c.gatherTime())
-	if got := stored(c, savings*c.budget.rate/4); len(got) > 0 {
+	if got := stored(c, savings*c.writeBudget.rate/4); len(got) > 0 {
 		t.Errorf("stored %v without savings", got)
 	}
-	if got := stored(c, savings*c.budget.rate); len(got) != 1 {
+	if got := stored(c, savings*c.writeBudget.rate); len(got) != 1 {
 		t.Errorf("stored %v with savings", got)
 	}
 }
@@ -66,9 +66,9 @@
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: fmt.Sprintf("req-8%d/%d", n%3, n), Attempt: 1, State: protocol.Running})
 	}
 	c.effects = nil
-	c.handle(Beat{Req: 1, Report: r})
-	if w := c.own[r.Machine]; len(c.asks.strange) != 3 || len(w.orders) > 0 {
-		t.Errorf("%d questions for three jobs, %d orders", len(c.asks.strange), len(w.orders))
+	c.handle(Heartbeat{Req: 1, Report: r})
+	if w := c.agents[r.Machine]; len(c.lookups.unknown) != 3 || len(w.queuedCommands) > 0 {
+		t.Errorf("%d questions for three jobs, %d orders", len(c.lookups.unknown), len(w.queuedCommands))
 	}
 }
 
@@ -78,12 +78,12 @@
 	c := busyCore(4)
 	all := c.cfg.Params.State.WriteRPS * jobsPart
 	other := c.peers[c.cfg.Peers[0].Node]
-	other.seen, other.due = c.now.Steady, ranks{4: 500}
-	c.budget.due = ranks{2: int(all)}
+	other.lastContact, other.due = c.now.Steady, ranks{4: 500}
+	c.writeBudget.due = ranks{2: int(all)}
 	if got := c.part(); got < 0.9*all {
 		t.Errorf("urgent starts have %v of %v changes a second", got, all)
 	}
-	c.budget.due, other.due = ranks{4: 500}, ranks{}
+	c.writeBudget.due, other.due = ranks{4: 500}, ranks{}
 	if got := c.part(); got < 0.9*all {
 		t.Errorf("a swarm alone has %v of %v changes a second", got, all)
 	}
@@ -99,7 +99,7 @@
 		all = append(all, o)
 	}
 	seen := 0
-	for part := range parts(all) {
+	for part := range batchObservations(all) {
 		tasks := 0
 		for _, o := range part {
 			tasks += len(o.Report.Tasks)
--- a/internal/core/cancels.go
+++ b/internal/core/cancels.go
@@ -12,22 +12,22 @@
 	"pepperlever/internal/protocol"
 )
 
-// cancelMark is the value of a cancellation's key. At is the time of day, in
+// cancelRecord is the value of a cancellation's key. At is the time of day, in
 // milliseconds, at which it was asked for: it hastens what a controller does that
 // comes to know of it late, and decides nothing else.
-type cancelMark struct {
+type cancelRecord struct {
 	At int64 `json:"t,omitempty"`
 }
 
-// cancelWritten notes a cancellation that the watch tells of.
-func (c *Core) cancelWritten(item protocol.KeyValue) error {
-	var k cancelMark
+// onCancelPut notes a cancellation that the watch tells of.
+func (c *Core) onCancelPut(item protocol.KeyValue) error {
+	var k cancelRecord
 	if err := json.Unmarshal(item.Value, &k); err != nil {
 		return err
 	}
 	id := strings.TrimPrefix(item.Key, keyCancel)
-	c.withdrawn[id] = k.At
-	c.cancelKnown(Cancellation{Job: id, Revision: item.Version, Asked: k.At})
+	c.cancelRequests[id] = k.At
+	c.noteCancellation(Cancellation{Job: id, Revision: item.Version, Asked: k.At})
 	return nil
 }
 
@@ -37,28 +37,28 @@
 		return
 	}
 	j.Cancel()
-	j.CancelledAt, j.CancelAsked = c.now.Steady, c.withdrawn[j.ID]
-	if w := c.broadcasts[j.ID]; w != nil {
+	j.CancelledAt, j.CancelAsked = c.now.Steady, c.cancelRequests[j.ID]
+	if w := c.announcements[j.ID]; w != nil {
 		j.CancelledAt, j.CancelAsked = w.at, w.Asked
 	}
 	if !j.InFlight {
 		c.unbindUnstored(j)
 	}
 	c.stopCancelled(j)
-	c.sched.dirty = true
+	c.scheduler.dirty = true
 }
 
 // cancelled tells whether a job is known to be cancelled.
 func (c *Core) cancelled(id string) bool {
 	j := c.jobs[id]
-	return c.userCancelled(id) || j != nil && j.Cancelled || c.finals[id].State == protocol.Cancelled
+	return c.userCancelled(id) || j != nil && j.Cancelled || c.finalStates[id].State == protocol.Cancelled
 }
 
 // userCancelled tells whether a job is known to have been cancelled by its own user, and
 // not only with another that it awaits.
 func (c *Core) userCancelled(id string) bool {
-	_, withdrawn := c.withdrawn[id]
-	return withdrawn || c.broadcasts[id] != nil
+	_, withdrawn := c.cancelRequests[id]
+	return withdrawn || c.announcements[id] != nil
 }
 
 // stopForOthers stops the cancelled jobs of a team that has its home elsewhere.
@@ -76,16 +76,16 @@
 // connections, and tasks ran on past the time allowed. Where stopping does not
 // help the machine is given back.
 func (c *Core) stopCancelled(j *job.Job) {
-	home := c.mine(j)
+	home := c.leads(j)
 	for i, b := range ordered(j.Bound) {
 		if !b.Stored {
 			continue
 		}
-		if home || c.own[b.Machine] != nil {
-			c.stop(j, i, b, 0)
+		if home || c.agents[b.Machine] != nil {
+			c.stopTask(j, i, b, 0)
 		}
 		if c.mayRunOn(j, i, b) {
-			c.giveBack(j, b.Machine)
+			c.returnMachineOf(j, b.Machine)
 		}
 	}
 }
@@ -96,67 +96,67 @@
 func (c *Core) mayRunOn(j *job.Job, i int, b *job.Binding) bool {
 	m, task := c.machines[b.Machine], j.TaskID(i)
 	switch {
-	case c.marks[b.Machine].Gone || c.sched.returned[b.Machine]:
+	case c.cordons[b.Machine].Terminated || c.scheduler.returned[b.Machine]:
 		return false
 	case m == nil:
 		return true
 	}
 	verdict, _ := m.Judge(task, b)
-	if verdict == worker.Open && c.broadcasts[j.ID] != nil {
+	if verdict == worker.Open && c.announcements[j.ID] != nil {
 		_, there := m.Find(task, b.Attempt)
-		fresh := c.hears(m.Node) && c.now.Steady-m.Seen < 2*c.reportInterval()
-		return there || !fresh || c.unaware(j.ID, b.Machine)
+		fresh := c.inDirectContact(m.Node) && c.now.Steady-m.Seen < 2*c.reportInterval()
+		return there || !fresh || c.isUnaware(j.ID, b.Machine)
 	}
 	return verdict == worker.Open || verdict == worker.Present
 }
 
-// giveBack has a machine given back on which a task of a cancelled job does not end, by
+// returnMachineOf has a machine given back on which a task of a cancelled job does not end, by
 // the renter or by a mark, or by this node itself while neither may help.
-func (c *Core) giveBack(j *job.Job, machine string) {
-	unaware := c.unaware(j.ID, machine)
-	part := c.allowed() / 2
+func (c *Core) returnMachineOf(j *job.Job, machine string) {
+	unaware := c.isUnaware(j.ID, machine)
+	part := c.cancelDeadline() / 2
 	if unaware && !c.storeOK {
 		// The cloud may be next, and nothing else is left. With the state service it is
 		// too early: a controller that is cut off sends its workers on meanwhile, and the
 		// build farm lost hundreds of machines that had been left by then.
-		part = min(part, c.blindTime()*3/4)
+		part = min(part, c.stalenessBound()*3/4)
 	}
 	// One that has just come to know goes by the time of day only for what is its own to
 	// judge: a leader that was cut off and came back knew nothing newer of the machines,
 	// and marked a hundred of them.
 	here, mine := c.now.Steady-j.CancelledAt, c.answersFor(j, machine)
-	if unaware && here > part || mine && c.late(j, part) {
-		c.requestReturn(machine, unended)
+	if unaware && here > part || mine && c.isLate(j, part) {
+		c.requestReturn(machine, reasonNotStopped)
 	}
-	if turn := part + c.turnToAct(); c.nobodyRents() && (here > turn || mine && c.late(j, turn)) {
-		c.release(machine)
+	if turn := part + c.turnToAct(); c.noFleetLeader() && (here > turn || mine && c.isLate(j, turn)) {
+		c.releaseWithoutLeader(machine)
 	}
 }
 
-// unended is why a machine with a cancelled task is given back.
-const unended = "cancelled task does not end"
+// reasonNotStopped is why a machine with a cancelled task is given back.
+const reasonNotStopped = "cancelled task does not end"
 
-// late tells whether so much of the time that a cancellation may take has gone by here.
+// isLate tells whether so much of the time that a cancellation may take has gone by here.
 // Controllers that start over in the middle of it begin to count anew, so they go by the
 // time of day of the cancellation too, once reports had time to come, or three quarters of
 // it all are over.
-func (c *Core) late(j *job.Job, part time.Duration) bool {
+func (c *Core) isLate(j *job.Job, part time.Duration) bool {
 	here := c.now.Steady - j.CancelledAt
 	all := time.Duration(0)
 	if j.CancelAsked > 0 {
 		all = time.Duration(c.now.Wall-j.CancelAsked) * time.Millisecond
 	}
-	return here > part || all > part*3/2 && here > c.silence() || all > c.allowed()*3/4
+	return here > part || all > part*3/2 && here > c.silenceLimit() || all > c.cancelDeadline()*3/4
 }
 
-// allowed is the time that a cancellation may take.
-func (c *Core) allowed() time.Duration { return seconds(c.cfg.Params.Workers.CancelS) }
+// cancelDeadline is the time that a cancellation may take.
+func (c *Core) cancelDeadline() time.Duration { return seconds(c.cfg.Params.Workers.CancelS) }
 
-// unaware tells whether a machine's controller is not known to know of a cancellation, so
+// isUnaware tells whether a machine's controller is not known to know of a cancellation, so
 // that nobody may be stopping its tasks there.
-func (c *Core) unaware(id, machine string) bool {
-	m, w := c.machines[machine], c.broadcasts[id]
-	return w != nil && (m == nil || !c.knows(m.Node, w))
+func (c *Core) isUnaware(id, machine string) bool {
+	m, w := c.machines[machine], c.announcements[id]
+	return w != nil && (m == nil || !c.hasAcknowledged(m.Node, w))
 }
 
 // answersFor tells whether it is for this node to have a machine given back for a
@@ -167,41 +167,41 @@
 func (c *Core) answersFor(j *job.Job, machine string) bool {
 	m := c.machines[machine]
 	if m == nil {
-		return c.mine(j)
+		return c.leads(j)
 	}
 	_, live := c.nodes[m.Node]
-	return m.Node == c.cfg.Node && c.own[machine] != nil || c.mine(j) && (c.reaches(m.Node) || !live)
+	return m.Node == c.cfg.Node && c.agents[machine] != nil || c.leads(j) && (c.hasContact(m.Node) || !live)
 }
 
-// nobodyRents tells whether there may be no renter, and a mark for the next one can't be
+// noFleetLeader tells whether there may be no renter, and a mark for the next one can't be
 // stored: the state service does not answer, or the renter is gone. Then whoever knows
 // of a cancellation gives machines back itself. To the others it is as if the cloud had
 // taken them without notice; the renter finds that out from its list.
-func (c *Core) nobodyRents() bool { return !c.storeOK || c.fleet.home == "" }
+func (c *Core) noFleetLeader() bool { return !c.storeOK || c.fleet.leader == "" }
 
 // turnToAct keeps controllers from all giving the same machine back at once: each waits
 // for its turn, a sixteenth of the time allowed in all, and the cloud has few requests.
 func (c *Core) turnToAct() time.Duration {
 	turn := slices.Index(c.roster, c.cfg.Node)
-	return c.allowed() / 16 * time.Duration(turn) / time.Duration(len(c.roster))
+	return c.cancelDeadline() / 16 * time.Duration(turn) / time.Duration(len(c.roster))
 }
 
-// release gives a machine back without a renter.
-func (c *Core) release(machine string) {
-	if at, ok := c.sched.released[machine]; ok && c.now.Steady-at < c.reportInterval() {
+// releaseWithoutLeader gives a machine back without a renter.
+func (c *Core) releaseWithoutLeader(machine string) {
+	if at, ok := c.scheduler.released[machine]; ok && c.now.Steady-at < c.reportInterval() {
 		return
 	}
-	c.sched.released[machine] = c.now.Steady
-	c.log(Info, "machine is given back without a renter", "machine", machine, "why", unended)
-	c.sched.giveBack = append(c.sched.giveBack, machine)
+	c.scheduler.released[machine] = c.now.Steady
+	c.log(Info, "machine is given back without a renter", "machine", machine, "why", reasonNotStopped)
+	c.scheduler.giveBack = append(c.scheduler.giveBack, machine)
 }
 
-// releaseAll asks the cloud to take the machines that this node gives back itself.
-func (c *Core) releaseAll() {
-	for names := range slices.Chunk(c.sched.giveBack, protocol.MaxRelease) {
+// flushReleases asks the cloud to take the machines that this node gives back itself.
+func (c *Core) flushReleases() {
+	for names := range slices.Chunk(c.scheduler.giveBack, protocol.MaxRelease) {
 		c.emit(Release{Machines: names})
 	}
-	c.sched.giveBack = nil
+	c.scheduler.giveBack = nil
 }
 
 // requestReturn asks the renter to give a machine back with all that is on it. Where
@@ -209,18 +209,18 @@
 // rule depends on that one, and any controller may write it, since a mark on a
 // machine costs no more than the machine.
 func (c *Core) requestReturn(machine, why string) {
-	if at, ok := c.sched.returnRequested[machine]; ok && c.now.Steady-at < c.reportInterval() {
+	if at, ok := c.scheduler.returnRequested[machine]; ok && c.now.Steady-at < c.reportInterval() {
 		return
 	}
-	c.sched.returnRequested[machine] = c.now.Steady
-	switch _, marked := c.marks[machine]; {
-	case c.fleet.home != "" && c.hears(c.fleet.home):
-		c.tell(c.fleet.home, PeerMsg{ReturnRequest: &ReturnRequest{Machine: machine, Why: why}})
-	case why != unheard && !marked:
+	c.scheduler.returnRequested[machine] = c.now.Steady
+	switch _, marked := c.cordons[machine]; {
+	case c.fleet.leader != "" && c.inDirectContact(c.fleet.leader):
+		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Why: why}})
+	case why != reasonSilent && !marked:
 		c.log(Info, "machine is marked to be given back", "machine", machine, "why", why)
-		c.txn(protocol.Txn{
-			If:   []protocol.Condition{{Key: keyMark + machine}},
-			Then: []protocol.Change{put(keyMark+machine, mark{Why: why})},
+		c.compareAndSwap(protocol.Txn{
+			If:   []protocol.Condition{{Key: keyCordon + machine}},
+			Then: []protocol.Change{putJSON(keyCordon+machine, cordonRecord{Reason: why})},
 		}, true, func(StoreReply) {})
 	}
 }
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -13,7 +13,7 @@
 // then they would bind the same room again and be refused.
 func (c *Core) shareClaims() {
 	for part := range slices.Chunk(c.claims, claimsPerMsg) {
-		c.broadcast(PeerMsg{Claims: part})
+		c.broadcast(PeerMessage{Claims: part})
 	}
 	c.claims = nil
 }
@@ -24,9 +24,9 @@
 // claimed notes room that another home is about to bind.
 func (c *Core) claimed(k Claim) {
 	id, i, ok := job.SplitTask(k.Task)
-	if j := c.jobs[id]; ok && j != nil && !c.mine(j) {
+	if j := c.jobs[id]; ok && j != nil && !c.leads(j) {
 		j.Claim(i, &job.Binding{Machine: k.Machine, Attempt: k.Attempt, Since: c.now.Steady})
-		c.sched.dirty = true
+		c.scheduler.dirty = true
 	}
 }
 
@@ -34,23 +34,23 @@
 // chose the same room at the same moment.
 func (c *Core) claimTime() time.Duration { return c.reportInterval() / 60 }
 
-// yield drops the new bindings of a job whose room another home has claimed
+// resolveConflict drops the new bindings of a job whose room another home has claimed
 // with better right. Every home sees the same claims and decides alike, so one
 // of two keeps the room, and the other finds a new place without a refusal.
-func (c *Core) yield(j *job.Job) {
+func (c *Core) resolveConflict(j *job.Job) {
 	if j.Kind == job.Gang {
 		return // placed whole or not at all
 	}
 	for i, b := range j.Bound {
-		if !b.Stored && !c.holds(j, i, b) {
+		if !b.Stored && !c.claimHolds(j, i, b) {
 			c.unbind(j, i)
 		}
 	}
 }
 
-// holds tells whether a new binding fits on its machine after all that has a
+// claimHolds tells whether a new binding fits on its machine after all that has a
 // better right to the room.
-func (c *Core) holds(j *job.Job, i int, b *job.Binding) bool {
+func (c *Core) claimHolds(j *job.Job, i int, b *job.Binding) bool {
 	m := c.machines[b.Machine]
 	if m == nil {
 		return true
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -14,7 +14,7 @@
 	w.started("req-red-1", 1) // two of a machine's four CPUs are in use
 	c := w.cores["a"]
 	blue, free := claimant(c, "req-blue-9"), claimant(c, "req-free-9")
-	if !c.holds(blue, 0, blue.Bound[0]) || c.holds(free, 0, free.Bound[0]) {
+	if !c.claimHolds(blue, 0, blue.Bound[0]) || c.claimHolds(free, 0, free.Bound[0]) {
 		t.Error("the better right and no other must keep the room")
 	}
 }
@@ -23,8 +23,8 @@
 func claimant(c *Core, id string) *job.Job {
 	j := job.New(job.Spec{ID: id, Tasks: 1, Need: job.Resources{CPUs: 2}}, 16, 0)
 	c.ledger.Add(j)
-	for _, m := range c.ids {
-		if c.bound(m) {
+	for _, m := range c.machineNames {
+		if c.hasBindings(m) {
 			j.Bind(0, &job.Binding{Machine: m, Attempt: 1})
 			break
 		}
--- a/internal/core/control.go
+++ b/internal/core/control.go
@@ -13,24 +13,24 @@
 	"pepperlever/internal/protocol"
 )
 
-// control is this node's hold on a worker that reports to it.
-type control struct {
-	term    uint64
-	session uint64
+// agentSession is this node's hold on a worker that reports to it.
+type agentSession struct {
+	token   uint64
+	epoch   uint64
 	address string
-	// sent holds the starts that no report has shown yet.
-	sent map[taskAttempt]job.Resources
-	// queue waits for the next delivery, orders for the next delivery or answer.
-	queue  []protocol.Command
-	orders map[taskAttempt]protocol.Command
-	busy   bool
-	probe  bool
+	// pendingStarts holds the starts that no report has shown yet.
+	pendingStarts map[taskAttempt]job.Resources
+	// queuedStarts waits for the next delivery, orders for the next delivery or answer.
+	queuedStarts   []protocol.Command
+	queuedCommands map[taskAttempt]protocol.Command
+	delivering     bool
+	probeDue       bool
 	// unanswered is set from a delivery without an answer to the next report.
 	unanswered bool
-	// heard is when its last report came, asked when it was asked for one.
-	heard, asked time.Duration
-	// shared is when a report of it was last passed on.
-	shared time.Duration
+	// lastReportAt is when its last report came, asked when it was asked for one.
+	lastReportAt, lastProbeAt time.Duration
+	// lastSharedAt is when a report of it was last passed on.
+	lastSharedAt time.Duration
 }
 
 type taskAttempt struct {
@@ -42,271 +42,271 @@
 	return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 }
 
-// termState is this node's fencing token and who waits for a newer one.
-type termState struct {
-	term uint64
-	// own holds all terms that this run of the process has taken.
-	own    map[uint64]bool
-	taking bool
-	beats  []Beat
-	raise  map[string]uint64
+// tokenState is this node's fencing token and who waits for a newer one.
+type tokenState struct {
+	current uint64
+	// acquired holds all terms that this run of the process has taken.
+	acquired          map[uint64]bool
+	acquiring         bool
+	waitingHeartbeats []Heartbeat
+	pendingRaises     map[string]uint64
 }
 
-// takeTerm takes a fresh term from the store's counter, by one conditional
+// acquireToken takes a fresh term from the store's counter, by one conditional
 // write, for all workers that wait for one.
-func (c *Core) takeTerm() {
-	if c.term.taking {
+func (c *Core) acquireToken() {
+	if c.tokens.acquiring {
 		return
 	}
-	c.term.taking = true
-	c.get(keyTerm, func(r StoreReply) {
-		var n counter
+	c.tokens.acquiring = true
+	c.get(keyToken, func(r StoreReply) {
+		var n tokenCounter
 		switch r.Outcome {
 		case Missing:
 		case Applied:
 			if err := json.Unmarshal(r.Item.Value, &n); err != nil {
-				c.termFailed()
+				c.tokenUnavailable()
 				return
 			}
 		default:
-			c.termFailed()
+			c.tokenUnavailable()
 			return
 		}
-		c.writeTerm(n.Term+1, r.Item.Version)
+		c.writeToken(n.Token+1, r.Item.Version)
 	})
 }
 
-func (c *Core) writeTerm(term, version uint64) {
-	next := counter{Term: term, Node: c.cfg.Node, Inc: c.inc}
-	c.txn(protocol.Txn{
-		If:   []protocol.Condition{{Key: keyTerm, Version: version}},
-		Then: []protocol.Change{put(keyTerm, next)},
+func (c *Core) writeToken(term, version uint64) {
+	next := tokenCounter{Token: term, Node: c.cfg.Node, Incarnation: c.incarnation}
+	c.compareAndSwap(protocol.Txn{
+		If:   []protocol.Condition{{Key: keyToken, Version: version}},
+		Then: []protocol.Change{putJSON(keyToken, next)},
 	}, true, func(r StoreReply) {
-		c.term.taking = false
+		c.tokens.acquiring = false
 		switch r.Outcome {
 		case Applied:
-			c.termTaken(term)
+			c.tokenAcquired(term)
 		case Conflict, Unknown:
 			// Whatever became of it, this number is not used: take the next.
-			c.takeTerm()
+			c.acquireToken()
 		default:
-			c.termFailed()
+			c.tokenUnavailable()
 		}
 	})
 }
 
-// termFailed sends the waiting workers on to other nodes.
-func (c *Core) termFailed() {
-	c.term.taking = false
-	for _, b := range c.term.beats {
-		c.unavailable(b.Req)
+// tokenUnavailable sends the waiting workers on to other nodes.
+func (c *Core) tokenUnavailable() {
+	c.tokens.acquiring = false
+	for _, b := range c.tokens.waitingHeartbeats {
+		c.replyUnavailable(b.Req)
 	}
-	c.term.beats = nil
+	c.tokens.waitingHeartbeats = nil
 }
 
-func (c *Core) termTaken(term uint64) {
-	c.term.term = term
-	c.term.own[term] = true
+func (c *Core) tokenAcquired(term uint64) {
+	c.tokens.current = term
+	c.tokens.acquired[term] = true
 	c.log(Info, "term taken", "term", term)
-	beats := c.term.beats
-	c.term.beats = nil
-	for id, above := range ordered(c.term.raise) {
-		if w := c.own[id]; w != nil && w.term <= above {
-			c.raiseTo(id, w)
+	beats := c.tokens.waitingHeartbeats
+	c.tokens.waitingHeartbeats = nil
+	for id, above := range ordered(c.tokens.pendingRaises) {
+		if w := c.agents[id]; w != nil && w.token <= above {
+			c.raiseToken(id, w)
 		}
 	}
-	c.term.raise = nil
+	c.tokens.pendingRaises = nil
 	for _, b := range beats {
-		c.beat(b)
+		c.handleHeartbeat(b)
 	}
 }
 
-// raiseTo moves a worker to the current term and tells it at once.
-func (c *Core) raiseTo(id string, w *control) {
-	w.term, w.probe = c.term.term, true
-	for k := range w.sent {
-		delete(w.sent, k)
+// raiseToken moves a worker to the current term and tells it at once.
+func (c *Core) raiseToken(id string, w *agentSession) {
+	w.token, w.probeDue = c.tokens.current, true
+	for k := range w.pendingStarts {
+		delete(w.pendingStarts, k)
 	}
-	w.queue = nil
+	w.queuedStarts = nil
 	// Homes must not bind under the old term any more.
 	if m := c.machines[id]; m != nil {
-		c.share(Observation{Node: c.cfg.Node, Term: w.term, Report: m.Report})
+		c.shareObservation(Observation{Node: c.cfg.Node, Token: w.token, Report: m.Report})
 	}
-	c.deliver(id, w)
+	c.deliverTo(id, w)
 }
 
 // fence raises a worker's term above a term under which a start is unresolved.
 func (c *Core) fence(f Fence) {
-	w := c.own[f.Machine]
-	if w == nil || w.term > f.Above {
+	w := c.agents[f.Machine]
+	if w == nil || w.token > f.Above {
 		return
 	}
-	if c.term.term > f.Above && c.term.term > w.term {
-		c.raiseTo(f.Machine, w)
+	if c.tokens.current > f.Above && c.tokens.current > w.token {
+		c.raiseToken(f.Machine, w)
 		return
 	}
-	if c.term.raise == nil {
-		c.term.raise = map[string]uint64{}
+	if c.tokens.pendingRaises == nil {
+		c.tokens.pendingRaises = map[string]uint64{}
 	}
-	c.term.raise[f.Machine] = max(c.term.raise[f.Machine], f.Above)
-	c.takeTerm()
+	c.tokens.pendingRaises[f.Machine] = max(c.tokens.pendingRaises[f.Machine], f.Above)
+	c.acquireToken()
 }
 
-// heeds follows whether a machine hears what it is told.
-func (c *Core) heeds(m *worker.Machine, o *Observation) {
+// trackAcknowledgement follows whether a machine hears what it is told.
+func (c *Core) trackAcknowledgement(m *worker.Machine, o *Observation) {
 	before := m.Deaf()
-	m.Answered(o.Report.Token, o.Term)
+	m.Answered(o.Report.Token, o.Token)
 	if m.Deaf() != before {
-		c.sched.dirty = true
+		c.scheduler.dirty = true
 		if o.Node == c.cfg.Node {
 			c.log(Info, "machine does not hear its answers, or does again", "machine", m.Machine, "deaf", !before)
 		}
 	}
 }
 
-// outdated tells whether a report is a copy, or older than one that is known: it may
+// isStaleReport tells whether a report is a copy, or older than one that is known: it may
 // come minutes late, to any controller.
-func (c *Core) outdated(r *protocol.Report) bool {
+func (c *Core) isStaleReport(r *protocol.Report) bool {
 	m := c.machines[r.Machine]
-	return c.marks[r.Machine].Gone || m != nil && m.Outdated(r)
+	return c.cordons[r.Machine].Terminated || m != nil && m.Outdated(r)
 }
 
-// answerOutdated answers a report that says nothing new. A worker may be waiting for
+// answerStaleReport answers a report that says nothing new. A worker may be waiting for
 // it: the reply to a direct call can overtake its report. Nothing follows from it, and
 // what waits for the worker is kept for a report that does say something.
-func (c *Core) answerOutdated(m Beat) {
-	w := c.own[m.Report.Machine]
-	if w == nil || w.session != m.Report.Session || m.Report.Token > w.term {
-		c.unavailable(m.Req)
+func (c *Core) answerStaleReport(m Heartbeat) {
+	w := c.agents[m.Report.Machine]
+	if w == nil || w.epoch != m.Report.Session || m.Report.Token > w.token {
+		c.replyUnavailable(m.Req)
 		return
 	}
-	c.answer(m.Req, http.StatusOK, protocol.Orders{Token: w.term})
+	c.reply(m.Req, http.StatusOK, protocol.Orders{Token: w.token})
 }
 
-// beat answers a worker's report.
-func (c *Core) beat(m Beat) {
+// handleHeartbeat answers a worker's report.
+func (c *Core) handleHeartbeat(m Heartbeat) {
 	r := &m.Report
-	if c.term.term == 0 || !c.loaded || c.freshness.unsure {
-		c.unavailable(m.Req)
+	if c.tokens.current == 0 || !c.loaded || c.freshness.stale {
+		c.replyUnavailable(m.Req)
 		return
 	}
-	if c.outdated(r) {
-		c.answerOutdated(m)
+	if c.isStaleReport(r) {
+		c.answerStaleReport(m)
 		return
 	}
-	if c.sendsAway(r) {
-		c.unavailable(m.Req)
+	if c.redirects(r) {
+		c.replyUnavailable(m.Req)
 		return
 	}
-	w := c.own[r.Machine]
-	if w == nil || r.Token > w.term {
-		if r.Token > c.term.term {
-			c.term.beats = append(c.term.beats, m)
-			c.takeTerm()
+	w := c.agents[r.Machine]
+	if w == nil || r.Token > w.token {
+		if r.Token > c.tokens.current {
+			c.tokens.waitingHeartbeats = append(c.tokens.waitingHeartbeats, m)
+			c.acquireToken()
 			return
 		}
-		w = c.adopt(r)
+		w = c.admit(r)
 		// Starts that the controller before had not delivered are settled by a
 		// report under this term; the next one may be a report interval away.
-		if w.probe = r.Token < w.term && c.ledger.On(r.Machine) != nil; w.probe {
-			c.sched.deliver[r.Machine] = true
+		if w.probeDue = r.Token < w.token && c.ledger.On(r.Machine) != nil; w.probeDue {
+			c.scheduler.deliver[r.Machine] = true
 		}
 	}
-	if r.Session != w.session {
-		w.session = r.Session
-		w.queue, w.sent = nil, map[taskAttempt]job.Resources{}
+	if r.Session != w.epoch {
+		w.epoch = r.Session
+		w.queuedStarts, w.pendingStarts = nil, map[taskAttempt]job.Resources{}
 	}
-	w.address, w.heard = r.Address, c.now.Steady
-	c.reported(w, *r, false)
-	if to := c.lighter(r); to != "" {
-		delete(c.own, r.Machine)
+	w.address, w.lastReportAt = r.Address, c.now.Steady
+	c.handleReport(w, *r, false)
+	if to := c.lessLoadedPeer(r); to != "" {
+		delete(c.agents, r.Machine)
 		c.log(Info, "worker sent elsewhere", "machine", r.Machine, "node", to)
-		c.answer(m.Req, http.StatusMisdirectedRequest, protocol.Redirect{ReportTo: to})
+		c.reply(m.Req, http.StatusMisdirectedRequest, protocol.Redirect{ReportTo: to})
 		return
 	}
-	c.answer(m.Req, http.StatusOK, protocol.Orders{Token: w.term, Commands: w.takeOrders()})
+	c.reply(m.Req, http.StatusOK, protocol.Orders{Token: w.token, Commands: w.takeCommands()})
 }
 
-func (c *Core) adopt(r *protocol.Report) *control {
-	w := &control{term: c.term.term, session: r.Session, address: r.Address,
-		sent: map[taskAttempt]job.Resources{}, orders: map[taskAttempt]protocol.Command{}}
-	c.own[r.Machine] = w
-	c.log(Info, "worker reports here", "machine", r.Machine, "type", r.Type, "spot", r.Spot, "term", w.term)
+func (c *Core) admit(r *protocol.Report) *agentSession {
+	w := &agentSession{token: c.tokens.current, epoch: r.Session, address: r.Address,
+		pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
+	c.agents[r.Machine] = w
+	c.log(Info, "worker reports here", "machine", r.Machine, "type", r.Type, "spot", r.Spot, "term", w.token)
 	return w
 }
 
-// takeOrders hands out the orders that wait; they are repeatable, and given
+// takeCommands hands out the orders that wait; they are repeatable, and given
 // again while the reports show that they are still needed.
-func (w *control) takeOrders() []protocol.Command {
-	out := make([]protocol.Command, 0, len(w.orders))
-	for k, cmd := range orderedBy(w.orders, compareAttempts) {
+func (w *agentSession) takeCommands() []protocol.Command {
+	out := make([]protocol.Command, 0, len(w.queuedCommands))
+	for k, cmd := range orderedBy(w.queuedCommands, compareAttempts) {
 		out = append(out, cmd)
-		delete(w.orders, k)
+		delete(w.queuedCommands, k)
 	}
 	return out
 }
 
-// reported takes a report of a worker that this node controls, or its reply to a direct
+// handleReport takes a report of a worker that this node controls, or its reply to a direct
 // call, and passes it on.
-func (c *Core) reported(w *control, r protocol.Report, direct bool) {
+func (c *Core) handleReport(w *agentSession, r protocol.Report, direct bool) {
 	w.unanswered = false
 	for _, t := range r.Tasks {
-		delete(w.sent, taskAttempt{t.Task, t.Attempt})
+		delete(w.pendingStarts, taskAttempt{t.Task, t.Attempt})
 	}
 	m := c.machines[r.Machine]
-	known := m != nil && m.Node == c.cfg.Node && m.Term == w.term && m.Same(&r) && m.Newer(&r) && !m.Missed(r.Token)
-	if known && !(direct && c.reportOverdue(m)) && (m.Exits == 0 || c.now.Steady-w.shared < 3*c.reportInterval()) {
+	known := m != nil && m.Node == c.cfg.Node && m.Term == w.token && m.Same(&r) && m.Newer(&r) && !m.Missed(r.Token)
+	if known && !(direct && c.reportOverdue(m)) && (m.Exits == 0 || c.now.Steady-w.lastSharedAt < 3*c.reportInterval()) {
 		// The others know; this node's beats tell them that the worker lives.
 		// Exited tasks are told again, lest the order to forget them was lost, and
 		// so is the reply of a worker whose reports don't come, of which beats say
 		// nothing.
 		m.Seq = r.Seq
-		m.Answered(r.Token, w.term)
-		c.alive(m, direct)
+		m.Answered(r.Token, w.token)
+		c.noteContact(m, direct)
 		return
 	}
-	w.shared = c.now.Steady
-	c.share(Observation{Node: c.cfg.Node, Term: w.term, Report: r, Direct: direct})
+	w.lastSharedAt = c.now.Steady
+	c.shareObservation(Observation{Node: c.cfg.Node, Token: w.token, Report: r, Direct: direct})
 }
 
-// share passes an observation to every controller, this one included.
-func (c *Core) share(o Observation) {
-	c.observed = append(c.observed, o)
-	c.observe(o)
+// shareObservation passes an observation to every controller, this one included.
+func (c *Core) shareObservation(o Observation) {
+	c.pendingObservations = append(c.pendingObservations, o)
+	c.applyObservation(o)
 }
 
-// start forwards a bound task's start, or refuses it for good. One that was decided
+// forwardStart forwards a bound task's start, or refuses it for good. One that was decided
 // on before is not decided again: it may come over a slow link long after this node
 // has started it by what its own watch showed.
-func (c *Core) start(from string, s Start) {
-	w := c.own[s.Machine]
+func (c *Core) forwardStart(from string, s Start) {
+	w := c.agents[s.Machine]
 	why, before := c.decidedOn(&s)
 	if !before {
-		why = c.cannotStart(w, s)
+		why = c.startRefusalReason(w, s)
 		c.decideOn(&s, why != "")
 	}
 	if why != "" {
 		c.log(Info, "start refused", "task", s.Task, "machine", s.Machine, "home", from, "why", why)
-		c.tell(from, PeerMsg{Refusal: &Refusal{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt}})
+		c.sendTo(from, PeerMessage{Refusal: &Refusal{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt}})
 	}
 	if before || why != "" {
 		return
 	}
-	w.sent[taskAttempt{s.Task, s.Attempt}] = s.Need
-	w.queue = append(w.queue, protocol.Command{Op: protocol.OpStart, Task: s.Task, Attempt: s.Attempt})
-	c.sched.deliver[s.Machine] = true
+	w.pendingStarts[taskAttempt{s.Task, s.Attempt}] = s.Need
+	w.queuedStarts = append(w.queuedStarts, protocol.Command{Op: protocol.OpStart, Task: s.Task, Attempt: s.Attempt})
+	c.scheduler.deliver[s.Machine] = true
 }
 
-// cannotStart tells why a start is refused, or nothing. A start under another
+// startRefusalReason tells why a start is refused, or nothing. A start under another
 // term or for another session is refused for good: that its binding can only
 // ever be started under the term it was made for is what makes late ones safe.
-func (c *Core) cannotStart(w *control, s Start) string {
+func (c *Core) startRefusalReason(w *agentSession, s Start) string {
 	switch {
 	case w == nil:
 		return "worker reports elsewhere"
-	case w.term != s.Term:
+	case w.token != s.Token:
 		return "term has passed"
-	case w.session != s.Session:
+	case w.epoch != s.Epoch:
 		return "session has passed"
 	case w.unanswered:
 		return "worker does not answer"
@@ -314,41 +314,41 @@
 		return "worker does not report"
 	case s.Revision > 0 && s.Revision <= c.revision && !c.shows(s.Machine, taskAttempt{s.Task, s.Attempt}):
 		return "binding has passed"
-	case c.startsCancelled(s.Task):
+	case c.isOfCancelledJob(s.Task):
 		return "job is cancelled"
-	case !c.fitsNow(s, w):
+	case !c.hasRoomNow(s, w):
 		return "no room"
 	}
 	return ""
 }
 
-// startsCancelled tells whether a start is of a cancelled job.
-func (c *Core) startsCancelled(task string) bool {
+// isOfCancelledJob tells whether a start is of a cancelled job.
+func (c *Core) isOfCancelledJob(task string) bool {
 	id, _, _ := job.SplitTask(task)
 	return c.cancelled(id)
 }
 
-// dropCancelled takes back what waits to be started of jobs that have been cancelled
+// dropCancelledStarts takes back what waits to be started of jobs that have been cancelled
 // since: a stop that goes out with it would come before it.
-func (c *Core) dropCancelled(w *control) {
-	w.queue = slices.DeleteFunc(w.queue, func(cmd protocol.Command) bool {
-		drop := c.startsCancelled(cmd.Task)
+func (c *Core) dropCancelledStarts(w *agentSession) {
+	w.queuedStarts = slices.DeleteFunc(w.queuedStarts, func(cmd protocol.Command) bool {
+		drop := c.isOfCancelledJob(cmd.Task)
 		if drop {
-			delete(w.sent, taskAttempt{cmd.Task, cmd.Attempt})
+			delete(w.pendingStarts, taskAttempt{cmd.Task, cmd.Attempt})
 		}
 		return drop
 	})
 }
 
-// fitsNow checks the room on the machine as its newest report and the starts
+// hasRoomNow checks the room on the machine as its newest report and the starts
 // on their way show it.
-func (c *Core) fitsNow(s Start, w *control) bool {
+func (c *Core) hasRoomNow(s Start, w *agentSession) bool {
 	m := c.machines[s.Machine]
 	if m == nil {
 		return false
 	}
 	room := capacity(c.types[m.Type])
-	for _, need := range w.sent {
+	for _, need := range w.pendingStarts {
 		room = room.Plus(need, -1)
 	}
 	for _, t := range m.Tasks {
@@ -362,47 +362,47 @@
 	return s.Need.Fits(room)
 }
 
-// order queues a stop or forget for a worker. Stops go out at once.
-func (c *Core) order(o Order) {
-	w := c.own[o.Machine]
+// queueCommand queues a stop or forget for a worker. Stops go out at once.
+func (c *Core) queueCommand(o TaskCommand) {
+	w := c.agents[o.Machine]
 	if w == nil {
 		return
 	}
-	w.orders[taskAttempt{o.Command.Task, o.Command.Attempt}] = o.Command
+	w.queuedCommands[taskAttempt{o.Command.Task, o.Command.Attempt}] = o.Command
 	if o.Command.Op == protocol.OpStop {
-		c.sched.deliver[o.Machine] = true
+		c.scheduler.deliver[o.Machine] = true
 	}
 }
 
-// deliver sends what waits for a worker. One delivery is under way at a time.
-func (c *Core) deliver(id string, w *control) {
-	if w.busy || len(w.queue) == 0 && len(w.orders) == 0 && !w.probe {
+// deliverTo sends what waits for a worker. One delivery is under way at a time.
+func (c *Core) deliverTo(id string, w *agentSession) {
+	if w.delivering || len(w.queuedStarts) == 0 && len(w.queuedCommands) == 0 && !w.probeDue {
 		return
 	}
-	c.dropCancelled(w)
-	commands := append(w.takeOrders(), w.queue...)
-	w.queue, w.busy, w.probe = nil, true, false
+	c.dropCancelledStarts(w)
+	commands := append(w.takeCommands(), w.queuedStarts...)
+	w.queuedStarts, w.delivering, w.probeDue = nil, true, false
 	c.emit(Deliver{Machine: id, Address: w.address,
-		Orders: protocol.Orders{Token: w.term, Session: w.session, Commands: commands}})
+		Orders: protocol.Orders{Token: w.token, Session: w.epoch, Commands: commands}})
 }
 
-// delivered takes the outcome of a delivery. Without an answer its starts may
+// handleDelivery takes the outcome of a delivery. Without an answer its starts may
 // yet be carried out, so the worker's term is raised above theirs; refused
 // ones never are.
-func (c *Core) delivered(d Delivered) {
-	w := c.own[d.Machine]
+func (c *Core) handleDelivery(d Delivered) {
+	w := c.agents[d.Machine]
 	if w == nil {
 		return
 	}
-	w.busy = false
+	w.delivering = false
 	if d.Report != nil && d.Report.Machine == d.Machine {
-		if d.Report.Token <= w.term {
-			c.reported(w, *d.Report, true)
+		if d.Report.Token <= w.token {
+			c.handleReport(w, *d.Report, true)
 		}
 	}
 	if !d.Executed {
 		for _, cmd := range d.Orders.Commands {
-			delete(w.sent, taskAttempt{cmd.Task, cmd.Attempt})
+			delete(w.pendingStarts, taskAttempt{cmd.Task, cmd.Attempt})
 		}
 	}
 	if d.Report == nil {
@@ -416,13 +416,13 @@
 		return
 	}
 	if !d.Executed {
-		c.refuseAll(d)
+		c.refuseDelivery(d)
 	}
-	c.deliver(d.Machine, w)
+	c.deliverTo(d.Machine, w)
 }
 
-// refuseAll tells the homes of starts that the worker has turned down whole.
-func (c *Core) refuseAll(d Delivered) {
+// refuseDelivery tells the homes of starts that the worker has turned down whole.
+func (c *Core) refuseDelivery(d Delivered) {
 	for _, cmd := range d.Orders.Commands {
 		if cmd.Op != protocol.OpStart {
 			continue
@@ -430,27 +430,27 @@
 		id, _, _ := job.SplitTask(cmd.Task)
 		if j := c.jobs[id]; j != nil {
 			if t := c.teamBy[j.Team]; t != nil {
-				c.tell(t.home, PeerMsg{Refusal: &Refusal{Machine: d.Machine, Task: cmd.Task, Attempt: cmd.Attempt}})
+				c.sendTo(t.leader, PeerMessage{Refusal: &Refusal{Machine: d.Machine, Task: cmd.Task, Attempt: cmd.Attempt}})
 			}
 		}
 	}
 }
 
-// tendControls forgets workers that have gone elsewhere or fallen silent, and asks those
+// expireAgents forgets workers that have gone elsewhere or fallen silent, and asks those
 // whose reports don't come.
-func (c *Core) tendControls() {
-	if len(c.term.raise) > 0 {
-		c.takeTerm() // it failed before, and the homes that asked may not be heard
+func (c *Core) expireAgents() {
+	if len(c.tokens.pendingRaises) > 0 {
+		c.acquireToken() // it failed before, and the homes that asked may not be heard
 	}
-	for id, w := range ordered(c.own) {
-		m, quiet := c.machines[id], c.now.Steady-w.heard
+	for id, w := range ordered(c.agents) {
+		m, quiet := c.machines[id], c.now.Steady-w.lastReportAt
 		elsewhere := m != nil && m.Node != c.cfg.Node
 		switch {
-		case elsewhere || quiet > c.leaseTime()+2*c.reportInterval() || c.marks[id].Gone:
-			delete(c.own, id)
-		case m != nil && c.reportOverdue(m) && !w.unanswered && c.now.Steady-w.asked >= c.reportInterval():
-			w.asked, w.probe = c.now.Steady, true
-			c.deliver(id, w)
+		case elsewhere || quiet > c.leaseTime()+2*c.reportInterval() || c.cordons[id].Terminated:
+			delete(c.agents, id)
+		case m != nil && c.reportOverdue(m) && !w.unanswered && c.now.Steady-w.lastProbeAt >= c.reportInterval():
+			w.lastProbeAt, w.probeDue = c.now.Steady, true
+			c.deliverTo(id, w)
 		}
 	}
 }
@@ -464,32 +464,32 @@
 	return c.now.Steady-m.Reported >= 2*c.reportInterval()+c.reportInterval()/2
 }
 
-// observe takes a report that any controller has passed on.
-func (c *Core) observe(o Observation) {
+// applyObservation takes a report that any controller has passed on.
+func (c *Core) applyObservation(o Observation) {
 	r := o.Report
 	m := c.machines[r.Machine]
-	if c.marks[r.Machine].Gone {
+	if c.cordons[r.Machine].Terminated {
 		return // a late copy: the cloud has taken the machine with all that was on it
 	}
 	if m == nil {
-		c.cameUp(&r)
+		c.provisioned(&r)
 		m = c.addMachine(r.Machine)
 	} else if !m.Newer(&r) {
-		if m.Session == r.Session && o.Term > m.Term {
-			m.Node, m.Term = o.Node, o.Term
-			c.sched.dirty = true
+		if m.Session == r.Session && o.Token > m.Term {
+			m.Node, m.Term = o.Node, o.Token
+			c.scheduler.dirty = true
 		}
 		return
 	}
-	if m.Node != o.Node || m.Term != o.Term || len(m.Tasks) != len(r.Tasks) {
-		c.sched.dirty = true
+	if m.Node != o.Node || m.Term != o.Token || len(m.Tasks) != len(r.Tasks) {
+		c.scheduler.dirty = true
 	}
-	m.Node, m.Term = o.Node, o.Term
-	c.heeds(m, &o)
-	c.learn(m, &r)
+	m.Node, m.Term = o.Node, o.Token
+	c.trackAcknowledgement(m, &o)
+	c.learnFromReport(m, &r)
 	c.arrived(r.Machine, o.Node)
 	m.Update(r, c.now.Steady)
-	c.alive(m, o.Direct)
+	c.noteContact(m, o.Direct)
 	c.ledger.Touch(r.Machine)
-	c.settleMachine(m)
+	c.reconcileMachine(m)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -24,128 +24,130 @@
 type Core struct {
 	cfg    *settings.Settings
 	policy settings.Policy
-	// inc tells this run of the process from earlier ones.
-	inc string
+	// incarnation tells this run of the process from earlier ones.
+	incarnation string
 
-	now     Now
-	effects []Effect
-	nextID  uint64
-	waits   map[uint64]wait
+	now            Now
+	effects        []Effect
+	nextID         uint64
+	pendingReplies map[uint64]pendingReply
 
 	// Replica of the store.
 	loaded   bool
 	revision uint64
 	lease    uint64
-	// enrolling is set while this node's own key is being written, enrolledAt is when it
+	// registering is set while this node's own key is being written, registeredAt is when it
 	// last was.
-	enrolling  bool
-	enrolledAt uint64
-	// termLease is the lease under which this node last took a term to begin with.
-	termLease uint64
+	registering  bool
+	registeredAt uint64
+	// tokenLease is the lease under which this node last took a term to begin with.
+	tokenLease uint64
 	// roster lists all controllers, alike on every node.
-	roster  []string
-	nodes   map[string]nodeKey
-	teams   []*team
-	teamBy  map[string]*team
-	fleet   *team
-	jobs    map[string]*job.Job
-	orphans map[string]map[job.ChunkKey]protocol.KeyValue
-	marks   map[string]mark
-	intents map[string]*intent
-	finals  map[string]protocol.JobState
-	// withdrawn mirrors the cancellations of jobs that are not final, with the time
+	roster        []string
+	nodes         map[string]nodeRecord
+	teams         []*team
+	teamBy        map[string]*team
+	fleet         *team
+	jobs          map[string]*job.Job
+	pendingChunks map[string]map[job.ChunkKey]protocol.KeyValue
+	cordons       map[string]cordonRecord
+	intents       map[string]*rentalIntent
+	finalStates   map[string]protocol.JobState
+	// cancelRequests mirrors the cancellations of jobs that are not final, with the time
 	// of day of each.
-	withdrawn map[string]int64
-	// broadcasts are the cancellations that are passed on to other controllers, broadcastOrder
+	cancelRequests map[string]int64
+	// announcements are the cancellations that are passed on to other controllers, announcementOrder
 	// names them from the oldest; untold are those that no user has been told of yet.
-	broadcasts     map[string]*broadcast
-	broadcastOrder []string
-	untold         map[string]*broadcast
-	// goneAt holds the revisions that ended jobs.
-	goneAt  map[string]uint64
-	upgrade upgrade
-	awaits  awaits
-	// sites mirrors the hand-offs to and from other sites.
-	sites siteRecords
+	announcements     map[string]*cancelAnnouncement
+	announcementOrder []string
+	unannounced       map[string]*cancelAnnouncement
+	// endRevisions holds the revisions that ended jobs.
+	endRevisions map[string]uint64
+	upgrade      upgrade
+	dependencies dependencyState
+	// handoffs mirrors the hand-offs to and from other sites.
+	handoffs handoffRecords
 
 	// Machines.
 	types    map[string]protocol.MachineType
 	machines map[string]*worker.Machine
-	// ids names the machines in order; ledger holds what is bound to them.
-	ids []string
+	// machineNames names the machines in order; ledger holds what is bound to them.
+	machineNames []string
 	// longestName is the length of the longest name of a machine that was ever known.
 	longestName int
 	ledger      *job.Ledger
-	own         map[string]*control
-	// decided holds what was decided on starts, by machine.
-	decided map[string]*decisions
-	term    termState
+	agents      map[string]*agentSession
+	// startLedgers holds what was decided on starts, by machine.
+	startLedgers map[string]*startLedger
+	tokens       tokenState
 	// zoneSeen is when any machine of a zone last gave a sign of life.
 	zoneSeen map[string]time.Duration
-	// observed waits for being passed on to the other controllers.
-	observed []Observation
-	// beatAt is when this node last gave a sign of life.
-	beatAt time.Duration
+	// pendingObservations waits for being passed on to the other controllers.
+	pendingObservations []Observation
+	// heartbeatAt is when this node last gave a sign of life.
+	heartbeatAt time.Duration
 	// claims are the bindings that this step has made.
-	claims []Claim
-	spread spread
-	budget budget
-	asks   asks
+	claims      []Claim
+	rebalancing rebalancing
+	writeBudget writeBudget
+	lookups     lookupQueue
 
 	peers     map[string]*peerState
 	storeOK   bool
 	freshness freshness
-	partition partition
+	relay     storeRelay
 	isolation isolation
-	tally     *tally.Tally
+	stats     *tally.Tally
 	counts    Counts
 
-	// gate is this site's gateway to others, nil without one.
-	gate *gate
+	// federation is this site's gateway to others, nil without one.
+	federation *federationAdapter
 
-	sched  schedState
-	rental rentState
-	timers timers
+	scheduler  schedulerState
+	autoscaler autoscalerState
+	timers     timers
 }
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, beat, share, gossip, short, spread, record, homes, settle, fleet, forget, catalog, list, vacate, told, stop time.Duration
+	last, heartbeat, share, observations, short, rebalance, record, election, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
 }
 
 // team is the state of one team, whoever is its home.
 type team struct {
 	settings.Team
 	// key is the store key of its home; version 0 means that it has none.
-	key     string
-	home    string
-	homeInc string
-	version uint64
-	acting  bool
-	taking  bool
+	key               string
+	leader            string
+	leaderIncarnation string
+	version           uint64
+	leading           bool
+	electing          bool
 	// record is the newest known record; ranked is the one last exchanged,
 	// by which all controllers rank alike.
 	record, ranked fairness.Record
 	jobs           map[string]*job.Job
 }
 
-// held is the condition that a team's home is the one this node knows of.
-func (t *team) held() protocol.Condition { return protocol.Condition{Key: t.key, Version: t.version} }
+// leaderCondition is the condition that a team's home is the one this node knows of.
+func (t *team) leaderCondition() protocol.Condition {
+	return protocol.Condition{Key: t.key, Version: t.version}
+}
 
 // New makes a core. inc must differ between runs of the process.
 func New(cfg *settings.Settings, policy settings.Policy, inc string) *Core {
 	c := &Core{
-		cfg: cfg, policy: policy, inc: inc,
-		waits: map[uint64]wait{}, nodes: map[string]nodeKey{},
+		cfg: cfg, policy: policy, incarnation: inc,
+		pendingReplies: map[uint64]pendingReply{}, nodes: map[string]nodeRecord{},
 		teamBy: map[string]*team{}, jobs: map[string]*job.Job{},
-		orphans: map[string]map[job.ChunkKey]protocol.KeyValue{}, marks: map[string]mark{},
-		intents: map[string]*intent{}, finals: map[string]protocol.JobState{}, withdrawn: map[string]int64{}, broadcasts: map[string]*broadcast{}, untold: map[string]*broadcast{}, goneAt: map[string]uint64{},
-		machines: map[string]*worker.Machine{}, ledger: job.NewLedger(), own: map[string]*control{}, decided: map[string]*decisions{}, zoneSeen: map[string]time.Duration{},
+		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
+		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
+		machines: map[string]*worker.Machine{}, ledger: job.NewLedger(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{}, zoneSeen: map[string]time.Duration{},
 		peers: map[string]*peerState{}, storeOK: true,
-		sites: newSiteRecords(), sched: newSchedState(), rental: newRentState(), spread: newSpread(), term: termState{own: map[uint64]bool{}}, partition: partition{read: map[string]*reading{}}, tally: tally.New(),
+		handoffs: newSiteRecords(), scheduler: newSchedState(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: tally.New(),
 	}
 	for _, t := range cfg.Params.Teams {
-		c.addTeam(&team{Team: t, key: keyHome + teamPart(t.Name), jobs: map[string]*job.Job{}})
+		c.addTeam(&team{Team: t, key: keyLeader + teamPart(t.Name), jobs: map[string]*job.Job{}})
 	}
 	c.fleet = &team{key: keyFleet, jobs: map[string]*job.Job{}}
 	c.fleet.Name = fleetName
@@ -154,7 +156,7 @@
 	}
 	c.roster = append(slices.Collect(maps.Keys(c.peers)), cfg.Node)
 	slices.Sort(c.roster)
-	c.awaits = awaits{graph: chain.New(), asking: map[string]bool{}}
+	c.dependencies = dependencyState{graph: chain.New(), asking: map[string]bool{}}
 	c.upgrade = upgrade{versions: rollout.New(c.roster), revisions: map[string]uint64{}}
 	return c
 }
@@ -172,11 +174,11 @@
 		c.handle(cmd)
 	}
 	c.periodic()
-	c.runGate()
+	c.runFederation()
 	c.schedule()
-	c.askStore()
+	c.sendLookups()
 	c.shareClaims()
-	c.flushAll()
+	c.flushJobs()
 	return c.effects
 }
 
@@ -192,56 +194,56 @@
 		c.list(m)
 	case Health:
 		c.health(m)
-	case Served:
-		c.answer(m.Req, http.StatusOK, c.served())
-	case Beat:
-		c.beat(m)
+	case JobStatistics:
+		c.reply(m.Req, http.StatusOK, c.jobStatistics())
+	case Heartbeat:
+		c.handleHeartbeat(m)
 	case StoreReply:
-		if w, waits := c.waits[m.ID]; waits {
-			delete(c.waits, m.ID)
-			c.answered(w.since, m)
+		if w, waits := c.pendingReplies[m.ID]; waits {
+			delete(c.pendingReplies, m.ID)
+			c.noteStoreReply(w.since, m)
 			w.done(m)
 		}
-	case Loaded:
-		c.load(m)
-	case Watched:
-		c.watched(m)
-	case LeaseUp:
-		c.leaseUp(m.Lease)
-	case LeaseDown:
-		c.leaseDown()
+	case SnapshotLoaded:
+		c.applySnapshot(m)
+	case StoreChanged:
+		c.applyEvents(m)
+	case LeaseGranted:
+		c.leaseGranted(m.Lease)
+	case LeaseExpired:
+		c.leaseExpired()
 	case StoreHealth:
 		c.storeOK = m.OK
-	case StoreSlower:
-		c.storeSlower()
-	case PeerIn:
-		c.peerIn(m)
-	case PeerUp:
-		c.peerUp(m.Node)
-	case PeerDown:
+	case StoreLimitLowered:
+		c.storeLimitLowered()
+	case PeerMessageReceived:
+		c.handlePeerMessage(m)
+	case PeerConnected:
+		c.peerConnected(m.Node)
+	case PeerDisconnected:
 		c.peers[m.Node].connected = false
 	case Delivered:
-		c.delivered(m)
-	case CatalogIn:
-		c.catalogIn(m)
-	case ListIn:
-		c.listIn(m)
+		c.handleDelivery(m)
+	case CatalogReceived:
+		c.handleCatalog(m)
+	case InventoryReceived:
+		c.handleInventory(m)
 	case CloudHealth:
-		c.freshness.trouble = !m.OK
+		c.freshness.cloudOutage = !m.OK
 	case Rented:
-		c.rented(m)
+		c.handleRental(m)
 	case Released:
-		c.released(m)
-	case SiteIn:
-		c.siteIn(m.Message)
+		c.handleRelease(m)
+	case SiteMessageReceived:
+		c.handleSiteMessage(m.Message)
 	case SiteUp:
-		if c.gate != nil && c.gate.machine != nil {
-			c.gate.inputs = append(c.gate.inputs, gateway.Reachable{Site: m.Site})
+		if c.federation != nil && c.federation.machine != nil {
+			c.federation.inputs = append(c.federation.inputs, gateway.Reachable{Site: m.Site})
 		}
 	case SiteConfig:
 		c.siteConfig(m.Config)
-	case SiteAsk:
-		c.siteAsk(m)
+	case OperatorRequest:
+		c.handleOperatorRequest(m)
 	default:
 		panic(fmt.Sprintf("core: unknown command %T", cmd))
 	}
@@ -260,41 +262,41 @@
 func (c *Core) periodic() {
 	report := c.reportInterval()
 	c.integrate()
-	c.tellUsers()
-	c.answerPending()
-	if c.every(&c.timers.beat, report/3) {
-		c.nodeBeat()
+	c.answerAnnounced()
+	c.answerPendingStatus()
+	if c.every(&c.timers.heartbeat, report/3) {
+		c.sendHeartbeat()
 	}
-	if len(c.observed) > 0 && c.every(&c.timers.gossip, report/30) {
-		c.gossip()
+	if len(c.pendingObservations) > 0 && c.every(&c.timers.observations, report/30) {
+		c.flushObservations()
 	}
-	if c.loaded && c.every(&c.timers.homes, report/6) {
-		c.tendHomes()
+	if c.loaded && c.every(&c.timers.election, report/6) {
+		c.electLeaders()
 	}
-	if c.loaded && c.every(&c.timers.settle, report/3) {
-		c.tendBroadcasts()
-		c.tendFreshness()
-		c.settleAll()
-		c.tendControls()
+	if c.loaded && c.every(&c.timers.reconcile, report/3) {
+		c.repeatAnnouncements()
+		c.checkFreshness()
+		c.reconcileAll()
+		c.expireAgents()
 		c.forgetDecisions()
 	}
 	if c.loaded {
-		c.tendAwaits()
+		c.checkDependencies()
 		c.inheritUrgency()
-		c.tendPartition()
-		c.tendIsolation()
+		c.updateRelay()
+		c.checkIsolation()
 	}
 	if c.every(&c.timers.catalog, c.catalogInterval()) {
 		c.emit(FetchCatalog{})
 	}
-	if c.fleet.acting && c.every(&c.timers.fleet, report/3) {
-		c.tendFleet()
+	if c.fleet.leading && c.every(&c.timers.autoscaler, report/3) {
+		c.runAutoscaler()
 	}
-	if c.fleet.acting && c.every(&c.timers.list, c.listInterval()) {
+	if c.fleet.leading && c.every(&c.timers.inventory, c.listInterval()) {
 		c.emit(FetchList{})
 	}
-	if c.fleet.acting && c.every(&c.timers.told, tellEvery*report) {
-		c.tellServed()
+	if c.fleet.leading && c.every(&c.timers.statistics, tellEvery*report) {
+		c.logJobStatistics()
 	}
 	if c.loaded && c.every(&c.timers.record, 15*recordInterval) {
 		c.storeRecords()
@@ -318,26 +320,26 @@
 	c.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
 
-// txn runs a transaction and hands its outcome to done.
-func (c *Core) txn(t protocol.Txn, urgent bool, done func(StoreReply)) {
-	c.emit(StoreTxn{ID: c.await(done), Txn: t, Urgent: urgent})
+// compareAndSwap runs a transaction and hands its outcome to done.
+func (c *Core) compareAndSwap(t protocol.Txn, urgent bool, done func(StoreReply)) {
+	c.emit(StoreTxn{ID: c.expectReply(done), Txn: t, Urgent: urgent})
 }
 
 // get reads a key and hands it to done.
 func (c *Core) get(key string, done func(StoreReply)) {
-	c.emit(StoreGet{ID: c.await(done), Key: key})
+	c.emit(StoreGet{ID: c.expectReply(done), Key: key})
 }
 
-// wait is who waits for a reply of the state service, and since when.
-type wait struct {
+// pendingReply is who waits for a reply of the state service, and since when.
+type pendingReply struct {
 	since time.Duration
 	done  func(StoreReply)
 }
 
-// await numbers a request whose reply done takes.
-func (c *Core) await(done func(StoreReply)) uint64 {
+// expectReply numbers a request whose reply done takes.
+func (c *Core) expectReply(done func(StoreReply)) uint64 {
 	c.nextID++
-	c.waits[c.nextID] = wait{c.now.Steady, done}
+	c.pendingReplies[c.nextID] = pendingReply{c.now.Steady, done}
 	return c.nextID
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -176,10 +176,10 @@
 		w.expire(n)
 		w.run(10*time.Second, nil)
 		w.cut[n] = false
-		w.send(n, LeaseDown{})
+		w.send(n, LeaseExpired{})
 		w.nextReq++
 		w.leases[w.nextReq] = n
-		w.send(n, LeaseUp{Lease: w.nextReq})
+		w.send(n, LeaseGranted{Lease: w.nextReq})
 	}
 	if !w.run(4*time.Minute, w.finished("req-red-1")) {
 		t.Fatal("job does not end")
@@ -191,7 +191,7 @@
 func TestDeposedHomeThatWasNotToldStopsNothingOfTheNewOne(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "with a write on its way": true} {
 		w := newWorld(t).ready()
-		home := w.cores["a"].teamBy["free"].home
+		home := w.cores["a"].teamBy["free"].leader
 		accepted(t, w.submit(home, "req-free-1", 6, ""))
 		if !inFlight {
 			w.run(time.Second, nil)
@@ -520,7 +520,7 @@
 	for i, task := range []string{"", "x", "req-1/", "req-1/-4", "req-1/99999999999", "req-unknown/0"} {
 		r := protocol.Report{Machine: "vm-odd", Address: "x", Type: "odd", Session: 1, Seq: uint64(i + 1),
 			Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: "odd"}}}
-		if a := w.ask("a", func(req uint64) Command { return Beat{Req: req, Report: r} }); a.Status != http.StatusOK {
+		if a := w.ask("a", func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusOK {
 			t.Errorf("report of %q got %d", task, a.Status)
 		}
 	}
@@ -560,7 +560,7 @@
 	highest := func() uint64 {
 		most := uint64(0)
 		for _, c := range w.cores {
-			most = max(most, c.term.term)
+			most = max(most, c.tokens.current)
 		}
 		return most
 	}
@@ -590,7 +590,7 @@
 	w.boot("c")
 	w.run(20*time.Second, nil)
 	for _, n := range nodeNames {
-		if got := len(w.cores[n].own); got < 3 {
+		if got := len(w.cores[n].agents); got < 3 {
 			t.Errorf("%s hears %d workers of %d", n, got, len(w.workers))
 		}
 	}
@@ -602,15 +602,15 @@
 	for range nodeNames {
 		w.addWorker("z1", false)
 	}
-	w.run(8*time.Second, func() bool { return len(c.own) > 0 })
-	for id, k := range c.own {
-		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Term: k.term, Session: k.session, Need: job.Resources{CPUs: 1}}
-		if why := c.cannotStart(k, s); why != "" {
+	w.run(8*time.Second, func() bool { return len(c.agents) > 0 })
+	for id, k := range c.agents {
+		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: k.token, Epoch: k.epoch, Need: job.Resources{CPUs: 1}}
+		if why := c.startRefusalReason(k, s); why != "" {
 			t.Errorf("healthy: %s", why)
 		}
-		w.send("a", Delivered{Machine: id, Orders: protocol.Orders{Token: k.term}})
+		w.send("a", Delivered{Machine: id, Orders: protocol.Orders{Token: k.token}})
 		w.step("a")
-		if why := c.cannotStart(k, s); why == "" {
+		if why := c.startRefusalReason(k, s); why == "" {
 			t.Error("a worker without an answer takes starts")
 		}
 		return
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -22,7 +22,7 @@
 // waiting counts the waiting tasks of the teams that this node is home of.
 func (c *Core) waiting() (w Waiting) {
 	for _, t := range c.teams {
-		if !t.acting {
+		if !t.leading {
 			continue
 		}
 		used := c.used(t)
@@ -31,7 +31,7 @@
 				w.Awaits += j.Tasks
 				continue
 			}
-			waits := c.allowance(j)
+			waits := c.startAllowance(j)
 			fit := c.fitsLimit(t, used, j, waits)
 			used = used.Plus(j.Need, float64(fit))
 			w.Room += fit
--- a/internal/core/dark_test.go
+++ b/internal/core/dark_test.go
@@ -16,7 +16,7 @@
 	c.cfg.Zone = "z1"
 	c.cfg.Peers[0].Zone, c.cfg.Peers[1].Zone = "z1", "z2"
 	for i := range 20 {
-		c.observe(Observation{Node: "c", Term: 1, Report: protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i),
+		c.applyObservation(Observation{Node: "c", Token: 1, Report: protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i),
 			Type: "small", Zone: fmt.Sprintf("z%d", 1+i/10), Session: 1, Seq: 1}})
 	}
 	return c
@@ -42,16 +42,16 @@
 		c := nearZ2(t)
 		c.now.Steady += k.quiet
 		for _, n := range k.heard {
-			c.peers[n].seen = c.now.Steady
+			c.peers[n].lastContact = c.now.Steady
 		}
 		delete(c.nodes, "b") // what is not heard has lost its lease
 		delete(c.nodes, "c")
 		for _, i := range k.alive {
-			c.alive(c.machines[fmt.Sprintf("vm-9%03d", i)], false)
+			c.noteContact(c.machines[fmt.Sprintf("vm-9%03d", i)], false)
 		}
-		c.tendListed()
+		c.reconcileInventory()
 		given := map[string]int{}
-		for id := range c.rental.returning {
+		for id := range c.autoscaler.returnReasons {
 			given[c.machines[id].Zone]++
 		}
 		if given["z2"] != k.givenB || given["z1"] != 10 {
@@ -65,15 +65,15 @@
 func TestMachineUnheardByItsHomeIsTheRentersToJudge(t *testing.T) {
 	c := nearZ2(t)
 	c.now.Steady += 32 * time.Second
-	c.listIn(ListIn{Machines: []protocol.ListedMachine{{ID: "vm-listed", Zone: "z2", State: protocol.Running}}})
+	c.handleInventory(InventoryReceived{Machines: []protocol.ListedMachine{{ID: "vm-listed", Zone: "z2", State: protocol.Running}}})
 	for id, given := range map[string]bool{"vm-9015": false, "vm-listed": false, "vm-nobody-knows": true} {
-		c.returnRequested(ReturnRequest{Machine: id, Why: unheard})
-		if got := c.rental.returning[id] != ""; got != given {
+		c.returnRequested(ReturnRequest{Machine: id, Why: reasonSilent})
+		if got := c.autoscaler.returnReasons[id] != ""; got != given {
 			t.Errorf("%s: given up %v", id, got)
 		}
 	}
 	c.returnRequested(ReturnRequest{Machine: "vm-9015", Why: "cancelled task does not end"})
-	if c.rental.returning["vm-9015"] == "" {
+	if c.autoscaler.returnReasons["vm-9015"] == "" {
 		t.Error("a cancelled task is left on a machine of a dark zone")
 	}
 }
@@ -84,15 +84,15 @@
 	w := newWorld(t).ready()
 	w.run(5*time.Second, nil)
 	for _, c := range w.cores {
-		c.timers.homes = w.now + time.Hour // they have just looked
+		c.timers.election = w.now + time.Hour // they have just looked
 	}
 	w.crash("b")
 	w.expire("b")
 	w.run(3*w.tick, nil) // the watch, the write, and the watch again
 	for _, n := range []string{"a", "c"} {
 		for _, k := range w.cores[n].allTeams() {
-			if k.home != "a" && k.home != "c" {
-				t.Errorf("%s takes %s to be at %q", n, k.Name, k.home)
+			if k.leader != "a" && k.leader != "c" {
+				t.Errorf("%s takes %s to be at %q", n, k.Name, k.leader)
 			}
 		}
 	}
--- a/internal/core/decided.go
+++ b/internal/core/decided.go
@@ -8,19 +8,19 @@
 	"pepperlever/internal/protocol"
 )
 
-// decisions are what this node has decided on the starts of tasks that were bound
+// startLedger are what this node has decided on the starts of tasks that were bound
 // to a machine under one fencing term. The term is this run's alone, so it decides
 // on each such start at most once: forwarded or refused, by a home's message or by
 // what its own watch shows, and no other controller can forward it. What was decided
 // is kept for as long as the start could come up again.
-type decisions struct {
+type startLedger struct {
 	term uint64
-	made map[taskAttempt]decision
+	made map[taskAttempt]startDecision
 }
 
-// decision is what was decided on one start, when, and at which revision of the store
+// startDecision is what was decided on one start, when, and at which revision of the store
 // its binding was there at the latest.
-type decision struct {
+type startDecision struct {
 	refused  bool
 	at       time.Duration
 	revision uint64
@@ -28,12 +28,12 @@
 
 // decisionsOn are the decisions on a machine under a term, or nil for a term that has
 // passed.
-func (c *Core) decisionsOn(machine string, term uint64) *decisions {
-	d := c.decided[machine]
+func (c *Core) decisionsOn(machine string, term uint64) *startLedger {
+	d := c.startLedgers[machine]
 	switch {
 	case d == nil || term > d.term:
-		d = &decisions{term: term, made: map[taskAttempt]decision{}}
-		c.decided[machine] = d
+		d = &startLedger{term: term, made: map[taskAttempt]startDecision{}}
+		c.startLedgers[machine] = d
 	case term < d.term:
 		return nil
 	}
@@ -43,8 +43,8 @@
 // decideOn notes a decision. A refused one is for good even where the worker comes back
 // under the same term.
 func (c *Core) decideOn(s *Start, refused bool) {
-	if d := c.decisionsOn(s.Machine, s.Term); d != nil {
-		d.made[taskAttempt{s.Task, s.Attempt}] = decision{refused, c.now.Steady, s.Revision}
+	if d := c.decisionsOn(s.Machine, s.Token); d != nil {
+		d.made[taskAttempt{s.Task, s.Attempt}] = startDecision{refused, c.now.Steady, s.Revision}
 	}
 }
 
@@ -54,9 +54,9 @@
 // is a reason: a refusal would have its home start the task elsewhere while it runs
 // here.
 func (c *Core) decidedOn(s *Start) (why string, before bool) {
-	d := c.decided[s.Machine]
-	if !c.term.own[s.Term] || d != nil && d.term > s.Term {
-		b := job.Binding{Machine: s.Machine, Attempt: s.Attempt, Term: s.Term, Session: s.Session}
+	d := c.startLedgers[s.Machine]
+	if !c.tokens.acquired[s.Token] || d != nil && d.term > s.Token {
+		b := job.Binding{Machine: s.Machine, Attempt: s.Attempt, Term: s.Token, Session: s.Epoch}
 		if m := c.machines[s.Machine]; m != nil {
 			if verdict, _ := m.Judge(s.Task, &b); verdict == worker.Absent {
 				why = "term has passed"
@@ -64,7 +64,7 @@
 		}
 		return why, true
 	}
-	if d == nil || d.term < s.Term {
+	if d == nil || d.term < s.Token {
 		return "", false
 	}
 	made, before := d.made[taskAttempt{s.Task, s.Attempt}]
@@ -75,10 +75,10 @@
 }
 
 // decisionOn looks a decision up.
-func (c *Core) decisionOn(machine string, term uint64, k taskAttempt) (decision, bool) {
-	d := c.decided[machine]
+func (c *Core) decisionOn(machine string, term uint64, k taskAttempt) (startDecision, bool) {
+	d := c.startLedgers[machine]
 	if d == nil || d.term != term {
-		return decision{}, false
+		return startDecision{}, false
 	}
 	out, ok := d.made[k]
 	return out, ok
@@ -99,14 +99,14 @@
 // that still comes for one is refused, since the replica is past it. A job that is not
 // in the replica may be one that is being read again.
 func (c *Core) forgetDecisions() {
-	for machine, d := range c.decided {
+	for machine, d := range c.startLedgers {
 		for k, made := range d.made {
 			if made.revision <= c.revision && c.settled(k) && !c.shows(machine, k) {
 				delete(d.made, k)
 			}
 		}
-		if len(d.made) == 0 && c.own[machine] == nil && c.machines[machine] == nil {
-			delete(c.decided, machine)
+		if len(d.made) == 0 && c.agents[machine] == nil && c.machines[machine] == nil {
+			delete(c.startLedgers, machine)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	id, _, _ := job.SplitTask(k.task)
 	j := c.jobs[id]
 	if j == nil {
-		return c.finals[id].State == protocol.Done || c.goneAt[id] > 0
+		return c.finalStates[id].State == protocol.Done || c.endRevisions[id] > 0
 	}
-	return !c.mine(j) || !j.Dirty() && !j.InFlight
+	return !c.leads(j) || !j.Dirty() && !j.InFlight
 }
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -53,7 +53,7 @@
 	case StoreReload:
 		parts = []any{"reload"}
 	case SendPeer:
-		parts = []any{"peer", e.Nodes, e.Msg}
+		parts = []any{"peer", e.Nodes, e.Message}
 	case Deliver:
 		parts = []any{"deliver", e.Machine, e.Address, e.Orders}
 	case FetchCatalog:
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -90,7 +90,7 @@
 	for name, r := range copies {
 		for _, to := range w.names {
 			before := *w.cores[to].machines[f.Machine]
-			a := w.ask(to, func(req uint64) Command { return Beat{Req: req, Report: r} })
+			a := w.ask(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} })
 			switch orders, _ := a.Body.(protocol.Orders); {
 			case to != node && a.Status != http.StatusServiceUnavailable:
 				t.Errorf("%s: %s answers %d", name, to, a.Status)
@@ -102,8 +102,8 @@
 				t.Errorf("%s: %s takes the machine for %s, session %d, %d tasks", name, to, m.Node, m.Session, len(m.Tasks))
 			}
 		}
-		if own := w.cores[node].own[f.Machine]; own.session != f.Session {
-			t.Errorf("%s: its controller went back to session %d", name, own.session)
+		if own := w.cores[node].agents[f.Machine]; own.epoch != f.Session {
+			t.Errorf("%s: its controller went back to session %d", name, own.epoch)
 		}
 	}
 	w.run(time.Minute, nil)
@@ -122,12 +122,12 @@
 	w.run(3*time.Second, nil)
 	r.Seq += 100 // sent later than anything that was heard
 	for _, to := range w.names {
-		if a := w.ask(to, func(req uint64) Command { return Beat{Req: req, Report: r} }); a.Status != http.StatusServiceUnavailable {
+		if a := w.ask(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("%s answers %d", to, a.Status)
 		}
 	}
 	for _, to := range w.names {
-		w.cores[to].observe(Observation{Node: "a", Term: 99, Report: r}) // another was taken in by it
+		w.cores[to].applyObservation(Observation{Node: "a", Token: 99, Report: r}) // another was taken in by it
 		if w.cores[to].machines[id] != nil {
 			t.Errorf("%s knows it again", to)
 		}
@@ -208,10 +208,10 @@
 	c := New(testSettings("a"), settings.DefaultPolicy(), "a1")
 	c.loaded, c.storeOK = true, false
 	c.now.Steady = time.Minute
-	c.tendIsolation()
+	c.checkIsolation()
 	c.now.Steady += 5 * time.Second
 	away := func(machine, zone string) bool {
-		return c.sendsAway(&protocol.Report{Machine: machine, Zone: zone})
+		return c.redirects(&protocol.Report{Machine: machine, Zone: zone})
 	}
 	for range 3 {
 		if away("vm-1", "z1") {
@@ -222,7 +222,7 @@
 		t.Error("not sent on once each with two zones heard")
 	}
 	c.storeOK = true
-	c.tendIsolation()
+	c.checkIsolation()
 	if away("vm-3", "z1") {
 		t.Error("sent on although the state service is back")
 	}
@@ -242,7 +242,7 @@
 				ids = append(ids, id)
 				w.hold(everyLink)
 				w.run(300*time.Millisecond, nil)
-				home, renter := w.cores["a"].teamBy["free"].home, w.cores["a"].fleet.home
+				home, renter := w.cores["a"].teamBy["free"].leader, w.cores["a"].fleet.leader
 				for _, node := range []string{home, renter, w.names[n%5]} {
 					if w.cores[node] != nil {
 						w.crash(node)
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -14,15 +14,15 @@
 // against the machine. Every controller learns from the reports that are passed
 // on, so that a new home or renter knows what the one before did.
 
-// suspectAt is on how many machines a job that never succeeded has to fail to be
-// suspected, guiltyAt how many failures make a machine unusable.
+// suspicionThreshold is on how many machines a job that never succeeded has to fail to be
+// suspected, cordonThreshold how many failures make a machine unusable.
 const (
-	suspectAt = 2
-	guiltyAt  = 3
+	suspicionThreshold = 2
+	cordonThreshold    = 3
 )
 
-// learn takes the ends that a report tells of for the first time.
-func (c *Core) learn(m *worker.Machine, r *protocol.Report) {
+// learnFromReport takes the ends that a report tells of for the first time.
+func (c *Core) learnFromReport(m *worker.Machine, r *protocol.Report) {
 	for _, t := range r.Tasks {
 		if t.State != protocol.Exited || t.Why != protocol.WhyDone && t.Why != protocol.WhyError {
 			continue
@@ -32,16 +32,16 @@
 		}
 		id, _, ok := job.SplitTask(t.Task)
 		if j := c.jobs[id]; ok && j != nil {
-			c.weigh(j, m, r.Machine, t)
+			c.attributeFailure(j, m, r.Machine, t)
 		}
 	}
 }
 
-// weigh sets one end against the job or the machine.
-func (c *Core) weigh(j *job.Job, m *worker.Machine, machine string, t protocol.TaskReport) {
+// attributeFailure sets one end against the job or the machine.
+func (c *Core) attributeFailure(j *job.Job, m *worker.Machine, machine string, t protocol.TaskReport) {
 	if t.Why == protocol.WhyDone {
 		m.Failures = nil
-		if j.Suspected && c.mine(j) {
+		if j.Suspected && c.leads(j) {
 			c.log(Info, "job is no longer suspected of a mistake", "job", j.ID)
 		}
 		j.Succeeded()
@@ -54,10 +54,10 @@
 	if !slices.Contains(j.FailedOn, machine) && len(j.FailedOn) < maxFailedOn {
 		j.FailedOn = append(j.FailedOn, machine)
 	}
-	if !j.Suspected && !j.Proven && j.Done.Len() == 0 && len(j.FailedOn) >= suspectAt {
+	if !j.Suspected && !j.Proven && j.Done.Len() == 0 && len(j.FailedOn) >= suspicionThreshold {
 		j.Suspected = true
-		c.sched.dirty = true
-		if c.mine(j) {
+		c.scheduler.dirty = true
+		if c.leads(j) {
 			j.Touch(0)
 			c.log(Info, "job is suspected of a mistake", "job", j.ID, "team", j.Team, "class", j.Class,
 				"failed on", j.FailedOn, "does", "tries one task at a time until one succeeds or its user cancels it")
@@ -68,10 +68,10 @@
 // maxFailedOn bounds how many machines are remembered that a job failed on.
 const maxFailedOn = 16
 
-// faults counts what speaks against a machine: each failure of a job that
+// suspicion counts what speaks against a machine: each failure of a job that
 // succeeds elsewhere, one of a job that has not succeeded yet, and none of a job
 // that is suspected itself or has ended.
-func (c *Core) faults(m *worker.Machine) int {
+func (c *Core) suspicion(m *worker.Machine) int {
 	n := 0
 	for id, failures := range m.Failures {
 		switch j := c.jobs[id]; {
@@ -85,18 +85,18 @@
 	return n
 }
 
-// probe delays the next try of a suspected job, longer each time.
-func (c *Core) probe(j *job.Job) {
+// mayStartCanary delays the next try of a suspected job, longer each time.
+func (c *Core) mayStartCanary(j *job.Job) {
 	if j.Suspected && len(j.Bound) <= 1 {
 		j.NotBefore = c.now.Steady + c.reportInterval()<<min(j.Probes, 5)
 		j.Probes++
 	}
 }
 
-// allowance is how many more tasks of a job may be placed now: a suspected one
+// startAllowance is how many more tasks of a job may be placed now: a suspected one
 // has one at a time.
-func (c *Core) allowance(j *job.Job) int {
-	if c.away(j.ID) {
+func (c *Core) startAllowance(j *job.Job) int {
+	if c.isOutgoing(j.ID) {
 		return 0
 	}
 	if j.Suspected && j.Kind != job.Gang {
--- a/internal/core/failures_test.go
+++ b/internal/core/failures_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("%d more starts in half a minute", n)
 	}
 	for _, c := range w.cores {
-		for id, why := range c.rental.returning {
+		for id, why := range c.autoscaler.returnReasons {
 			t.Errorf("%s is given up: %s", id, why)
 		}
 	}
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -110,7 +110,7 @@
 
 // holdReport lets a report arrive later than any answer is waited for, at any controller:
 // nobody has had one that is as new from that machine, unless it has reported again.
-func (w *world) holdReport(b Beat) {
+func (w *world) holdReport(b Heartbeat) {
 	at := w.now + time.Duration(2+w.rng.IntN(30))*time.Second
 	node := w.names[w.rng.IntN(len(w.names))]
 	w.later = append(w.later, func() bool {
@@ -179,7 +179,7 @@
 func (w *world) homeOf(team string) string {
 	for _, n := range w.names {
 		if c := w.cores[n]; c != nil && !w.cut[n] && c.loaded {
-			return c.teamBy[team].home
+			return c.teamBy[team].leader
 		}
 	}
 	return ""
--- a/internal/core/flood_test.go
+++ b/internal/core/flood_test.go
@@ -64,12 +64,12 @@
 	c := renter(t, 1, 10*time.Minute)
 	c.comesUp("vm-9000")
 	c.comesUp("vm-unheard-of")
-	c.tendListed()
+	c.reconcileInventory()
 	for _, id := range []string{"vm-9000", "vm-unheard-of"} {
-		if why := c.rental.returning[id]; why != "" {
+		if why := c.autoscaler.returnReasons[id]; why != "" {
 			t.Errorf("%s is given up: %s", id, why)
 		}
-		if m := c.machines[id]; m == nil || !c.usable(m) {
+		if m := c.machines[id]; m == nil || !c.isSchedulable(m) {
 			t.Errorf("%s is not used", id)
 		}
 	}
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -14,9 +14,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// gate joins the machine of hand-offs to the core. It runs on one controller at a
+// federationAdapter joins the machine of hand-offs to the core. It runs on one controller at a
 // time: the home of the gateway's own pseudo team.
-type gate struct {
+type federationAdapter struct {
 	cfg     *gateway.Config
 	team    *team
 	machine *gateway.Machine
@@ -43,54 +43,54 @@
 
 // Join switches the gateway on. It is called before the first Step.
 func (c *Core) Join(cfg *gateway.Config) {
-	c.gate = &gate{cfg: cfg, team: &team{key: keyGate, jobs: map[string]*job.Job{}},
+	c.federation = &federationAdapter{cfg: cfg, team: &team{key: keyFederation, jobs: map[string]*job.Job{}},
 		inFlight: map[uint64]bool{}, foreign: map[uint64]bool{}, asking: map[string]bool{}, asked: map[uint64]operator{}}
-	c.gate.team.Name = "gateway"
-	c.gate.limit(c)
+	c.federation.team.Name = "gateway"
+	c.federation.limit(c)
 }
 
 // limit sets what follows from the state service's limits.
-func (g *gate) limit(c *Core) { g.cfg.Drops = c.limits().TxnOps - 1 }
+func (g *federationAdapter) limit(c *Core) { g.cfg.Drops = c.limits().TxnOps - 1 }
 
 // open starts the machine, as this node has become its home: the mirror holds all
 // that an earlier one has stored.
-func (g *gate) open(c *Core) {
+func (g *federationAdapter) open(c *Core) {
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(c.inc)) // never fails
+	_, _ = seed.Write([]byte(c.incarnation)) // never fails
 	g.machine = gateway.New(g.cfg, seed.Sum64()+g.team.version)
 	clear(g.inFlight)
 	clear(g.foreign)
 	clear(g.asking)
-	g.inputs, g.loadAt = []gateway.Input{gateway.Loaded{Records: c.sites.Records}}, 0
+	g.inputs, g.loadAt = []gateway.Input{gateway.Loaded{Records: c.handoffs.Records}}, 0
 }
 
 // siteChanged notes a change of the records that did not come with the answer to a
 // write; if no such answer tells of it later the machine reads them again.
 func (c *Core) siteChanged(revision uint64) {
-	if g := c.gate; g != nil && g.machine != nil {
+	if g := c.federation; g != nil && g.machine != nil {
 		g.foreign[revision] = true
 	}
 }
 
-// runGate hands the machine what has happened and carries its effects out.
-func (c *Core) runGate() {
-	g := c.gate
+// runFederation hands the machine what has happened and carries its effects out.
+func (c *Core) runFederation() {
+	g := c.federation
 	if g == nil || g.machine == nil || !c.loaded {
 		return
 	}
 	if c.every(&g.feed, c.reportInterval()/6) {
-		c.feedGate()
+		c.feedFederation()
 	}
 	if len(g.inFlight) == 0 && (len(g.foreign) > 0 || g.loadAt > 0 && c.now.Steady >= g.loadAt) {
 		clear(g.foreign)
 		g.loadAt = 0
-		g.inputs = append(g.inputs, gateway.Loaded{Records: c.sites.Records})
+		g.inputs = append(g.inputs, gateway.Loaded{Records: c.handoffs.Records})
 	}
 	for len(g.inputs) > 0 || c.every(&g.tickAt, c.reportInterval()/30) {
 		in := g.inputs
 		g.inputs = nil
 		for _, e := range g.machine.Step(c.now.Steady, in...) {
-			c.gateEffect(e)
+			c.carryOutFederation(e)
 		}
 		if g.machine == nil {
 			return
@@ -98,16 +98,16 @@
 	}
 }
 
-func (c *Core) gateEffect(e gateway.Effect) {
-	g := c.gate
+func (c *Core) carryOutFederation(e gateway.Effect) {
+	g := c.federation
 	switch e := e.(type) {
 	case gateway.Store:
 		c.siteStore(e)
 	case gateway.Reload:
 		g.loadAt = c.now.Steady + c.reportInterval()/6
 	case gateway.Send:
-		if k, ok := c.sites.Taken[gateway.Hold{Origin: e.Message.To, Epoch: e.Message.Epoch}]; ok && e.Message.Accepted {
-			s := c.display(k.Local)
+		if k, ok := c.handoffs.Taken[gateway.Hold{Origin: e.Message.To, Epoch: e.Message.Epoch}]; ok && e.Message.Accepted {
+			s := c.jobProgress(k.Local)
 			e.Message.Done, e.Message.Running = s.Done, s.Running
 		}
 		c.emit(SendSite{Message: e.Message})
@@ -124,15 +124,15 @@
 	}
 }
 
-// siteIn takes a message of another site to the gateway's home.
-func (c *Core) siteIn(m gateway.Message) {
-	g := c.gate
+// handleSiteMessage takes a message of another site to the gateway's home.
+func (c *Core) handleSiteMessage(m gateway.Message) {
+	g := c.federation
 	if g == nil {
 		return
 	}
 	if g.machine == nil {
-		if g.team.home != "" && g.team.home != c.cfg.Node {
-			c.sendPeer(g.team.home, PeerMsg{Site: &SiteNote{Message: &m}})
+		if g.team.leader != "" && g.team.leader != c.cfg.Node {
+			c.route(g.team.leader, PeerMessage{Federation: &FederationNote{Message: &m}})
 		}
 		return
 	}
@@ -145,24 +145,24 @@
 	}
 	if job, ok := g.machine.Job(m.From, m.Epoch); ok && m.Kind == gateway.Decided && m.Accepted {
 		c.progressed(job, Progress{m.Done, m.Running})
-		c.broadcast(PeerMsg{Site: &SiteNote{Progress: map[string]Progress{job: c.sites.progress[job]}}})
+		c.broadcast(PeerMessage{Federation: &FederationNote{Progress: map[string]Progress{job: c.handoffs.progress[job]}}})
 	}
 	g.inputs = append(g.inputs, in)
 }
 
 // progressed notes how a job that is away gets on. What was done stays done.
 func (c *Core) progressed(id string, p Progress) {
-	if _, away := c.sites.Away[id]; away {
-		p.Done = max(p.Done, c.sites.progress[id].Done)
-		c.sites.progress[id] = p
+	if _, away := c.handoffs.Away[id]; away {
+		p.Done = max(p.Done, c.handoffs.progress[id].Done)
+		c.handoffs.progress[id] = p
 	}
 }
 
-// untoldAway tells whether nobody here knows how an accepted job that is away gets on:
+// outgoingUnconfirmed tells whether nobody here knows how an accepted job that is away gets on:
 // anything said of it might be older than what its user was told before.
-func (c *Core) untoldAway(id string) bool {
-	_, told := c.sites.progress[id]
-	return c.sites.Away[id].Accepted && !told
+func (c *Core) outgoingUnconfirmed(id string) bool {
+	_, told := c.handoffs.progress[id]
+	return c.handoffs.Away[id].Accepted && !told
 }
 
 // unfit tells why a job of another site can never run here, or nothing.
@@ -174,18 +174,18 @@
 	if len(s.Awaits) > 0 {
 		return "job awaits jobs of its own site"
 	}
-	return c.neverRuns(c.teamBy[s.Team], s)
+	return c.rejectionReason(c.teamBy[s.Team], s)
 }
 
 // elsewhere tells whether a job that can never run here may go to a site that has
 // what it asks for.
 func (c *Core) elsewhere(s *job.Spec) bool {
-	return c.gate != nil && len(s.Awaits) == 0 && c.gate.cfg.Elsewhere(s.Class, s.Zone, s.Types)
+	return c.federation != nil && len(s.Awaits) == 0 && c.federation.cfg.Elsewhere(s.Class, s.Zone, s.Types)
 }
 
-// feedGate tells the machine which jobs wait, and which accepted ones have ended.
-func (c *Core) feedGate() {
-	g := c.gate
+// feedFederation tells the machine which jobs wait, and which accepted ones have ended.
+func (c *Core) feedFederation() {
+	g := c.federation
 	w := gateway.Waiting{}
 	var jobs []*job.Job
 	for _, t := range c.teams {
@@ -207,19 +207,19 @@
 			if len(w.Jobs) == mostOffered {
 				break
 			}
-			never := c.types != nil && c.neverRuns(c.teamBy[j.Team], &j.Spec) != ""
+			never := c.types != nil && c.rejectionReason(c.teamBy[j.Team], &j.Spec) != ""
 			if waited := c.now.Steady - j.WaitingSince; never || g.cfg.Goes(j.Class, waited) {
 				w.Jobs = append(w.Jobs, c.offerable(j, waited, never))
 			}
 		}
 	}
 	g.inputs = append(g.inputs, w)
-	for _, k := range orderedBy(c.sites.Taken, gateway.CompareHolds) {
+	for _, k := range orderedBy(c.handoffs.Taken, gateway.CompareHolds) {
 		if k.Accepted && k.State == "" && !g.asking[k.Local] && (c.jobs[k.Local] == nil || c.jobs[k.Local].Cancelled) {
 			g.asking[k.Local] = true
-			c.inquire(k.Local, func(f finding, s protocol.JobState) {
+			c.lookUp(k.Local, func(f lookupResult, s protocol.JobState) {
 				delete(g.asking, k.Local)
-				if f == final && g.machine != nil {
+				if f == lookupFinal && g.machine != nil {
 					g.inputs = append(g.inputs, gateway.EndedHere{Local: k.Local, State: s.State})
 				}
 			})
@@ -233,14 +233,14 @@
 // untouched tells whether nothing of a job was ever bound: only such are handed off, and
 // none that awaits others, which another site does not know.
 func (c *Core) untouched(j *job.Job) bool {
-	return j.Attempt == 0 && len(j.Bound) == 0 && !j.Cancelled && !j.InFlight && j.Version > 0 && len(j.Awaits) == 0 && !c.away(j.ID)
+	return j.Attempt == 0 && len(j.Bound) == 0 && !j.Cancelled && !j.InFlight && j.Version > 0 && len(j.Awaits) == 0 && !c.isOutgoing(j.ID)
 }
 
 // everyNodeKnows tells whether all live controllers keep away from jobs that are
 // away.
 func (c *Core) everyNodeKnows() bool {
 	for _, n := range c.nodes {
-		if !n.Gate {
+		if !n.Federation {
 			return false
 		}
 	}
@@ -250,43 +250,43 @@
 func (c *Core) offerable(j *job.Job, waited time.Duration, never bool) gateway.Job {
 	out := gateway.Job{ID: j.ID, Class: j.Class, Waited: waited, Zone: j.Zone, Types: j.Types, Elsewhere: never}
 	if h, ok := gateway.ParseLocal(j.ID); ok {
-		out.Path = c.sites.Taken[h].Path
+		out.Path = c.handoffs.Taken[h].Path
 	}
 	s := j.Spec
 	if s.DeadlineS > 0 { // clocks of sites differ, so what is left is told
 		s.DeadlineS = max(1, s.DeadlineS-float64(c.now.Wall-s.Accepted)/1000)
 	}
-	out.Body = raw(s.Submission())
+	out.Body = mustMarshal(s.Submission())
 	return out
 }
 
 // cancelAway has the far site asked for the end of a job. The user is told when it
 // has one.
 func (c *Core) cancelAway(m Cancel) {
-	c.unavailable(m.Req)
-	c.toGate(SiteNote{Cancel: m.ID})
+	c.replyUnavailable(m.Req)
+	c.forwardToFederation(FederationNote{Cancel: m.ID})
 }
 
-// toGate passes something to the gateway's home.
-func (c *Core) toGate(n SiteNote) {
-	g := c.gate
+// forwardToFederation passes something to the gateway's home.
+func (c *Core) forwardToFederation(n FederationNote) {
+	g := c.federation
 	switch {
-	case g == nil || g.team.home == "":
+	case g == nil || g.team.leader == "":
 	case g.machine != nil:
-		c.siteNote(c.cfg.Node, n)
+		c.handleFederationNote(c.cfg.Node, n)
 	default:
-		c.sendPeer(g.team.home, PeerMsg{Site: &n})
+		c.route(g.team.leader, PeerMessage{Federation: &n})
 	}
 }
 
-// siteNote takes what another controller says about the gateway.
-func (c *Core) siteNote(from string, n SiteNote) {
-	g := c.gate
+// handleFederationNote takes what another controller says about the gateway.
+func (c *Core) handleFederationNote(from string, n FederationNote) {
+	g := c.federation
 	switch {
 	case g == nil:
 	case n.Message != nil:
 		if g.machine != nil { // it is not passed on a second time
-			c.siteIn(*n.Message)
+			c.handleSiteMessage(*n.Message)
 		}
 	case n.Progress != nil:
 		for id, p := range n.Progress {
@@ -294,34 +294,34 @@
 		}
 	case n.Cancel != "" && g.machine != nil:
 		g.inputs = append(g.inputs, gateway.Cancel{Job: n.Cancel})
-	case n.Ask != nil && g.machine != nil:
-		c.siteOperate(operator{from, n.Ask.Req}, *n.Ask)
-	case n.Told != nil:
-		c.answer(n.Told.Req, n.Told.Status, json.RawMessage(n.Told.Body))
+	case n.Request != nil && g.machine != nil:
+		c.siteOperate(operator{from, n.Request.Req}, *n.Request)
+	case n.Reply != nil:
+		c.reply(n.Reply.Req, n.Reply.Status, json.RawMessage(n.Reply.Body))
 	}
 }
 
-// siteAsk takes an operator's question or word to the gateway's home.
-func (c *Core) siteAsk(m SiteAsk) {
-	g := c.gate
+// handleOperatorRequest takes an operator's question or word to the gateway's home.
+func (c *Core) handleOperatorRequest(m OperatorRequest) {
+	g := c.federation
 	switch {
 	case g == nil:
-		c.answer(m.Req, http.StatusNotFound, protocol.Problem{Error: "this controller has no gateway"})
-	case m.Op == AskHandOffs:
-		c.answer(m.Req, http.StatusOK, gateway.HandOffs(&c.sites.Records))
+		c.reply(m.Req, http.StatusNotFound, protocol.Problem{Error: "this controller has no gateway"})
+	case m.Op == ActionHandoffs:
+		c.reply(m.Req, http.StatusOK, gateway.HandOffs(&c.handoffs.Records))
 	case g.machine != nil:
 		c.siteOperate(operator{c.cfg.Node, m.Req}, m)
-	case g.team.home == "":
-		c.unavailable(m.Req)
+	case g.team.leader == "":
+		c.replyUnavailable(m.Req)
 	default:
-		c.sendPeer(g.team.home, PeerMsg{Site: &SiteNote{Ask: &m}})
+		c.route(g.team.leader, PeerMessage{Federation: &FederationNote{Request: &m}})
 	}
 }
 
 // siteOperate answers a question at the gateway's home, or hands the word on.
-func (c *Core) siteOperate(q operator, m SiteAsk) {
-	g := c.gate
-	if m.Op == AskStatus {
+func (c *Core) siteOperate(q operator, m OperatorRequest) {
+	g := c.federation
+	if m.Op == ActionStatus {
 		c.siteTell(q, http.StatusOK, SiteStatus{Node: c.cfg.Node, Status: g.machine.Status()})
 		return
 	}
@@ -331,40 +331,40 @@
 	g.nextID++
 	g.asked[g.nextID] = q
 	switch m.Op {
-	case AskGiveUp:
+	case ActionGiveUp:
 		g.inputs = append(g.inputs, gateway.GiveUp{Req: g.nextID, Job: m.Name, Operator: m.Operator, Why: m.Why})
-	case AskDrain:
+	case ActionDrain:
 		g.inputs = append(g.inputs, gateway.Drain{Req: g.nextID, Site: gateway.Site(m.Name), On: m.On})
-	case AskRenew:
+	case ActionRenew:
 		g.inputs = append(g.inputs, gateway.Renew{Req: g.nextID, Site: gateway.Site(m.Name), Operator: m.Operator, Why: m.Why})
 	}
 }
 
 // siteAnswer ends an operator's question; users were answered at once.
 func (c *Core) siteAnswer(a gateway.Answer) {
-	q, ok := c.gate.asked[a.Req]
+	q, ok := c.federation.asked[a.Req]
 	if !ok {
 		return
 	}
-	delete(c.gate.asked, a.Req)
+	delete(c.federation.asked, a.Req)
 	if a.Err != "" {
 		c.siteTell(q, http.StatusConflict, protocol.Problem{Error: a.Err})
 		return
 	}
-	c.siteTell(q, http.StatusOK, SiteWord{Said: a.State})
+	c.siteTell(q, http.StatusOK, OperatorResult{Said: a.State})
 }
 
 func (c *Core) siteTell(q operator, status int, body any) {
 	if q.node == c.cfg.Node {
-		c.answer(q.req, status, body)
+		c.reply(q.req, status, body)
 		return
 	}
-	c.sendPeer(q.node, PeerMsg{Site: &SiteNote{Told: &SiteTold{Req: q.req, Status: status, Body: raw(body)}}})
+	c.route(q.node, PeerMessage{Federation: &FederationNote{Reply: &OperatorReply{Req: q.req, Status: status, Body: mustMarshal(body)}}})
 }
 
 // siteConfig takes the operator's file, read again.
 func (c *Core) siteConfig(cfg *gateway.Config) {
-	g := c.gate
+	g := c.federation
 	if g == nil || cfg.Site != g.cfg.Site {
 		c.log(Error, "gateway file is not taken: the site's name may not change")
 		return
--- a/internal/core/gate_test.go
+++ b/internal/core/gate_test.go
@@ -60,7 +60,7 @@
 
 func (f *far) say(m gateway.Message) {
 	m.From, m.To = "far", "near"
-	f.w.send(nodeNames[f.seen%len(nodeNames)], SiteIn{Message: m})
+	f.w.send(nodeNames[f.seen%len(nodeNames)], SiteMessageReceived{Message: m})
 }
 
 func (f *far) hear(m gateway.Message) {
@@ -129,7 +129,7 @@
 			t.Errorf("%s says %+v", n, s)
 		}
 	}
-	if len(w.starts) > 0 || w.kv[activeKey("req-red-1")].Version > 0 || w.kv[awayKey("req-red-1")].Version > 0 {
+	if len(w.starts) > 0 || w.kv[jobKey("req-red-1")].Version > 0 || w.kv[awayKey("req-red-1")].Version > 0 {
 		t.Errorf("started here: %v, or not tidied up", w.starts)
 	}
 }
@@ -142,7 +142,7 @@
 			f.decide = func(gateway.Message) gateway.Message { return gateway.Message{} } // no answer that counts
 		}
 		f.handIn("req-red-1")
-		if !f.play(time.Minute, func() bool { return len(f.taken) > 0 && w.cores["a"].away("req-red-1") }) {
+		if !f.play(time.Minute, func() bool { return len(f.taken) > 0 && w.cores["a"].isOutgoing("req-red-1") }) {
 			t.Fatal("not handed off")
 		}
 		delete(f.taken, 0)
@@ -157,7 +157,7 @@
 			t.Fatalf("accepted %v: never cancelled", accepted)
 		}
 		f.play(5*time.Second, func() bool { return false })
-		if s := w.status("a", "req-red-1").Body.(protocol.JobState); s.State != protocol.Cancelled || w.kv[activeKey("req-red-1")].Version > 0 {
+		if s := w.status("a", "req-red-1").Body.(protocol.JobState); s.State != protocol.Cancelled || w.kv[jobKey("req-red-1")].Version > 0 {
 			t.Errorf("accepted %v: %+v", accepted, s)
 		}
 	}
@@ -218,8 +218,8 @@
 	}
 	w.startedOnce()
 	f.say(gateway.Message{Kind: gateway.Closed, Epoch: 1, Floor: 3})
-	if !f.play(time.Minute, func() bool { return len(w.cores["a"].sites.Taken) == 0 && w.cores["b"].sites.Floors["far"] == 3 }) {
-		t.Errorf("not forgotten: %v", w.cores["a"].sites.Taken)
+	if !f.play(time.Minute, func() bool { return len(w.cores["a"].handoffs.Taken) == 0 && w.cores["b"].handoffs.Floors["far"] == 3 }) {
+		t.Errorf("not forgotten: %v", w.cores["a"].handoffs.Taken)
 	}
 }
 
@@ -245,7 +245,7 @@
 	w.boot("c")
 	f.play(20*time.Second, func() bool { return false })
 	for _, team := range w.cores["c"].teams {
-		if team.acting {
+		if team.leading {
 			t.Errorf("it is home of %s", team.Name)
 		}
 	}
@@ -265,7 +265,7 @@
 		f.handIn(fmt.Sprintf("req-red-%d", i))
 	}
 	if !f.play(3*time.Minute, w.finished("req-red-0", "req-red-1", "req-red-2", "req-red-3", "req-red-4")) {
-		t.Errorf("not all end: %+v", w.cores["a"].sites.Records)
+		t.Errorf("not all end: %+v", w.cores["a"].handoffs.Records)
 	}
 	if len(w.starts) > 0 {
 		t.Errorf("started here: %v", w.starts)
@@ -275,7 +275,7 @@
 // silently writes a key that no watch tells of yet.
 func (w *world) silently(key string, v any) {
 	w.revision++
-	w.kv[key] = protocol.KeyValue{Key: key, Value: raw(v), Version: w.revision}
+	w.kv[key] = protocol.KeyValue{Key: key, Value: mustMarshal(v), Version: w.revision}
 }
 
 // Bindings, hand-offs and cancellations meet in the state service, whatever the
@@ -293,19 +293,19 @@
 			holds: func(w *world) bool {
 				return w.cancelJob("b", "req-red-1").Status == http.StatusServiceUnavailable && w.kv[keyState+"req-red-1"].Version == 0
 			}},
-		"a hand-off after a binding": {more: elsewhere, before: func(w *world) { w.silently(activeKey("req-red-1"), "bound meanwhile") },
+		"a hand-off after a binding": {more: elsewhere, before: func(w *world) { w.silently(jobKey("req-red-1"), "bound meanwhile") },
 			holds: func(w *world) bool { return w.kv[awayKey("req-red-1")].Version == 0 }},
 		"a hand-off after a cancellation": {more: elsewhere, before: func(w *world) { w.silently(cancelKey("req-red-1"), struct{}{}) },
 			holds: func(w *world) bool { return w.kv[awayKey("req-red-1")].Version == 0 }},
 		"a hand-off after a drain by another": {more: elsewhere, before: func(w *world) {
-			w.change(protocol.Change{Put: drainedKey("far"), Value: raw(struct{}{})})
+			w.change(protocol.Change{Put: drainedKey("far"), Value: mustMarshal(struct{}{})})
 		}, holds: func(w *world) bool { return w.kv[awayKey("req-red-1")].Version == 0 }},
 	} {
 		w, f := joined(t)
 		f.play(10*time.Second, func() bool { return false }) // the sites meet
 		w.nextReq++
 		w.send("a", Submit{Req: w.nextReq, Body: []byte(submission("req-red-1", "red", 3, c.more))})
-		if !w.run(time.Second, func() bool { _, there := w.kv[activeKey("req-red-1")]; return there }) {
+		if !w.run(time.Second, func() bool { _, there := w.kv[jobKey("req-red-1")]; return there }) {
 			t.Fatalf("%s: not accepted", name)
 		}
 		c.before(w)
@@ -319,14 +319,14 @@
 // A job that is away is not even tried to be placed.
 func TestJobThatIsAwayIsNotPlaced(t *testing.T) {
 	w, f := joined(t)
-	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: raw(gateway.Away{Epoch: 1, To: "far"})})
+	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: mustMarshal(gateway.Away{Epoch: 1, To: "far"})})
 	f.play(time.Second, func() bool { return false })
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
 	f.play(15*time.Second, func() bool { return false })
 	for n, c := range w.cores {
-		if j := c.jobs["req-red-1"]; j.Attempt > 0 || c.allowance(j) > 0 {
+		if j := c.jobs["req-red-1"]; j.Attempt > 0 || c.startAllowance(j) > 0 {
 			t.Errorf("%s has tried to bind it", n)
 		}
 	}
--- a/internal/core/gatestore.go
+++ b/internal/core/gatestore.go
@@ -11,16 +11,16 @@
 // siteStore carries out one write of the gateway: a transaction on the condition
 // that this node is still its home, and on the records as the mirror has them.
 func (c *Core) siteStore(s gateway.Store) {
-	g := c.gate
+	g := c.federation
 	machine := g.machine
 	txn, ok := c.siteTxn(s.Write)
 	if !ok {
 		g.inputs = append(g.inputs, gateway.Stored{ID: s.ID, Outcome: gateway.Conflict})
 		return
 	}
-	txn.If = append(txn.If, g.team.held())
+	txn.If = append(txn.If, g.team.leaderCondition())
 	g.inFlight[s.ID] = true
-	c.txn(txn, true, func(r StoreReply) {
+	c.compareAndSwap(txn, true, func(r StoreReply) {
 		if g.machine != machine {
 			return // this node has been deposed since; the mirror follows the watch
 		}
@@ -43,13 +43,13 @@
 func (c *Core) mirror(changes []protocol.Change, revision uint64) {
 	for _, ch := range changes {
 		if ch.Delete == "" {
-			c.written(protocol.KeyValue{Key: ch.Put, Value: ch.Value, Version: revision})
+			c.onPut(protocol.KeyValue{Key: ch.Put, Value: ch.Value, Version: revision})
 			continue
 		}
-		c.headDropped(ch.Delete, revision)
-		c.dropped(ch.Delete, revision)
+		c.onJobDelete(ch.Delete, revision)
+		c.onDelete(ch.Delete, revision)
 		if _, _, err := splitSite(ch.Delete); err == nil {
-			c.sites.gone[ch.Delete] = revision
+			c.handoffs.gone[ch.Delete] = revision
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		return
 	}
 	if j := c.jobs[d.Taken.Local]; j != nil {
-		c.announce(protocol.KeyValue{Key: activeKey(j.ID), Value: j.Head(), Version: revision})
+		c.announce(protocol.KeyValue{Key: jobKey(j.ID), Value: j.Head(), Version: revision})
 	}
 }
 
@@ -82,19 +82,19 @@
 	case gateway.Decide:
 		return c.decide(w)
 	case gateway.NoteEnd:
-		k, there := c.sites.Taken[w.Hold]
+		k, there := c.handoffs.Taken[w.Hold]
 		k.State = w.State
-		return protocol.Txn{If: c.asMirrored(takenKey(w.Hold)), Then: []protocol.Change{put(takenKey(w.Hold), k)}}, there
+		return protocol.Txn{If: c.asMirrored(takenKey(w.Hold)), Then: []protocol.Change{putJSON(takenKey(w.Hold), k)}}, there
 	case gateway.Forget:
 		return c.forget(w)
 	case gateway.SetDrain:
 		change := protocol.Change{Delete: drainedKey(w.Site)}
 		if w.On {
-			change = put(drainedKey(w.Site), struct{}{})
+			change = putJSON(drainedKey(w.Site), struct{}{})
 		}
 		return protocol.Txn{If: c.asMirrored(drainedKey(w.Site)), Then: []protocol.Change{change}}, true
 	case gateway.SetLast:
-		return protocol.Txn{If: c.asMirrored(lastKey(w.Site)), Then: []protocol.Change{put(lastKey(w.Site), w.Last)}}, true
+		return protocol.Txn{If: c.asMirrored(lastKey(w.Site)), Then: []protocol.Change{putJSON(lastKey(w.Site), w.Last)}}, true
 	}
 	panic("core: unknown write of the gateway")
 }
@@ -103,7 +103,7 @@
 func (c *Core) asMirrored(keys ...string) []protocol.Condition {
 	var out []protocol.Condition
 	for _, k := range keys {
-		out = append(out, protocol.Condition{Key: k, Version: c.sites.versions[k]})
+		out = append(out, protocol.Condition{Key: k, Version: c.handoffs.versions[k]})
 	}
 	return out
 }
@@ -112,29 +112,29 @@
 // bound; a binding that comes later finds the record.
 func (c *Core) makeAway(w gateway.MakeAway) (protocol.Txn, bool) {
 	j := c.jobs[w.Job]
-	if j == nil || !c.untouched(j) || !c.everyNodeKnows() || w.Away.Epoch != c.sites.Last[w.Away.To]+1 {
+	if j == nil || !c.untouched(j) || !c.everyNodeKnows() || w.Away.Epoch != c.handoffs.Last[w.Away.To]+1 {
 		return protocol.Txn{}, false
 	}
 	a := w.Away
 	a.At = c.now.Wall
 	return protocol.Txn{
-		If: append(c.asMirrored(lastKey(a.To), awayKey(j.ID)), protocol.Condition{Key: activeKey(j.ID), Version: j.Version},
+		If: append(c.asMirrored(lastKey(a.To), awayKey(j.ID)), protocol.Condition{Key: jobKey(j.ID), Version: j.Version},
 			protocol.Condition{Key: cancelKey(j.ID)}, protocol.Condition{Key: keyState + j.ID}),
-		Then: []protocol.Change{put(awayKey(j.ID), a), put(lastKey(a.To), a.Epoch)},
+		Then: []protocol.Change{putJSON(awayKey(j.ID), a), putJSON(lastKey(a.To), a.Epoch)},
 	}, true
 }
 
 // awayUnder tells whether the mirror shows a job to be away under an epoch.
 func (c *Core) awayUnder(id string, e gateway.Epoch) bool {
-	a, there := c.sites.Away[id]
+	a, there := c.handoffs.Away[id]
 	return there && a.Epoch == e
 }
 
 // changeAway changes the record of a job that is away under an epoch.
 func (c *Core) changeAway(id string, e gateway.Epoch, change func(*gateway.Away)) (protocol.Txn, bool) {
-	a := c.sites.Away[id]
+	a := c.handoffs.Away[id]
 	change(&a)
-	return protocol.Txn{If: c.asMirrored(awayKey(id)), Then: []protocol.Change{put(awayKey(id), a)}}, c.awayUnder(id, e)
+	return protocol.Txn{If: c.asMirrored(awayKey(id)), Then: []protocol.Change{putJSON(awayKey(id), a)}}, c.awayUnder(id, e)
 }
 
 // takeBack brings the right home, or ends the job if its user wanted that.
@@ -158,9 +158,9 @@
 func (c *Core) endAway(id, state string) protocol.Txn {
 	txn := protocol.Txn{If: append(c.asMirrored(awayKey(id)), protocol.Condition{Key: keyState + id})}
 	if state == protocol.Cancelled {
-		txn.Then = []protocol.Change{put(keyState+id, stateKey{State: state}), put(cancelKey(id), cancelMark{At: c.now.Wall})}
+		txn.Then = []protocol.Change{putJSON(keyState+id, finalStateRecord{State: state}), putJSON(cancelKey(id), cancelRecord{At: c.now.Wall})}
 	} else {
-		txn.Then = []protocol.Change{put(keyState+id, stateKey{State: state, Tasks: c.jobs[id].Tasks}), {Delete: activeKey(id)}}
+		txn.Then = []protocol.Change{putJSON(keyState+id, finalStateRecord{State: state, Tasks: c.jobs[id].Tasks}), {Delete: jobKey(id)}}
 	}
 	txn.Then = append(txn.Then, protocol.Change{Delete: awayKey(id)})
 	return txn
@@ -170,8 +170,8 @@
 func (c *Core) decide(w gateway.Decide) (protocol.Txn, bool) {
 	k := w.Taken
 	k.At = c.now.Wall
-	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Hold.Origin), takenKey(w.Hold)), Then: []protocol.Change{put(takenKey(w.Hold), k)}}
-	_, decided := c.sites.Taken[w.Hold]
+	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Hold.Origin), takenKey(w.Hold)), Then: []protocol.Change{putJSON(takenKey(w.Hold), k)}}
+	_, decided := c.handoffs.Taken[w.Hold]
 	if !k.Accepted {
 		return txn, !decided
 	}
@@ -180,15 +180,15 @@
 		return txn, false
 	}
 	s.ID, s.Accepted = k.Local, c.now.Wall
-	txn.If = append(txn.If, protocol.Condition{Key: activeKey(s.ID)}, protocol.Condition{Key: keyState + s.ID})
-	txn.Then = append(txn.Then, protocol.Change{Put: activeKey(s.ID), Value: json.RawMessage(c.newJob(*s).Head())})
+	txn.If = append(txn.If, protocol.Condition{Key: jobKey(s.ID)}, protocol.Condition{Key: keyState + s.ID})
+	txn.Then = append(txn.Then, protocol.Change{Put: jobKey(s.ID), Value: json.RawMessage(c.newJob(*s).Head())})
 	return txn, true
 }
 
 // forget drops decisions. The final states of the jobs stay, as any job's: workers
 // that come back late are told by them what to stop.
 func (c *Core) forget(w gateway.Forget) (protocol.Txn, bool) {
-	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Origin)), Then: []protocol.Change{put(floorKey(w.Origin), w.Floor)}}
+	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Origin)), Then: []protocol.Change{putJSON(floorKey(w.Origin), w.Floor)}}
 	for _, h := range w.Drop {
 		txn.Then = append(txn.Then, protocol.Change{Delete: takenKey(h)})
 	}
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -11,42 +11,42 @@
 	"pepperlever/internal/protocol"
 )
 
-// forgetGone drops the marks of machines that have long been gone, so that the
+// forgetTerminated drops the marks of machines that have long been gone, so that the
 // state does not grow. A binding that still came to one would be settled by
 // another release, which the cloud answers for names that it does not know too.
-func (c *Core) forgetGone() {
-	txn := protocol.Txn{If: []protocol.Condition{c.fleet.held()}}
-	for id, k := range ordered(c.marks) {
-		if !k.Gone || c.bound(id) || c.now.Steady-k.since < keepGone*seconds(c.cfg.Params.Workers.LeaseS) {
+func (c *Core) forgetTerminated() {
+	txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
+	for id, k := range ordered(c.cordons) {
+		if !k.Terminated || c.hasBindings(id) || c.now.Steady-k.since < keepGone*seconds(c.cfg.Params.Workers.LeaseS) {
 			continue
 		}
-		if txn.Then = append(txn.Then, protocol.Change{Delete: keyMark + id}); len(txn.Then) == c.limits().TxnOps {
+		if txn.Then = append(txn.Then, protocol.Change{Delete: keyCordon + id}); len(txn.Then) == c.limits().TxnOps {
 			break
 		}
 	}
 	if len(txn.Then) > 0 && c.every(&c.timers.forget, c.reportInterval()) {
-		c.txn(txn, false, func(StoreReply) {})
+		c.compareAndSwap(txn, false, func(StoreReply) {})
 	}
 }
 
 // keepGone is for how many leases the mark of a machine that is gone is kept.
 const keepGone = 100
 
-// tendListed gives up machines that failed, never come up, or fell silent. A new
+// reconcileInventory gives up machines that failed, never come up, or fell silent. A new
 // renter waits before it judges: workers may still be on their way to a node
 // that answers them, and after an end of all controllers every machine is new
 // to it.
-func (c *Core) tendListed() {
-	settled := c.now.Steady-c.rental.since > c.silence()
-	for id := range c.rental.came {
-		if _, listed := c.rental.listed[id]; !listed && c.marks[id].Gone {
-			delete(c.rental.came, id)
-			delete(c.rental.boots.took, id)
+func (c *Core) reconcileInventory() {
+	settled := c.now.Steady-c.autoscaler.since > c.silenceLimit()
+	for id := range c.autoscaler.firstSeen {
+		if _, listed := c.autoscaler.listed[id]; !listed && c.cordons[id].Terminated {
+			delete(c.autoscaler.firstSeen, id)
+			delete(c.autoscaler.provisioning.took, id)
 		}
 	}
-	dark := c.darkZones()
-	for id, l := range ordered(c.rental.listed) {
-		age := c.now.Steady - c.rental.came[id]
+	dark := c.zoneOutages()
+	for id, l := range ordered(c.autoscaler.listed) {
+		age := c.now.Steady - c.autoscaler.firstSeen[id]
 		limit := c.givenUp(l.Type)
 		switch {
 		case l.State == protocol.Failed:
@@ -54,9 +54,9 @@
 		case c.machines[id] != nil || !settled || dark[l.Zone]:
 		case l.State == protocol.Booting && age > limit:
 			if c.returnMachine(id, "does not come up") {
-				c.dud(l)
+				c.failedProvisioning(l)
 			}
-		case l.State != protocol.Booting && c.now.Steady-c.rental.since > limit && age > limit:
+		case l.State != protocol.Booting && c.now.Steady-c.autoscaler.since > limit && age > limit:
 			c.returnMachine(id, "never heard")
 		}
 	}
@@ -67,12 +67,12 @@
 		switch quiet := c.now.Steady - m.Seen; {
 		case m.NoticeAt > 0 && c.now.Steady > m.NoticeAt+c.reportInterval()/4:
 			c.returnMachine(id, "taken back")
-		case quiet > c.silence() && c.everyoneReached() && !(dark[m.Zone] && quiet < darkPatience*seconds(c.cfg.Params.Workers.LeaseS)):
+		case quiet > c.silenceLimit() && c.everyoneReached() && !(dark[m.Zone] && quiet < darkPatience*seconds(c.cfg.Params.Workers.LeaseS)):
 			c.returnMachine(id, "silent")
 		case quiet > 2*c.reportInterval() && c.unlisted(id):
 			c.returnMachine(id, "no longer listed")
 		}
-		if c.faults(m) >= guiltyAt {
+		if c.suspicion(m) >= cordonThreshold {
 			c.returnMachine(id, "tasks fail on it")
 		}
 	}
@@ -82,7 +82,7 @@
 // it hears; only then is a machine's silence the machine's own.
 func (c *Core) everyoneReached() bool {
 	for node := range c.nodes {
-		if !c.accounts(node) {
+		if !c.knowsMachinesOf(node) {
 			return false
 		}
 	}
@@ -92,30 +92,30 @@
 // darkPatience is for how many leases machines behind a cut are left alone.
 const darkPatience = 3
 
-// darkZones lists the zones that are probably cut off, and tells the operator when
+// zoneOutages lists the zones that are probably cut off, and tells the operator when
 // one goes or comes back.
-func (c *Core) darkZones() map[string]bool {
+func (c *Core) zoneOutages() map[string]bool {
 	now := map[string]bool{}
 	for _, zone := range c.cfg.Params.Zones {
-		if now[zone] = c.dark(zone); now[zone] != c.rental.dark[zone] {
+		if now[zone] = c.isZoneOutage(zone); now[zone] != c.autoscaler.zoneOutages[zone] {
 			c.log(Info, "zone is cut off or back", "zone", zone, "cut off", now[zone])
 		}
 	}
-	c.rental.dark = now
+	c.autoscaler.zoneOutages = now
 	return now
 }
 
-// dark tells whether a zone is probably cut off with all that is in it: nothing
+// isZoneOutage tells whether a zone is probably cut off with all that is in it: nothing
 // is heard from its machines, nor from any of its controllers. Work goes on in
 // there, since those controllers go on answering its workers, and comes back
 // whole with the zone; given up after the usual silence it would all run again.
-func (c *Core) dark(zone string) bool {
+func (c *Core) isZoneOutage(zone string) bool {
 	controllers := 0
 	for _, p := range c.cfg.Peers {
 		if p.Zone != zone {
 			continue
 		}
-		if controllers++; c.reaches(p.Node) {
+		if controllers++; c.hasContact(p.Node) {
 			return false
 		}
 	}
@@ -125,11 +125,11 @@
 // returnMachine has a machine released with all that is on it, and tells whether that is
 // new.
 func (c *Core) returnMachine(id, why string) bool {
-	if c.marks[id].Gone || c.rental.returning[id] != "" {
+	if c.cordons[id].Terminated || c.autoscaler.returnReasons[id] != "" {
 		return false
 	}
 	c.log(Info, "machine given up", "machine", id, "why", why)
-	c.rental.returning[id], c.rental.closing[id] = why, c.now.Steady
+	c.autoscaler.returnReasons[id], c.autoscaler.cordoned[id] = why, c.now.Steady
 	return true
 }
 
@@ -137,12 +137,12 @@
 // or older than the one before, but what has been listed stays so until it is
 // gone.
 func (c *Core) unlisted(id string) bool {
-	_, listed := c.rental.listed[id]
-	return !listed && c.rental.listAt-c.cameAt(id) > 3*seconds(c.cfg.Params.Cloud.ListLagS)
+	_, listed := c.autoscaler.listed[id]
+	return !listed && c.autoscaler.listAt-c.cameAt(id) > 3*seconds(c.cfg.Params.Cloud.ListLagS)
 }
 
 func (c *Core) returnRequested(m ReturnRequest) {
-	if c.fleet.acting && (m.Why != unheard || !c.mayReturn(m.Machine)) {
+	if c.fleet.leading && (m.Why != reasonSilent || !c.mayReturn(m.Machine)) {
 		c.returnMachine(m.Machine, m.Why)
 	}
 }
@@ -152,19 +152,19 @@
 // a dark zone. A controller that starts while a zone is cut off hears nothing of
 // the machines in it, and had them all given up with the work on them.
 func (c *Core) mayReturn(id string) bool {
-	l, listed := c.rental.listed[id]
-	return c.machines[id] != nil || listed && c.dark(l.Zone)
+	l, listed := c.autoscaler.listed[id]
+	return c.machines[id] != nil || listed && c.isZoneOutage(l.Zone)
 }
 
-// unheard is why a home condemns a machine of which it has only the bindings.
-const unheard = "unknown"
+// reasonSilent is why a home condemns a machine of which it has only the bindings.
+const reasonSilent = "unknown"
 
-// tendIdle closes machines that have had nothing to do for a while.
-func (c *Core) tendIdle() {
+// scaleInIdle closes machines that have had nothing to do for a while.
+func (c *Core) scaleInIdle() {
 	for id, m := range ordered(c.machines) {
 		if !c.boundLoad(m).Fits(job.Resources{}) {
 			m.IdleSince = c.now.Steady
-		} else if c.now.Steady-m.IdleSince > c.idleTime(m) && !c.sched.reserved.hosts[id] {
+		} else if c.now.Steady-m.IdleSince > c.idleTime(m) && !c.scheduler.reserved.hosts[id] {
 			c.closeMachine(id, "idle")
 		}
 	}
@@ -179,42 +179,42 @@
 // closeMachine writes the mark that no binding can pass. Once the replica shows
 // it, the replica also shows every binding that came before it.
 func (c *Core) closeMachine(id, why string) {
-	if _, marked := c.marks[id]; marked {
+	if _, marked := c.cordons[id]; marked {
 		return
 	}
-	if at, ok := c.rental.closing[id]; ok && c.now.Steady-at < c.silence() {
+	if at, ok := c.autoscaler.cordoned[id]; ok && c.now.Steady-at < c.silenceLimit() {
 		return
 	}
-	c.rental.closing[id] = c.now.Steady
-	c.txn(protocol.Txn{
-		If:   []protocol.Condition{c.fleet.held(), {Key: keyMark + id}},
-		Then: []protocol.Change{put(keyMark+id, mark{Why: why})},
+	c.autoscaler.cordoned[id] = c.now.Steady
+	c.compareAndSwap(protocol.Txn{
+		If:   []protocol.Condition{c.fleet.leaderCondition(), {Key: keyCordon + id}},
+		Then: []protocol.Change{putJSON(keyCordon+id, cordonRecord{Reason: why})},
 	}, false, func(r StoreReply) {
 		if r.Outcome == Refused || r.Outcome == NoLease {
-			delete(c.rental.closing, id)
+			delete(c.autoscaler.cordoned, id)
 		}
 	})
 }
 
-// tendClosing releases closed machines that nothing is bound to, and returning
+// returnCordoned releases closed machines that nothing is bound to, and returning
 // ones whatever is bound to them. Doomed ones need no mark first: what is bound
 // to them meanwhile is bound to a machine that is gone. So a cancelled task is
 // ended in time even while the state service is down.
-func (c *Core) tendClosing() {
+func (c *Core) returnCordoned() {
 	var names []string
-	due := maps.Clone(c.marks)
-	for id := range c.rental.returning {
-		due[id] = c.marks[id]
+	due := maps.Clone(c.cordons)
+	for id := range c.autoscaler.returnReasons {
+		due[id] = c.cordons[id]
 	}
 	for _, id := range slices.Sorted(maps.Keys(due)) {
-		if c.marks[id].Gone || c.bound(id) && c.rental.returning[id] == "" && c.marks[id].Why == "idle" {
+		if c.cordons[id].Terminated || c.hasBindings(id) && c.autoscaler.returnReasons[id] == "" && c.cordons[id].Reason == "idle" {
 			continue
 		}
-		if at, ok := c.rental.releasing[id]; ok && c.now.Steady-at < c.silence() {
+		if at, ok := c.autoscaler.releasing[id]; ok && c.now.Steady-at < c.silenceLimit() {
 			continue
 		}
 		if len(names) < protocol.MaxRelease {
-			c.rental.releasing[id] = c.now.Steady
+			c.autoscaler.releasing[id] = c.now.Steady
 			names = append(names, id)
 		}
 	}
@@ -223,38 +223,38 @@
 	}
 }
 
-// released notes the cloud's word that machines are gone, which ends all that
+// handleRelease notes the cloud's word that machines are gone, which ends all that
 // was bound to them.
-func (c *Core) released(m Released) {
+func (c *Core) handleRelease(m Released) {
 	for _, id := range m.Machines {
-		if _, mine := c.sched.released[id]; mine && m.OK {
-			c.sched.returned[id] = true
+		if _, mine := c.scheduler.released[id]; mine && m.OK {
+			c.scheduler.returned[id] = true
 		}
 	}
-	if !c.fleet.acting {
+	if !c.fleet.leading {
 		return
 	}
 	for batch := range slices.Chunk(m.Machines, c.limits().TxnOps) {
 		if !m.OK {
 			for _, id := range batch {
-				delete(c.rental.releasing, id)
+				delete(c.autoscaler.releasing, id)
 			}
 			continue
 		}
-		txn := protocol.Txn{If: []protocol.Condition{c.fleet.held()}}
+		txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
 		for _, id := range batch {
-			txn.Then = append(txn.Then, put(keyMark+id, mark{Gone: true}))
+			txn.Then = append(txn.Then, putJSON(keyCordon+id, cordonRecord{Terminated: true}))
 		}
-		c.txn(txn, true, func(r StoreReply) {
+		c.compareAndSwap(txn, true, func(r StoreReply) {
 			for _, id := range batch {
 				if r.Outcome != Applied {
-					delete(c.rental.releasing, id)
+					delete(c.autoscaler.releasing, id)
 					continue
 				}
-				c.log(Info, "machine returned", "machine", id, "why", cmp.Or(c.rental.returning[id], c.marks[id].Why))
-				c.marked(id, mark{Gone: true, version: r.Revision})
-				delete(c.rental.closing, id)
-				delete(c.rental.returning, id)
+				c.log(Info, "machine returned", "machine", id, "why", cmp.Or(c.autoscaler.returnReasons[id], c.cordons[id].Reason))
+				c.onCordonPut(id, cordonRecord{Terminated: true, version: r.Revision})
+				delete(c.autoscaler.cordoned, id)
+				delete(c.autoscaler.returnReasons, id)
 			}
 		})
 	}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -38,21 +38,21 @@
 // meantFor leaves ordinary machines out for work in idle time that may use spot
 // ones: it would keep them from emptying, at several times the price. Short tasks
 // may fill the gaps beside other work.
-func (c *Core) meantFor(u *turn, j *job.Job, hosts []*placement.Host) []*placement.Host {
+func (c *Core) meantFor(u *candidate, j *job.Job, hosts []*placement.Host) []*placement.Host {
 	if !c.cheapOnly(u, j) {
 		return hosts
 	}
 	short := j.EstimateS <= c.quickestBoot()
-	if c.sched.cheap[short] == nil {
-		if c.sched.cheap == nil {
-			c.sched.cheap = map[bool][]*placement.Host{}
+	if c.scheduler.cheap[short] == nil {
+		if c.scheduler.cheap == nil {
+			c.scheduler.cheap = map[bool][]*placement.Host{}
 		}
-		c.sched.cheap[short] = slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
+		c.scheduler.cheap[short] = slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
 			t := c.types[h.Type]
-			return !h.Spot && t.SpotPrice < t.Price && !(short && c.anyOn(h.ID, func(j *job.Job) bool { return !lowest(j) }))
+			return !h.Spot && t.SpotPrice < t.Price && !(short && c.hasTasks(h.ID, func(j *job.Job) bool { return !lowest(j) }))
 		})
 	}
-	return c.sched.cheap[short]
+	return c.scheduler.cheap[short]
 }
 
 // quickestBoot is the shortest nominal boot time of any type, in seconds.
@@ -65,6 +65,6 @@
 }
 
 // cheapOnly tells whether a job is kept off machines that have cheaper spot ones.
-func (c *Core) cheapOnly(u *turn, j *job.Job) bool {
-	return j.Spot && c.policy.Spot && c.rightOf(u, j) == fleet.Idle
+func (c *Core) cheapOnly(u *candidate, j *job.Job) bool {
+	return j.Spot && c.policy.Spot && c.entitlement(u, j) == fleet.Idle
 }
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -21,11 +21,11 @@
 	sent  map[string]bool
 }
 
-// tendIsolation follows whether this node is alone.
-func (c *Core) tendIsolation() {
+// checkIsolation follows whether this node is alone.
+func (c *Core) checkIsolation() {
 	alone := !c.storeOK && len(c.peers) > 0
 	for node := range c.peers {
-		alone = alone && !c.hears(node)
+		alone = alone && !c.inDirectContact(node)
 	}
 	switch l := &c.isolation; {
 	case !alone:
@@ -36,8 +36,8 @@
 	}
 }
 
-// sendsAway tells whether a worker is to look for another controller.
-func (c *Core) sendsAway(r *protocol.Report) bool {
+// redirects tells whether a worker is to look for another controller.
+func (c *Core) redirects(r *protocol.Report) bool {
 	l := &c.isolation
 	if l.zones == nil || c.now.Steady-l.since < c.reportInterval() {
 		return false
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// flushAll stores until nothing is left to be stored.
+// flushJobs stores until nothing is left to be stored.
 func (s *storedJob) flushAll() {
 	for n := 0; s.job.Dirty() || n == 0; n++ {
 		if s.flush(false); n > s.job.Tasks+2 {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// update is one transaction on a job and what it carries.
-type update struct {
+// jobUpdate is one transaction on a job and what it carries.
+type jobUpdate struct {
 	team   *team
 	job    *job.Job
 	txn    protocol.Txn
@@ -30,9 +30,9 @@
 // nobody has changed the job.
 func (c *Core) flush(t *team, j *job.Job) {
 	c.nextID++
-	u := &update{team: t, job: j, nonce: fmt.Sprintf("%s.%d", c.inc, c.nextID), attempt: j.Attempt}
+	u := &jobUpdate{team: t, job: j, nonce: fmt.Sprintf("%s.%d", c.incarnation, c.nextID), attempt: j.Attempt}
 	j.Nonce = u.nonce
-	u.txn.If = []protocol.Condition{t.held(), {Key: activeKey(j.ID), Version: j.Version}}
+	u.txn.If = []protocol.Condition{t.leaderCondition(), {Key: jobKey(j.ID), Version: j.Version}}
 	c.splitChunks(j)
 	others := headChanges
 	if j.Complete() || j.Cancelled {
@@ -60,19 +60,19 @@
 	}
 	c.closeUpdate(u, more)
 	j.InFlight, j.Urgent, j.StoredAt = true, false, c.now.Steady
-	c.budget.level -= float64(len(u.txn.Then))
-	c.send(u)
+	c.writeBudget.level -= float64(len(u.txn.Then))
+	c.sendUpdate(u)
 }
 
 // closeUpdate adds the head, or its removal, and the conditions of bindings.
-func (c *Core) closeUpdate(u *update, more bool) {
+func (c *Core) closeUpdate(u *jobUpdate, more bool) {
 	j := u.job
-	head := activeKey(j.ID)
+	head := jobKey(j.ID)
 	switch u.final {
 	case protocol.Done:
 		u.txn.If = append(u.txn.If, protocol.Condition{Key: cancelKey(j.ID)})
 		u.txn.Then = append(u.txn.Then, protocol.Change{Delete: head},
-			put(keyState+j.ID, stateKey{State: protocol.Done, Tasks: j.Tasks}))
+			putJSON(keyState+j.ID, finalStateRecord{State: protocol.Done, Tasks: j.Tasks}))
 	case protocol.Cancelled:
 		u.txn.Then = append(u.txn.Then, protocol.Change{Delete: head})
 		c.closeCancelled(u)
@@ -84,20 +84,20 @@
 
 // closeCancelled adds what else ends a cancelled job: its user's cancellation has stored
 // the final state; one that was cancelled with another has none yet.
-func (c *Core) closeCancelled(u *update) {
+func (c *Core) closeCancelled(u *jobUpdate) {
 	j := u.job
 	if c.userCancelled(j.ID) {
 		u.txn.Then = append(u.txn.Then, protocol.Change{Delete: cancelKey(j.ID)})
 		return
 	}
 	u.txn.If = append(u.txn.If, protocol.Condition{Key: cancelKey(j.ID)})
-	u.txn.Then = append(u.txn.Then, put(keyState+j.ID, stateKey{State: protocol.Cancelled}))
+	u.txn.Then = append(u.txn.Then, putJSON(keyState+j.ID, finalStateRecord{State: protocol.Cancelled}))
 }
 
 // newBindings lists the bindings that become stored by u, and adds the
 // conditions under which they may: the job is not cancelled, and no machine of
 // theirs is closing.
-func (c *Core) newBindings(j *job.Job, u *update, more bool) []*job.Binding {
+func (c *Core) newBindings(j *job.Job, u *jobUpdate, more bool) []*job.Binding {
 	var out []*job.Binding
 	machines := map[string]bool{}
 	for i, b := range ordered(j.Bound) {
@@ -107,23 +107,23 @@
 		out = append(out, b)
 		if !machines[b.Machine] {
 			machines[b.Machine] = true
-			u.txn.If = append(u.txn.If, protocol.Condition{Key: keyMark + b.Machine})
+			u.txn.If = append(u.txn.If, protocol.Condition{Key: keyCordon + b.Machine})
 		}
 	}
 	if len(out) > 0 {
 		u.txn.If = append(u.txn.If, protocol.Condition{Key: cancelKey(j.ID)})
-		u.txn.If = append(u.txn.If, c.atHome(j.ID)...)
+		u.txn.If = append(u.txn.If, c.notHandedOff(j.ID)...)
 	}
 	return out
 }
 
-func (c *Core) send(u *update) {
-	c.txn(u.txn, true, func(r StoreReply) { c.updated(u, r) })
+func (c *Core) sendUpdate(u *jobUpdate) {
+	c.compareAndSwap(u.txn, true, func(r StoreReply) { c.onUpdateReply(u, r) })
 }
 
-// updated takes the outcome of a job's transaction.
-func (c *Core) updated(u *update, r StoreReply) {
-	if c.jobs[u.job.ID] != u.job || !u.team.acting {
+// onUpdateReply takes the outcome of a job's transaction.
+func (c *Core) onUpdateReply(u *jobUpdate, r StoreReply) {
+	if c.jobs[u.job.ID] != u.job || !u.team.leading {
 		return // given up or handed over meanwhile; the replica tells the rest
 	}
 	switch r.Outcome {
@@ -136,17 +136,17 @@
 		// either this one is applied and voids the first, or its conflict
 		// shows that the first was.
 		u.retries++
-		c.send(u)
+		c.sendUpdate(u)
 	default:
-		c.undo(u)
+		c.revertUpdate(u)
 		// The state service is down or overloaded: store nothing for a moment.
-		c.sched.storeAfter = c.now.Steady + c.reportInterval()/6
+		c.scheduler.storeAfter = c.now.Steady + c.reportInterval()/6
 	}
 }
 
-// undo marks what an update was to store as changed again. What it was to bind of a job
+// revertUpdate marks what an update was to store as changed again. What it was to bind of a job
 // that was cancelled meanwhile never will be stored, nor started.
-func (c *Core) undo(u *update) {
+func (c *Core) revertUpdate(u *jobUpdate) {
 	u.job.InFlight = false
 	u.job.Retouch(u.writes)
 	u.job.Ended = append(u.ended, u.job.Ended...)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (c *Core) updateApplied(u *update, revision uint64) {
+func (c *Core) updateApplied(u *jobUpdate, revision uint64) {
 	j := u.job
 	j.InFlight, j.Version, j.StoredAttempt = false, revision, u.attempt
 	if u.final != "" {
@@ -172,47 +172,47 @@
 		if u.final == protocol.Done {
 			s.Done = j.Tasks
 		}
-		c.remember(j.ID, s)
-		c.gone(j.ID, revision)
+		c.rememberFinalState(j.ID, s)
+		c.noteEnd(j.ID, revision)
 		c.log(Debug, "job ended", "job", j.ID, "state", u.final)
-		c.reap(j, u.ended)
+		c.forgetEndedTasks(j, u.ended)
 		c.forgetJob(j)
 		return
 	}
 	for _, b := range u.bound {
 		b.Stored = true
 	}
-	c.startBound(j)
-	c.reap(j, u.ended)
+	c.sendStarts(j)
+	c.forgetEndedTasks(j, u.ended)
 }
 
 // updateConflict finds out which condition failed. A failed head is either
 // this very update, applied by an earlier send, or another home's.
-func (c *Core) updateConflict(u *update, r StoreReply) {
+func (c *Core) updateConflict(u *jobUpdate, r StoreReply) {
 	j, failed := u.job, r.Failed
-	head := activeKey(j.ID)
+	head := jobKey(j.ID)
 	if slices.Contains(failed, head) || slices.Contains(failed, u.team.key) {
 		c.get(head, func(r StoreReply) { c.headRead(u, r) })
 		return
 	}
-	c.undo(u)
+	c.revertUpdate(u)
 	if slices.Contains(failed, cancelKey(j.ID)) {
-		c.cancelKnown(Cancellation{Job: j.ID, Revision: r.Revision})
+		c.noteCancellation(Cancellation{Job: j.ID, Revision: r.Revision})
 	}
 	if slices.Contains(failed, awayKey(j.ID)) {
 		c.handedOff(j)
 	}
 	for i, b := range j.Bound {
-		if !b.Stored && slices.Contains(failed, keyMark+b.Machine) {
-			c.rental.closing[b.Machine] = c.now.Steady
+		if !b.Stored && slices.Contains(failed, keyCordon+b.Machine) {
+			c.autoscaler.cordoned[b.Machine] = c.now.Steady
 			c.unbind(j, i)
 		}
 	}
 }
 
 // headRead settles a conflict on the head by the nonce that it carries.
-func (c *Core) headRead(u *update, r StoreReply) {
-	if c.jobs[u.job.ID] != u.job || !u.team.acting {
+func (c *Core) headRead(u *jobUpdate, r StoreReply) {
+	if c.jobs[u.job.ID] != u.job || !u.team.leading {
 		return
 	}
 	switch r.Outcome {
@@ -230,30 +230,30 @@
 			return
 		}
 	default:
-		c.get(activeKey(u.job.ID), func(r StoreReply) { c.headRead(u, r) })
+		c.get(jobKey(u.job.ID), func(r StoreReply) { c.headRead(u, r) })
 		return
 	}
 	c.log(Info, "deposed as home", "team", u.team.Name, "job", u.job.ID)
-	c.homeLost(u.team)
+	c.lostLeadership(u.team)
 }
 
 // finalRead tells whether the end of a job that is no longer stored is the one
 // that u was to store.
-func (c *Core) finalRead(u *update, r StoreReply) {
-	if c.jobs[u.job.ID] != u.job || !u.team.acting {
+func (c *Core) finalRead(u *jobUpdate, r StoreReply) {
+	if c.jobs[u.job.ID] != u.job || !u.team.leading {
 		return
 	}
-	var s stateKey
+	var s finalStateRecord
 	if r.Outcome == Applied && json.Unmarshal(r.Item.Value, &s) == nil && s.State == u.final {
 		c.updateApplied(u, r.Item.Version)
 		return
 	}
-	c.homeLost(u.team)
+	c.lostLeadership(u.team)
 }
 
 // unbind ends a binding, on proof that the task is gone or was never sent.
 func (c *Core) unbind(j *job.Job, i int) {
 	j.Unbind(i)
 	j.Urgent = j.Urgent || j.Kind != job.Array
-	c.sched.dirty = true
+	c.scheduler.dirty = true
 }
--- a/internal/core/late_test.go
+++ b/internal/core/late_test.go
@@ -32,11 +32,11 @@
 		w.run(3*time.Second, nil)
 		w.endLeases(former)
 		w.run(20*time.Second, nil)
-		var n nodeKey
-		if err := json.Unmarshal(w.kv[keyNode+"a"].Value, &n); err != nil || n.Inc != w.cores["a"].inc {
+		var n nodeRecord
+		if err := json.Unmarshal(w.kv[keyNode+"a"].Value, &n); err != nil || n.Incarnation != w.cores["a"].incarnation {
 			t.Errorf("%v late: the key of a is %s", late, w.kv[keyNode+"a"].Value)
 		}
-		if home := w.cores["b"].teamBy["red"].home; home != "a" {
+		if home := w.cores["b"].teamBy["red"].leader; home != "a" {
 			t.Errorf("%v late: the team of a has its home at %q", late, home)
 		}
 	}
@@ -51,7 +51,7 @@
 	accepted(t, w.submit("a", "req-free-1", 40, ""))
 	w.started("req-free-1", 40)
 	w.lateWrite = func(_ string, e StoreTxn) time.Duration {
-		if !strings.HasPrefix(e.Txn.Then[0].Put, keyBoard) || w.rng.IntN(3) > 0 {
+		if !strings.HasPrefix(e.Txn.Then[0].Put, keyRelay) || w.rng.IntN(3) > 0 {
 			return 0
 		}
 		return time.Duration(2+w.rng.IntN(11)) * time.Second
@@ -61,7 +61,7 @@
 	w.restore()
 	w.run(30*time.Second, nil)
 	for key := range w.kv {
-		if strings.HasPrefix(key, keyBoard) {
+		if strings.HasPrefix(key, keyRelay) {
 			t.Errorf("%s is left", key)
 		}
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -45,17 +45,17 @@
 	const fleet = 2000
 	rng := rand.New(rand.NewPCG(3, 4))
 	c := renter(t, fleet, time.Minute)
-	all := slices.SortedFunc(maps.Values(c.rental.listed), func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	all := slices.SortedFunc(maps.Values(c.autoscaler.listed), func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
 	report := c.reportInterval()
 	for round := range uint64(40) {
 		for i := range fleet {
 			r := protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i), Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: round + 1, Token: 1}
-			c.observe(Observation{Node: c.cfg.Node, Term: 1, Report: r})
+			c.applyObservation(Observation{Node: c.cfg.Node, Token: 1, Report: r})
 		}
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		c.listIn(ListIn{Machines: all[:rng.IntN(fleet)]})
-		c.tendListed()
-		if n := len(c.rental.returning); n > 0 {
+		c.handleInventory(InventoryReceived{Machines: all[:rng.IntN(fleet)]})
+		c.reconcileInventory()
+		if n := len(c.autoscaler.returnReasons); n > 0 {
 			t.Fatalf("round %d: %d machines are given up", round, n)
 		}
 		c.now.Steady += 2 * report
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -13,14 +13,14 @@
 	c.longestName = max(c.longestName, len(id))
 	m := &worker.Machine{IdleSince: c.now.Steady}
 	c.machines[id] = m
-	at, _ := slices.BinarySearch(c.ids, id)
-	c.ids = slices.Insert(c.ids, at, id)
-	c.sched.dirty = true
+	at, _ := slices.BinarySearch(c.machineNames, id)
+	c.machineNames = slices.Insert(c.machineNames, at, id)
+	c.scheduler.dirty = true
 	return m
 }
 
-// alive notes a sign of life of a machine: a report, or a reply to a direct call.
-func (c *Core) alive(m *worker.Machine, direct bool) {
+// noteContact notes a sign of life of a machine: a report, or a reply to a direct call.
+func (c *Core) noteContact(m *worker.Machine, direct bool) {
 	m.Seen, c.zoneSeen[m.Zone] = c.now.Steady, c.now.Steady
 	if !direct {
 		m.Reported = c.now.Steady
@@ -30,17 +30,17 @@
 // removeMachine forgets a machine that is gone for good.
 func (c *Core) removeMachine(id string) {
 	delete(c.machines, id)
-	delete(c.spread.sent, id)
-	if at, found := slices.BinarySearch(c.ids, id); found {
-		c.ids = slices.Delete(c.ids, at, at+1)
+	delete(c.rebalancing.sent, id)
+	if at, found := slices.BinarySearch(c.machineNames, id); found {
+		c.machineNames = slices.Delete(c.machineNames, at, at+1)
 	}
 }
 
-// bound tells whether a machine has bindings of any team.
-func (c *Core) bound(id string) bool { return c.ledger.On(id) != nil }
+// hasBindings tells whether a machine has bindings of any team.
+func (c *Core) hasBindings(id string) bool { return c.ledger.On(id) != nil }
 
-// anyOn tells whether a machine has a binding of a job for which is holds.
-func (c *Core) anyOn(machine string, is func(*job.Job) bool) bool {
+// hasTasks tells whether a machine has a binding of a job for which is holds.
+func (c *Core) hasTasks(machine string, is func(*job.Job) bool) bool {
 	if on := c.ledger.On(machine); on != nil {
 		for ref := range on.Tasks {
 			if is(ref.Job) {
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -18,7 +18,7 @@
 		w := newWorldOf(t, five).ready()
 		n := 0
 		w.lateWrite = func(_ string, e StoreTxn) time.Duration {
-			if e.Txn.Then[0].Put != keyTerm {
+			if e.Txn.Then[0].Put != keyToken {
 				return 0
 			}
 			if n++; n%2 == 0 {
@@ -46,23 +46,23 @@
 // delivered under the present session, so the worker would not refuse it.
 func TestStartOfATermOrSessionThatHasPassedIsRefused(t *testing.T) {
 	for name, s := range map[string]Start{
-		"as it is":        {Term: 5, Session: 2},
-		"former term":     {Term: 3, Session: 2},
-		"another's":       {Term: 4, Session: 2},
-		"later term":      {Term: 6, Session: 2},
-		"former session":  {Term: 5, Session: 1},
-		"session to come": {Term: 5, Session: 3},
+		"as it is":        {Token: 5, Epoch: 2},
+		"former term":     {Token: 3, Epoch: 2},
+		"another's":       {Token: 4, Epoch: 2},
+		"later term":      {Token: 6, Epoch: 2},
+		"former session":  {Token: 5, Epoch: 1},
+		"session to come": {Token: 5, Epoch: 3},
 	} {
 		c := newWorld(t).cores["a"]
-		c.catalogIn(CatalogIn{Types: newWorld(t).types})
-		c.term.own[3], c.term.own[5] = true, true
-		w := &control{term: 5, session: 2, sent: map[taskAttempt]job.Resources{}, orders: map[taskAttempt]protocol.Command{}}
-		c.own["vm"] = w
+		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
+		c.tokens.acquired[3], c.tokens.acquired[5] = true, true
+		w := &agentSession{token: 5, epoch: 2, pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
+		c.agents["vm"] = w
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node, m.Session = "vm", "small", "a", 2
 		s.Machine, s.Task, s.Attempt = "vm", "req-free-1/0", 1
-		c.start("b", s)
-		if waits := len(w.queue) > 0; waits != (name == "as it is") {
+		c.forwardStart("b", s)
+		if waits := len(w.queuedStarts) > 0; waits != (name == "as it is") {
 			t.Errorf("%s: it waits to be delivered: %v", name, waits)
 		}
 	}
@@ -77,7 +77,7 @@
 		w.racing = true
 		accepted(t, w.submit("a", "req-blue-1", 1, ""))
 		w.started("req-blue-1", 1)
-		home := w.cores["a"].teamBy["blue"].home
+		home := w.cores["a"].teamBy["blue"].leader
 		w.run(4200*time.Millisecond+time.Duration(tenths)*100*time.Millisecond, nil)
 		for _, f := range w.workers {
 			f.node = slices.Index(w.names, home) // it hears of the end by a report
@@ -115,16 +115,16 @@
 		w := newWorld(t).ready()
 		accepted(t, w.submit("a", "req-free-1", 3, ""))
 		w.started("req-free-1", 3)
-		c := w.cores[w.cores["a"].teamBy["free"].home]
+		c := w.cores[w.cores["a"].teamBy["free"].leader]
 		j, team := c.jobs["req-free-1"], c.teamBy["free"]
-		u := &update{team: team, job: j, nonce: "mine", retries: 1}
+		u := &jobUpdate{team: team, job: j, nonce: "mine", retries: 1}
 		nonce := "another's"
 		if own {
 			nonce = u.nonce
 		}
-		c.headRead(u, StoreReply{Outcome: Applied, Item: protocol.KeyValue{Value: raw(map[string]string{"w": nonce}), Version: 99}})
-		if team.acting != own || own && j.Version != 99 {
-			t.Errorf("%s: still home %v, at version %d", name, team.acting, j.Version)
+		c.headRead(u, StoreReply{Outcome: Applied, Item: protocol.KeyValue{Value: mustMarshal(map[string]string{"w": nonce}), Version: 99}})
+		if team.leading != own || own && j.Version != 99 {
+			t.Errorf("%s: still home %v, at version %d", name, team.leading, j.Version)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 	home, writes, met := w.homeOf("free"), 0, false
 	w.tell = func(node string, e Effect) {
 		txn, is := e.(StoreTxn)
-		if !is || node != home || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == activeKey(id) }) {
+		if !is || node != home || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
 			return
 		}
 		if writes++; met || len(txn.Txn.If) < 4 {
@@ -218,15 +218,15 @@
 		}
 		met = true
 		r := w.decide(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
-			Then: []protocol.Change{put(keyState+id, stateKey{State: protocol.Cancelled}), put(cancelKey(id), cancelMark{})}})
-		w.send(home, PeerIn{Node: w.notHome(home), Msg: PeerMsg{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
+			Then: []protocol.Change{putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(id), cancelRecord{})}})
+		w.send(home, PeerMessageReceived{Node: w.notHome(home), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
 	}
 	accepted(t, w.submit("a", id, 40, ""))
 	if !w.run(20*time.Second, func() bool { return met }) {
 		t.Fatal("nothing was bound")
 	}
 	writes = 0
-	if !w.run(20*time.Second, func() bool { return w.kv[activeKey(id)].Version == 0 }) || writes > 5 {
+	if !w.run(20*time.Second, func() bool { return w.kv[jobKey(id)].Version == 0 }) || writes > 5 {
 		t.Errorf("it has not ended, after %d writes", writes)
 	}
 }
@@ -418,7 +418,7 @@
 					t.Fatal("nothing newer is known")
 				}
 				w.nextReq++
-				w.send(to, Beat{Req: w.nextReq, Report: held})
+				w.send(to, Heartbeat{Req: w.nextReq, Report: held})
 				w.run(time.Minute, nil)
 				w.recover()
 				w.run(w.allowed(), nil) // the world checks starts, limits and what is cancelled
