--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -38,12 +38,12 @@
 		Req   uint64
 		After string
 	}
-	// Served asks what has become of jobs, by class and team.
-	Served struct{ Req uint64 }
+	// JobStatistics asks what has become of jobs, by class and team.
+	JobStatistics struct{ Req uint64 }
 	// Health asks whether this node can take requests.
 	Health struct{ Req uint64 }
-	// Beat is a worker's report.
-	Beat struct {
+	// Heartbeat is a worker's report.
+	Heartbeat struct {
 		Req    uint64
 		Report protocol.Report
 	}
@@ -84,38 +84,38 @@
 		Failed             []string
 		Item               protocol.KeyValue
 	}
-	// Loaded is the whole stored state as of Revision or a little later.
-	Loaded struct {
+	// SnapshotLoaded is the whole stored state as of Revision or a little later.
+	SnapshotLoaded struct {
 		Revision uint64
 		Items    []protocol.KeyValue
 	}
-	// Watched holds all changes up to Revision.
-	Watched struct {
+	// StoreChanged holds all changes up to Revision.
+	StoreChanged struct {
 		Revision uint64
 		Events   []protocol.Event
 	}
-	// LeaseUp tells of a fresh lease, LeaseDown of its end.
-	LeaseUp struct{ Lease uint64 }
-	// LeaseDown tells that the lease has ended.
-	LeaseDown struct{}
+	// LeaseGranted tells of a fresh lease, LeaseExpired of its end.
+	LeaseGranted struct{ Lease uint64 }
+	// LeaseExpired tells that the lease has ended.
+	LeaseExpired struct{}
 	// StoreHealth tells whether the state service answers this node.
 	StoreHealth struct{ OK bool }
-	// StoreSlower tells that the state service takes fewer changes than its limit of
+	// StoreLimitLowered tells that the state service takes fewer changes than its limit of
 	// before the upgrade.
-	StoreSlower struct{}
+	StoreLimitLowered struct{}
 )
 
 // Commands from other controllers, workers and the cloud.
 type (
-	// PeerIn is a message of another controller.
-	PeerIn struct {
-		Node string
-		Msg  PeerMsg
+	// PeerMessageReceived is a message of another controller.
+	PeerMessageReceived struct {
+		Node    string
+		Message PeerMessage
 	}
-	// PeerUp tells that messages can now be sent to a controller.
-	PeerUp struct{ Node string }
-	// PeerDown tells that they no longer can.
-	PeerDown struct{ Node string }
+	// PeerConnected tells that messages can now be sent to a controller.
+	PeerConnected struct{ Node string }
+	// PeerDisconnected tells that they no longer can.
+	PeerDisconnected struct{ Node string }
 	// Delivered answers Deliver. Report is nil when no answer came.
 	Delivered struct {
 		Machine  string
@@ -123,10 +123,10 @@
 		Executed bool
 		Report   *protocol.Report
 	}
-	// CatalogIn is the cloud's catalogue.
-	CatalogIn struct{ Types []protocol.MachineType }
-	// ListIn is the cloud's complete list of machines.
-	ListIn struct{ Machines []protocol.ListedMachine }
+	// CatalogReceived is the cloud's catalogue.
+	CatalogReceived struct{ Types []protocol.MachineType }
+	// InventoryReceived is the cloud's complete list of machines.
+	InventoryReceived struct{ Machines []protocol.ListedMachine }
 	// CloudHealth tells whether the cloud acts, or refuses because of an outage.
 	CloudHealth struct{ OK bool }
 	// Rented answers Rent. Outcome is Applied, Refused (no capacity) or Unknown.
@@ -144,8 +144,8 @@
 
 // Commands from other sites and the operator's gateway file.
 type (
-	// SiteIn is a message of another site, whose sender has been verified.
-	SiteIn struct{ Message gateway.Message }
+	// SiteMessageReceived is a message of another site, whose sender has been verified.
+	SiteMessageReceived struct{ Message gateway.Message }
 	// SiteUp tells that messages can be sent to another site.
 	SiteUp struct{ Site gateway.Site }
 	// SiteConfig is the gateway file, read again after a change.
@@ -181,8 +181,8 @@
 	StoreReload struct{}
 	// SendPeer sends a message to some controllers.
 	SendPeer struct {
-		Nodes []string
-		Msg   PeerMsg
+		Nodes   []string
+		Message PeerMessage
 	}
 	// Deliver sends commands straight to a worker.
 	Deliver struct {
@@ -215,9 +215,9 @@
 	Error
 )
 
-// PeerMsg is what controllers say to one another. Besides the addresses exactly
+// PeerMessage is what controllers say to one another. Besides the addresses exactly
 // one field is set. To and From are given when a third node passes it on.
-type PeerMsg struct {
+type PeerMessage struct {
 	To            string             `json:"to,omitempty"`
 	From          string             `json:"from,omitempty"`
 	Observations  []Observation      `json:"o,omitempty"`
@@ -225,24 +225,24 @@
 	Claims        []Claim            `json:"k,omitempty"`
 	Start         *Start             `json:"s,omitempty"`
 	Refusal       *Refusal           `json:"r,omitempty"`
-	Order         *Order             `json:"c,omitempty"`
+	Command       *TaskCommand       `json:"c,omitempty"`
 	Fence         *Fence             `json:"f,omitempty"`
 	ReturnRequest *ReturnRequest     `json:"x,omitempty"`
-	Beat          *NodeBeat          `json:"b,omitempty"`
-	Site          *SiteNote          `json:"g,omitempty"`
+	Heartbeat     *NodeHeartbeat     `json:"b,omitempty"`
+	Federation    *FederationNote    `json:"g,omitempty"`
 	Cancellations []Cancellation     `json:"w,omitempty"`
-	Known         []string           `json:"a,omitempty"`
+	Acknowledged  []string           `json:"a,omitempty"`
 }
 
-// SiteNote is what controllers say to one another about the gateway. One of its
+// FederationNote is what controllers say to one another about the gateway. One of its
 // parts is set: a message of another site, a job to be cancelled, jobs' progress,
 // an operator's question, or its answer.
-type SiteNote struct {
+type FederationNote struct {
 	Message  *gateway.Message    `json:"m,omitempty"`
 	Cancel   string              `json:"c,omitempty"`
 	Progress map[string]Progress `json:"p,omitempty"`
-	Ask      *SiteAsk            `json:"a,omitempty"`
-	Told     *SiteTold           `json:"t,omitempty"`
+	Request  *OperatorRequest    `json:"a,omitempty"`
+	Reply    *OperatorReply      `json:"t,omitempty"`
 }
 
 // Progress is how a job that is away gets on.
@@ -251,10 +251,10 @@
 	Running int `json:"r,omitempty"`
 }
 
-// SiteAsk is an operator's question, or word, to the gateway.
-type SiteAsk struct {
-	Req uint64 `json:"q"`
-	Op  AskOp  `json:"o"`
+// OperatorRequest is an operator's question, or word, to the gateway.
+type OperatorRequest struct {
+	Req uint64         `json:"q"`
+	Op  OperatorAction `json:"o"`
 	// Name is a job or a site.
 	Name     string `json:"name"`
 	On       bool   `json:"on"`
@@ -262,20 +262,20 @@
 	Why      string `json:"why"`
 }
 
-// AskOp is what an operator wants.
-type AskOp string
+// OperatorAction is what an operator wants.
+type OperatorAction string
 
 // What operators may want.
 const (
-	AskStatus   AskOp = "status"
-	AskHandOffs AskOp = "handoffs"
-	AskGiveUp   AskOp = "give-up"
-	AskDrain    AskOp = "drain"
-	AskRenew    AskOp = "renew"
+	ActionStatus   OperatorAction = "status"
+	ActionHandoffs OperatorAction = "handoffs"
+	ActionGiveUp   OperatorAction = "give-up"
+	ActionDrain    OperatorAction = "drain"
+	ActionRenew    OperatorAction = "renew"
 )
 
-// SiteTold answers SiteAsk to the node that it came from.
-type SiteTold struct {
+// OperatorReply answers OperatorRequest to the node that it came from.
+type OperatorReply struct {
 	Req    uint64 `json:"q"`
 	Status int    `json:"s"`
 	Body   []byte `json:"b"`
@@ -287,15 +287,15 @@
 	gateway.Status
 }
 
-// SiteWord is what was done on an operator's word.
-type SiteWord struct {
+// OperatorResult is what was done on an operator's word.
+type OperatorResult struct {
 	Said string `json:"said"`
 }
 
 // Observation passes a worker's report on, with the term it was answered under.
 type Observation struct {
 	Node   string          `json:"n"`
-	Term   uint64          `json:"t"`
+	Token  uint64          `json:"t"`
 	Report protocol.Report `json:"r"`
 	// Direct is set where it is the reply to a direct call: the worker's reports may
 	// reach nobody.
@@ -315,8 +315,8 @@
 	Machine string        `json:"m"`
 	Task    string        `json:"t"`
 	Attempt uint64        `json:"a"`
-	Term    uint64        `json:"k"`
-	Session uint64        `json:"s"`
+	Token   uint64        `json:"k"`
+	Epoch   uint64        `json:"s"`
 	Need    job.Resources `json:"r"`
 	// Revision is one at which the store held the binding.
 	Revision uint64 `json:"v,omitempty"`
@@ -329,8 +329,8 @@
 	Attempt uint64 `json:"a"`
 }
 
-// Order asks the machine's controller to stop or forget a task.
-type Order struct {
+// TaskCommand asks the machine's controller to stop or forget a task.
+type TaskCommand struct {
 	Machine string           `json:"m"`
 	Command protocol.Command `json:"c"`
 }
@@ -348,8 +348,8 @@
 	Why     string `json:"w"`
 }
 
-// NodeBeat is a controller's sign of life with its records of its teams.
-type NodeBeat struct {
+// NodeHeartbeat is a controller's sign of life with its records of its teams.
+type NodeHeartbeat struct {
 	// Revision is how far the replica is: it has each cancellation up to there.
 	Revision uint64 `json:"v,omitempty"`
 	StoreOK  bool   `json:"s"`
@@ -362,13 +362,13 @@
 	Seqs []uint64 `json:"q,omitempty"`
 	// Stamp tells this beat from others, Echoes are the newest beats of the others that
 	// came here, Owes names those to whom this node has cancellations to pass on.
-	Stamp  string   `json:"n,omitempty"`
-	Echoes []Echo   `json:"e,omitempty"`
-	Owes   []string `json:"w,omitempty"`
-	// Misses names the live controllers that this node does not hear.
-	Misses []string `json:"m,omitempty"`
-	// Cut names the controllers that this node has no link to.
-	Cut []string `json:"u,omitempty"`
+	Stamp            string            `json:"n,omitempty"`
+	Acknowledgements []Acknowledgement `json:"e,omitempty"`
+	Unacknowledged   []string          `json:"w,omitempty"`
+	// Unreachable names the live controllers that this node does not hear.
+	Unreachable []string `json:"m,omitempty"`
+	// Disconnected names the controllers that this node has no link to.
+	Disconnected []string `json:"u,omitempty"`
 }
 
 // Now is the time of one step: Steady for intervals, Wall (milliseconds) for
--- a/internal/core/mute_test.go
+++ b/internal/core/mute_test.go
@@ -188,7 +188,7 @@
 					accepted(t, w.submit("a", "req-blue-2", 4, ""))
 					accepted(t, w.submit("a", "req-free-3", 6, ""))
 					w.run(time.Minute, func() bool { return w.onMachines("req-free-1") == 30 && w.onMachines("req-free-3") == 6 })
-					home := w.cores["a"].teamBy["free"].home
+					home := w.cores["a"].teamBy["free"].leader
 					mute := w.silence(nth)
 					if w.tasksOn(mute) == 0 {
 						t.Fatal("nothing runs on a mute machine")
--- a/internal/core/partition.go
+++ b/internal/core/partition.go
@@ -15,89 +15,89 @@
 
 // apart is how this node gets on with live controllers that it cannot hear, or that
 // cannot hear it: by bulletins in the state service (docs/apart.md).
-type partition struct {
+type storeRelay struct {
 	// next is when the bulletin is looked at again, acted when starts last were.
-	next, acted time.Duration
-	board       bulletin.Board
-	busy        bool
-	// read holds the bulletins of the other controllers.
-	read map[string]*reading
+	next, startsCheckedAt time.Duration
+	published             bulletin.Board
+	busy                  bool
+	// inboxes holds the bulletins of the other controllers.
+	inboxes map[string]*relayInbox
 }
 
-// reading is the bulletin of another controller, and when its sign of life came.
-type reading struct {
-	at    time.Duration
-	pages map[string]*bulletin.Page
+// relayInbox is the bulletin of another controller, and when its sign of life came.
+type relayInbox struct {
+	lastHeartbeat time.Duration
+	pages         map[string]*bulletin.Page
 }
 
-// boardPart is the part of the state service's limit on changes that all
+// relayWriteShare is the part of the state service's limit on changes that all
 // controllers' bulletins may take together.
-const boardPart = 1.0 / 4
+const relayWriteShare = 1.0 / 4
 
-func pageKey(node, page string) string { return keyBoard + node + "/" + page }
+func pageKey(node, page string) string { return keyRelay + node + "/" + page }
 
-// boardInterval is the pause between two changes of a bulletin, about two pages
+// relayInterval is the pause between two changes of a bulletin, about two pages
 // each time.
-func (c *Core) boardInterval() time.Duration {
-	return max(c.reportInterval()/5, seconds(2*float64(len(c.roster))/(boardPart*c.writeRate())))
+func (c *Core) relayInterval() time.Duration {
+	return max(c.reportInterval()/5, seconds(2*float64(len(c.roster))/(relayWriteShare*c.writeRate())))
 }
 
-// misses tells whether a controller lives, by the store, and is not heard here.
-func (c *Core) misses(node string) bool {
+// isUnreachable tells whether a controller lives, by the store, and is not heard here.
+func (c *Core) isUnreachable(node string) bool {
 	_, live := c.nodes[node]
-	return live && !c.hears(node)
+	return live && !c.inDirectContact(node)
 }
 
-// missed lists the controllers that this node misses.
-func (c *Core) missed() []string {
+// unreachablePeers lists the controllers that this node misses.
+func (c *Core) unreachablePeers() []string {
 	var out []string
 	for _, node := range c.roster {
-		if c.misses(node) {
+		if c.isUnreachable(node) {
 			out = append(out, node)
 		}
 	}
 	return out
 }
 
-// cutFrom tells whether messages between this node and a live controller may be
+// partitionedFrom tells whether messages between this node and a live controller may be
 // lost, one way or both.
-func (c *Core) cutFrom(node string) bool {
+func (c *Core) partitionedFrom(node string) bool {
 	p := c.peers[node]
 	_, live := c.nodes[node]
-	return p != nil && live && (slices.Contains(p.misses, c.cfg.Node) || !c.hears(node))
+	return p != nil && live && (slices.Contains(p.unreachable, c.cfg.Node) || !c.inDirectContact(node))
 }
 
 // partitioned tells whether that is so of any controller.
 func (c *Core) partitioned() bool {
 	for node := range c.nodes {
-		if c.cutFrom(node) {
+		if c.partitionedFrom(node) {
 			return true
 		}
 	}
 	return false
 }
 
-// reaches tells whether a controller gives signs of life here, by a link or by its
+// hasContact tells whether a controller gives signs of life here, by a link or by its
 // bulletin. What is bound to the machines of one that does neither is not started.
-func (c *Core) reaches(node string) bool {
-	if c.hears(node) {
+func (c *Core) hasContact(node string) bool {
+	if c.inDirectContact(node) {
 		return true
 	}
-	r := c.partition.read[node]
-	return r != nil && c.misses(node) && c.now.Steady-r.at < c.reportInterval()+2*c.boardInterval()
+	r := c.relay.inboxes[node]
+	return r != nil && c.isUnreachable(node) && c.now.Steady-r.lastHeartbeat < c.reportInterval()+2*c.relayInterval()
 }
 
-// accounts tells whether a controller's word on which machines it hears is at hand: of
+// knowsMachinesOf tells whether a controller's word on which machines it hears is at hand: of
 // one that is known by its bulletin alone, only once that names its machines.
-func (c *Core) accounts(node string) bool {
-	if c.hears(node) {
+func (c *Core) knowsMachinesOf(node string) bool {
+	if c.inDirectContact(node) {
 		return true
 	}
-	r := c.partition.read[node]
-	return c.reaches(node) && r.namesMachines()
+	r := c.relay.inboxes[node]
+	return c.hasContact(node) && r.namesMachines()
 }
 
-func (r *reading) namesMachines() bool {
+func (r *relayInbox) namesMachines() bool {
 	for _, p := range r.pages {
 		if len(p.Machines) > 0 {
 			return true
@@ -106,32 +106,32 @@
 	return false
 }
 
-// homeCut tells whether a job's home is another controller that this node is cut
+// partitionedFromLeader tells whether a job's home is another controller that this node is cut
 // from, so that this node has to act for it on the machines that it hears.
-func (c *Core) homeCut(j *job.Job) bool {
+func (c *Core) partitionedFromLeader(j *job.Job) bool {
 	t := c.teamBy[j.Team]
-	return t != nil && !t.acting && c.cutFrom(t.home)
+	return t != nil && !t.leading && c.partitionedFrom(t.leader)
 }
 
-// tendPartition starts, forgets and publishes for homes that this node is cut from.
-func (c *Core) tendPartition() {
+// updateRelay starts, forgets and publishes for homes that this node is cut from.
+func (c *Core) updateRelay() {
 	split := c.partitioned()
-	if split && c.every(&c.partition.acted, c.reportInterval()/30) {
-		for id, w := range ordered(c.own) {
+	if split && c.every(&c.relay.startsCheckedAt, c.reportInterval()/30) {
+		for id, w := range ordered(c.agents) {
 			if m := c.machines[id]; m != nil && m.Node == c.cfg.Node {
-				c.startFor(id, w, m)
-				c.forgetFor(m)
+				c.startForLeaders(id, w, m)
+				c.forgetForLeaders(m)
 			}
 		}
 	}
-	if !c.every(&c.partition.next, c.boardInterval()) || c.partition.busy || c.lease == 0 {
+	if !c.every(&c.relay.next, c.relayInterval()) || c.relay.busy || c.lease == 0 {
 		return
 	}
 	var want map[string]json.RawMessage
 	if split {
-		want = bulletin.Pages(c.boardBeat(), c.facts(), c.heard(), c.pageSize())
+		want = bulletin.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.reachableMachines(), c.pageSize())
 	}
-	c.publish(c.partition.board.Diff(want, c.pagesPerTxn()))
+	c.publishRelay(c.relay.published.Diff(want, c.pagesPerTxn()))
 }
 
 // pageSize is the most bytes that a page of a bulletin has. Several fit into one
@@ -150,36 +150,36 @@
 	return max(2, min(c.limits().TxnOps, protocol.MaxBody*3/4/c.pageSize()))
 }
 
-// boardBeat is this node's sign of life for a bulletin; its number makes each unlike
+// nextRelayHeartbeat is this node's sign of life for a bulletin; its number makes each unlike
 // the one before.
-func (c *Core) boardBeat() json.RawMessage {
+func (c *Core) nextRelayHeartbeat() json.RawMessage {
 	c.nextID++
-	b := c.signOfLife()
+	b := c.newHeartbeat()
 	b.Records = c.ownRecords()
-	return raw(boardBeat{Number: c.nextID, NodeBeat: b})
+	return mustMarshal(relayHeartbeat{Number: c.nextID, NodeHeartbeat: b})
 }
 
-type boardBeat struct {
+type relayHeartbeat struct {
 	Number uint64 `json:"#"`
-	NodeBeat
+	NodeHeartbeat
 }
 
-// startFor starts what the store says is bound to a machine, for homes that may not
+// startForLeaders starts what the store says is bound to a machine, for homes that may not
 // be able to say so: once, under exactly the term and session of the binding, as the
 // home's own message would. A gang's tasks are started once all of them are bound.
-func (c *Core) startFor(id string, w *control, m *worker.Machine) {
+func (c *Core) startForLeaders(id string, w *agentSession, m *worker.Machine) {
 	if w.unanswered {
 		return
 	}
 	due := func(ref job.Ref, b *job.Binding) bool {
 		j := ref.Job
-		if b.Term != w.term || b.Session != w.session || j.Cancelled || j.Kind == job.Gang && len(j.Bound) < j.Tasks || !c.homeCut(j) {
+		if b.Term != w.token || b.Session != w.epoch || j.Cancelled || j.Kind == job.Gang && len(j.Bound) < j.Tasks || !c.partitionedFromLeader(j) {
 			return false
 		}
 		verdict, _ := m.Judge(j.TaskID(ref.Index), b)
 		return verdict == worker.Open
 	}
-	c.eachOn(id, due, func(j *job.Job, i int, b *job.Binding) {
+	c.eachBindingOn(id, due, func(j *job.Job, i int, b *job.Binding) {
 		if made, decided := c.decisionOn(id, b.Term, taskAttempt{j.TaskID(i), b.Attempt}); decided {
 			// What became of it is not known: a newer term makes it known, as the
 			// home would ask for.
@@ -189,13 +189,13 @@
 			return
 		}
 		c.log(Debug, "start for a home that is not heard", "task", j.TaskID(i), "attempt", b.Attempt, "machine", id)
-		c.start(c.teamBy[j.Team].home, Start{Machine: id, Task: j.TaskID(i), Attempt: b.Attempt,
-			Term: b.Term, Session: b.Session, Need: j.Need, Revision: c.revision})
+		c.forwardStart(c.teamBy[j.Team].leader, Start{Machine: id, Task: j.TaskID(i), Attempt: b.Attempt,
+			Token: b.Term, Epoch: b.Session, Need: j.Need, Revision: c.revision})
 	})
 }
 
-// forgetFor has exited tasks forgotten whose end their home has stored.
-func (c *Core) forgetFor(m *worker.Machine) {
+// forgetForLeaders has exited tasks forgotten whose end their home has stored.
+func (c *Core) forgetForLeaders(m *worker.Machine) {
 	if m.Exits == 0 {
 		return
 	}
@@ -205,20 +205,20 @@
 		}
 		id, i, ok := job.SplitTask(t.Task)
 		j := c.jobs[id]
-		if !ok || j == nil || t.Attempt > j.StoredAttempt || !c.homeCut(j) {
+		if !ok || j == nil || t.Attempt > j.StoredAttempt || !c.partitionedFromLeader(j) {
 			continue
 		}
 		if b := j.Bound[i]; b == nil || b.Attempt != t.Attempt {
-			c.dismiss(m, t)
+			c.stopOrForgetTask(m, t)
 		}
 	}
 }
 
-// facts lists what has become of tasks on this node's machines whose homes may not
+// relayEntries lists what has become of tasks on this node's machines whose homes may not
 // hear of it, for as long as the store shows them bound.
-func (c *Core) facts() []bulletin.Fact {
+func (c *Core) relayEntries() []bulletin.Fact {
 	var out []bulletin.Fact
-	for id := range c.own {
+	for id := range c.agents {
 		m := c.machines[id]
 		if m == nil || m.Node != c.cfg.Node {
 			continue
@@ -228,7 +228,7 @@
 			continue
 		}
 		for ref, b := range load.Tasks {
-			if !b.Stored || !c.homeCut(ref.Job) {
+			if !b.Stored || !c.partitionedFromLeader(ref.Job) {
 				continue
 			}
 			task := ref.Job.TaskID(ref.Index)
@@ -242,15 +242,15 @@
 	return out
 }
 
-// heard lists the machines that this node hears.
-func (c *Core) heard() map[bulletin.Kind][]string {
+// reachableMachines lists the machines that this node hears.
+func (c *Core) reachableMachines() map[bulletin.Kind][]string {
 	out := map[bulletin.Kind][]string{}
-	for id, w := range ordered(c.own) {
+	for id, w := range ordered(c.agents) {
 		m := c.machines[id]
 		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.Seen > 2*c.reportInterval() {
 			continue
 		}
-		k := bulletin.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Term: w.term, Session: m.Session}
+		k := bulletin.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Term: w.token, Session: m.Session}
 		if m.NoticeAt > 0 {
 			k.NoticeS = max(1, int((m.NoticeAt-c.now.Steady).Seconds()/noticeStep)*noticeStep)
 		}
@@ -263,9 +263,9 @@
 // changed every second would be written every second.
 const noticeStep = 5
 
-// publish writes changes of this node's bulletin, attached to its lease, so that it
+// publishRelay writes changes of this node's bulletin, attached to its lease, so that it
 // ends with this node.
-func (c *Core) publish(changes []bulletin.Change) {
+func (c *Core) publishRelay(changes []bulletin.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -279,20 +279,20 @@
 			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: ch.Value, Lease: c.lease})
 		}
 	}
-	c.partition.busy = true
-	c.txn(txn, true, func(r StoreReply) {
-		c.partition.busy = false
+	c.relay.busy = true
+	c.compareAndSwap(txn, true, func(r StoreReply) {
+		c.relay.busy = false
 		if r.Outcome == Applied {
-			c.partition.board.Wrote(changes, r.Revision)
+			c.relay.published.Wrote(changes, r.Revision)
 		}
 	})
 }
 
-// pageWritten takes in a page of another controller's bulletin.
-func (c *Core) pageWritten(item protocol.KeyValue) error {
-	node, name, _ := strings.Cut(strings.TrimPrefix(item.Key, keyBoard), "/")
+// onRelayPagePut takes in a page of another controller's bulletin.
+func (c *Core) onRelayPagePut(item protocol.KeyValue) error {
+	node, name, _ := strings.Cut(strings.TrimPrefix(item.Key, keyRelay), "/")
 	if node == c.cfg.Node {
-		c.partition.board.Saw(name, item.Value, item.Version)
+		c.relay.published.Saw(name, item.Value, item.Version)
 	}
 	if c.peers[node] == nil {
 		return nil
@@ -301,54 +301,54 @@
 	if err := json.Unmarshal(item.Value, page); err != nil {
 		return err
 	}
-	r := c.partition.read[node]
+	r := c.relay.inboxes[node]
 	if r == nil {
-		r = &reading{pages: map[string]*bulletin.Page{}}
-		c.partition.read[node] = r
+		r = &relayInbox{pages: map[string]*bulletin.Page{}}
+		c.relay.inboxes[node] = r
 	}
 	r.pages[name] = page
 	if page.Beat != nil {
-		var b boardBeat
+		var b relayHeartbeat
 		if err := json.Unmarshal(page.Beat, &b); err != nil {
 			return err
 		}
-		r.at = c.now.Steady
-		c.nodeBeatIn(node, b.NodeBeat)
+		r.lastHeartbeat = c.now.Steady
+		c.handleNodeHeartbeat(node, b.NodeHeartbeat)
 		for _, p := range ordered(r.pages) {
-			c.machinesRead(node, p) // they live as long as it does
+			c.onRelayMachines(node, p) // they live as long as it does
 		}
 	}
-	c.machinesRead(node, page)
-	return c.factsRead(page)
+	c.onRelayMachines(node, page)
+	return c.applyRelayEntries(page)
 }
 
-func (c *Core) pageDropped(key string, revision uint64) {
-	node, name, _ := strings.Cut(strings.TrimPrefix(key, keyBoard), "/")
+func (c *Core) onRelayPageDelete(key string, revision uint64) {
+	node, name, _ := strings.Cut(strings.TrimPrefix(key, keyRelay), "/")
 	if node == c.cfg.Node {
-		c.partition.board.Saw(name, nil, revision)
+		c.relay.published.Saw(name, nil, revision)
 	}
-	if r := c.partition.read[node]; r != nil {
+	if r := c.relay.inboxes[node]; r != nil {
 		delete(r.pages, name)
 	}
 }
 
-// machinesRead notes which machines another controller hears. Of what is on them it
+// onRelayMachines notes which machines another controller hears. Of what is on them it
 // proves nothing: that takes reports, or facts.
-func (c *Core) machinesRead(node string, p *bulletin.Page) {
+func (c *Core) onRelayMachines(node string, p *bulletin.Page) {
 	for _, g := range p.Machines {
 		for _, id := range g.Machines {
-			if !c.marks[id].Gone {
-				c.machineRead(node, id, g.Kind)
+			if !c.cordons[id].Terminated {
+				c.onRelayMachine(node, id, g.Kind)
 			}
 		}
 	}
 }
 
-func (c *Core) machineRead(node, id string, k bulletin.Kind) {
+func (c *Core) onRelayMachine(node, id string, k bulletin.Kind) {
 	m := c.machines[id]
 	switch {
 	case m == nil:
-		c.cameUp(&protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
+		c.provisioned(&protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 		m = c.addMachine(id)
 	case k.Term < m.Term || k.Session < m.Session:
 		return // a newer controller has it
@@ -360,21 +360,21 @@
 	}
 	if m.Node != node || m.Term != k.Term {
 		m.Node, m.Term = node, k.Term
-		c.sched.dirty = true
+		c.scheduler.dirty = true
 	}
 	if k.NoticeS > 0 && m.NoticeAt == 0 {
 		m.NoticeAt = c.now.Steady + seconds(float64(k.NoticeS))
 	}
-	c.alive(m, false)
+	c.noteContact(m, false)
 }
 
-// factsRead ends the bindings of this node's teams of which another controller says
+// applyRelayEntries ends the bindings of this node's teams of which another controller says
 // what has become.
-func (c *Core) factsRead(p *bulletin.Page) error {
+func (c *Core) applyRelayEntries(p *bulletin.Page) error {
 	all, err := p.All()
 	for _, f := range all {
 		j := c.jobs[f.Job]
-		if j == nil || !c.mine(j) {
+		if j == nil || !c.leads(j) {
 			continue
 		}
 		b := j.Bound[f.Index]
@@ -393,19 +393,19 @@
 		}
 		t := protocol.TaskReport{Task: j.TaskID(f.Index), Attempt: f.Attempt, State: protocol.Exited, Why: f.Why}
 		if f.Why == protocol.WhyDone || f.Why == protocol.WhyError {
-			c.weigh(j, m, f.Machine, t)
+			c.attributeFailure(j, m, f.Machine, t)
 		}
-		c.ended(j, f.Index, b, m, t)
+		c.taskEnded(j, f.Index, b, m, t)
 	}
 	return err
 }
 
-// readAgain applies the facts of all bulletins once more: this node may have become a
+// reapplyRelay applies the facts of all bulletins once more: this node may have become a
 // home since they were written.
-func (c *Core) readAgain() {
-	for _, r := range ordered(c.partition.read) {
+func (c *Core) reapplyRelay() {
+	for _, r := range ordered(c.relay.inboxes) {
 		for _, p := range ordered(r.pages) {
-			if err := c.factsRead(p); err != nil {
+			if err := c.applyRelayEntries(p); err != nil {
 				c.log(Error, "bulletin is not understood", "error", err.Error())
 			}
 		}
--- a/internal/core/partition_test.go
+++ b/internal/core/partition_test.go
@@ -34,7 +34,7 @@
 	w.racing, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("a", id, 2*machines, ""))
 	w.started(id, machines)
-	return w, w.cores["a"].teamBy["free"].home
+	return w, w.cores["a"].teamBy["free"].leader
 }
 
 // informed names a controller that has the state service.
@@ -62,7 +62,7 @@
 		"links from the home":   func(w *world, home string) { w.refuse(func(f, _ string) bool { return f == home }) },
 		"links to the home":     func(w *world, home string) { w.refuse(func(_, t string) bool { return t == home }) },
 		"links to the renter": func(w *world, _ string) {
-			r := w.cores["a"].fleet.home
+			r := w.cores["a"].fleet.leader
 			w.refuse(func(_, t string) bool { return t == r })
 		},
 		"every second link":          func(w *world, _ string) { w.refuse(func(f, t string) bool { return (f[0]+t[0])%2 == 1 }) },
@@ -209,7 +209,7 @@
 			w.run(20*time.Second, nil)
 			w.startedOnce()
 			for key := range w.kv {
-				if strings.HasPrefix(key, keyBoard) {
+				if strings.HasPrefix(key, keyRelay) {
 					t.Errorf("%s is left when all links are back", key)
 				}
 			}
@@ -249,13 +249,13 @@
 	w := newWorldOf(t, five)
 	w.racing, w.taskTime = true, time.Minute
 	w.ready()
-	home := w.cores["a"].teamBy["free"].home
+	home := w.cores["a"].teamBy["free"].leader
 	accepted(t, w.submit(home, "req-free-1", 12, ""))
 	w.started("req-free-1", 3)
 	w.noStore(home)
 	w.run(5*time.Second, nil)
 	w.cancelJob(w.informed(), "req-free-1")
-	if !w.run(time.Minute, func() bool { return w.kv[activeKey("req-free-1")].Version == 0 }) {
+	if !w.run(time.Minute, func() bool { return w.kv[jobKey("req-free-1")].Version == 0 }) {
 		t.Fatal("the cancelled job does not end")
 	}
 	w.withStore(home)
@@ -297,13 +297,13 @@
 		"done":               {state: protocol.Done},
 	} {
 		c := newWorld(t).cores["a"]
-		c.revision, c.own["vm"] = 9, &control{term: 1}
-		c.decideOn(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Term: 1, Revision: 5}, false)
+		c.revision, c.agents["vm"] = 9, &agentSession{token: 1}
+		c.decideOn(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Revision: 5}, false)
 		if k.state != "" {
-			c.remember("req-free-1", protocol.JobState{ID: "req-free-1", State: k.state})
+			c.rememberFinalState("req-free-1", protocol.JobState{ID: "req-free-1", State: k.state})
 		}
 		if k.gone {
-			c.gone("req-free-1", 8)
+			c.noteEnd("req-free-1", 8)
 		}
 		c.forgetDecisions()
 		if _, kept := c.decisionOn("vm", 1, taskAttempt{"req-free-1/0", 1}); kept != k.kept {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -11,65 +11,65 @@
 
 // peerState is what is known of another controller.
 type peerState struct {
-	connected bool
-	storeOK   bool
-	seen      time.Duration
+	connected   bool
+	storeOK     bool
+	lastContact time.Duration
 	// due is how many changes of jobs wait there to be stored.
 	due ranks
 	// revision is how far its replica has been.
 	revision uint64
 	// stamp is its newest beat here; up to sure it has told all that it knew of.
-	stamp string
-	sure  time.Duration
-	// misses are the nodes that it says it does not hear, cut those that it can't send to.
-	misses, cut []string
+	stamp      string
+	freshUntil time.Duration
+	// unreachable are the nodes that it says it does not hear, cut those that it can't send to.
+	unreachable, disconnected []string
 }
 
-// hears tells whether a controller has given a sign of life lately, directly or
+// inDirectContact tells whether a controller has given a sign of life lately, directly or
 // over a third node. Starts for the machines of one that is silent are lost, and
 // its workers need seconds to turn to another.
-func (c *Core) hears(node string) bool {
+func (c *Core) inDirectContact(node string) bool {
 	p := c.peers[node]
-	return node == c.cfg.Node || p != nil && c.now.Steady-p.seen < c.reportInterval()
+	return node == c.cfg.Node || p != nil && c.now.Steady-p.lastContact < c.reportInterval()
 }
 
-// tell sends a message to a node, this one included.
-func (c *Core) tell(node string, m PeerMsg) {
+// sendTo sends a message to a node, this one included.
+func (c *Core) sendTo(node string, m PeerMessage) {
 	if node == c.cfg.Node {
-		c.peerIn(PeerIn{Node: node, Msg: m})
+		c.handlePeerMessage(PeerMessageReceived{Node: node, Message: m})
 		return
 	}
-	c.sendPeer(node, m)
+	c.route(node, m)
 }
 
-// sendPeer sends directly, or over a third node when the direct way is cut.
+// route sends directly, or over a third node when the direct way is cut.
 // What finds no way is dropped: nothing depends on a message's arrival.
-func (c *Core) sendPeer(node string, m PeerMsg) {
+func (c *Core) route(node string, m PeerMessage) {
 	p := c.peers[node]
 	if p == nil {
 		return
 	}
 	if p.connected {
-		c.emit(SendPeer{Nodes: []string{node}, Msg: m})
+		c.emit(SendPeer{Nodes: []string{node}, Message: m})
 		return
 	}
 	if m.To != "" {
 		return
 	}
 	m.To, m.From = node, c.cfg.Node
-	if third := c.thirdTo(node); third != "" {
-		c.emit(SendPeer{Nodes: []string{third}, Msg: m})
+	if third := c.intermediary(node); third != "" {
+		c.emit(SendPeer{Nodes: []string{third}, Message: m})
 	}
 }
 
-// thirdTo names the node over which to reach one that can't be reached: if there is one,
+// intermediary names the node over which to reach one that can't be reached: if there is one,
 // a node that has said it can send to it.
-func (c *Core) thirdTo(node string) (third string) {
+func (c *Core) intermediary(node string) (third string) {
 	for _, other := range c.cfg.Peers {
 		if other.Node == node || !c.peers[other.Node].connected {
 			continue
 		}
-		if !slices.Contains(c.peers[other.Node].cut, node) {
+		if !slices.Contains(c.peers[other.Node].disconnected, node) {
 			return other.Node
 		}
 		if third == "" {
@@ -79,20 +79,20 @@
 	return third
 }
 
-// peerUp tells a controller that can be reached again all that it missed.
-func (c *Core) peerUp(node string) {
+// peerConnected tells a controller that can be reached again all that it missed.
+func (c *Core) peerConnected(node string) {
 	c.peers[node].connected = true
 	var all []Observation
-	for id, w := range ordered(c.own) {
+	for id, w := range ordered(c.agents) {
 		if m := c.machines[id]; m != nil && m.Node == c.cfg.Node {
-			all = append(all, Observation{Node: c.cfg.Node, Term: w.term, Report: m.Report, Direct: c.reportOverdue(m)})
+			all = append(all, Observation{Node: c.cfg.Node, Token: w.token, Report: m.Report, Direct: c.reportOverdue(m)})
 		}
 	}
-	for part := range parts(all) {
-		c.sendPeer(node, PeerMsg{Observations: part})
+	for part := range batchObservations(all) {
+		c.route(node, PeerMessage{Observations: part})
 	}
-	if len(c.sites.progress) > 0 {
-		c.sendPeer(node, PeerMsg{Site: &SiteNote{Progress: maps.Clone(c.sites.progress)}})
+	if len(c.handoffs.progress) > 0 {
+		c.route(node, PeerMessage{Federation: &FederationNote{Progress: maps.Clone(c.handoffs.progress)}})
 	}
 }
 
@@ -101,8 +101,8 @@
 // line, and the stream would be opened anew again and again.
 const tasksPerMsg = 1024
 
-// parts splits observations into messages. One report is never split.
-func parts(all []Observation) iter.Seq[[]Observation] {
+// batchObservations splits observations into messages. One report is never split.
+func batchObservations(all []Observation) iter.Seq[[]Observation] {
 	return func(yield func([]Observation) bool) {
 		from, tasks := 0, 0
 		for i, o := range all {
@@ -121,96 +121,96 @@
 }
 
 // broadcast sends a message to every other controller.
-func (c *Core) broadcast(m PeerMsg) {
+func (c *Core) broadcast(m PeerMessage) {
 	var direct []string
 	for _, p := range c.cfg.Peers {
 		if c.peers[p.Node].connected {
 			direct = append(direct, p.Node)
 		} else {
-			c.sendPeer(p.Node, m)
+			c.route(p.Node, m)
 		}
 	}
 	if len(direct) > 0 {
-		c.emit(SendPeer{Nodes: direct, Msg: m})
+		c.emit(SendPeer{Nodes: direct, Message: m})
 	}
 }
 
-// gossip passes on what was observed since the last time: one message for many
+// flushObservations passes on what was observed since the last time: one message for many
 // reports costs each controller far less than one for each.
-func (c *Core) gossip() {
-	for part := range parts(c.observed) {
-		c.broadcast(PeerMsg{Observations: part})
+func (c *Core) flushObservations() {
+	for part := range batchObservations(c.pendingObservations) {
+		c.broadcast(PeerMessage{Observations: part})
 	}
-	c.observed = nil
+	c.pendingObservations = nil
 }
 
-func (c *Core) peerIn(in PeerIn) {
-	m, from := in.Msg, in.Node
+func (c *Core) handlePeerMessage(in PeerMessageReceived) {
+	m, from := in.Message, in.Node
 	if m.To != "" && m.To != c.cfg.Node {
-		c.sendPeer(m.To, m)
+		c.route(m.To, m)
 		return
 	}
 	if m.From != "" {
 		from = m.From
 	}
 	if p := c.peers[from]; p != nil {
-		p.seen = c.now.Steady
+		p.lastContact = c.now.Steady
 	}
 	switch {
 	case m.Observations != nil:
 		for _, o := range m.Observations {
-			c.observe(o)
+			c.applyObservation(o)
 		}
 	case m.Accepted != nil:
-		c.written(*m.Accepted)
+		c.onPut(*m.Accepted)
 	case m.Claims != nil:
 		for _, k := range m.Claims {
 			c.claimed(k)
 		}
 	case m.Start != nil:
-		c.start(from, *m.Start)
+		c.forwardStart(from, *m.Start)
 	case m.Refusal != nil:
-		c.refused(*m.Refusal)
-	case m.Order != nil:
-		c.order(*m.Order)
+		c.handleRefusal(*m.Refusal)
+	case m.Command != nil:
+		c.queueCommand(*m.Command)
 	case m.Fence != nil:
 		c.fence(*m.Fence)
 	case m.ReturnRequest != nil:
 		c.returnRequested(*m.ReturnRequest)
-	case m.Beat != nil:
-		c.nodeBeatIn(from, *m.Beat)
-	case m.Site != nil:
-		c.siteNote(from, *m.Site)
+	case m.Heartbeat != nil:
+		c.handleNodeHeartbeat(from, *m.Heartbeat)
+	case m.Federation != nil:
+		c.handleFederationNote(from, *m.Federation)
 	case m.Cancellations != nil:
-		c.cancellationsIn(from, m.Cancellations)
-	case m.Known != nil:
-		c.acknowledgedIn(from, m.Known)
+		c.handleCancellations(from, m.Cancellations)
+	case m.Acknowledged != nil:
+		c.handleAcknowledgements(from, m.Acknowledged)
 	}
 }
 
-// nodeBeat sends this node's sign of life, with the records of its teams every
+// sendHeartbeat sends this node's sign of life, with the records of its teams every
 // record interval.
-func (c *Core) nodeBeat() {
-	b := c.signOfLife()
+func (c *Core) sendHeartbeat() {
+	b := c.newHeartbeat()
 	if c.every(&c.timers.share, recordInterval) {
 		b.Records = c.ownRecords()
 	}
-	for id := range ordered(c.own) {
-		if m := c.machines[id]; m != nil && m.Node == c.cfg.Node && m.Reported > c.beatAt {
+	for id := range ordered(c.agents) {
+		if m := c.machines[id]; m != nil && m.Node == c.cfg.Node && m.Reported > c.heartbeatAt {
 			b.Heard, b.Seqs = append(b.Heard, id), append(b.Seqs, m.Seq)
 		}
 	}
-	c.beatAt = c.now.Steady
-	c.broadcast(PeerMsg{Beat: &b})
+	c.heartbeatAt = c.now.Steady
+	c.broadcast(PeerMessage{Heartbeat: &b})
 }
 
-// signOfLife is what a beat says by whichever way it goes.
-func (c *Core) signOfLife() NodeBeat {
-	b := NodeBeat{Revision: c.revision, StoreOK: c.storeOK, Due: c.budget.due, Misses: c.missed(), Stamp: c.stamp()}
-	b.Echoes, b.Owes = c.echoes()
+// newHeartbeat is what a beat says by whichever way it goes.
+func (c *Core) newHeartbeat() NodeHeartbeat {
+	b := NodeHeartbeat{Revision: c.revision, StoreOK: c.storeOK, Due: c.writeBudget.due, Unreachable: c.unreachablePeers(), Stamp: c.nextStamp()}
+	b.Acknowledgements, b.Unacknowledged = c.acknowledgements()
 	for _, other := range c.cfg.Peers {
 		if !c.peers[other.Node].connected {
-			b.Cut = append(b.Cut, other.Node)
+			b.Disconnected = append(b.Disconnected, other.Node)
 		}
 	}
 	return b
@@ -221,7 +221,7 @@
 func (c *Core) ownRecords() map[string]fairness.Record {
 	out := map[string]fairness.Record{}
 	for _, t := range c.teams {
-		if t.acting {
+		if t.leading {
 			t.ranked = t.record
 			out[t.Name] = t.record
 		}
@@ -229,18 +229,18 @@
 	return out
 }
 
-func (c *Core) nodeBeatIn(node string, b NodeBeat) {
+func (c *Core) handleNodeHeartbeat(node string, b NodeHeartbeat) {
 	p := c.peers[node]
 	if p == nil {
 		return
 	}
 	p.revision = max(p.revision, b.Revision)
 	p.stamp = b.Stamp
-	c.echoed(p, &b)
+	c.noteAcknowledgements(p, &b)
 	p.storeOK, p.due = b.StoreOK, b.Due
-	p.misses, p.cut = b.Misses, b.Cut
+	p.unreachable, p.disconnected = b.Unreachable, b.Disconnected
 	for name, r := range b.Records {
-		if t := c.teamBy[name]; t != nil && !t.acting {
+		if t := c.teamBy[name]; t != nil && !t.leading {
 			t.record, t.ranked = r, r
 		}
 	}
@@ -249,7 +249,7 @@
 			if m.Node == node && i < len(b.Seqs) {
 				m.HeardSeq = max(m.HeardSeq, b.Seqs[i])
 			}
-			c.alive(m, false)
+			c.noteContact(m, false)
 		}
 	}
 }
--- a/internal/core/pendinganswers.go
+++ b/internal/core/pendinganswers.go
@@ -7,31 +7,31 @@
 // may have ended it all the same.
 type pendingAnswer struct {
 	id       string
-	asked    []question
+	asked    []pendingLookup
 	revision uint64
 }
 
 // tellActive answers questions on a job that has no final state at a revision, at once
 // where nothing else can have ended it.
-func (c *Core) tellActive(id string, qs []question, revision uint64) {
-	if j := c.jobs[id]; j != nil && !j.Cancelled && !c.awaits.graph.Waits(id) {
-		tellAll(qs, active, c.display(id))
+func (c *Core) tellActive(id string, qs []pendingLookup, revision uint64) {
+	if j := c.jobs[id]; j != nil && !j.Cancelled && !c.dependencies.graph.Waits(id) {
+		resolveAll(qs, lookupActive, c.jobProgress(id))
 		return
 	}
-	c.awaits.pending = append(c.awaits.pending, pendingAnswer{id, qs, revision})
+	c.dependencies.pending = append(c.dependencies.pending, pendingAnswer{id, qs, revision})
 }
 
-// answerPending answers the questions whose revision the replica has reached, and turns away
+// answerPendingStatus answers the questions whose revision the replica has reached, and turns away
 // those whose users will not wait any longer.
-func (c *Core) answerPending() {
-	waiting := c.awaits.pending
-	c.awaits.pending = nil
+func (c *Core) answerPendingStatus() {
+	waiting := c.dependencies.pending
+	c.dependencies.pending = nil
 	for _, p := range waiting {
 		switch {
-		case c.now.Steady-p.asked[0].at > protocol.PollTimeout/2:
-			tellAll(p.asked, untold, protocol.JobState{})
+		case c.now.Steady-p.asked[0].since > protocol.PollTimeout/2:
+			resolveAll(p.asked, lookupUnavailable, protocol.JobState{})
 		case !c.replicaTells(p):
-			c.awaits.pending = append(c.awaits.pending, p)
+			c.dependencies.pending = append(c.dependencies.pending, p)
 		default:
 			c.answerNow(p)
 		}
@@ -44,19 +44,19 @@
 	if c.hasEnded(p.id) {
 		return true
 	}
-	if c.revision < p.revision || c.jobs[p.id] == nil && c.awaits.reloading {
+	if c.revision < p.revision || c.jobs[p.id] == nil && c.dependencies.reloading {
 		return false
 	}
-	return !c.readUpstream(c.awaits.graph.Upstream(p.id))
+	return !c.lookUpDependencies(c.dependencies.graph.Upstream(p.id))
 }
 
 // answerNow answers by what the replica shows.
 func (c *Core) answerNow(p pendingAnswer) {
 	if !c.hasEnded(p.id) {
-		tellAll(p.asked, active, c.display(p.id))
+		resolveAll(p.asked, lookupActive, c.jobProgress(p.id))
 		return
 	}
 	for _, q := range p.asked {
-		c.inquire(p.id, q.tell)
+		c.lookUp(p.id, q.resolve)
 	}
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -26,12 +26,12 @@
 // higher priority, which wait for nothing else and stay. Any other is stopped
 // only where the operator asks for it. No more work is lost than room is made for.
 func (c *Core) preempt(hosts []*placement.Host) {
-	idle := c.yields(hosts, func(v *job.Job) bool { return c.policy.Preemption || lowest(v) })
+	idle := c.isPreemptible(hosts, func(v *job.Job) bool { return c.policy.Preemption || lowest(v) })
 	var arrays []*placement.Host // for services
-	if slices.ContainsFunc(c.sched.starved, func(j *job.Job) bool { return j.Kind == job.Service }) {
-		arrays = c.yields(hosts, func(v *job.Job) bool { return v.Kind == job.Array && !v.AboveNormal() })
+	if slices.ContainsFunc(c.scheduler.starved, func(j *job.Job) bool { return j.Kind == job.Service }) {
+		arrays = c.isPreemptible(hosts, func(v *job.Job) bool { return v.Kind == job.Array && !v.AboveNormal() })
 	}
-	for _, j := range c.sched.starved {
+	for _, j := range c.scheduler.starved {
 		from := &idle
 		if j.Kind == job.Service {
 			from = &arrays
@@ -67,19 +67,19 @@
 	return c.reportInterval()
 }
 
-// yields lists the hosts that stay and have work on them that may be stopped.
-func (c *Core) yields(hosts []*placement.Host, may func(*job.Job) bool) []*placement.Host {
-	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.Lasts >= 0 || !c.anyOn(h.ID, may) })
+// isPreemptible lists the hosts that stay and have work on them that may be stopped.
+func (c *Core) isPreemptible(hosts []*placement.Host, may func(*job.Job) bool) []*placement.Host {
+	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.Lasts >= 0 || !c.hasTasks(h.ID, may) })
 }
 
-// yielding lists the machines with work for idle time, with the room there would
+// preemptibleLoad lists the machines with work for idle time, with the room there would
 // be without it and what stopping it loses. Other work takes that room; machines rented for
 // it would stand idle when they come.
-func (c *Core) yielding() []*placement.Host {
+func (c *Core) preemptibleLoad() []*placement.Host {
 	var out []*placement.Host
 	for id, m := range ordered(c.machines) {
 		on := c.ledger.On(id)
-		if on == nil || m.NoticeAt > 0 || !c.usable(m) {
+		if on == nil || m.NoticeAt > 0 || !c.isSchedulable(m) {
 			continue
 		}
 		idle, least, perCPU := job.Resources{}, math.Inf(1), math.Inf(1)
@@ -112,7 +112,7 @@
 func (c *Core) cheapest(j *job.Job, hosts []*placement.Host) []opening {
 	most, weighed := j.Need.CPUs*j.EstimateS, math.MaxInt
 	if j.Kind == job.Service {
-		most, weighed = math.Inf(1), weighedPerTask*c.allowance(j)
+		most, weighed = math.Inf(1), weighedPerTask*c.startAllowance(j)
 	}
 	var all []opening
 	of := map[string]int{}
@@ -129,7 +129,7 @@
 	}
 	slices.SortStableFunc(all, func(a, b opening) int { return cmp.Compare(a.loss, b.loss) })
 	var out []opening
-	zones, left := c.zonesOf(j), c.allowance(j)
+	zones, left := c.zonesOf(j), c.startAllowance(j)
 	for _, o := range all {
 		if left > 0 && placement.InZone(&j.Spec, o.host.Zone, zones) {
 			zones[o.host.Zone]++
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -9,8 +9,8 @@
 // stops counts the stops that are on their way to workers.
 func stops(c *Core) int {
 	n := 0
-	for _, w := range c.own {
-		n += len(w.orders)
+	for _, w := range c.agents {
+		n += len(w.queuedCommands)
 	}
 	return n
 }
@@ -33,7 +33,7 @@
 		j.Version = 1
 		c.addJob(c.teams[1], j)
 		c.now.Steady += 2 * c.reportInterval()
-		c.sched.starved = []*job.Job{j}
+		c.scheduler.starved = []*job.Job{j}
 		c.preempt(c.hosts())
 		if got := stops(c); got != k.want {
 			t.Errorf("%s: %d tasks are stopped, want %d", name, got, k.want)
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -47,8 +47,8 @@
 // sharedTypes are what controllers store and say, but for jobs, which the samples show.
 func sharedTypes() map[string]any {
 	return map[string]any{
-		"message": PeerMsg{}, "node": nodeKey{}, "home": homeKey{}, "mark": mark{}, "state": stateKey{}, "counter": counter{},
-		"intent": intent{}, "record": recordKey{}, "cancellation": cancelMark{}, "page": bulletin.Page{}, "page beat": boardBeat{},
+		"message": PeerMessage{}, "node": nodeRecord{}, "home": leaderRecord{}, "mark": cordonRecord{}, "state": finalStateRecord{}, "counter": tokenCounter{},
+		"intent": rentalIntent{}, "record": usageRecord{}, "cancellation": cancelRecord{}, "page": bulletin.Page{}, "page beat": relayHeartbeat{},
 		"spec": job.Spec{}, "away": gateway.Away{}, "taken": gateway.Taken{},
 	}
 }
@@ -110,7 +110,7 @@
 	s := productionSamples(t)
 	kinds := map[string]int{}
 	for _, raw := range s.Messages {
-		var m PeerMsg
+		var m PeerMessage
 		if err := strictly(raw, &m); err != nil {
 			t.Errorf("%s: %v", raw, err)
 		}
@@ -134,8 +134,8 @@
 	read := New(cfg, settings.DefaultPolicy(), "a1")
 	heads := 0
 	for key, raw := range ordered(s.Stored) {
-		id, chunk, ok := splitActive(key)
-		if !strings.HasPrefix(key, keyActive) || !ok || chunk != firstChunk {
+		id, chunk, ok := parseJobKey(key)
+		if !strings.HasPrefix(key, keyJob) || !ok || chunk != firstChunk {
 			continue
 		}
 		heads++
@@ -175,7 +175,7 @@
 				statements++
 				continue
 			}
-			if strings.HasPrefix(ch.Put, keyActive) && strings.Count(ch.Put, "/") > 2 {
+			if strings.HasPrefix(ch.Put, keyJob) && strings.Count(ch.Put, "/") > 2 {
 				chunks++
 			}
 			if ch.Put == "" {
@@ -250,8 +250,8 @@
 	if strings.HasPrefix(key, keyState) {
 		return keyState
 	}
-	kind := key[:min(len(key), len(keyActive))]
-	if strings.HasPrefix(key, keyActive) && strings.Count(key, "/") > 2 {
+	kind := key[:min(len(key), len(keyJob))]
+	if strings.HasPrefix(key, keyJob) && strings.Count(key, "/") > 2 {
 		kind += "chunk"
 	}
 	return kind
--- a/internal/core/refused_test.go
+++ b/internal/core/refused_test.go
@@ -86,12 +86,12 @@
 	w.racing, w.taskTime = true, 4*w.allowed()
 	given, released := 0, map[string]int{}
 	w.tell = func(node string, e Effect) {
-		if r, is := e.(Release); is && !w.cores[node].fleet.acting && !w.noCloud {
+		if r, is := e.(Release); is && !w.cores[node].fleet.leading && !w.noCloud {
 			for _, m := range r.Machines {
 				released[node+m]++
 			}
 		}
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(unended)) && w.workers[l.Attrs[1].(string)] != nil {
+		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
 			given++
 		}
 	}
@@ -102,9 +102,9 @@
 	if w.run(10*time.Second, nil); !w.loseDo {
 		w.started(refusedJob, max(d.tasks, 2*machines))
 	}
-	old := w.cores["b"].teamBy["free"].home
+	old := w.cores["b"].teamBy["free"].leader
 	if d.renter {
-		old = w.cores["b"].fleet.home
+		old = w.cores["b"].fleet.leader
 	}
 	linkTroubles[d.links](w, old)
 	w.noCloud = d.cloud != "well"
@@ -290,7 +290,7 @@
 		"the old leader has forgotten its jobs": {
 			refused: func(w *world) { w.hold(everyLink) },
 			outage: func(w *world, old, _ string) {
-				w.send(old, LeaseDown{})
+				w.send(old, LeaseExpired{})
 				w.run(reports(1), nil)
 				w.restore()
 			},
@@ -377,7 +377,7 @@
 	w.run(time.Second, nil)
 	given := 0
 	w.tell = func(node string, e Effect) {
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(unended)) {
+		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonNotStopped)) {
 			given++
 		}
 	}
@@ -398,14 +398,14 @@
 	w.racing, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("b", refusedJob, 30, ""))
 	w.started(refusedJob, 30)
-	old := w.cores["b"].teamBy["free"].home
+	old := w.cores["b"].teamBy["free"].leader
 	w.alone(old)
 	w.run(reports(2), nil)
 	w.confirm()
 	w.run(w.allowed(), nil)
 	given := 0
 	w.tell = func(_ string, e Effect) {
-		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(unended)) && l.Text != "machine returned" {
+		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonNotStopped)) && l.Text != "machine returned" {
 			given++
 		}
 	}
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -11,25 +11,25 @@
 	"pepperlever/internal/protocol"
 )
 
-// rentState is what the renter keeps. One controller rents at a time: the home
+// autoscalerState is what the renter keeps. One controller rents at a time: the home
 // of the pseudo team of the fleet.
-type rentState struct {
-	// closing holds machines that are being closed for return.
-	closing map[string]time.Duration
+type autoscalerState struct {
+	// cordoned holds machines that are being closed for return.
+	cordoned map[string]time.Duration
 	// releasing holds machines whose release is on its way to the cloud.
 	releasing map[string]time.Duration
 	// listed is the cloud's newest list; came is when a machine was first
 	// listed or rented.
-	listed map[string]protocol.ListedMachine
-	came   map[string]time.Duration
+	listed    map[string]protocol.ListedMachine
+	firstSeen map[string]time.Duration
 	// listAt is when that list came.
 	listAt time.Duration
-	// blocked remembers refusals per type, zone and kind.
-	blocked   map[offerKey]pause
-	returning map[string]string
-	boots     boots
-	// dark holds the zones that were cut off when they were last judged.
-	dark map[string]bool
+	// backoffs remembers refusals per type, zone and kind.
+	backoffs      map[offerKey]backoff
+	returnReasons map[string]string
+	provisioning  provisioningTimes
+	// zoneOutages holds the zones that were cut off when they were last judged.
+	zoneOutages map[string]bool
 	// since is when this node became the renter.
 	since time.Duration
 }
@@ -39,19 +39,19 @@
 	spot      bool
 }
 
-func newRentState() rentState {
-	return rentState{closing: map[string]time.Duration{}, releasing: map[string]time.Duration{},
-		listed: map[string]protocol.ListedMachine{}, came: map[string]time.Duration{},
-		blocked: map[offerKey]pause{}, returning: map[string]string{}, boots: newBoots()}
+func newRentState() autoscalerState {
+	return autoscalerState{cordoned: map[string]time.Duration{}, releasing: map[string]time.Duration{},
+		listed: map[string]protocol.ListedMachine{}, firstSeen: map[string]time.Duration{},
+		backoffs: map[offerKey]backoff{}, returnReasons: map[string]string{}, provisioning: newBoots()}
 }
 
 // reset starts the renter's part over.
-func (s *rentState) reset(now time.Duration) {
+func (s *autoscalerState) reset(now time.Duration) {
 	*s = newRentState()
 	s.since = now
 }
 
-func (c *Core) catalogIn(m CatalogIn) {
+func (c *Core) handleCatalog(m CatalogReceived) {
 	if c.types == nil {
 		c.log(Info, "catalogue read", "types", len(m.Types))
 	}
@@ -59,54 +59,54 @@
 	for _, t := range m.Types {
 		c.types[t.Name] = t
 	}
-	c.sched.dirty = true
+	c.scheduler.dirty = true
 }
 
-func (c *Core) listIn(m ListIn) {
-	c.rental.listAt = c.now.Steady
-	c.rental.listed = make(map[string]protocol.ListedMachine, len(m.Machines))
+func (c *Core) handleInventory(m InventoryReceived) {
+	c.autoscaler.listAt = c.now.Steady
+	c.autoscaler.listed = make(map[string]protocol.ListedMachine, len(m.Machines))
 	for _, l := range m.Machines {
-		c.rental.listed[l.ID] = l
-		if _, known := c.rental.came[l.ID]; !known {
-			c.rental.came[l.ID] = c.now.Steady - seconds(l.AgeS)
+		c.autoscaler.listed[l.ID] = l
+		if _, known := c.autoscaler.firstSeen[l.ID]; !known {
+			c.autoscaler.firstSeen[l.ID] = c.now.Steady - seconds(l.AgeS)
 		}
 	}
 }
 
-// tendFleet rents for what finds no room and returns what nobody needs.
-func (c *Core) tendFleet() {
+// runAutoscaler rents for what finds no room and returns what nobody needs.
+func (c *Core) runAutoscaler() {
 	if c.types == nil {
 		return
 	}
-	c.weighBoots()
-	c.tendIntents()
-	c.tendListed()
-	c.tendIdle()
-	c.tendClosing()
-	c.forgetGone()
-	c.rentMore()
+	c.updateProvisioningTimes()
+	c.checkIntents()
+	c.reconcileInventory()
+	c.scaleInIdle()
+	c.returnCordoned()
+	c.forgetTerminated()
+	c.scaleOut()
 }
 
-// tendIntents repeats rentals without an answer under the same name, and drops
+// checkIntents repeats rentals without an answer under the same name, and drops
 // those whose machines have all shown up.
-func (c *Core) tendIntents() {
+func (c *Core) checkIntents() {
 	for name, i := range ordered(c.intents) {
 		switch {
-		case i.busy:
+		case i.pending:
 		case i.Machines == nil:
-			i.busy = true
+			i.pending = true
 			c.emit(Rent{Rental: i.Rental})
 		case c.allShown(i):
-			i.busy = true
+			i.pending = true
 			c.dropIntent(name, i)
 		}
 	}
 }
 
-func (c *Core) allShown(i *intent) bool {
+func (c *Core) allShown(i *rentalIntent) bool {
 	for _, id := range i.Machines {
-		_, listed := c.rental.listed[id]
-		_, gone := c.marks[id]
+		_, listed := c.autoscaler.listed[id]
+		_, gone := c.cordons[id]
 		if !listed && !gone && c.machines[id] == nil {
 			return false
 		}
@@ -114,19 +114,19 @@
 	return true
 }
 
-func (c *Core) dropIntent(name string, i *intent) {
-	c.txn(protocol.Txn{
-		If:   []protocol.Condition{c.fleet.held()},
+func (c *Core) dropIntent(name string, i *rentalIntent) {
+	c.compareAndSwap(protocol.Txn{
+		If:   []protocol.Condition{c.fleet.leaderCondition()},
 		Then: []protocol.Change{{Delete: keyIntent + name}},
 	}, false, func(r StoreReply) {
-		i.busy = false
+		i.pending = false
 		if r.Outcome == Applied {
 			delete(c.intents, name)
 		}
 	})
 }
 
-func (c *Core) intentWritten(name string, i *intent, version uint64) {
+func (c *Core) onIntentPut(name string, i *rentalIntent, version uint64) {
 	if old := c.intents[name]; old != nil {
 		if old.version < version {
 			old.version, old.Machines = version, i.Machines
@@ -134,18 +134,18 @@
 		return
 	}
 	i.version = version
-	if !c.fleet.acting {
+	if !c.fleet.leading {
 		c.intents[name] = i
 	}
 }
 
-// coming lists the machines that are rented but do not report yet.
-func (c *Core) coming() []*placement.Host {
+// pendingCapacity lists the machines that are rented but do not report yet.
+func (c *Core) pendingCapacity() []*placement.Host {
 	var out []*placement.Host
 	seen := map[string]bool{}
 	add := func(id, typ, zone string, spot bool) {
 		t, known := c.types[typ]
-		_, closing := c.marks[id]
+		_, closing := c.cordons[id]
 		if !known || closing || seen[id] || c.machines[id] != nil {
 			return
 		}
@@ -153,8 +153,8 @@
 		size := capacity(t)
 		out = append(out, &placement.Host{ID: id, Type: typ, Zone: zone, Spot: spot, Room: size, Size: size, Lasts: -1})
 	}
-	for _, l := range ordered(c.rental.listed) {
-		if l.State == protocol.Booting && c.now.Steady-c.rental.came[l.ID] < c.awaited(l.Type) {
+	for _, l := range ordered(c.autoscaler.listed) {
+		if l.State == protocol.Booting && c.now.Steady-c.autoscaler.firstSeen[l.ID] < c.provisioningDeadline(l.Type) {
 			add(l.ID, l.Type, l.Zone, l.Spot)
 		}
 	}
@@ -165,7 +165,7 @@
 			}
 		}
 		for _, id := range i.Machines {
-			if c.now.Steady-c.cameAt(id) < c.awaited(i.Rental.Type) {
+			if c.now.Steady-c.cameAt(id) < c.provisioningDeadline(i.Rental.Type) {
 				add(id, i.Rental.Type, i.Rental.Zone, i.Rental.Spot)
 			}
 		}
@@ -174,33 +174,33 @@
 }
 
 func (c *Core) cameAt(id string) time.Duration {
-	if _, ok := c.rental.came[id]; !ok {
-		c.rental.came[id] = c.now.Steady
+	if _, ok := c.autoscaler.firstSeen[id]; !ok {
+		c.autoscaler.firstSeen[id] = c.now.Steady
 	}
-	return c.rental.came[id]
+	return c.autoscaler.firstSeen[id]
 }
 
-// rentMore orders machines for the demand that the last round left over.
-func (c *Core) rentMore() {
+// scaleOut orders machines for the demand that the last round left over.
+func (c *Core) scaleOut() {
 	for _, i := range ordered(c.intents) {
 		if i.Machines == nil {
 			return // the answer first
 		}
 	}
-	if len(c.sched.unplaced) == 0 {
+	if len(c.scheduler.pendingDemand) == 0 {
 		return
 	}
-	coming := c.coming()
+	coming := c.pendingCapacity()
 	// As many requests as the cloud takes in a second, the cheapest machines first:
 	// bounded by one request an offer, a large demand went on to dear offers while
 	// there were cheap machines left.
 	requests := int(max(1, c.cfg.Params.Cloud.RPS))
-	for _, o := range fleet.Plan(c.sched.unplaced, coming, c.yielding(), c.offers(c.backlog(coming)), requests*protocol.MaxRental) {
+	for _, o := range fleet.Plan(c.scheduler.pendingDemand, coming, c.preemptibleLoad(), c.offers(c.backlog(coming)), requests*protocol.MaxRental) {
 		for ; o.Count > 0 && requests > 0; requests-- {
 			part := o
 			part.Count = min(o.Count, protocol.MaxRental)
 			o.Count -= part.Count
-			c.rent(part)
+			c.startRental(part)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 // work without a place.
 func (c *Core) backlog(coming []*placement.Host) time.Duration {
 	work, cpus := 0.0, c.totalCapacity()[0]
-	for _, d := range c.sched.unplaced {
+	for _, d := range c.scheduler.pendingDemand {
 		if d.Right == fleet.Idle {
 			continue
 		}
@@ -231,7 +231,7 @@
 func (c *Core) spotOpen() bool {
 	for name, t := range ordered(c.types) {
 		for _, zone := range t.Zones {
-			if c.policy.Spot && c.now.Steady >= c.rental.blocked[offerKey{name, zone, true}].until {
+			if c.policy.Spot && c.now.Steady >= c.autoscaler.backoffs[offerKey{name, zone, true}].until {
 				return true
 			}
 		}
@@ -253,7 +253,7 @@
 				if !spot && t.SpotPrice < t.Price && c.policy.Spot {
 					dear = dearness(backlog, seconds(t.BootS))
 				}
-				if spot && !c.policy.Spot || c.now.Steady < c.rental.blocked[offerKey{name, zone, spot}].until {
+				if spot && !c.policy.Spot || c.now.Steady < c.autoscaler.backoffs[offerKey{name, zone, spot}].until {
 					continue
 				}
 				out = append(out, fleet.Offer{Type: t, Zone: zone, Spot: spot, Dear: dear})
@@ -275,17 +275,17 @@
 	return fleet.Pressed
 }
 
-// rent stores the rental before it asks the cloud, so that a later renter can
+// startRental stores the rental before it asks the cloud, so that a later renter can
 // repeat it under the same name.
-func (c *Core) rent(o fleet.Order) {
+func (c *Core) startRental(o fleet.Order) {
 	c.nextID++
-	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.inc, c.nextID)
-	i := &intent{Rental: protocol.Rental{Request: name, Type: o.Offer.Type.Name, Zone: o.Offer.Zone,
-		Spot: o.Offer.Spot, Count: o.Count}, busy: true}
+	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.incarnation, c.nextID)
+	i := &rentalIntent{Rental: protocol.Rental{Request: name, Type: o.Offer.Type.Name, Zone: o.Offer.Zone,
+		Spot: o.Offer.Spot, Count: o.Count}, pending: true}
 	c.intents[name] = i
-	c.txn(protocol.Txn{
-		If:   []protocol.Condition{c.fleet.held(), {Key: keyIntent + name}},
-		Then: []protocol.Change{put(keyIntent+name, i)},
+	c.compareAndSwap(protocol.Txn{
+		If:   []protocol.Condition{c.fleet.leaderCondition(), {Key: keyIntent + name}},
+		Then: []protocol.Change{putJSON(keyIntent+name, i)},
 	}, true, func(r StoreReply) {
 		if r.Outcome != Applied {
 			delete(c.intents, name)
@@ -296,17 +296,17 @@
 	})
 }
 
-// rented takes the cloud's answer to a rental.
-func (c *Core) rented(m Rented) {
+// handleRental takes the cloud's answer to a rental.
+func (c *Core) handleRental(m Rented) {
 	i := c.intents[m.Rental.Request]
 	if i == nil {
 		return
 	}
-	i.busy = false
+	i.pending = false
 	if m.Outcome != Unknown {
 		// What is still missing is asked for at once. Without an answer it is not:
 		// a cloud in trouble was asked again as fast as its limit allows.
-		c.timers.fleet = 0
+		c.timers.autoscaler = 0
 	}
 	key := offerKey{m.Rental.Type, m.Rental.Zone, m.Rental.Spot}
 	switch m.Outcome {
@@ -315,29 +315,29 @@
 		c.log(Info, "machines rented", "type", key.typ, "zone", key.zone, "spot", key.spot,
 			"asked", m.Rental.Count, "got", len(m.Machines))
 		if len(m.Machines) < m.Rental.Count {
-			c.refusedOffer(key)
+			c.backOffOffer(key)
 		} else {
-			delete(c.rental.blocked, key)
+			delete(c.autoscaler.backoffs, key)
 		}
 		c.storeIntent(m.Rental.Request, i)
 	case Refused:
-		c.refusedOffer(key)
-		i.Machines, i.busy = []string{}, true
+		c.backOffOffer(key)
+		i.Machines, i.pending = []string{}, true
 		c.dropIntent(m.Rental.Request, i)
 	}
 }
 
-// refusedOffer pauses an offer, longer each time.
-func (c *Core) refusedOffer(key offerKey) {
+// backOffOffer pauses an offer, longer each time.
+func (c *Core) backOffOffer(key offerKey) {
 	lag := seconds(c.cfg.Params.Cloud.ListLagS)
-	c.rental.blocked[key] = c.rental.blocked[key].grow(c.now.Steady, lag/2, 4*lag)
+	c.autoscaler.backoffs[key] = c.autoscaler.backoffs[key].grow(c.now.Steady, lag/2, 4*lag)
 	c.log(Info, "cloud has no capacity", "type", key.typ, "zone", key.zone, "spot", key.spot)
 }
 
-func (c *Core) storeIntent(name string, i *intent) {
-	i.busy = true
-	c.txn(protocol.Txn{
-		If:   []protocol.Condition{c.fleet.held()},
-		Then: []protocol.Change{put(keyIntent+name, i)},
-	}, false, func(r StoreReply) { i.busy = false })
+func (c *Core) storeIntent(name string, i *rentalIntent) {
+	i.pending = true
+	c.compareAndSwap(protocol.Txn{
+		If:   []protocol.Condition{c.fleet.leaderCondition()},
+		Then: []protocol.Change{putJSON(keyIntent+name, i)},
+	}, false, func(r StoreReply) { i.pending = false })
 }
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -36,11 +36,11 @@
 
 // weighReservations sums up the jobs that room is set aside for, and tells whether any is.
 func (c *Core) weighReservations() bool {
-	a := &c.sched.reserved
+	a := &c.scheduler.reserved
 	need := map[string]float64{}
 	a.spot, a.services, a.images = map[string]bool{}, map[string]*headroom.Class{}, map[string]map[string]bool{}
 	for _, j := range c.jobs {
-		if j.Need.GPUs == 0 && j.Kind != job.Service || j.Cancelled || j.Suspected || c.away(j.ID) {
+		if j.Need.GPUs == 0 && j.Kind != job.Service || j.Cancelled || j.Suspected || c.isOutgoing(j.ID) {
 			continue
 		}
 		switch {
@@ -93,7 +93,7 @@
 
 // reserve marks the hosts that are set aside in this round.
 func (c *Core) reserve(hosts []*placement.Host) {
-	a := &c.sched.reserved
+	a := &c.scheduler.reserved
 	a.hosts, a.short = map[string]bool{}, false
 	for t, n := range ordered(a.wanted) {
 		c.reserveForGPUs(t, n, hosts)
@@ -109,7 +109,7 @@
 func (c *Core) reserveForGPUs(typ string, n int, hosts []*placement.Host) {
 	var of []*placement.Host
 	for _, h := range hosts {
-		if h.Type == typ && (!h.Spot || c.sched.reserved.spot[typ]) {
+		if h.Type == typ && (!h.Spot || c.scheduler.reserved.spot[typ]) {
 			of = append(of, h)
 		}
 	}
@@ -122,7 +122,7 @@
 	slices.SortStableFunc(of, func(a, b *placement.Host) int { return cmp.Compare(others(a), others(b)) })
 	for _, h := range of[:min(n, len(of))] {
 		h.ForGPUs = true
-		c.sched.reserved.hosts[h.ID] = true
+		c.scheduler.reserved.hosts[h.ID] = true
 	}
 }
 
@@ -146,7 +146,7 @@
 		c.keepRoom(spare, able)
 		several := *s.Spec
 		several.Spread = false // they are of more than one job
-		c.sched.unplaced = append(c.sched.unplaced, fleet.Demand{Spec: &several, Tasks: left, Right: fleet.Guaranteed})
+		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, fleet.Demand{Spec: &several, Tasks: left, Right: fleet.Guaranteed})
 	}
 }
 
@@ -219,7 +219,7 @@
 			if i < len(of) && n > 0 {
 				found = true
 				of[i].host.ForServices = true
-				c.sched.reserved.hosts[of[i].host.ID] = true
+				c.scheduler.reserved.hosts[of[i].host.ID] = true
 				n -= of[i].slots
 			}
 		}
@@ -227,11 +227,11 @@
 	return n
 }
 
-// vacate moves the replicas of one host at a time off the hosts that are set aside for
+// evacuate moves the replicas of one host at a time off the hosts that are set aside for
 // accelerator work, while such work waits and there is room for them elsewhere. They
 // had settled there before anything that needs the accelerators was known.
-func (c *Core) vacate(hosts []*placement.Host) {
-	if !c.sched.reserved.short || !c.every(&c.timers.vacate, c.reportInterval()) {
+func (c *Core) evacuate(hosts []*placement.Host) {
+	if !c.scheduler.reserved.short || !c.every(&c.timers.vacate, c.reportInterval()) {
 		return
 	}
 	for _, h := range hosts {
@@ -240,7 +240,7 @@
 		}
 		zones := map[string]placement.Zones{}
 		moved := false
-		c.eachMine(h.ID, func(ref job.Ref, b *job.Binding) bool { return c.movable(ref, b) }, func(j *job.Job, i int, b *job.Binding) {
+		c.eachLedBinding(h.ID, func(ref job.Ref, b *job.Binding) bool { return c.movable(ref, b) }, func(j *job.Job, i int, b *job.Binding) {
 			if zones[j.ID] == nil {
 				zones[j.ID] = c.zonesOf(j)
 			}
@@ -249,7 +249,7 @@
 				to.Take(&j.Spec)
 				zones[j.ID][to.Zone]++
 				c.log(Debug, "replica moved off accelerators", "task", j.TaskID(i), "machine", h.ID)
-				c.stop(j, i, b, 0)
+				c.stopTask(j, i, b, 0)
 				moved = true
 			}
 		})
@@ -266,35 +266,35 @@
 		m.Ran(ref.Job.TaskID(ref.Index), b.Attempt, c.now.Steady) > seconds(c.policy.TimeoutS)
 }
 
-// holdForGangs lets gangs whose patience is over, the longest first, gather hosts: what
+// reserveForGangs lets gangs whose patience is over, the longest first, gather hosts: what
 // comes free in the zone where most of them are free already is held until the gang fits.
 // Gangs of one task took every host as it came free, and one of eight never found as many.
-func (c *Core) holdForGangs(turns []*turn, hosts []*placement.Host) {
+func (c *Core) reserveForGangs(turns []*candidate, hosts []*placement.Host) {
 	var old []*job.Job
 	for _, u := range turns {
 		for _, j := range u.jobs {
 			// One whose team has no room for it under its limit gathers nothing: it held all
 			// that came free, and other teams waited beside empty machines.
 			whole := job.Resources{}.Plus(j.Need, float64(j.Waiting()))
-			if j.Kind == job.Gang && len(j.Bound) == 0 && !lowest(j) && c.now.Wall >= c.holdsFrom(j) && withinLimit(u.team, u.used.Plus(whole, 1)) {
+			if j.Kind == job.Gang && len(j.Bound) == 0 && !lowest(j) && c.now.Wall >= c.gangReservationTime(j) && withinLimit(u.team, u.used.Plus(whole, 1)) {
 				old = append(old, j)
 			}
 		}
 	}
 	slices.SortFunc(old, func(a, b *job.Job) int {
-		return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(c.holdsFrom(a), c.holdsFrom(b)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(c.gangReservationTime(a), c.gangReservationTime(b)), cmp.Compare(a.ID, b.ID))
 	})
 	for _, j := range old {
 		placement.Hold(&j.Spec, j.Waiting(), hosts)
 	}
 }
 
-// holdsFrom is the time of day, in milliseconds, from which a gang gathers hosts. While
+// gangReservationTime is the time of day, in milliseconds, from which a gang gathers hosts. While
 // one of eight gathers them several small ones wait that could have run, so it waits for
 // longer than they do: as the square of its size, up to holdMost time-outs. Where there was
 // more work than room for minutes four were too many: less than half of the largest gangs
 // began within four minutes. By age alone all waited longer.
-func (c *Core) holdsFrom(j *job.Job) int64 {
+func (c *Core) gangReservationTime(j *job.Job) int64 {
 	n := float64(j.Tasks)
 	return j.Since() + int64(c.policy.TimeoutS*1000*min((n*n-1)/holdSquare, holdMost))
 }
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -17,8 +17,8 @@
 // recordInterval is how often records are exchanged, as the design says.
 const recordInterval = 2 * time.Second
 
-// schedState is what placing keeps between steps.
-type schedState struct {
+// schedulerState is what placing keeps between steps.
+type schedulerState struct {
 	dirty bool
 	next  time.Duration
 	// storeAfter holds back the storing of jobs after a refusal.
@@ -27,35 +27,35 @@
 	asked           map[string]bool
 	returnRequested map[string]time.Duration
 	// released is when this node last gave a machine back without a renter, returned
-	// holds those that the cloud has taken, giveBack those to ask for next.
+	// holds those that the cloud has taken, returnMachineOf those to ask for next.
 	released map[string]time.Duration
 	returned map[string]bool
 	giveBack []string
-	// unplaced is the demand that found no room in the last round.
-	unplaced []fleet.Demand
+	// pendingDemand is the demand that found no room in the last round.
+	pendingDemand []fleet.Demand
 	// starved holds this node's jobs among them.
 	starved []*job.Job
 	// hosts is the room for the list of hosts, used again by each round.
 	hosts []placement.Host
 	// all lists the hosts of this round.
 	all []*placement.Host
-	// stuck holds what found no room in this round, cheap the hosts for work in
+	// unschedulable holds what found no room in this round, cheap the hosts for work in
 	// idle time, short or not.
-	stuck stuck
-	// kept holds the needs for which a host is kept in this round, wanting what is
+	unschedulable unschedulableSet
+	// reservedNeeds holds the needs for which a host is kept in this round, wanting what is
 	// older than the time-out and found no room.
-	kept    []job.Resources
-	wanting []fleet.Demand
-	// keptFor tells what hosts were kept for in the newest round, keptNeeds for
+	reservedNeeds []job.Resources
+	overdueDemand []fleet.Demand
+	// reservedFor tells what hosts were kept for in the newest round, previouslyReserved for
 	// which needs any was in the one before.
-	keptFor   map[string]job.Resources
-	keptNeeds map[job.Resources]bool
-	cheap     map[bool][]*placement.Host
-	reserved  reservations
+	reservedFor        map[string]job.Resources
+	previouslyReserved map[job.Resources]bool
+	cheap              map[bool][]*placement.Host
+	reserved           reservations
 }
 
-func newSchedState() schedState {
-	return schedState{deliver: map[string]bool{}, asked: map[string]bool{}, returnRequested: map[string]time.Duration{},
+func newSchedState() schedulerState {
+	return schedulerState{deliver: map[string]bool{}, asked: map[string]bool{}, returnRequested: map[string]time.Duration{},
 		released: map[string]time.Duration{}, returned: map[string]bool{}}
 }
 
@@ -71,7 +71,7 @@
 	shares := fairness.Shares(total, c.weights())
 	window := c.now.Wall / int64(c.policy.WindowS*1000)
 	for i, t := range c.teams {
-		if t.acting {
+		if t.leading {
 			use := c.used(t)
 			ask := use.Plus(c.waitingNeed(t), 1)
 			t.record.Advance(window, min(dt, recordInterval).Seconds(), vector(use), vector(ask), shares[i])
@@ -93,7 +93,7 @@
 
 func (c *Core) totalCapacity() fairness.Vector {
 	var sum job.Resources
-	for _, id := range c.ids {
+	for _, id := range c.machineNames {
 		sum = sum.Plus(capacity(c.types[c.machines[id].Type]), 1)
 	}
 	return vector(sum)
@@ -110,13 +110,13 @@
 func (c *Core) waitingNeed(t *team) job.Resources {
 	var sum job.Resources
 	for _, j := range t.jobs {
-		sum = sum.Plus(j.Need, float64(c.allowance(j)))
+		sum = sum.Plus(j.Need, float64(c.startAllowance(j)))
 	}
 	return sum
 }
 
-// kind is what all machines of one type, spot or ordinary, have in common.
-type kind struct {
+// machineKind is what all machines of one type, spot or ordinary, have in common.
+type machineKind struct {
 	size               job.Resources
 	dear, scale, accel float64
 }
@@ -126,17 +126,17 @@
 	spot bool
 }
 
-func (c *Core) kinds() map[kindKey]kind {
+func (c *Core) kinds() map[kindKey]machineKind {
 	largest, accel, cheapest := 1.0, 1.0, math.Inf(1)
 	for name, t := range c.types {
 		largest, accel = max(largest, t.CPUs), max(accel, t.GPUs)
 		cheapest = min(cheapest, c.pricePerCPU(name, true), c.pricePerCPU(name, false))
 	}
 	cheapest = max(cheapest, 1e-9)
-	out := make(map[kindKey]kind, 2*len(c.types))
+	out := make(map[kindKey]machineKind, 2*len(c.types))
 	for name, t := range c.types {
 		for _, spot := range []bool{true, false} {
-			out[kindKey{name, spot}] = kind{capacity(t), min(1, c.pricePerCPU(name, spot)/cheapest-1), t.CPUs / largest, t.GPUs / accel}
+			out[kindKey{name, spot}] = machineKind{capacity(t), min(1, c.pricePerCPU(name, spot)/cheapest-1), t.CPUs / largest, t.GPUs / accel}
 		}
 	}
 	return out
@@ -146,22 +146,22 @@
 // from the same replica, so their plans differ little.
 func (c *Core) hosts() []*placement.Host {
 	kinds := c.kinds()
-	c.sched.hosts = slices.Grow(c.sched.hosts[:0], len(c.ids))
-	out := make([]*placement.Host, 0, len(c.ids))
-	for _, id := range c.ids {
+	c.scheduler.hosts = slices.Grow(c.scheduler.hosts[:0], len(c.machineNames))
+	out := make([]*placement.Host, 0, len(c.machineNames))
+	for _, id := range c.machineNames {
 		m := c.machines[id]
 		k, known := kinds[kindKey{m.Type, m.Spot}]
-		if !known || !c.usable(m) {
+		if !known || !c.isSchedulable(m) {
 			continue
 		}
 		h := placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Size: k.size,
-			Room: k.size.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.bound(id), Lasts: -1,
-			KeptFor: c.sched.keptFor[id], Penalty: float64(c.faults(m)), Report: c.reportBytes(m), Scale: k.scale, Dear: k.dear, GPUShare: k.accel}
+			Room: k.size.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.hasBindings(id), Lasts: -1,
+			KeptFor: c.scheduler.reservedFor[id], Penalty: float64(c.suspicion(m)), Report: c.reportBytes(m), Scale: k.scale, Dear: k.dear, GPUShare: k.accel}
 		if m.NoticeAt > 0 {
 			h.Lasts = (m.NoticeAt - c.now.Steady).Seconds()
 		}
-		c.sched.hosts = append(c.sched.hosts, h)
-		out = append(out, &c.sched.hosts[len(c.sched.hosts)-1])
+		c.scheduler.hosts = append(c.scheduler.hosts, h)
+		out = append(out, &c.scheduler.hosts[len(c.scheduler.hosts)-1])
 	}
 	return out
 }
@@ -175,29 +175,29 @@
 	return t.Price / max(t.CPUs, 1)
 }
 
-// usable tells whether new tasks may go to a machine: it is heard and hears, does not
+// isSchedulable tells whether new tasks may go to a machine: it is heard and hears, does not
 // close, and its controller can be told.
-func (c *Core) usable(m *worker.Machine) bool {
-	if _, closing := c.marks[m.Machine]; closing || m.Term == 0 {
+func (c *Core) isSchedulable(m *worker.Machine) bool {
+	if _, closing := c.cordons[m.Machine]; closing || m.Term == 0 {
 		return false
 	}
-	if _, closing := c.rental.closing[m.Machine]; closing {
+	if _, closing := c.autoscaler.cordoned[m.Machine]; closing {
 		return false
 	}
-	return !m.Deaf() && c.reaches(m.Node) && !c.reportOverdue(m) && c.faults(m) < guiltyAt &&
+	return !m.Deaf() && c.hasContact(m.Node) && !c.reportOverdue(m) && c.suspicion(m) < cordonThreshold &&
 		(m.FullAt == 0 || c.now.Steady-m.FullAt > c.reportInterval()/2)
 }
 
-// turn is one team's part in a round of placing.
-type turn struct {
+// candidate is one team's part in a round of placing.
+type candidate struct {
 	team  *team
 	jobs  []*job.Job
 	used  job.Resources
-	plans map[string]*plan
+	plans map[string]*jobPlacement
 }
 
-// plan is one job's part in a round.
-type plan struct {
+// jobPlacement is one job's part in a round.
+type jobPlacement struct {
 	zones  placement.Zones
 	picker *placement.Picker
 	// unstored holds the machines of bindings that are not stored yet.
@@ -206,12 +206,12 @@
 	elsewhere int
 }
 
-// plan starts a job's part in the round, or goes on with it.
-func (c *Core) plan(u *turn, j *job.Job, hosts []*placement.Host) *plan {
+// placementOf starts a job's part in the round, or goes on with it.
+func (c *Core) placementOf(u *candidate, j *job.Job, hosts []*placement.Host) *jobPlacement {
 	if p := u.plans[j.ID]; p != nil {
 		return p
 	}
-	p := &plan{zones: c.zonesOf(j), unstored: map[string]bool{}, picker: placement.NewPicker(j.Effective(), unfailed(j, c.meantFor(u, j, hosts)))}
+	p := &jobPlacement{zones: c.zonesOf(j), unstored: map[string]bool{}, picker: placement.NewPicker(j.Effective(), unfailed(j, c.meantFor(u, j, hosts)))}
 	u.plans[j.ID] = p
 	for _, b := range j.Bound {
 		if !b.Stored {
@@ -261,49 +261,49 @@
 func (c *Core) schedule() {
 	defer c.deliverAll()
 	interval := c.reportInterval() / 30
-	if !c.loaded || c.types == nil || c.now.Steady < c.sched.next {
+	if !c.loaded || c.types == nil || c.now.Steady < c.scheduler.next {
 		return
 	}
-	if !c.sched.dirty && c.now.Steady < c.sched.next+10*interval {
+	if !c.scheduler.dirty && c.now.Steady < c.scheduler.next+10*interval {
 		return
 	}
-	c.sched.next, c.sched.dirty = c.now.Steady+interval, false
-	c.sched.unplaced, c.sched.starved, c.sched.stuck, c.sched.cheap = nil, nil, nil, nil
-	c.sched.kept, c.sched.wanting = c.sched.kept[:0], nil
-	turns, ranked := c.turns()
+	c.scheduler.next, c.scheduler.dirty = c.now.Steady+interval, false
+	c.scheduler.pendingDemand, c.scheduler.starved, c.scheduler.unschedulable, c.scheduler.cheap = nil, nil, nil, nil
+	c.scheduler.reservedNeeds, c.scheduler.overdueDemand = c.scheduler.reservedNeeds[:0], nil
+	turns, ranked := c.candidates()
 	if !c.weighReservations() && len(turns) == 0 {
 		return
 	}
 	if c.urgentWaits(turns) {
-		c.sched.keptFor = nil
+		c.scheduler.reservedFor = nil
 	}
 	hosts := c.hosts()
-	c.sched.all, c.sched.keptNeeds = hosts, map[job.Resources]bool{}
-	for _, need := range c.sched.keptFor {
-		c.sched.keptNeeds[need] = true
+	c.scheduler.all, c.scheduler.previouslyReserved = hosts, map[job.Resources]bool{}
+	for _, need := range c.scheduler.reservedFor {
+		c.scheduler.previouslyReserved[need] = true
 	}
-	c.sched.keptFor = map[string]job.Resources{}
+	c.scheduler.reservedFor = map[string]job.Resources{}
 	placement.Drain(hosts, c.policy.Spare)
 	c.reserve(hosts)
-	c.holdForGangs(turns, hosts)
+	c.reserveForGangs(turns, hosts)
 	c.place(turns, ranked, placement.Open(hosts))
-	c.keepHosts()
-	c.vacate(hosts)
-	if len(c.sched.starved) > 0 {
+	c.reserveHosts()
+	c.evacuate(hosts)
+	if len(c.scheduler.starved) > 0 {
 		c.preempt(hosts)
 	}
 }
 
-// turns lists the teams that wait, with their jobs in order.
-func (c *Core) turns() ([]*turn, []fairness.Team) {
-	var turns []*turn
+// candidates lists the teams that wait, with their jobs in order.
+func (c *Core) candidates() ([]*candidate, []fairness.Team) {
+	var turns []*candidate
 	var ranked []fairness.Team
 	weights := c.weights()
 	for i, t := range c.teams {
-		u := &turn{team: t, used: c.used(t), plans: map[string]*plan{}}
+		u := &candidate{team: t, used: c.used(t), plans: map[string]*jobPlacement{}}
 		overdue := false
 		for _, j := range t.jobs {
-			if c.allowance(j) > 0 && c.now.Steady >= j.NotBefore && j.Version > 0 {
+			if c.startAllowance(j) > 0 && c.now.Steady >= j.NotBefore && j.Version > 0 {
 				u.jobs = append(u.jobs, j)
 				overdue = overdue || !j.Suspected && c.now.Steady-j.WaitingSince > seconds(c.policy.TimeoutS)
 			}
@@ -312,7 +312,7 @@
 			continue
 		}
 		slices.SortFunc(u.jobs, func(a, b *job.Job) int {
-			return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(c.turnAt(a), c.turnAt(b)), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(c.schedulingKey(a), c.schedulingKey(b)), cmp.Compare(a.ID, b.ID))
 		})
 		turns = append(turns, u)
 		ranked = append(ranked, fairness.Team{Record: t.ranked, Weight: max(weights[i], 1), Overdue: overdue})
@@ -320,23 +320,23 @@
 	return turns, ranked
 }
 
-// turnAt orders jobs of a priority: by when they would have to start, and gangs
+// schedulingKey orders jobs of a priority: by when they would have to start, and gangs
 // without a deadline by when they begin to gather hosts. What has waited for holdAfter
 // time-outs and has nothing yet comes first, until it has something: behind wide arrays
 // small ones began after up to six minutes.
-func (c *Core) turnAt(j *job.Job) int64 {
+func (c *Core) schedulingKey(j *job.Job) int64 {
 	switch {
 	case len(j.Bound)+j.Done.Len() == 0 && float64(c.now.Wall-j.Since()) > holdAfter*c.policy.TimeoutS*1000:
 		return 0
 	case j.Kind == job.Gang && !j.HasDeadline():
-		return c.holdsFrom(j)
+		return c.gangReservationTime(j)
 	}
 	return j.LatestStart()
 }
 
-// rightOf is the right of a job that found no room to dear machines: the
+// entitlement is the right of a job that found no room to dear machines: the
 // strongest once half of its slack has gone by.
-func (c *Core) rightOf(u *turn, j *job.Job) fleet.Right {
+func (c *Core) entitlement(u *candidate, j *job.Job) fleet.Right {
 	switch {
 	case lowest(j) && c.now.Steady-j.WaitingSince < idlePatience*seconds(c.cfg.Params.Workers.LeaseS):
 		return fleet.Idle
@@ -350,7 +350,7 @@
 
 // place runs a round: the ranking picks a team, the team's first job that fits
 // gets a place, and so on until no team has anything that fits.
-func (c *Core) place(turns []*turn, ranked []fairness.Team, hosts []*placement.Host) {
+func (c *Core) place(turns []*candidate, ranked []fairness.Team, hosts []*placement.Host) {
 	total := c.totalCapacity()
 	skip := make([]bool, len(turns))
 	for {
@@ -370,7 +370,7 @@
 
 // urgentFirst lets only the teams take part whose next job has the highest
 // priority that waits anywhere: a job of a lower one would be stopped for it.
-func urgentFirst(turns []*turn, skip []bool) []bool {
+func urgentFirst(turns []*candidate, skip []bool) []bool {
 	top := len(protocol.Priorities)
 	for i, u := range turns {
 		if !skip[i] {
@@ -386,18 +386,18 @@
 
 // placeNext places one allocation of a team: a task, or a whole gang. Jobs that
 // find no room leave their turn to the team's next of the same priority.
-func (c *Core) placeNext(u *turn, hosts []*placement.Host) (job.Resources, bool) {
+func (c *Core) placeNext(u *candidate, hosts []*placement.Host) (job.Resources, bool) {
 	for tier := u.jobs[0].Rank(); len(u.jobs) > 0 && u.jobs[0].Rank() == tier; {
 		j := u.jobs[0]
-		if c.sched.stuck.holds(j, c.cheapOnly(u, j), c.sched.keptNeeds) {
+		if c.scheduler.unschedulable.holds(j, c.cheapOnly(u, j), c.scheduler.previouslyReserved) {
 			if withinLimit(u.team, u.used.Plus(j.Need, 1)) {
-				c.wants(j, c.allowance(j))
+				c.noteUnschedulable(j, c.startAllowance(j))
 			}
-			c.unplaced(u, j, c.allowance(j))
+			c.noteUnplaced(u, j, c.startAllowance(j))
 			u.jobs = u.jobs[1:]
 			continue
 		}
-		p := c.plan(u, j, hosts)
+		p := c.placementOf(u, j, hosts)
 		n := 1
 		if j.Kind == job.Gang {
 			n = j.Waiting()
@@ -413,9 +413,9 @@
 				return need, true
 			}
 			if !j.Suspected || !anyHolds(&j.Spec, hosts) {
-				c.unplaced(u, j, c.left(j, p))
-				c.wants(j, c.left(j, p))
-				c.sched.stuck.add(j, c.cheapOnly(u, j))
+				c.noteUnplaced(u, j, c.left(j, p))
+				c.noteUnschedulable(j, c.left(j, p))
+				c.scheduler.unschedulable.add(j, c.cheapOnly(u, j))
 			}
 		}
 		u.jobs = u.jobs[1:]
@@ -426,49 +426,49 @@
 // urgentWaits tells whether work above normal has found no room for a report interval.
 // Then it may have that of kept hosts. Otherwise it takes the gaps beside them, before
 // all others: taken everywhere, they left no room for large tasks anywhere.
-func (c *Core) urgentWaits(turns []*turn) bool {
-	return slices.ContainsFunc(turns, func(u *turn) bool {
+func (c *Core) urgentWaits(turns []*candidate) bool {
+	return slices.ContainsFunc(turns, func(u *candidate) bool {
 		return slices.ContainsFunc(u.jobs, func(j *job.Job) bool {
 			return j.AboveNormal() && !j.Suspected && c.now.Steady-j.WaitingSince > c.reportInterval()
 		})
 	})
 }
 
-// wants notes that a job found no room. The first with tasks of a size has a host kept
+// noteUnschedulable notes that a job found no room. The first with tasks of a size has a host kept
 // free of others at once, and one that is older than the time-out as many as it has
 // tasks for at the end of the round, unless it is work for idle time. The age goes by
 // the stored time of day, so that all controllers agree. One that asked for more than
 // another which was stuck used to get none at all, and large tasks starved behind small
 // ones, which take each gap before it is wide enough.
-func (c *Core) wants(j *job.Job, left int) {
+func (c *Core) noteUnschedulable(j *job.Job, left int) {
 	if j.Kind == job.Gang {
-		return // holdForGangs gathers them
+		return // reserveForGangs gathers them
 	}
 	if !lowest(j) && time.Duration(c.now.Wall-j.Since())*time.Millisecond >= seconds(c.policy.TimeoutS) {
-		c.sched.wanting = append(c.sched.wanting, fleet.Demand{Spec: &j.Spec, Tasks: left, Zones: c.boundZones(j)})
+		c.scheduler.overdueDemand = append(c.scheduler.overdueDemand, fleet.Demand{Spec: &j.Spec, Tasks: left, Zones: c.boundZones(j)})
 	}
-	if as := func(kept job.Resources) bool { return j.Need.Fits(kept) }; !slices.ContainsFunc(c.sched.kept, as) {
-		c.keep(fleet.Demand{Spec: &j.Spec, Tasks: 1, Zones: c.boundZones(j)})
+	if as := func(kept job.Resources) bool { return j.Need.Fits(kept) }; !slices.ContainsFunc(c.scheduler.reservedNeeds, as) {
+		c.reserveHostsFor(fleet.Demand{Spec: &j.Spec, Tasks: 1, Zones: c.boundZones(j)})
 	}
 }
 
-// keepHosts keeps hosts for what is older than the time-out, the largest tasks first.
-func (c *Core) keepHosts() {
-	slices.SortStableFunc(c.sched.wanting, func(a, b fleet.Demand) int { return cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs) })
+// reserveHosts keeps hosts for what is older than the time-out, the largest tasks first.
+func (c *Core) reserveHosts() {
+	slices.SortStableFunc(c.scheduler.overdueDemand, func(a, b fleet.Demand) int { return cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs) })
 	short := map[job.Resources]bool{}
-	for _, d := range c.sched.wanting {
+	for _, d := range c.scheduler.overdueDemand {
 		if !short[d.Spec.Need] {
-			short[d.Spec.Need] = c.keep(d) < d.Tasks
+			short[d.Spec.Need] = c.reserveHostsFor(d) < d.Tasks
 		}
 	}
 }
 
-// keep keeps up to as many hosts as there are tasks without a place, and tells how many.
-func (c *Core) keep(d fleet.Demand) int {
-	hosts := placement.Reserve(d.Spec, d.Tasks, d.Zones, c.sched.all)
+// reserveHostsFor keeps up to as many hosts as there are tasks without a place, and tells how many.
+func (c *Core) reserveHostsFor(d fleet.Demand) int {
+	hosts := placement.Reserve(d.Spec, d.Tasks, d.Zones, c.scheduler.all)
 	for _, h := range hosts {
-		c.sched.kept = append(c.sched.kept, d.Spec.Need)
-		c.sched.keptFor[h.ID] = d.Spec.Need
+		c.scheduler.reservedNeeds = append(c.scheduler.reservedNeeds, d.Spec.Need)
+		c.scheduler.reservedFor[h.ID] = d.Spec.Need
 	}
 	return len(hosts)
 }
@@ -476,32 +476,32 @@
 // placeable checks the team's limit. Bindings that are not settled count. The
 // machines of bindings that are not stored yet stay within the conditions that
 // one transaction may have.
-func (c *Core) placeable(u *turn, j *job.Job, p *plan, need job.Resources) bool {
+func (c *Core) placeable(u *candidate, j *job.Job, p *jobPlacement, need job.Resources) bool {
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
 		return false // the old attempt has to be gone first
 	}
 	return withinLimit(u.team, u.used.Plus(need, 1)) && len(p.unstored) < c.maxConditions()-4
 }
 
-// unplaced notes demand of n tasks for the renting of machines, up to the team's limit.
-func (c *Core) unplaced(u *turn, j *job.Job, n int) {
-	c.sched.reserved.short = c.sched.reserved.short || j.Need.GPUs > 0
-	right := c.rightOf(u, j)
+// noteUnplaced notes demand of n tasks for the renting of machines, up to the team's limit.
+func (c *Core) noteUnplaced(u *candidate, j *job.Job, n int) {
+	c.scheduler.reserved.short = c.scheduler.reserved.short || j.Need.GPUs > 0
+	right := c.entitlement(u, j)
 	if right == fleet.Idle {
 		n = c.worth(j, n)
 	}
 	fit := c.fitsLimit(u.team, u.used, j, n)
 	u.used = u.used.Plus(j.Need, float64(fit))
 	if fit > 0 {
-		c.sched.unplaced = append(c.sched.unplaced, fleet.Demand{Spec: &j.Spec, Tasks: fit, Right: right, Zones: c.boundZones(j)})
+		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, fleet.Demand{Spec: &j.Spec, Tasks: fit, Right: right, Zones: c.boundZones(j)})
 	}
-	if u.team.acting && fit > 0 {
-		c.sched.starved = append(c.sched.starved, j)
+	if u.team.leading && fit > 0 {
+		c.scheduler.starved = append(c.scheduler.starved, j)
 	}
 }
 
 // left is the number of tasks that the round has not placed yet.
-func (c *Core) left(j *job.Job, p *plan) int { return c.allowance(j) - p.elsewhere }
+func (c *Core) left(j *job.Job, p *jobPlacement) int { return c.startAllowance(j) - p.elsewhere }
 
 // anyHolds tells whether any host could hold a task, were it empty.
 func anyHolds(s *job.Spec, hosts []*placement.Host) bool {
@@ -511,7 +511,7 @@
 }
 
 // choose finds hosts for n tasks of a job and takes their room.
-func choose(j *job.Job, p *plan, n, left int, hosts []*placement.Host) []*placement.Host {
+func choose(j *job.Job, p *jobPlacement, n, left int, hosts []*placement.Host) []*placement.Host {
 	if n > 1 || j.Kind == job.Gang {
 		return placement.Gang(&j.Spec, n, hosts, p.zones)
 	}
@@ -526,8 +526,8 @@
 
 // bindAll binds the next waiting tasks of a job to the chosen hosts, if this
 // node is the team's home.
-func (c *Core) bindAll(u *turn, j *job.Job, p *plan, chosen []*placement.Host) {
-	if !u.team.acting {
+func (c *Core) bindAll(u *candidate, j *job.Job, p *jobPlacement, chosen []*placement.Host) {
+	if !u.team.leading {
 		p.elsewhere += len(chosen)
 		return
 	}
@@ -547,19 +547,19 @@
 
 // deliverAll sends the starts and stops that this step has queued.
 func (c *Core) deliverAll() {
-	for id := range ordered(c.sched.deliver) {
-		if w := c.own[id]; w != nil {
-			c.deliver(id, w)
+	for id := range ordered(c.scheduler.deliver) {
+		if w := c.agents[id]; w != nil {
+			c.deliverTo(id, w)
 		}
-		delete(c.sched.deliver, id)
+		delete(c.scheduler.deliver, id)
 	}
 }
 
 // storeRecords keeps the records where a crash does not lose them.
 func (c *Core) storeRecords() {
 	for _, t := range c.teams {
-		if t.acting && c.storeOK {
-			c.txn(recordTxn(t), false, func(StoreReply) {})
+		if t.leading && c.storeOK {
+			c.compareAndSwap(recordTxn(t), false, func(StoreReply) {})
 		}
 	}
 }
--- a/internal/core/served.go
+++ b/internal/core/served.go
@@ -20,18 +20,18 @@
 	Counts
 }
 
-func (c *Core) served() ServedRows {
-	return ServedRows{Rows: c.tally.Rows(c.now.Steady), Unanswered: c.tally.Longest(), Owed: c.unacknowledged(),
-		Unsure: c.now.Steady - c.sureUntil(), Waiting: c.waiting(), Counts: c.counts}
+func (c *Core) jobStatistics() ServedRows {
+	return ServedRows{Rows: c.stats.Rows(c.now.Steady), Unanswered: c.stats.Longest(), Owed: c.unacknowledged(),
+		Unsure: c.now.Steady - c.freshUntil(), Waiting: c.waiting(), Counts: c.counts}
 }
 
 // tellEvery is the pause, in report intervals, between two accounts in the log.
 const tellEvery = 15
 
-// tellServed tells the operator what has become of jobs. One controller does, the
+// logJobStatistics tells the operator what has become of jobs. One controller does, the
 // renter, which mirrors them all.
-func (c *Core) tellServed() {
-	s := c.served()
+func (c *Core) logJobStatistics() {
+	s := c.jobStatistics()
 	c.log(Info, "tasks wait", "for others", s.Awaits, "for their team's limit", s.Limit, "for room", s.Room)
 	for _, r := range s.Rows {
 		c.log(Info, "served", r.Kind, r.Name, "accepted", r.Accepted, "started", r.Started, "done", r.Done, "cancelled", r.Cancelled,
--- a/internal/core/settle.go
+++ b/internal/core/settle.go
@@ -9,9 +9,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// startBound sends the starts of bindings that the store now holds. A gang's
+// sendStarts sends the starts of bindings that the store now holds. A gang's
 // start together, once all of them are stored.
-func (c *Core) startBound(j *job.Job) {
+func (c *Core) sendStarts(j *job.Job) {
 	if j.Cancelled {
 		return
 	}
@@ -32,21 +32,21 @@
 			// It would be refused, but the controller that had the machine may start
 			// it by its own watch meanwhile: only evidence settles it.
 			if m != nil {
-				c.settle(j, i, b, m)
+				c.reconcileBinding(j, i, b, m)
 			}
 			continue
 		}
 		c.log(Debug, "start sent", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
-		c.tell(m.Node, PeerMsg{Start: &Start{Machine: b.Machine, Task: j.TaskID(i), Attempt: b.Attempt,
-			Term: b.Term, Session: b.Session, Need: j.Need, Revision: j.Version}})
+		c.sendTo(m.Node, PeerMessage{Start: &Start{Machine: b.Machine, Task: j.TaskID(i), Attempt: b.Attempt,
+			Token: b.Term, Epoch: b.Session, Need: j.Need, Revision: j.Version}})
 	}
 }
 
-// refused ends a binding whose start was never forwarded and never will be.
-func (c *Core) refused(r Refusal) {
+// handleRefusal ends a binding whose start was never forwarded and never will be.
+func (c *Core) handleRefusal(r Refusal) {
 	id, i, ok := job.SplitTask(r.Task)
 	j := c.jobs[id]
-	if !ok || j == nil || !c.mine(j) {
+	if !ok || j == nil || !c.leads(j) {
 		return
 	}
 	if b := j.Bound[i]; b != nil && b.Stored && b.Attempt == r.Attempt && b.Machine == r.Machine {
@@ -58,9 +58,9 @@
 	}
 }
 
-// settleMachine weighs the newest report of a machine against the bindings on
+// reconcileMachine weighs the newest report of a machine against the bindings on
 // it, and has tasks that nobody wants stopped and forgotten.
-func (c *Core) settleMachine(m *worker.Machine) {
+func (c *Core) reconcileMachine(m *worker.Machine) {
 	for _, t := range m.Tasks {
 		id, i, ok := job.SplitTask(t.Task)
 		if !ok {
@@ -68,23 +68,23 @@
 		}
 		j := c.jobs[id]
 		if j == nil {
-			c.stray(m, t, id)
+			c.handleOrphanTask(m, t, id)
 			continue
 		}
 		c.noteImage(m, j, t)
 		if t.State == protocol.Running && !j.Begun {
 			j.Begun = true
-			c.tally.Start(j.ID)
+			c.stats.Start(j.ID)
 		}
 		if j.Cancelled && t.State != protocol.Exited && m.Node == c.cfg.Node {
-			c.dismiss(m, t)
+			c.stopOrForgetTask(m, t)
 			continue
 		}
-		if !c.mine(j) {
+		if !c.leads(j) {
 			continue
 		}
 		if b := j.Bound[i]; b == nil || b.Attempt != t.Attempt || b.Machine != m.Machine {
-			c.leftover(j, m, t)
+			c.handleStaleAttempt(j, m, t)
 		}
 	}
 	changed := func(ref job.Ref, b *job.Binding) bool {
@@ -94,17 +94,17 @@
 		}
 		return verdict != worker.Present
 	}
-	c.eachMine(m.Machine, changed, func(j *job.Job, i int, b *job.Binding) { c.settle(j, i, b, m) })
+	c.eachLedBinding(m.Machine, changed, func(j *job.Job, i int, b *job.Binding) { c.reconcileBinding(j, i, b, m) })
 }
 
-// eachMine visits the stored bindings on a machine that concern f and whose jobs
+// eachLedBinding visits the stored bindings on a machine that concern f and whose jobs
 // this node holds, in order. f may end them.
-func (c *Core) eachMine(machine string, concerns func(job.Ref, *job.Binding) bool, f func(*job.Job, int, *job.Binding)) {
-	c.eachOn(machine, func(ref job.Ref, b *job.Binding) bool { return c.mine(ref.Job) && concerns(ref, b) }, f)
+func (c *Core) eachLedBinding(machine string, concerns func(job.Ref, *job.Binding) bool, f func(*job.Job, int, *job.Binding)) {
+	c.eachBindingOn(machine, func(ref job.Ref, b *job.Binding) bool { return c.leads(ref.Job) && concerns(ref, b) }, f)
 }
 
-// eachOn visits the stored bindings on a machine that concern f, in order.
-func (c *Core) eachOn(machine string, concerns func(job.Ref, *job.Binding) bool, f func(*job.Job, int, *job.Binding)) {
+// eachBindingOn visits the stored bindings on a machine that concern f, in order.
+func (c *Core) eachBindingOn(machine string, concerns func(job.Ref, *job.Binding) bool, f func(*job.Job, int, *job.Binding)) {
 	load := c.ledger.On(machine)
 	if load == nil {
 		return
@@ -121,8 +121,8 @@
 	}
 }
 
-// settle applies what the newest report proves about one binding.
-func (c *Core) settle(j *job.Job, i int, b *job.Binding, m *worker.Machine) {
+// reconcileBinding applies what the newest report proves about one binding.
+func (c *Core) reconcileBinding(j *job.Job, i int, b *job.Binding, m *worker.Machine) {
 	verdict, t := m.Judge(j.TaskID(i), b)
 	switch verdict {
 	case worker.Present:
@@ -131,22 +131,22 @@
 		c.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "was", b.State)
 		c.unbind(j, i)
 	case worker.Ended:
-		c.ended(j, i, b, m, t)
+		c.taskEnded(j, i, b, m, t)
 	}
 }
 
-// ended records a task's end. Its room is free at once; the store learns of it
+// taskEnded records a task's end. Its room is free at once; the store learns of it
 // before the worker is told to forget the task.
-func (c *Core) ended(j *job.Job, i int, b *job.Binding, m *worker.Machine, t protocol.TaskReport) {
+func (c *Core) taskEnded(j *job.Job, i int, b *job.Binding, m *worker.Machine, t protocol.TaskReport) {
 	j.Ended = append(j.Ended, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
 	switch t.Why {
 	case protocol.WhyDone:
 		c.log(Debug, "task done", "task", t.Task, "machine", m.Machine)
 		j.Finish(i)
-		c.sched.dirty = true
+		c.scheduler.dirty = true
 		return
 	case protocol.WhyError:
-		c.probe(j)
+		c.mayStartCanary(j)
 		c.log(Debug, "task failed", "task", t.Task, "machine", m.Machine)
 	case protocol.WhyUnknown:
 		j.NotBefore = c.now.Steady + c.reportInterval()
@@ -156,22 +156,22 @@
 	c.unbind(j, i)
 }
 
-// leftover deals with a reported task that no binding stands for. It can be
+// handleStaleAttempt deals with a reported task that no binding stands for. It can be
 // forgotten once the store holds what became of it. An attempt later than this
 // home has stored is another home's: this one has been deposed and was not told
 // yet, since the state service is out of its reach. It used to stop whatever the
 // new home started.
-func (c *Core) leftover(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
+func (c *Core) handleStaleAttempt(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
 	if t.Attempt > j.StoredAttempt {
 		return
 	}
 	if t.State != protocol.Exited || !j.Dirty() && !j.InFlight {
-		c.dismiss(m, t)
+		c.stopOrForgetTask(m, t)
 	}
 }
 
-// reap has exited tasks forgotten whose end a store write has recorded.
-func (c *Core) reap(j *job.Job, exits []job.Exit) {
+// forgetEndedTasks has exited tasks forgotten whose end a store write has recorded.
+func (c *Core) forgetEndedTasks(j *job.Job, exits []job.Exit) {
 	for _, e := range exits {
 		m := c.machines[e.Machine]
 		if m == nil {
@@ -179,97 +179,97 @@
 		}
 		t, there := m.Find(j.TaskID(e.Index), e.Attempt)
 		if b := j.Bound[e.Index]; there && t.State == protocol.Exited && (b == nil || b.Attempt != e.Attempt) {
-			c.dismiss(m, t)
+			c.stopOrForgetTask(m, t)
 		}
 	}
 }
 
-// dismiss has a task forgotten by its worker if it has exited, or else stopped.
-func (c *Core) dismiss(m *worker.Machine, t protocol.TaskReport) {
+// stopOrForgetTask has a task forgotten by its worker if it has exited, or else stopped.
+func (c *Core) stopOrForgetTask(m *worker.Machine, t protocol.TaskReport) {
 	cmd := protocol.Command{Op: protocol.OpForget, Task: t.Task, Attempt: t.Attempt}
 	if t.State != protocol.Exited {
 		cmd = protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64)}
 	}
-	c.tell(m.Node, PeerMsg{Order: &Order{Machine: m.Machine, Command: cmd}})
+	c.sendTo(m.Node, PeerMessage{Command: &TaskCommand{Machine: m.Machine, Command: cmd}})
 }
 
-// stray deals with a task of a job that is not known as active: only the
+// handleOrphanTask deals with a task of a job that is not known as active: only the
 // machine's controller acts, and only once the store says the job is final.
-func (c *Core) stray(m *worker.Machine, t protocol.TaskReport, id string) {
+func (c *Core) handleOrphanTask(m *worker.Machine, t protocol.TaskReport, id string) {
 	if m.Node != c.cfg.Node {
 		return
 	}
-	if _, final := c.finals[id]; !final {
-		if c.sched.asked[id] {
+	if _, final := c.finalStates[id]; !final {
+		if c.scheduler.asked[id] {
 			return
 		}
-		c.sched.asked[id] = true
-		c.inquire(id, func(finding, protocol.JobState) { delete(c.sched.asked, id) })
+		c.scheduler.asked[id] = true
+		c.lookUp(id, func(lookupResult, protocol.JobState) { delete(c.scheduler.asked, id) })
 		return
 	}
-	c.dismiss(m, t)
+	c.stopOrForgetTask(m, t)
 }
 
-// marked notes that a machine takes no bindings; if it is gone for good, that
+// onCordonPut notes that a machine takes no bindings; if it is gone for good, that
 // ends every binding on it.
-func (c *Core) marked(machine string, k mark) {
-	if old, ok := c.marks[machine]; ok && old.version >= k.version {
+func (c *Core) onCordonPut(machine string, k cordonRecord) {
+	if old, ok := c.cordons[machine]; ok && old.version >= k.version {
 		return
 	}
 	k.since = c.now.Steady
-	c.marks[machine] = k
-	c.sched.dirty = true
-	c.hasten(machine)
-	if !k.Gone {
+	c.cordons[machine] = k
+	c.scheduler.dirty = true
+	c.expediteExits(machine)
+	if !k.Terminated {
 		return
 	}
 	c.removeMachine(machine)
 	all := func(job.Ref, *job.Binding) bool { return true }
-	c.eachMine(machine, all, func(j *job.Job, i int, _ *job.Binding) {
+	c.eachLedBinding(machine, all, func(j *job.Job, i int, _ *job.Binding) {
 		c.log(Debug, "task is gone with its machine", "task", j.TaskID(i), "machine", machine)
 		c.unbind(j, i)
 	})
 }
 
-// hasten has the ends of tasks on a closing machine stored without delay: it
+// expediteExits has the ends of tasks on a closing machine stored without delay: it
 // can be returned only after that.
-func (c *Core) hasten(machine string) {
+func (c *Core) expediteExits(machine string) {
 	onMachine := func(e job.Exit) bool { return e.Machine == machine }
 	for _, j := range c.jobs {
-		if c.mine(j) && slices.ContainsFunc(j.Ended, onMachine) {
+		if c.leads(j) && slices.ContainsFunc(j.Ended, onMachine) {
 			j.Urgent = true
 		}
 	}
 }
 
-// settleAll looks at every binding of this node's teams once in a while: what
+// reconcileAll looks at every binding of this node's teams once in a while: what
 // stays unproven is fenced, what must go is stopped, and what does not go is
 // given back with its machine.
-func (c *Core) settleAll() {
-	c.readAgain()
+func (c *Core) reconcileAll() {
+	c.reapplyRelay()
 	for _, t := range c.teams {
-		if !t.acting {
+		if !t.leading {
 			c.stopForOthers(t)
 			continue
 		}
 		for _, j := range ordered(t.jobs) {
 			for i, b := range ordered(j.Bound) {
 				if b.Stored {
-					c.tendBinding(j, i, b)
+					c.checkBinding(j, i, b)
 				}
 			}
 			if j.Cancelled {
 				c.stopCancelled(j)
 			} else {
-				c.drain(j)
+				c.evictEndangered(j)
 			}
 		}
 	}
-	c.releaseAll()
+	c.flushReleases()
 }
 
-func (c *Core) tendBinding(j *job.Job, i int, b *job.Binding) {
-	if c.marks[b.Machine].Gone {
+func (c *Core) checkBinding(j *job.Job, i int, b *job.Binding) {
+	if c.cordons[b.Machine].Terminated {
 		c.unbind(j, i)
 		return
 	}
@@ -277,13 +277,13 @@
 		b.Sent, b.Since = true, c.now.Steady // by the watch of its machine's controller, perhaps
 	}
 	m := c.machines[b.Machine]
-	if c.unheardOf(m, b) {
-		c.requestReturn(b.Machine, unheard)
+	if c.isSilent(m, b) {
+		c.requestReturn(b.Machine, reasonSilent)
 	}
 	if m == nil {
 		return
 	}
-	c.settle(j, i, b, m)
+	c.reconcileBinding(j, i, b, m)
 	if j.Bound[i] != b {
 		return
 	}
@@ -295,32 +295,32 @@
 	// makes the next report tell for sure.
 	if unproven && b.Sent && c.now.Steady-b.Since > c.reportInterval() && c.now.Steady-b.FencedAt > c.reportInterval() {
 		b.FencedAt = c.now.Steady
-		c.tell(m.Node, PeerMsg{Fence: &Fence{Machine: b.Machine, Above: b.Term}})
+		c.sendTo(m.Node, PeerMessage{Fence: &Fence{Machine: b.Machine, Above: b.Term}})
 	}
 }
 
-// unheardOf tells whether nothing has been heard of a binding's machine for so
+// isSilent tells whether nothing has been heard of a binding's machine for so
 // long that the renter has to be asked: a renter that came after its last report
 // does not know it. One that was given back by a renter which ended before it
 // could say so kept its tasks bound for ever.
-func (c *Core) unheardOf(m *worker.Machine, b *job.Binding) bool {
+func (c *Core) isSilent(m *worker.Machine, b *job.Binding) bool {
 	if m == nil {
-		return c.now.Steady-b.Since > c.silence()
+		return c.now.Steady-b.Since > c.silenceLimit()
 	}
-	return c.now.Steady-max(m.Seen, b.Since) > 2*c.silence() && c.everyoneReached()
+	return c.now.Steady-max(m.Seen, b.Since) > 2*c.silenceLimit() && c.everyoneReached()
 }
 
-// silence is how long a machine may say nothing before it is given up: a
+// silenceLimit is how long a machine may say nothing before it is given up: a
 // report may be late or lost, and a worker needs a time-out and a pause for
 // each node that it tries in vain.
-func (c *Core) silence() time.Duration {
+func (c *Core) silenceLimit() time.Duration {
 	missing := max(0, len(c.roster)-len(c.nodes))
 	return 2*c.reportInterval() + time.Duration(1+missing)*(protocol.ReportTimeout+protocol.ReportPause)
 }
 
-// stop asks for a task to end, with grace to save, and repeats it until a
+// stopTask asks for a task to end, with grace to save, and repeats it until a
 // report shows the end.
-func (c *Core) stop(j *job.Job, i int, b *job.Binding, grace float64) {
+func (c *Core) stopTask(j *job.Job, i int, b *job.Binding, grace float64) {
 	if b.Stopping && c.now.Steady-b.StopSent < c.reportInterval() {
 		return
 	}
@@ -332,14 +332,14 @@
 func (c *Core) sendStop(j *job.Job, i int, b *job.Binding, grace float64) {
 	if m := c.machines[b.Machine]; m != nil {
 		cmd := protocol.Command{Op: protocol.OpStop, Task: j.TaskID(i), Attempt: b.Attempt, GraceS: &grace}
-		c.tell(m.Node, PeerMsg{Order: &Order{Machine: b.Machine, Command: cmd}})
+		c.sendTo(m.Node, PeerMessage{Command: &TaskCommand{Machine: b.Machine, Command: cmd}})
 	}
 }
 
-// drain stops tasks that can save before their machine is taken away, and the
+// evictEndangered stops tasks that can save before their machine is taken away, and the
 // rest of a gang that has lost a task: it starts again whole. A gang is stopped
 // as one, so that its progress is saved.
-func (c *Core) drain(j *job.Job) {
+func (c *Core) evictEndangered(j *job.Job) {
 	whole := j.Kind == job.Gang && j.Waiting() > 0 && j.Done.Len() == 0
 	if j.Kind == job.Gang {
 		for _, b := range j.Bound {
@@ -348,7 +348,7 @@
 	}
 	for i, b := range ordered(j.Bound) {
 		if b.Sent && (whole || c.leaving(j, b) || c.hopeless(j, i, b)) {
-			c.stop(j, i, b, j.SaveS)
+			c.stopTask(j, i, b, j.SaveS)
 		}
 	}
 }
--- a/internal/core/sites.go
+++ b/internal/core/sites.go
@@ -14,11 +14,11 @@
 
 // Keys of the hand-offs between sites. Only the gateway's home writes them.
 const (
-	keyAway    = keyGate + "a/" // j/ga/<job>: another site has the right to it
-	keyTaken   = keyGate + "t/" // j/gt/<origin>/<epoch>: what was decided here
-	keyFloor   = keyGate + "f/" // j/gf/<origin>: the epoch up to which all is closed
-	keyLast    = keyGate + "e/" // j/ge/<site>: the highest epoch given to it
-	keyDrained = keyGate + "d/" // j/gd/<site>: no new hand-offs with it
+	keyAway    = keyFederation + "a/" // j/ga/<job>: another site has the right to it
+	keyTaken   = keyFederation + "t/" // j/gt/<origin>/<epoch>: what was decided here
+	keyFloor   = keyFederation + "f/" // j/gf/<origin>: the epoch up to which all is closed
+	keyLast    = keyFederation + "e/" // j/ge/<site>: the highest epoch given to it
+	keyDrained = keyFederation + "d/" // j/gd/<site>: no new hand-offs with it
 )
 
 func awayKey(id string) string         { return keyAway + id }
@@ -28,53 +28,53 @@
 func drainedKey(s gateway.Site) string { return keyDrained + string(s) }
 func epochText(e gateway.Epoch) string { return strconv.FormatUint(uint64(e), 10) }
 
-// siteRecords mirror the hand-offs on every controller, with a gateway or without:
+// handoffRecords mirror the hand-offs on every controller, with a gateway or without:
 // what is away is bound nowhere here.
-type siteRecords struct {
+type handoffRecords struct {
 	gateway.Records
 	// versions are the keys' versions, gone the revisions of deletions that the
 	// watch has not told yet.
 	versions map[string]uint64
 	gone     map[string]uint64
-	// doubted holds jobs that were found to be away before their records came.
-	doubted map[string]time.Duration
+	// unconfirmed holds jobs that were found to be away before their records came.
+	unconfirmed map[string]time.Duration
 	// progress is what the far sites have told of jobs that are away, for display.
 	progress map[string]Progress
 }
 
-func newSiteRecords() siteRecords {
-	return siteRecords{Records: gateway.Records{Last: map[gateway.Site]gateway.Epoch{}, Away: map[string]gateway.Away{},
+func newSiteRecords() handoffRecords {
+	return handoffRecords{Records: gateway.Records{Last: map[gateway.Site]gateway.Epoch{}, Away: map[string]gateway.Away{},
 		Taken: map[gateway.Hold]gateway.Taken{}, Floors: map[gateway.Site]gateway.Epoch{}, Drained: map[gateway.Site]bool{}},
-		versions: map[string]uint64{}, gone: map[string]uint64{}, doubted: map[string]time.Duration{}, progress: map[string]Progress{}}
+		versions: map[string]uint64{}, gone: map[string]uint64{}, unconfirmed: map[string]time.Duration{}, progress: map[string]Progress{}}
 }
 
-// away tells whether another site has the right to a job.
-func (c *Core) away(id string) bool {
-	if _, away := c.sites.Away[id]; away {
+// isOutgoing tells whether another site has the right to a job.
+func (c *Core) isOutgoing(id string) bool {
+	if _, away := c.handoffs.Away[id]; away {
 		return true
 	}
-	at, doubted := c.sites.doubted[id]
+	at, doubted := c.handoffs.unconfirmed[id]
 	return doubted && c.now.Steady-at < c.reportInterval()
 }
 
-// atHome is the condition that a job has not been handed off. Without a gateway
+// notHandedOff is the condition that a job has not been handed off. Without a gateway
 // none is; that all controllers of a site have one before anything is handed off is
 // seen to by their own keys.
-func (c *Core) atHome(id string) []protocol.Condition {
-	if c.gate == nil {
+func (c *Core) notHandedOff(id string) []protocol.Condition {
+	if c.federation == nil {
 		return nil
 	}
 	return []protocol.Condition{{Key: awayKey(id)}}
 }
 
-// blind tells whether this node must be no home: hand-offs are stored, and it does
+// hidesOutgoing tells whether this node must be no home: hand-offs are stored, and it does
 // not know how to keep away from them.
-func (c *Core) blind() bool { return c.gate == nil && len(c.sites.versions) > 0 }
+func (c *Core) hidesOutgoing() bool { return c.federation == nil && len(c.handoffs.versions) > 0 }
 
 // handedOff ends the bindings that could not be stored since the job is away. Its
 // record is on its way.
 func (c *Core) handedOff(j *job.Job) {
-	c.sites.doubted[j.ID] = c.now.Steady
+	c.handoffs.unconfirmed[j.ID] = c.now.Steady
 	for i, b := range j.Bound {
 		if !b.Stored {
 			c.unbind(j, i)
@@ -82,24 +82,24 @@
 	}
 }
 
-// siteWritten takes over a stored record.
-func (c *Core) siteWritten(item protocol.KeyValue) error {
-	if c.sites.versions[item.Key] >= item.Version || c.sites.gone[item.Key] > item.Version {
+// onFederationPut takes over a stored record.
+func (c *Core) onFederationPut(item protocol.KeyValue) error {
+	if c.handoffs.versions[item.Key] >= item.Version || c.handoffs.gone[item.Key] > item.Version {
 		return nil
 	}
-	if c.gate == nil && len(c.sites.versions) == 0 {
+	if c.federation == nil && len(c.handoffs.versions) == 0 {
 		c.log(Error, "jobs of this site are handed off: give this controller its gateway file; it takes no teams without")
 	}
-	if err := c.sites.put(item); err != nil {
+	if err := c.handoffs.put(item); err != nil {
 		return err
 	}
-	c.sites.versions[item.Key] = item.Version
+	c.handoffs.versions[item.Key] = item.Version
 	c.siteChanged(item.Version)
 	return nil
 }
 
 // put reads a record into the mirror.
-func (s *siteRecords) put(item protocol.KeyValue) error {
+func (s *handoffRecords) put(item protocol.KeyValue) error {
 	kind, name, err := splitSite(item.Key)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 		var a gateway.Away
 		err = json.Unmarshal(item.Value, &a)
 		s.Away[name] = a
-		delete(s.doubted, name)
+		delete(s.unconfirmed, name)
 	case keyTaken:
 		var k gateway.Taken
 		var h gateway.Hold
@@ -144,9 +144,9 @@
 	return gateway.Hold{Origin: gateway.Site(origin), Epoch: gateway.Epoch(e)}, err
 }
 
-// siteDropped applies the deletion of a record.
-func (c *Core) siteDropped(key string, revision uint64) {
-	s := &c.sites
+// onFederationDelete applies the deletion of a record.
+func (c *Core) onFederationDelete(key string, revision uint64) {
+	s := &c.handoffs
 	if s.gone[key] == revision {
 		delete(s.gone, key) // told already
 		return
@@ -163,7 +163,7 @@
 	case keyAway:
 		delete(s.Away, name)
 		delete(s.progress, name)
-		c.sched.dirty = true
+		c.scheduler.dirty = true
 		if j := c.jobs[name]; j != nil {
 			j.WaitingSince = c.now.Steady
 		}
--- a/internal/core/spot_test.go
+++ b/internal/core/spot_test.go
@@ -16,8 +16,8 @@
 	w.submit("a", "req-blue-2", 1, `,"guessS":400.0`)
 	w.started("req-blue-2", 1)
 	for _, c := range w.cores {
-		for id := range c.rental.came {
-			c.rental.came[id] -= time.Minute // all were rented long ago
+		for id := range c.autoscaler.firstSeen {
+			c.autoscaler.firstSeen[id] -= time.Minute // all were rented long ago
 		}
 	}
 	for _, f := range w.workers {
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -32,7 +32,7 @@
 	}
 	w.deaf["c"] = false
 	w.run(2*time.Minute, nil)
-	if n := len(w.cores["c"].own); n < 3 {
+	if n := len(w.cores["c"].agents); n < 3 {
 		t.Errorf("c hears %d workers again", n)
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	var heard []int
 	for _, node := range nodeNames {
-		heard = append(heard, len(w.cores[node].own))
+		heard = append(heard, len(w.cores[node].agents))
 	}
 	if most, least := slices.Max(heard), slices.Min(heard); most > 2*least {
 		t.Errorf("controllers hear %v workers", heard)
@@ -69,7 +69,7 @@
 func TestMachinesOfASilentControllerGetNoTasksUntilTheyReportElsewhere(t *testing.T) {
 	w := busyWorld(t, 6)
 	var lost []string
-	for id := range w.cores["c"].own {
+	for id := range w.cores["c"].agents {
 		lost = append(lost, id)
 	}
 	if len(lost) == 0 {
@@ -82,7 +82,7 @@
 	a := w.cores["a"]
 	w.run(a.reportInterval()+time.Second, nil)
 	for _, id := range lost {
-		if m := a.machines[id]; m != nil && a.usable(m) {
+		if m := a.machines[id]; m != nil && a.isSchedulable(m) {
 			t.Errorf("%s takes tasks though its controller is silent", id)
 		}
 	}
@@ -102,7 +102,7 @@
 		a := w.cores["a"]
 		f.node = 0
 		w.report(f)
-		if k := a.own[id]; k != nil && (k.busy || f.Token == k.term) {
+		if k := a.agents[id]; k != nil && (k.delivering || f.Token == k.token) {
 			probed++
 		}
 	}
--- a/internal/core/stuck.go
+++ b/internal/core/stuck.go
@@ -6,11 +6,11 @@
 	"pepperlever/internal/core/job"
 )
 
-// stuck lists the needs that found no room in a round. Room only gets less while
+// unschedulableSet lists the needs that found no room in a round. Room only gets less while
 // a round goes on, so a job that asks for as much or more under the same
 // conditions need not be weighed against every machine again: a swarm of waiting
 // jobs would cost more than all other work.
-type stuck []need
+type unschedulableSet []need
 
 // need is what found no room; cheap when dear machines were not tried.
 type need struct {
@@ -27,7 +27,7 @@
 	return j.Kind == job.Array && !j.OneZone && !j.Spread && len(j.FailedOn) == 0
 }
 
-func (s *stuck) add(j *job.Job, cheap bool) {
+func (s *unschedulableSet) add(j *job.Job, cheap bool) {
 	if plainArray(j) && len(*s) < stuckKept {
 		*s = append(*s, need{&j.Spec, cheap})
 	}
@@ -35,7 +35,7 @@
 
 // holds tells whether a job cannot find room either. The room on hosts that are kept
 // for tasks of its size, and not for those of the other, says nothing of it.
-func (s stuck) holds(j *job.Job, cheap bool, kept map[job.Resources]bool) bool {
+func (s unschedulableSet) holds(j *job.Job, cheap bool, kept map[job.Resources]bool) bool {
 	return plainArray(j) && slices.ContainsFunc(s, func(o need) bool {
 		for k := range kept {
 			if k.Fits(j.Need) && !k.Fits(o.Need) {
--- a/internal/core/stuck_test.go
+++ b/internal/core/stuck_test.go
@@ -8,9 +8,9 @@
 
 func TestOnlyJobsThatAskForAsMuchAreTakenToFindNoRoomEither(t *testing.T) {
 	base := job.Spec{Need: job.Resources{CPUs: 2, MemoryGB: 4}, Spot: true, EstimateS: 10}
-	var s stuck
+	var s unschedulableSet
 	s.add(&job.Job{Spec: base}, false)
-	if (stuck{{&base, true}}).holds(&job.Job{Spec: base}, false, nil) {
+	if (unschedulableSet{{&base, true}}).holds(&job.Job{Spec: base}, false, nil) {
 		t.Error("dear machines were not tried, but count as full")
 	}
 	for name, k := range map[string]struct {
--- a/internal/core/submitawaiting.go
+++ b/internal/core/submitawaiting.go
@@ -12,21 +12,21 @@
 // head's other fields leave of a value. It is stored only while nothing is bound.
 func (c *Core) awaitsBytes() int { return int(c.limits().ValueKB*1024) * 5 / 8 }
 
-// submitAwaiting accepts a job that awaits others, once it is known what has become of them.
-func (c *Core) submitAwaiting(req uint64, t *team, s *job.Spec) {
+// submitDependent accepts a job that awaits others, once it is known what has become of them.
+func (c *Core) submitDependent(req uint64, t *team, s *job.Spec) {
 	switch {
 	case slices.Contains(s.Awaits, s.ID):
-		c.refuse(req, s.ID, http.StatusUnprocessableEntity, "job can't await itself")
+		c.rejectSubmission(req, s.ID, http.StatusUnprocessableEntity, "job can't await itself")
 	case s.AwaitsBytes() > c.awaitsBytes():
-		c.refuse(req, s.ID, http.StatusBadRequest, "job awaits too many others")
+		c.rejectSubmission(req, s.ID, http.StatusBadRequest, "job awaits too many others")
 	case !c.allUpgraded():
-		c.unavailable(req) // a home of the version before would start it at once
+		c.replyUnavailable(req) // a home of the version before would start it at once
 	default:
 		a := &awaitedCheck{core: c, req: req, team: t, spec: s, left: len(s.Awaits)}
 		for _, id := range slices.Clone(s.Awaits) {
 			a.check(id)
 		}
-		c.askStoreOfAwaited()
+		c.sendDependencyLookups()
 	}
 }
 
@@ -48,13 +48,13 @@
 	if j := a.core.jobs[id]; j != nil && j.Kind == job.Service {
 		a.refusal = "job can't await a service"
 	}
-	a.core.inquireAccepted(id, func(f finding, s protocol.JobState) {
+	a.core.lookUpAccepted(id, func(f lookupResult, s protocol.JobState) {
 		switch {
-		case f == absent:
+		case f == lookupAbsent:
 			a.refusal = "awaited job " + id + " was never accepted"
-		case f == untold:
+		case f == lookupUnavailable:
 			a.unknown = true
-		case f == final && s.State == protocol.Done:
+		case f == lookupFinal && s.State == protocol.Done:
 			a.spec.Awaits = slices.DeleteFunc(a.spec.Awaits, func(other string) bool { return other == id })
 		}
 		a.checked()
@@ -68,9 +68,9 @@
 	}
 	switch {
 	case a.refusal != "":
-		a.core.refuse(a.req, a.spec.ID, http.StatusUnprocessableEntity, a.refusal)
+		a.core.rejectSubmission(a.req, a.spec.ID, http.StatusUnprocessableEntity, a.refusal)
 	case a.unknown:
-		a.core.unavailable(a.req)
+		a.core.replyUnavailable(a.req)
 	default:
 		a.core.accept(a.req, a.team, a.spec)
 	}
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -32,12 +32,12 @@
 	}
 	c.upgrade.stating = true
 	key := keyVersion + c.cfg.Node
-	c.txn(protocol.Txn{If: []protocol.Condition{{Key: key, Version: c.upgrade.revisions[c.cfg.Node]}}, Then: []protocol.Change{put(key, currentVersion)}},
+	c.compareAndSwap(protocol.Txn{If: []protocol.Condition{{Key: key, Version: c.upgrade.revisions[c.cfg.Node]}}, Then: []protocol.Change{putJSON(key, currentVersion)}},
 		false, func(StoreReply) { c.upgrade.stating = false }) // the watch shows it
 }
 
-// versionWritten takes a controller's statement.
-func (c *Core) versionWritten(item protocol.KeyValue) error {
+// onVersionPut takes a controller's statement.
+func (c *Core) onVersionPut(item protocol.KeyValue) error {
 	var r rollout.Record
 	if err := json.Unmarshal(item.Value, &r); err != nil {
 		return err
@@ -83,8 +83,8 @@
 	}
 }
 
-// storeSlower takes it that the limits of after the upgrade are in force.
-func (c *Core) storeSlower() {
+// storeLimitLowered takes it that the limits of after the upgrade are in force.
+func (c *Core) storeLimitLowered() {
 	if !c.upgrade.lowRate {
 		c.upgrade.lowRate = true
 		c.log(Info, "state service takes fewer changes than before", "a second", c.writeRate())
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -14,81 +14,81 @@
 // retryAfter is the pause in whole seconds that a user is asked for.
 const retryAfter = 1
 
-func (c *Core) answer(req uint64, status int, body any) {
+func (c *Core) reply(req uint64, status int, body any) {
 	c.emit(Answer{Req: req, Status: status, Body: body})
 }
 
-// unavailable answers at once that the node cannot tell now.
-func (c *Core) unavailable(req uint64) {
+// replyUnavailable answers at once that the node cannot tell now.
+func (c *Core) replyUnavailable(req uint64) {
 	c.emit(Answer{Req: req, Status: http.StatusServiceUnavailable, RetryAfter: retryAfter,
 		Body: protocol.Problem{Error: "try again later"}})
 }
 
-func (c *Core) unknown(req uint64) {
-	c.answer(req, http.StatusNotFound, protocol.Problem{Error: "no such job"})
+func (c *Core) replyUnknown(req uint64) {
+	c.reply(req, http.StatusNotFound, protocol.Problem{Error: "no such job"})
 }
 
 // userTxn and userGet are txn and get for requests that a user waits for.
 func (c *Core) userTxn(t protocol.Txn, done func(StoreReply)) {
-	c.emit(StoreTxn{ID: c.await(done), Txn: t, Quick: true})
+	c.emit(StoreTxn{ID: c.expectReply(done), Txn: t, Quick: true})
 }
 
 func (c *Core) userGet(key string, done func(StoreReply)) {
-	c.emit(StoreGet{ID: c.await(done), Key: key, Quick: true})
+	c.emit(StoreGet{ID: c.expectReply(done), Key: key, Quick: true})
 }
 
 // submit accepts a job by one conditional write; only then is it accepted.
 func (c *Core) submit(m Submit) {
 	s, err := job.Parse(m.Body, c.specBytes())
 	if err != nil {
-		c.refuse(m.Req, job.SubmittedID(m.Body), http.StatusBadRequest, err.Error())
+		c.rejectSubmission(m.Req, job.SubmittedID(m.Body), http.StatusBadRequest, err.Error())
 		return
 	}
-	if _, ended := c.finals[s.ID]; ended || c.jobs[s.ID] != nil {
-		c.repeated(m.Req, s.ID)
+	if _, ended := c.finalStates[s.ID]; ended || c.jobs[s.ID] != nil {
+		c.answerRepeated(m.Req, s.ID)
 		return
 	}
 	t := c.teamBy[s.Team]
 	if t != nil && c.types == nil || !c.loaded || !c.storeOK {
-		c.unavailable(m.Req)
+		c.replyUnavailable(m.Req)
 		return
 	}
-	if c.gate != nil && strings.HasPrefix(s.ID, gateway.LocalPrefix) {
-		c.answer(m.Req, http.StatusBadRequest, protocol.Problem{Error: "job id is kept for jobs of other sites"})
+	if c.federation != nil && strings.HasPrefix(s.ID, gateway.LocalPrefix) {
+		c.reply(m.Req, http.StatusBadRequest, protocol.Problem{Error: "job id is kept for jobs of other sites"})
 		return
 	}
-	if why := c.neverRuns(t, s); why != "" && !(t != nil && c.elsewhere(s)) {
-		c.refuse(m.Req, s.ID, http.StatusUnprocessableEntity, why)
+	if why := c.rejectionReason(t, s); why != "" && !(t != nil && c.elsewhere(s)) {
+		c.rejectSubmission(m.Req, s.ID, http.StatusUnprocessableEntity, why)
 		return
 	}
 	if len(s.Awaits) > 0 {
-		c.submitAwaiting(m.Req, t, s)
+		c.submitDependent(m.Req, t, s)
 		return
 	}
 	c.accept(m.Req, t, s)
 }
 
-// refuse turns a submission down, unless the job was accepted earlier: the settings, the
+// rejectSubmission turns a submission down, unless the job was accepted earlier: the settings, the
 // catalogue or what is checked of a description may have changed since, and an accepted
 // job is never refused. One without a job's id can't have been accepted.
-func (c *Core) refuse(req uint64, id string, status int, why string) {
+func (c *Core) rejectSubmission(req uint64, id string, status int, why string) {
 	if id == "" {
-		c.answer(req, status, protocol.Problem{Error: why})
+		c.reply(req, status, protocol.Problem{Error: why})
 		return
 	}
-	c.inquire(id, func(f finding, s protocol.JobState) {
-		if f == absent {
-			c.answer(req, status, protocol.Problem{Error: why})
+	c.lookUp(id, func(f lookupResult, s protocol.JobState) {
+		if f == lookupAbsent {
+			c.reply(req, status, protocol.Problem{Error: why})
 			return
 		}
-		c.found(req, f, s)
+		c.replyLookup(req, f, s)
 	})
 }
 
 func (c *Core) accept(req uint64, t *team, s *job.Spec) {
 	s.Accepted = c.now.Wall
 	head := c.newJob(*s).Head()
-	active := activeKey(s.ID)
+	active := jobKey(s.ID)
 	c.userTxn(protocol.Txn{
 		If:   []protocol.Condition{{Key: keyState + s.ID}, {Key: active}},
 		Then: []protocol.Change{{Put: active, Value: head}},
@@ -97,11 +97,11 @@
 		case Applied:
 			c.log(Debug, "job accepted", "job", s.ID, "team", t.Name, "class", s.Class, "tasks", s.Tasks, "cpus", s.Need.CPUs, "memory", s.Need.MemoryGB, "estimate", s.EstimateS, "awaits", s.Awaits)
 			c.announce(protocol.KeyValue{Key: active, Value: head, Version: r.Revision})
-			c.answer(req, http.StatusCreated, protocol.JobState{ID: s.ID, State: protocol.Queued})
+			c.reply(req, http.StatusCreated, protocol.JobState{ID: s.ID, State: protocol.Queued})
 		case Conflict:
-			c.repeated(req, s.ID)
+			c.answerRepeated(req, s.ID)
 		default:
-			c.unavailable(req)
+			c.replyUnavailable(req)
 		}
 	})
 }
@@ -109,13 +109,13 @@
 // announce tells every controller of an accepted job at once, ahead of the watch: its home
 // starts it, and any other may be asked to accept a job that awaits it a moment later.
 func (c *Core) announce(item protocol.KeyValue) {
-	c.written(item)
-	c.broadcast(PeerMsg{Accepted: &item})
+	c.onPut(item)
+	c.broadcast(PeerMessage{Accepted: &item})
 }
 
-// neverRuns tells why a job can never run, or nothing. What only has to wait, for other
+// rejectionReason tells why a job can never run, or nothing. What only has to wait, for other
 // tasks to end or for machines to be had, may run.
-func (c *Core) neverRuns(t *team, s *job.Spec) string {
+func (c *Core) rejectionReason(t *team, s *job.Spec) string {
 	if t == nil {
 		return "team is unknown"
 	}
@@ -157,13 +157,13 @@
 	return job.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// repeated answers a submission of a known job with its current state.
-func (c *Core) repeated(req uint64, id string) {
-	c.inquire(id, func(f finding, s protocol.JobState) {
-		if f == absent {
-			f = untold // its acceptance is on its way, or was never carried out
+// answerRepeated answers a submission of a known job with its current state.
+func (c *Core) answerRepeated(req uint64, id string) {
+	c.lookUp(id, func(f lookupResult, s protocol.JobState) {
+		if f == lookupAbsent {
+			f = lookupUnavailable // its acceptance is on its way, or was never carried out
 		}
-		c.found(req, f, s)
+		c.replyLookup(req, f, s)
 	})
 }
 
@@ -171,24 +171,24 @@
 // memory, since it never changes.
 func (c *Core) status(m Status) {
 	if !job.ValidID(m.ID) {
-		c.unknown(m.Req)
+		c.replyUnknown(m.Req)
 		return
 	}
-	c.inquire(m.ID, func(f finding, s protocol.JobState) {
-		c.tally.Asked(m.ID, f != untold, c.now.Steady)
-		c.found(m.Req, f, s)
+	c.lookUp(m.ID, func(f lookupResult, s protocol.JobState) {
+		c.stats.Asked(m.ID, f != lookupUnavailable, c.now.Steady)
+		c.replyLookup(m.Req, f, s)
 	})
 }
 
-// found answers with what was found out about a job.
-func (c *Core) found(req uint64, f finding, s protocol.JobState) {
+// replyLookup answers with what was found out about a job.
+func (c *Core) replyLookup(req uint64, f lookupResult, s protocol.JobState) {
 	switch f {
-	case active, final:
-		c.answer(req, http.StatusOK, s)
-	case absent:
-		c.unknown(req)
+	case lookupActive, lookupFinal:
+		c.reply(req, http.StatusOK, s)
+	case lookupAbsent:
+		c.replyUnknown(req)
 	default:
-		c.unavailable(req)
+		c.replyUnavailable(req)
 	}
 }
 
@@ -196,7 +196,7 @@
 // lag, and no rule depends on it.
 func (c *Core) list(m List) {
 	if !c.loaded {
-		c.unavailable(m.Req)
+		c.replyUnavailable(m.Req)
 		return
 	}
 	out := protocol.JobList{Jobs: []protocol.JobRow{}}
@@ -210,22 +210,22 @@
 		if out.More = len(out.Jobs) == protocol.JobsPage || len(out.Jobs) > 0 && awaitsBytes > protocol.PageAwaitsBytes; out.More {
 			break
 		}
-		row := protocol.JobRow{JobState: c.display(id), Team: j.Team, Class: j.Class, Priority: protocol.Priorities[j.Priority], Tasks: j.Tasks}
+		row := protocol.JobRow{JobState: c.jobProgress(id), Team: j.Team, Class: j.Class, Priority: protocol.Priorities[j.Priority], Tasks: j.Tasks}
 		if j.Cancelled {
 			row.State = protocol.Cancelled
 		}
 		out.Jobs = append(out.Jobs, row)
 	}
-	c.answer(m.Req, http.StatusOK, out)
+	c.reply(m.Req, http.StatusOK, out)
 }
 
-// display is what the user of a job that is not final is told of its progress.
-func (c *Core) display(id string) protocol.JobState {
-	s := protocol.JobState{ID: id, State: protocol.Queued, Awaits: c.awaits.graph.Awaited(id)}
-	if c.away(id) {
-		s.Done, s.Running = c.sites.progress[id].Done, c.sites.progress[id].Running
+// jobProgress is what the user of a job that is not final is told of its progress.
+func (c *Core) jobProgress(id string) protocol.JobState {
+	s := protocol.JobState{ID: id, State: protocol.Queued, Awaits: c.dependencies.graph.Awaited(id)}
+	if c.isOutgoing(id) {
+		s.Done, s.Running = c.handoffs.progress[id].Done, c.handoffs.progress[id].Running
 	} else if j := c.jobs[id]; j != nil {
-		s.Done, s.Running = min(j.Done.Len(), j.Tasks-1), c.running(j)
+		s.Done, s.Running = min(j.Done.Len(), j.Tasks-1), c.runningTasks(j)
 	}
 	if s.Running > 0 {
 		s.State = protocol.Running
@@ -233,9 +233,9 @@
 	return s
 }
 
-// running counts the running tasks of a job, once in a while: users ask often,
+// runningTasks counts the running tasks of a job, once in a while: users ask often,
 // and the count is for display.
-func (c *Core) running(j *job.Job) int {
+func (c *Core) runningTasks(j *job.Job) int {
 	if j.CountedAt > 0 && c.now.Steady-j.CountedAt < c.reportInterval()/6 {
 		return j.Running
 	}
@@ -255,57 +255,57 @@
 // completion of the job can pass any more, before it answers.
 func (c *Core) cancel(m Cancel) {
 	if !job.ValidID(m.ID) {
-		c.unknown(m.Req)
+		c.replyUnknown(m.Req)
 		return
 	}
-	if c.gate != nil && m.Req != 0 && strings.HasPrefix(m.ID, gateway.LocalPrefix) {
-		c.answer(m.Req, http.StatusUnprocessableEntity, protocol.Problem{Error: "job is of another site: cancel it there"})
+	if c.federation != nil && m.Req != 0 && strings.HasPrefix(m.ID, gateway.LocalPrefix) {
+		c.reply(m.Req, http.StatusUnprocessableEntity, protocol.Problem{Error: "job is of another site: cancel it there"})
 		return
 	}
 	if c.jobs[m.ID] != nil && c.storeOK {
 		c.storeCancel(m)
 		return
 	}
-	c.inquire(m.ID, func(f finding, s protocol.JobState) {
-		if f == active {
+	c.lookUp(m.ID, func(f lookupResult, s protocol.JobState) {
+		if f == lookupActive {
 			c.storeCancel(m)
 			return
 		}
-		c.found(m.Req, f, s)
+		c.replyLookup(m.Req, f, s)
 	})
 }
 
 // storeCancel cancels a job that was accepted: it stays so until it has a final
 // state, so that it has none is all that the write depends on.
 func (c *Core) storeCancel(m Cancel) {
-	if c.away(m.ID) {
+	if c.isOutgoing(m.ID) {
 		c.cancelAway(m)
 		return
 	}
 	state := keyState + m.ID
 	c.userTxn(protocol.Txn{
-		If:   append([]protocol.Condition{{Key: state}}, c.atHome(m.ID)...),
-		Then: []protocol.Change{put(state, stateKey{State: protocol.Cancelled}), put(cancelKey(m.ID), cancelMark{At: c.now.Wall})},
+		If:   append([]protocol.Condition{{Key: state}}, c.notHandedOff(m.ID)...),
+		Then: []protocol.Change{putJSON(state, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(m.ID), cancelRecord{At: c.now.Wall})},
 	}, func(r StoreReply) {
 		switch r.Outcome {
 		case Applied:
 			c.log(Debug, "job cancelled", "job", m.ID)
-			c.cancelKnown(Cancellation{Job: m.ID, Revision: r.Revision, Asked: c.now.Wall})
+			c.noteCancellation(Cancellation{Job: m.ID, Revision: r.Revision, Asked: c.now.Wall})
 			c.announceCancel(m.ID)
-			c.inquire(m.ID, func(f finding, s protocol.JobState) { c.found(m.Req, f, s) })
+			c.lookUp(m.ID, func(f lookupResult, s protocol.JobState) { c.replyLookup(m.Req, f, s) })
 		case Conflict:
 			if slices.Contains(r.Failed, awayKey(m.ID)) {
 				c.cancelAway(m)
 				return
 			}
-			c.inquire(m.ID, func(f finding, s protocol.JobState) {
-				if f == active {
-					f = untold // the repeated request tells
+			c.lookUp(m.ID, func(f lookupResult, s protocol.JobState) {
+				if f == lookupActive {
+					f = lookupUnavailable // the repeated request tells
 				}
-				c.found(m.Req, f, s)
+				c.replyLookup(m.Req, f, s)
 			})
 		default:
-			c.unavailable(m.Req) // the repeated request finds out what came of it
+			c.replyUnavailable(m.Req) // the repeated request finds out what came of it
 		}
 	})
 }
@@ -319,7 +319,7 @@
 func (c *Core) health(m Health) {
 	heard, down := 0, 0
 	for _, p := range c.peers {
-		if c.now.Steady-p.seen < 2*c.reportInterval() {
+		if c.now.Steady-p.lastContact < 2*c.reportInterval() {
 			heard++
 			if !p.storeOK {
 				down++
@@ -328,8 +328,8 @@
 	}
 	outage := len(c.peers) == 0 || down > 0 && 2*down >= heard
 	if !c.loaded || c.types == nil || !c.storeOK && !outage {
-		c.unavailable(m.Req)
+		c.replyUnavailable(m.Req)
 		return
 	}
-	c.answer(m.Req, http.StatusOK, struct{}{})
+	c.reply(m.Req, http.StatusOK, struct{}{})
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -85,7 +85,7 @@
 	refused map[link]bool
 	// slow links hold back what is sent over them until they are restored.
 	slow      map[link]bool
-	late      map[link][]PeerMsg
+	late      map[link][]PeerMessage
 	frozen    map[string]bool
 	unreached map[string]bool
 	// unhearing are the machines whose reports arrive while nothing reaches them;
@@ -96,7 +96,7 @@
 	mute map[string]bool
 	// copying lets copies of past reports come late, to any controller.
 	copying bool
-	past    []Beat
+	past    []Heartbeat
 	// noCloud keeps the cloud from taking machines back.
 	noCloud bool
 	// dark is since when the state service answers a controller nothing, as it notices
@@ -174,7 +174,7 @@
 // flight is a message on its way.
 type flight struct {
 	link
-	msg PeerMsg
+	msg PeerMessage
 }
 
 // fakeWorker follows the worker's side of the protocol.
@@ -223,7 +223,7 @@
 		workers: map[string]*fakeWorker{}, answers: map[uint64]Answer{}, starts: map[string]int{}, broken: map[string]bool{}, faulty: map[string]bool{},
 		deaf: map[string]bool{}, redirected: map[string]int{},
 		cfg: map[string]*settings.Settings{}, names: names, most: 40, taskTime: 5 * time.Second,
-		refused: map[link]bool{}, slow: map[link]bool{}, late: map[link][]PeerMsg{}, frozen: map[string]bool{}, unreached: map[string]bool{}, unhearing: map[string]bool{}, mute: map[string]bool{}, unheardBy: map[link]bool{}, dark: map[string]time.Duration{}, blind: map[string]bool{}, unread: map[string]bool{}, unleased: map[string]bool{}, watchedAt: map[string]time.Duration{}, told: map[string]time.Duration{}, completed: map[string]bool{}, terms: map[uint64]string{}}
+		refused: map[link]bool{}, slow: map[link]bool{}, late: map[link][]PeerMessage{}, frozen: map[string]bool{}, unreached: map[string]bool{}, unhearing: map[string]bool{}, mute: map[string]bool{}, unheardBy: map[link]bool{}, dark: map[string]time.Duration{}, blind: map[string]bool{}, unread: map[string]bool{}, unleased: map[string]bool{}, watchedAt: map[string]time.Duration{}, told: map[string]time.Duration{}, completed: map[string]bool{}, terms: map[uint64]string{}}
 	w.types = []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"z1", "z2"}},
 	}
@@ -267,13 +267,13 @@
 	}
 	w.nextReq++
 	w.leases[w.nextReq] = node
-	w.send(node, LeaseUp{Lease: w.nextReq})
+	w.send(node, LeaseGranted{Lease: w.nextReq})
 }
 
 // connect tells a controller that it can send to another, unless it can't.
 func (w *world) connect(from, to string) {
 	if !w.refused[link{from, to}] {
-		w.send(from, PeerUp{Node: to})
+		w.send(from, PeerConnected{Node: to})
 	}
 }
 
@@ -284,7 +284,7 @@
 		for _, to := range w.names {
 			if from != to && is(from, to) && !w.refused[link{from, to}] {
 				w.refused[link{from, to}] = true
-				w.send(from, PeerDown{Node: to})
+				w.send(from, PeerDisconnected{Node: to})
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 				w.connect(from, to)
 			}
 			for _, m := range w.late[link{from, to}] {
-				w.send(to, PeerIn{Node: from, Msg: m})
+				w.send(to, PeerMessageReceived{Node: from, Message: m})
 			}
 			delete(w.late, link{from, to})
 		}
@@ -326,7 +326,7 @@
 
 func (w *world) withStore(node string) {
 	delete(w.cut, node)
-	w.send(node, LeaseDown{})
+	w.send(node, LeaseExpired{})
 	w.grant(node)
 }
 
@@ -336,7 +336,7 @@
 	w.flying = slices.DeleteFunc(w.flying, func(f flight) bool { return f.from == node })
 	for _, other := range w.names {
 		if w.cores[other] != nil {
-			w.send(other, PeerDown{Node: node})
+			w.send(other, PeerDisconnected{Node: node})
 		}
 	}
 }
@@ -372,7 +372,7 @@
 }
 
 func (w *world) load(node string) {
-	l := Loaded{Revision: w.revision}
+	l := SnapshotLoaded{Revision: w.revision}
 	for _, key := range slices.Sorted(maps.Keys(w.kv)) {
 		if strings.HasPrefix(key, Root) {
 			l.Items = append(l.Items, w.kv[key])
@@ -397,7 +397,7 @@
 		}
 		w.later = slices.DeleteFunc(w.later, func(over func() bool) bool { return over() })
 		for _, f := range w.flying {
-			w.send(f.to, PeerIn{Node: f.from, Msg: f.msg})
+			w.send(f.to, PeerMessageReceived{Node: f.from, Message: f.msg})
 		}
 		w.flying = nil
 		w.tendWorkers()
@@ -417,7 +417,7 @@
 	}
 	if !w.outage && !w.cut[node] && !w.unread[node] && w.seen[node] < uint64(len(w.events)) && w.now >= w.watchedAt[node]+w.watchLag && (w.slowWatcher == "" || w.slowWatcher != node) {
 		w.watchedAt[node] = w.now
-		w.send(node, Watched{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
+		w.send(node, StoreChanged{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
 		w.seen[node] = uint64(len(w.events))
 	}
 	w.noticeStore(node)
@@ -430,7 +430,7 @@
 
 // checkTerm checks that each term belongs to one run of one controller.
 func (w *world) checkTerm(node string, term uint64) {
-	run := w.cores[node].inc
+	run := w.cores[node].incarnation
 	if other, taken := w.terms[term]; taken && other != run {
 		w.t.Errorf("%v: %s and %s both have the term %d", w.now, other, run, term)
 	}
@@ -479,10 +479,10 @@
 		w.read(node)
 	case SendPeer:
 		if slices.Contains(w.old, node) {
-			e.Msg = asOld(e.Msg)
+			e.Message = asOld(e.Message)
 		}
 		for _, to := range e.Nodes {
-			msg := e.Msg
+			msg := e.Message
 			if slices.Contains(w.old, to) {
 				msg = asOld(msg)
 			}
@@ -493,7 +493,7 @@
 			case w.latency:
 				w.flying = append(w.flying, flight{l, msg})
 			default:
-				w.send(to, PeerIn{Node: node, Msg: msg})
+				w.send(to, PeerMessageReceived{Node: node, Message: msg})
 			}
 		}
 	case SendSite:
@@ -512,7 +512,7 @@
 	case FetchCatalog:
 		w.send(node, CloudHealth{OK: !w.noCloud})
 		if !w.noCloud {
-			w.send(node, CatalogIn{Types: w.types})
+			w.send(node, CatalogReceived{Types: w.types})
 		}
 	case FetchList:
 		w.list(node)
@@ -541,16 +541,16 @@
 }
 
 // asOld is what a controller of the release before makes of a message, or sends.
-func asOld(m PeerMsg) PeerMsg {
-	m.Cancellations, m.Known = nil, nil
-	if b := m.Beat; b != nil {
-		m.Beat = &NodeBeat{StoreOK: b.StoreOK, Due: b.Due, Records: b.Records, Heard: b.Heard, Seqs: b.Seqs, Misses: b.Misses}
+func asOld(m PeerMessage) PeerMessage {
+	m.Cancellations, m.Acknowledged = nil, nil
+	if b := m.Heartbeat; b != nil {
+		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, Due: b.Due, Records: b.Records, Heard: b.Heard, Seqs: b.Seqs, Unreachable: b.Unreachable}
 	}
 	return m
 }
 
 func (w *world) list(node string) {
-	var l ListIn
+	var l InventoryReceived
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 		f := w.workers[id]
 		if id == w.unlisted {
@@ -664,7 +664,7 @@
 		switch {
 		case slices.ContainsFunc(txn.If, func(c protocol.Condition) bool { return c.Key == key }):
 			return
-		case strings.HasPrefix(key, keyMark), strings.HasPrefix(key, keyIntent), strings.HasPrefix(key, keyRecord):
+		case strings.HasPrefix(key, keyCordon), strings.HasPrefix(key, keyIntent), strings.HasPrefix(key, keyRecord):
 			// That a machine is gone is true for good, a rental's name is never used for
 			// another, and records are advice: an old one changes the ranking a little.
 			return
@@ -767,7 +767,7 @@
 	f.Seq++
 	w.nextReq++
 	req := w.nextReq
-	beat := Beat{Req: req, Report: w.snapshot(f)}
+	beat := Heartbeat{Req: req, Report: w.snapshot(f)}
 	if w.copying && w.rng.IntN(4) == 0 {
 		w.past = append(w.past, beat)
 	}
@@ -952,8 +952,8 @@
 	}
 }
 
-func (w *world) state(id string) (stateKey, bool) {
-	var s stateKey
+func (w *world) state(id string) (finalStateRecord, bool) {
+	var s finalStateRecord
 	kv, ok := w.kv[keyState+id]
 	if ok {
 		if err := json.Unmarshal(kv.Value, &s); err != nil {
@@ -1009,7 +1009,7 @@
 	if !w.run(20*time.Second, func() bool {
 		for _, n := range w.names {
 			c := w.cores[n]
-			if c == nil || !c.loaded || c.types == nil || c.term.term == 0 || c.fleet.home == "" {
+			if c == nil || !c.loaded || c.types == nil || c.tokens.current == 0 || c.fleet.leader == "" {
 				return false
 			}
 		}
--- a/internal/gateway/machine.go
+++ b/internal/gateway/machine.go
@@ -317,7 +317,7 @@
 	m.offerWaiting()
 }
 
-// tellAll tells a peer what is due.
+// resolveAll tells a peer what is due.
 func (m *Machine) tellAll(p *peerState) {
 	for e := p.agenda.first(); e != nil && e.due <= m.now; e = p.agenda.first() {
 		again := e.tries > 0
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -55,7 +55,7 @@
 
 // Send queues a message; what does not fit is dropped with the whole stream.
 func (p *Peers) Send(m core.SendPeer) {
-	line, err := json.Marshal(m.Msg)
+	line, err := json.Marshal(m.Message)
 	if err != nil {
 		panic(err) // messages are plain data
 	}
@@ -113,12 +113,12 @@
 	lines.Buffer(make([]byte, 16<<10), maxLine)
 	lines.Split(stream.WholeLines)
 	for lines.Scan() {
-		var m core.PeerMsg
+		var m core.PeerMessage
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
 			slog.Error("message of a peer is not understood", "node", node, "error", err)
 			return
 		}
-		p.emit(core.PeerIn{Node: node, Msg: m})
+		p.emit(core.PeerMessageReceived{Node: node, Message: m})
 	}
 }
 
@@ -152,5 +152,5 @@
 		return err
 	}
 	req.Header.Set(nodeHeader, p.cfg.Node)
-	return l.out.Run(transport, req, func() { p.emit(core.PeerUp{Node: l.node}) }, func() { p.emit(core.PeerDown{Node: l.node}) }, nil)
+	return l.out.Run(transport, req, func() { p.emit(core.PeerConnected{Node: l.node}) }, func() { p.emit(core.PeerDisconnected{Node: l.node}) }, nil)
 }
--- a/internal/sitelink/link.go
+++ b/internal/sitelink/link.go
@@ -356,7 +356,7 @@
 			m, err = take(line, from, cfg, s)
 		}
 		if err == nil {
-			l.emit(core.SiteIn{Message: m})
+			l.emit(core.SiteMessageReceived{Message: m})
 			continue
 		}
 		l.Refused.Add(1)
--- a/internal/sitelink/link_test.go
+++ b/internal/sitelink/link_test.go
@@ -61,7 +61,7 @@
 	keys := issued(t, time.Hour)
 	p := &pair{came: make(chan gateway.Message, 16)}
 	var err error
-	p.west, _, err = New(site(t, t.TempDir(), keys, "west", "east"), func(c core.Command) { p.came <- c.(core.SiteIn).Message })
+	p.west, _, err = New(site(t, t.TempDir(), keys, "west", "east"), func(c core.Command) { p.came <- c.(core.SiteMessageReceived).Message })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/lease_test.go
+++ b/internal/store/lease_test.go
@@ -39,14 +39,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- New(cfg, "j/", func(c core.Command) { told <- c }).keepLease(ctx) }()
-	if _, up := (<-told).(core.LeaseUp); !up {
+	if _, up := (<-told).(core.LeaseGranted); !up {
 		t.Fatal("no lease")
 	}
 	for range 3 {
 		<-started // while none before is answered
 	}
 	close(over)
-	if c := <-told; c != (core.LeaseDown{}) {
+	if c := <-told; c != (core.LeaseExpired{}) {
 		t.Errorf("told %T %v of a lease that is over", c, c)
 	}
 	cancel()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -123,7 +123,7 @@
 		return
 	}
 	s.limit.setWrites(state.Tightest().WriteRPS)
-	s.emit(core.StoreSlower{})
+	s.emit(core.StoreLimitLowered{})
 }
 
 // Get queues a read.
@@ -229,7 +229,7 @@
 			status, err := s.quick.call(fasthttp.MethodPost, protocol.PathLeases, protocol.LeaseGrant{TTLMillis: s.ttl().Milliseconds()}, &g)
 			if err == nil && status == fasthttp.StatusOK && g.Lease != 0 {
 				lease = g.Lease
-				s.emit(core.LeaseUp{Lease: lease})
+				s.emit(core.LeaseGranted{Lease: lease})
 			} else {
 				pause = s.report() / 10
 			}
@@ -264,7 +264,7 @@
 			switch {
 			case r.lease != lease:
 			case r.err == nil && r.status == fasthttp.StatusNotFound:
-				s.emit(core.LeaseDown{})
+				s.emit(core.LeaseExpired{})
 				return 0
 			case r.err != nil || r.status != fasthttp.StatusOK:
 				due.Reset(s.ttl() / 10)
@@ -295,7 +295,7 @@
 }
 
 func (s *Store) load() (uint64, error) {
-	var out core.Loaded
+	var out core.SnapshotLoaded
 	after := ""
 	for {
 		args := []string{protocol.ArgPrefix, s.root, protocol.ArgLimit, "500"}
@@ -338,7 +338,7 @@
 		switch {
 		case err == nil && status == fasthttp.StatusOK:
 			if len(ch.Events) > 0 || ch.Revision > since {
-				s.emit(core.Watched{Revision: ch.Revision, Events: ch.Events})
+				s.emit(core.StoreChanged{Revision: ch.Revision, Events: ch.Events})
 			}
 			since = max(since, ch.Revision)
 			sleep(ctx, s.gather())
