--- a/client/job.go
+++ b/client/job.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"pepperlever/internal/protocol"
-	"pepperlever/internal/strict"
+	"pepperlever/internal/strictconfig"
 )
 
 // Kinds of jobs.
@@ -70,7 +70,7 @@
 func LoadJob(path string) (Job, error) {
 	var j Job
 	if !strings.HasSuffix(path, ".json") {
-		err := strict.Load(path, &j)
+		err := strictconfig.Load(path, &j)
 		return j, err
 	}
 	raw, err := os.ReadFile(path)
--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -17,9 +17,9 @@
 
 	"pepperlever/client"
 	"pepperlever/internal/core"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
+	"pepperlever/internal/federation/transport"
 	"pepperlever/internal/protocol"
-	"pepperlever/internal/sitelink"
 )
 
 func gatewayCommand() *cobra.Command {
@@ -44,7 +44,7 @@
 			"of ticket keys is kept. Every site needs authority.pem, tickets.toml and its own two files; authority-key.pem\n" +
 			"stays where it is.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := sitelink.Issue(dir, sites, time.Duration(days)*24*time.Hour, roll); err != nil {
+			if err := transport.Issue(dir, sites, time.Duration(days)*24*time.Hour, roll); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "keys for %s are in %s\n", strings.Join(sites, ", "), dir)
@@ -179,7 +179,7 @@
 }
 
 func showHandOffs(w io.Writer, raw []byte) error {
-	var list []gateway.HandOff
+	var list []federation.HandOff
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return err
 	}
--- a/cmd/pepperlever/lab.go
+++ b/cmd/pepperlever/lab.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"pepperlever/client"
-	"pepperlever/internal/lab"
+	"pepperlever/internal/emulator"
 )
 
 // labFlags are the flags of the lab.
@@ -48,9 +48,9 @@
 }
 
 func (f *labFlags) run(cmd *cobra.Command) error {
-	cfg := lab.Default()
+	cfg := emulator.Default()
 	if f.config != "" {
-		loaded, err := lab.Load(f.config)
+		loaded, err := emulator.Load(f.config)
 		if err != nil {
 			return err
 		}
@@ -64,7 +64,7 @@
 	if f.two || f.cut || f.measure {
 		return f.runPair(cmd, &cfg)
 	}
-	site, err := lab.Open(&cfg, f.data, f.images)
+	site, err := emulator.Open(&cfg, f.data, f.images)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 }
 
 // runPair runs two sites, for what is asked of them or until it is interrupted.
-func (f *labFlags) runPair(cmd *cobra.Command, cfg *lab.Config) error {
-	pair, err := lab.OpenPair(cfg, f.data, f.images, f.link)
+func (f *labFlags) runPair(cmd *cobra.Command, cfg *emulator.Config) error {
+	pair, err := emulator.OpenPair(cfg, f.data, f.images, f.link)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 			return pair.Measure(ctx, cmd.OutOrStdout(), f.inFlight)
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "sites are at %s and %s; hand a job in that goes over with: pepperlever submit --to %[1]s --team %[3]s --class %[4]s --estimate-s 5 --wait\n",
-			pair.Sites[0].Front(), pair.Sites[1].Front(), cfg.Teams[0].Name, lab.Goes)
+			pair.Sites[0].Front(), pair.Sites[1].Front(), cfg.Teams[0].Name, emulator.Goes)
 		<-ctx.Done()
 		return nil
 	})
@@ -120,7 +120,7 @@
 }
 
 // runJob hands a job in and follows it.
-func (f *labFlags) runJob(ctx context.Context, cmd *cobra.Command, site *lab.Site) error {
+func (f *labFlags) runJob(ctx context.Context, cmd *cobra.Command, site *emulator.Site) error {
 	j, err := client.LoadJob(f.job)
 	if err != nil {
 		return err
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/core/tally"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/core/jobstats"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -56,13 +56,13 @@
 	case core.JobStatistics:
 		return &core.Answer{Req: c.Req, Status: 200, Body: core.ServedRows{Unanswered: 8 * time.Second, Owed: 3, Unsure: 7 * time.Second,
 			Waiting: core.Waiting{Awaits: 5, Limit: 6}, Counts: core.Counts{Cascades: 4, Oversized: 2},
-			Rows: []tally.Row{{Kind: "class", Name: "train", Accepted: 3, LargestStarted: 1, Oldest: 7 * time.Second}}}}
+			Rows: []jobstats.Row{{Kind: "class", Name: "train", Accepted: 3, LargestStarted: 1, Oldest: 7 * time.Second}}}}
 	case core.Heartbeat:
 		return &core.Answer{Req: c.Req, Status: 200, Body: c.Report.Machine}
 	case core.OperatorRequest:
 		if c.Op == core.ActionStatus {
-			return &core.Answer{Req: c.Req, Status: 200, Body: core.SiteStatus{Node: "a", Status: gateway.Status{Site: "near",
-				Peers: []gateway.PeerStatus{{Site: "far", Breaker: "open", Away: map[string]int{"offered": 2}, Retries: 7}}}}}
+			return &core.Answer{Req: c.Req, Status: 200, Body: core.SiteStatus{Node: "a", Status: federation.Status{Site: "near",
+				Peers: []federation.PeerStatus{{Site: "far", Breaker: "open", Away: map[string]int{"offered": 2}, Retries: 7}}}}}
 		}
 		return &core.Answer{Req: c.Req, Status: 200, Body: string(c.Op) + " " + c.Name + " " + c.Why}
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/httpc"
+	"pepperlever/internal/httpclient"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -23,7 +23,7 @@
 type Cloud struct {
 	cfg   *settings.Settings
 	emit  func(core.Command)
-	http  *httpc.Client
+	http  *httpclient.Client
 	queue chan func()
 	pause time.Duration
 	// refuses is set while the cloud answers that it does not act.
@@ -33,7 +33,7 @@
 // New makes a Cloud that tells emit what it learns.
 func New(cfg *settings.Settings, emit func(core.Command)) *Cloud {
 	return &Cloud{cfg: cfg, emit: emit, queue: make(chan func(), 256),
-		http:  httpc.New(time.Duration(cfg.Params.Workers.LeaseS*float64(time.Second)/4), 2),
+		http:  httpclient.New(time.Duration(cfg.Params.Workers.LeaseS*float64(time.Second)/4), 2),
 		pause: time.Duration(float64(time.Second) / cfg.Params.Cloud.RPS),
 	}
 }
@@ -111,7 +111,7 @@
 			args = append(args, protocol.ArgAfter, after)
 		}
 		var page protocol.MachineList
-		status, err := c.call(fasthttp.MethodGet, httpc.Query(protocol.PathMachines, args...), nil, &page)
+		status, err := c.call(fasthttp.MethodGet, httpclient.Query(protocol.PathMachines, args...), nil, &page)
 		if err != nil || status != fasthttp.StatusOK {
 			return nil, false
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,13 +9,13 @@
 	"slices"
 	"time"
 
-	"pepperlever/internal/core/chain"
+	"pepperlever/internal/core/dependency"
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/jobstats"
 	"pepperlever/internal/core/rollout"
-	"pepperlever/internal/core/tally"
 	"pepperlever/internal/core/worker"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -97,7 +97,7 @@
 	freshness freshness
 	relay     storeRelay
 	isolation isolation
-	stats     *tally.Tally
+	stats     *jobstats.Tally
 	counts    Counts
 
 	// federation is this site's gateway to others, nil without one.
@@ -144,7 +144,7 @@
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
 		machines: map[string]*worker.Machine{}, ledger: job.NewLedger(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{}, zoneSeen: map[string]time.Duration{},
 		peers: map[string]*peerState{}, storeOK: true,
-		handoffs: newSiteRecords(), scheduler: newSchedState(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: tally.New(),
+		handoffs: newSiteRecords(), scheduler: newSchedState(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(&team{Team: t, key: keyLeader + teamPart(t.Name), jobs: map[string]*job.Job{}})
@@ -156,7 +156,7 @@
 	}
 	c.roster = append(slices.Collect(maps.Keys(c.peers)), cfg.Node)
 	slices.Sort(c.roster)
-	c.dependencies = dependencyState{graph: chain.New(), asking: map[string]bool{}}
+	c.dependencies = dependencyState{graph: dependency.New(), asking: map[string]bool{}}
 	c.upgrade = upgrade{versions: rollout.New(c.roster), revisions: map[string]uint64{}}
 	return c
 }
@@ -238,7 +238,7 @@
 		c.handleSiteMessage(m.Message)
 	case SiteUp:
 		if c.federation != nil && c.federation.machine != nil {
-			c.federation.inputs = append(c.federation.inputs, gateway.Reachable{Site: m.Site})
+			c.federation.inputs = append(c.federation.inputs, federation.Reachable{Site: m.Site})
 		}
 	case SiteConfig:
 		c.siteConfig(m.Config)
--- a/internal/core/day_test.go
+++ b/internal/core/day_test.go
@@ -15,14 +15,14 @@
 
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
-	"pepperlever/internal/repeatable"
 	"pepperlever/internal/settings"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed and the number of the property tests; -rapid.seed and
 // -rapid.checks search further.
 func TestMain(m *testing.M) {
-	status := repeatable.Run(m, repeatable.Flags{"rapid.checks": "2"})
+	status := testseed.Run(m, testseed.Flags{"rapid.checks": "2"})
 	printEffectsDigest()
 	os.Exit(status)
 }
--- a/internal/core/awaits.go
+++ b/internal/core/dependencies.go
@@ -4,14 +4,14 @@
 	"slices"
 	"time"
 
-	"pepperlever/internal/core/chain"
+	"pepperlever/internal/core/dependency"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
 )
 
 // dependencyState is what this controller knows of jobs that await others (docs/chains.md).
 type dependencyState struct {
-	graph *chain.Graph
+	graph *dependency.Graph
 	// asking holds the awaited jobs whose state is being read.
 	asking map[string]bool
 	// inheriting are the jobs that have the urgency of others.
@@ -142,12 +142,12 @@
 		j.Inherit(nil)
 	}
 	c.dependencies.inheriting = c.dependencies.inheriting[:0]
-	urgencies := c.dependencies.graph.Inherit(func(id string) (chain.Urgency, int64, bool) {
+	urgencies := c.dependencies.graph.Inherit(func(id string) (dependency.Urgency, int64, bool) {
 		j := c.jobs[id]
 		if j == nil || j.Cancelled {
-			return chain.Urgency{}, 0, false
+			return dependency.Urgency{}, 0, false
 		}
-		return chain.Urgency{Priority: j.Priority, LatestStart: j.OwnLatestStart()}, j.Runs(), true
+		return dependency.Urgency{Priority: j.Priority, LatestStart: j.OwnLatestStart()}, j.Runs(), true
 	})
 	for id, u := range ordered(urgencies) {
 		if j := c.jobs[id]; j != nil {
--- a/internal/core/awaits_test.go
+++ b/internal/core/dependencies_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"pepperlever/internal/core/chain"
+	"pepperlever/internal/core/dependency"
 	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
@@ -186,7 +186,7 @@
 		if j.Rank() != 0 || lowest(j) || !j.AboveNormal() || j.Effective().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
 			t.Errorf("%s takes it for one of rank %d, its own is %d", node, j.Rank(), j.Priority)
 		}
-		if want := last.OwnLatestStart() - j.Runs(); j.LatestStart() != want || last.OwnLatestStart() == chain.NoDeadline {
+		if want := last.OwnLatestStart() - j.Runs(); j.LatestStart() != want || last.OwnLatestStart() == dependency.NoDeadline {
 			t.Errorf("%s has it start by %d, want %d", node, j.LatestStart(), want)
 		}
 	}
--- a/internal/core/chain/chain.go
+++ b/internal/core/dependency/graph.go
@@ -1,6 +1,6 @@
-// Package chain follows which jobs wait for which others. It knows names alone: what has
+// Package dependency follows which jobs wait for which others. It knows names alone: what has
 // become of a job is told to it, and what follows from that is its answer.
-package chain
+package dependency
 
 import (
 	"maps"
--- a/internal/core/chain/chain_test.go
+++ b/internal/core/dependency/graph_test.go
@@ -1,4 +1,4 @@
-package chain
+package dependency
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"pgregory.net/rapid"
 
-	"pepperlever/internal/repeatable"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed of the property tests.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, nil)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // A job is ready exactly when the last job that it awaits is done, in whatever order they
 // end, and upstream of it is what a walk over all edges finds.
--- a/internal/core/chain/urgency.go
+++ b/internal/core/dependency/urgency.go
@@ -1,4 +1,4 @@
-package chain
+package dependency
 
 import "math"
 
--- a/internal/core/gate.go
+++ b/internal/core/federation.go
@@ -10,17 +10,17 @@
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
 
 // federationAdapter joins the machine of hand-offs to the core. It runs on one controller at a
 // time: the home of the gateway's own pseudo team.
 type federationAdapter struct {
-	cfg     *gateway.Config
+	cfg     *federation.Config
 	team    *team
-	machine *gateway.Machine
-	inputs  []gateway.Input
+	machine *federation.Machine
+	inputs  []federation.Input
 	// inFlight holds the machine's writes that are not answered; foreign the
 	// revisions at which its records changed otherwise, as far as known.
 	inFlight map[uint64]bool
@@ -42,7 +42,7 @@
 }
 
 // Join switches the gateway on. It is called before the first Step.
-func (c *Core) Join(cfg *gateway.Config) {
+func (c *Core) Join(cfg *federation.Config) {
 	c.federation = &federationAdapter{cfg: cfg, team: &team{key: keyFederation, jobs: map[string]*job.Job{}},
 		inFlight: map[uint64]bool{}, foreign: map[uint64]bool{}, asking: map[string]bool{}, asked: map[uint64]operator{}}
 	c.federation.team.Name = "gateway"
@@ -57,11 +57,11 @@
 func (g *federationAdapter) open(c *Core) {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.incarnation)) // never fails
-	g.machine = gateway.New(g.cfg, seed.Sum64()+g.team.version)
+	g.machine = federation.New(g.cfg, seed.Sum64()+g.team.version)
 	clear(g.inFlight)
 	clear(g.foreign)
 	clear(g.asking)
-	g.inputs, g.loadAt = []gateway.Input{gateway.Loaded{Records: c.handoffs.Records}}, 0
+	g.inputs, g.loadAt = []federation.Input{federation.Loaded{Records: c.handoffs.Records}}, 0
 }
 
 // siteChanged notes a change of the records that did not come with the answer to a
@@ -84,7 +84,7 @@
 	if len(g.inFlight) == 0 && (len(g.foreign) > 0 || g.loadAt > 0 && c.now.Steady >= g.loadAt) {
 		clear(g.foreign)
 		g.loadAt = 0
-		g.inputs = append(g.inputs, gateway.Loaded{Records: c.handoffs.Records})
+		g.inputs = append(g.inputs, federation.Loaded{Records: c.handoffs.Records})
 	}
 	for len(g.inputs) > 0 || c.every(&g.tickAt, c.reportInterval()/30) {
 		in := g.inputs
@@ -98,24 +98,24 @@
 	}
 }
 
-func (c *Core) carryOutFederation(e gateway.Effect) {
+func (c *Core) carryOutFederation(e federation.Effect) {
 	g := c.federation
 	switch e := e.(type) {
-	case gateway.Store:
+	case federation.Store:
 		c.siteStore(e)
-	case gateway.Reload:
+	case federation.Reload:
 		g.loadAt = c.now.Steady + c.reportInterval()/6
-	case gateway.Send:
-		if k, ok := c.handoffs.Taken[gateway.Hold{Origin: e.Message.To, Epoch: e.Message.Epoch}]; ok && e.Message.Accepted {
+	case federation.Send:
+		if k, ok := c.handoffs.Taken[federation.Hold{Origin: e.Message.To, Epoch: e.Message.Epoch}]; ok && e.Message.Accepted {
 			s := c.jobProgress(k.Local)
 			e.Message.Done, e.Message.Running = s.Done, s.Running
 		}
 		c.emit(SendSite{Message: e.Message})
-	case gateway.CancelHere:
+	case federation.CancelHere:
 		c.cancel(Cancel{ID: e.Local})
-	case gateway.Answer:
+	case federation.Answer:
 		c.siteAnswer(e)
-	case gateway.Log:
+	case federation.Log:
 		level := Info
 		if e.Bad {
 			level = Error
@@ -125,7 +125,7 @@
 }
 
 // handleSiteMessage takes a message of another site to the gateway's home.
-func (c *Core) handleSiteMessage(m gateway.Message) {
+func (c *Core) handleSiteMessage(m federation.Message) {
 	g := c.federation
 	if g == nil {
 		return
@@ -136,14 +136,14 @@
 		}
 		return
 	}
-	in := gateway.Received{Message: m}
-	if m.Kind == gateway.Offered && m.Ticket != nil {
+	in := federation.Received{Message: m}
+	if m.Kind == federation.Offered && m.Ticket != nil {
 		if c.types == nil {
 			return // it is offered again
 		}
 		in.Unfit = c.unfit(m.Ticket)
 	}
-	if job, ok := g.machine.Job(m.From, m.Epoch); ok && m.Kind == gateway.Decided && m.Accepted {
+	if job, ok := g.machine.Job(m.From, m.Epoch); ok && m.Kind == federation.Decided && m.Accepted {
 		c.progressed(job, Progress{m.Done, m.Running})
 		c.broadcast(PeerMessage{Federation: &FederationNote{Progress: map[string]Progress{job: c.handoffs.progress[job]}}})
 	}
@@ -166,7 +166,7 @@
 }
 
 // unfit tells why a job of another site can never run here, or nothing.
-func (c *Core) unfit(t *gateway.Ticket) string {
+func (c *Core) unfit(t *federation.Ticket) string {
 	s, err := job.Parse(t.Body, c.specBytes())
 	if err != nil {
 		return err.Error()
@@ -186,7 +186,7 @@
 // feedFederation tells the machine which jobs wait, and which accepted ones have ended.
 func (c *Core) feedFederation() {
 	g := c.federation
-	w := gateway.Waiting{}
+	w := federation.Waiting{}
 	var jobs []*job.Job
 	for _, t := range c.teams {
 		for _, j := range ordered(t.jobs) {
@@ -214,13 +214,13 @@
 		}
 	}
 	g.inputs = append(g.inputs, w)
-	for _, k := range orderedBy(c.handoffs.Taken, gateway.CompareHolds) {
+	for _, k := range orderedBy(c.handoffs.Taken, federation.CompareHolds) {
 		if k.Accepted && k.State == "" && !g.asking[k.Local] && (c.jobs[k.Local] == nil || c.jobs[k.Local].Cancelled) {
 			g.asking[k.Local] = true
 			c.lookUp(k.Local, func(f lookupResult, s protocol.JobState) {
 				delete(g.asking, k.Local)
 				if f == lookupFinal && g.machine != nil {
-					g.inputs = append(g.inputs, gateway.EndedHere{Local: k.Local, State: s.State})
+					g.inputs = append(g.inputs, federation.EndedHere{Local: k.Local, State: s.State})
 				}
 			})
 		}
@@ -247,9 +247,9 @@
 	return true
 }
 
-func (c *Core) offerable(j *job.Job, waited time.Duration, never bool) gateway.Job {
-	out := gateway.Job{ID: j.ID, Class: j.Class, Waited: waited, Zone: j.Zone, Types: j.Types, Elsewhere: never}
-	if h, ok := gateway.ParseLocal(j.ID); ok {
+func (c *Core) offerable(j *job.Job, waited time.Duration, never bool) federation.Job {
+	out := federation.Job{ID: j.ID, Class: j.Class, Waited: waited, Zone: j.Zone, Types: j.Types, Elsewhere: never}
+	if h, ok := federation.ParseLocal(j.ID); ok {
 		out.Path = c.handoffs.Taken[h].Path
 	}
 	s := j.Spec
@@ -293,7 +293,7 @@
 			c.progressed(id, p)
 		}
 	case n.Cancel != "" && g.machine != nil:
-		g.inputs = append(g.inputs, gateway.Cancel{Job: n.Cancel})
+		g.inputs = append(g.inputs, federation.Cancel{Job: n.Cancel})
 	case n.Request != nil && g.machine != nil:
 		c.siteOperate(operator{from, n.Request.Req}, *n.Request)
 	case n.Reply != nil:
@@ -308,7 +308,7 @@
 	case g == nil:
 		c.reply(m.Req, http.StatusNotFound, protocol.Problem{Error: "this controller has no gateway"})
 	case m.Op == ActionHandoffs:
-		c.reply(m.Req, http.StatusOK, gateway.HandOffs(&c.handoffs.Records))
+		c.reply(m.Req, http.StatusOK, federation.HandOffs(&c.handoffs.Records))
 	case g.machine != nil:
 		c.siteOperate(operator{c.cfg.Node, m.Req}, m)
 	case g.team.leader == "":
@@ -332,16 +332,16 @@
 	g.asked[g.nextID] = q
 	switch m.Op {
 	case ActionGiveUp:
-		g.inputs = append(g.inputs, gateway.GiveUp{Req: g.nextID, Job: m.Name, Operator: m.Operator, Why: m.Why})
+		g.inputs = append(g.inputs, federation.GiveUp{Req: g.nextID, Job: m.Name, Operator: m.Operator, Why: m.Why})
 	case ActionDrain:
-		g.inputs = append(g.inputs, gateway.Drain{Req: g.nextID, Site: gateway.Site(m.Name), On: m.On})
+		g.inputs = append(g.inputs, federation.Drain{Req: g.nextID, Site: federation.Site(m.Name), On: m.On})
 	case ActionRenew:
-		g.inputs = append(g.inputs, gateway.Renew{Req: g.nextID, Site: gateway.Site(m.Name), Operator: m.Operator, Why: m.Why})
+		g.inputs = append(g.inputs, federation.Renew{Req: g.nextID, Site: federation.Site(m.Name), Operator: m.Operator, Why: m.Why})
 	}
 }
 
 // siteAnswer ends an operator's question; users were answered at once.
-func (c *Core) siteAnswer(a gateway.Answer) {
+func (c *Core) siteAnswer(a federation.Answer) {
 	q, ok := c.federation.asked[a.Req]
 	if !ok {
 		return
@@ -363,7 +363,7 @@
 }
 
 // siteConfig takes the operator's file, read again.
-func (c *Core) siteConfig(cfg *gateway.Config) {
+func (c *Core) siteConfig(cfg *federation.Config) {
 	g := c.federation
 	if g == nil || cfg.Site != g.cfg.Site {
 		c.log(Error, "gateway file is not taken: the site's name may not change")
@@ -372,7 +372,7 @@
 	g.cfg = cfg
 	g.limit(c)
 	if g.machine != nil {
-		g.inputs = append(g.inputs, gateway.Configured{Config: cfg})
+		g.inputs = append(g.inputs, federation.Configured{Config: cfg})
 	}
 	c.log(Info, "gateway file taken", "peers", len(cfg.Peers), "classes", len(cfg.Class))
 }
--- a/internal/core/gate_test.go
+++ b/internal/core/federation_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
 
@@ -20,29 +20,29 @@
 	w *world
 	// decide answers an offer, end tells the state in which the job has ended there,
 	// or nothing yet.
-	decide func(m gateway.Message) gateway.Message
+	decide func(m federation.Message) federation.Message
 	end    func() string
 	seen   int
-	taken  map[gateway.Epoch]gateway.Message
+	taken  map[federation.Epoch]federation.Message
 }
 
 // joined is a world whose controllers have a gateway to a site called far.
 func joined(t *testing.T) (*world, *far) {
 	w := newWorld(t)
-	w.gateways = map[string]*gateway.Config{}
+	w.gateways = map[string]*federation.Config{}
 	for _, n := range nodeNames {
-		cfg := gateway.Default()
+		cfg := federation.Default()
 		cfg.Site, cfg.RetryS, cfg.RetryMaxS = "near", 1, 4
-		cfg.Peers = []gateway.Peer{{Site: "far", AtOnce: 10, Takes: 10, Zones: []string{"z9"}}}
-		cfg.Class = []gateway.Class{{Name: "k", To: []gateway.Site{"far"}, Accept: []gateway.Site{"far"}, Repeat: true, AfterS: 3600}}
+		cfg.Peers = []federation.Peer{{Site: "far", AtOnce: 10, Takes: 10, Zones: []string{"z9"}}}
+		cfg.Class = []federation.Class{{Name: "k", To: []federation.Site{"far"}, Accept: []federation.Site{"far"}, Repeat: true, AfterS: 3600}}
 		w.gateways[n] = &cfg
 	}
 	for _, n := range nodeNames {
 		w.boot(n)
 	}
-	f := &far{w: w, taken: map[gateway.Epoch]gateway.Message{}, end: func() string { return "" }}
-	f.decide = func(m gateway.Message) gateway.Message {
-		return gateway.Message{Kind: gateway.Decided, Accepted: true, Done: 1, Running: 2}
+	f := &far{w: w, taken: map[federation.Epoch]federation.Message{}, end: func() string { return "" }}
+	f.decide = func(m federation.Message) federation.Message {
+		return federation.Message{Kind: federation.Decided, Accepted: true, Done: 1, Running: 2}
 	}
 	w.ready()
 	return w, f
@@ -58,27 +58,27 @@
 	})
 }
 
-func (f *far) say(m gateway.Message) {
+func (f *far) say(m federation.Message) {
 	m.From, m.To = "far", "near"
 	f.w.send(nodeNames[f.seen%len(nodeNames)], SiteMessageReceived{Message: m})
 }
 
-func (f *far) hear(m gateway.Message) {
+func (f *far) hear(m federation.Message) {
 	answer, known := f.taken[m.Epoch]
 	switch {
-	case m.Kind == gateway.Asked:
-		f.say(gateway.Message{Kind: gateway.Viewed, Nonce: m.Nonce, View: &gateway.View{}})
+	case m.Kind == federation.Asked:
+		f.say(federation.Message{Kind: federation.Viewed, Nonce: m.Nonce, View: &federation.View{}})
 		return
-	case m.Kind == gateway.CancelAsked && !known:
-		answer = gateway.Message{Kind: gateway.Decided, Reason: "cancelled"}
-	case m.Kind == gateway.Offered && !known:
+	case m.Kind == federation.CancelAsked && !known:
+		answer = federation.Message{Kind: federation.Decided, Reason: "cancelled"}
+	case m.Kind == federation.Offered && !known:
 		answer = f.decide(m)
-	case m.Kind != gateway.Offered && m.Kind != gateway.CancelAsked:
+	case m.Kind != federation.Offered && m.Kind != federation.CancelAsked:
 		return
 	}
 	f.taken[m.Epoch] = answer
 	if state := f.end(); answer.Accepted && state != "" {
-		answer = gateway.Message{Kind: gateway.Ended, State: state}
+		answer = federation.Message{Kind: federation.Ended, State: state}
 	}
 	answer.Epoch = m.Epoch
 	f.say(answer)
@@ -139,7 +139,7 @@
 	for _, accepted := range []bool{true, false} {
 		w, f := joined(t)
 		if !accepted {
-			f.decide = func(gateway.Message) gateway.Message { return gateway.Message{} } // no answer that counts
+			f.decide = func(federation.Message) federation.Message { return federation.Message{} } // no answer that counts
 		}
 		f.handIn("req-red-1")
 		if !f.play(time.Minute, func() bool { return len(f.taken) > 0 && w.cores["a"].isOutgoing("req-red-1") }) {
@@ -169,8 +169,8 @@
 	for _, n := range nodeNames {
 		w.gateways[n].Class[0].AfterS = 0
 	}
-	f.decide = func(gateway.Message) gateway.Message {
-		return gateway.Message{Kind: gateway.Decided, Reason: "not today"}
+	f.decide = func(federation.Message) federation.Message {
+		return federation.Message{Kind: federation.Decided, Reason: "not today"}
 	}
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
@@ -186,12 +186,12 @@
 func TestJobOfAnotherSiteRunsHereAndItsEndIsTold(t *testing.T) {
 	w, f := joined(t)
 	f.play(10*time.Second, func() bool { return false })
-	offer := func(epoch gateway.Epoch, body string) gateway.Message {
-		return gateway.Message{Kind: gateway.Offered, Epoch: epoch, Ticket: &gateway.Ticket{Origin: "far", To: "near", Job: "req-x",
-			Class: "k", Epoch: epoch, Path: []gateway.Site{"far"}, Body: json.RawMessage(body)}}
+	offer := func(epoch federation.Epoch, body string) federation.Message {
+		return federation.Message{Kind: federation.Offered, Epoch: epoch, Ticket: &federation.Ticket{Origin: "far", To: "near", Job: "req-x",
+			Class: "k", Epoch: epoch, Path: []federation.Site{"far"}, Body: json.RawMessage(body)}}
 	}
-	told := func(kind gateway.Kind, epoch gateway.Epoch) *gateway.Message {
-		i := slices.IndexFunc(w.sent, func(m gateway.Message) bool { return m.Kind == kind && m.Epoch == epoch })
+	told := func(kind federation.Kind, epoch federation.Epoch) *federation.Message {
+		i := slices.IndexFunc(w.sent, func(m federation.Message) bool { return m.Kind == kind && m.Epoch == epoch })
 		if i < 0 {
 			return nil
 		}
@@ -200,11 +200,11 @@
 	f.say(offer(1, submission("req-x", "red", 2, "")))
 	f.say(offer(2, submission("req-x", "nobody", 2, "")))
 	f.say(offer(3, submission("req-x", "red", 2, elsewhere)))
-	if !f.play(time.Minute, func() bool { return told(gateway.Ended, 1) != nil }) || told(gateway.Ended, 1).State != protocol.Done {
+	if !f.play(time.Minute, func() bool { return told(federation.Ended, 1) != nil }) || told(federation.Ended, 1).State != protocol.Done {
 		t.Fatal("its end is not told")
 	}
-	for epoch, why := range map[gateway.Epoch]string{2: "team is unknown", 3: "zone is unknown"} {
-		if m := told(gateway.Decided, epoch); m == nil || m.Accepted || m.Reason != why {
+	for epoch, why := range map[federation.Epoch]string{2: "team is unknown", 3: "zone is unknown"} {
+		if m := told(federation.Decided, epoch); m == nil || m.Accepted || m.Reason != why {
 			t.Errorf("epoch %d: %+v", epoch, m)
 		}
 	}
@@ -217,7 +217,7 @@
 		t.Errorf("a user's job with such an id got %d", a.Status)
 	}
 	w.startedOnce()
-	f.say(gateway.Message{Kind: gateway.Closed, Epoch: 1, Floor: 3})
+	f.say(federation.Message{Kind: federation.Closed, Epoch: 1, Floor: 3})
 	if !f.play(time.Minute, func() bool { return len(w.cores["a"].handoffs.Taken) == 0 && w.cores["b"].handoffs.Floors["far"] == 3 }) {
 		t.Errorf("not forgotten: %v", w.cores["a"].handoffs.Taken)
 	}
@@ -256,9 +256,9 @@
 // has them.
 func TestGatewayFindsOutAboutUnansweredWrites(t *testing.T) {
 	w, f := joined(t)
-	f.decide = func(gateway.Message) gateway.Message {
+	f.decide = func(federation.Message) federation.Message {
 		w.unknown = 1 + len(f.taken)%3 // the next writes, of whoever it is
-		return gateway.Message{Kind: gateway.Decided, Accepted: true}
+		return federation.Message{Kind: federation.Decided, Accepted: true}
 	}
 	f.end = func() string { w.unknown++; return protocol.Done }
 	for i := range 5 {
@@ -281,7 +281,7 @@
 // Bindings, hand-offs and cancellations meet in the state service, whatever the
 // controllers have heard by then.
 func TestHandOffsMeetBindingsAndCancellations(t *testing.T) {
-	away := gateway.Away{Epoch: 1, To: "far", Accepted: true}
+	away := federation.Away{Epoch: 1, To: "far", Accepted: true}
 	for name, c := range map[string]struct {
 		more   string
 		before func(w *world)
@@ -319,7 +319,7 @@
 // A job that is away is not even tried to be placed.
 func TestJobThatIsAwayIsNotPlaced(t *testing.T) {
 	w, f := joined(t)
-	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: mustMarshal(gateway.Away{Epoch: 1, To: "far"})})
+	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: mustMarshal(federation.Away{Epoch: 1, To: "far"})})
 	f.play(time.Second, func() bool { return false })
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
--- a/internal/core/gatestore.go
+++ b/internal/core/federationstore.go
@@ -4,18 +4,18 @@
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
 
 // siteStore carries out one write of the gateway: a transaction on the condition
 // that this node is still its home, and on the records as the mirror has them.
-func (c *Core) siteStore(s gateway.Store) {
+func (c *Core) siteStore(s federation.Store) {
 	g := c.federation
 	machine := g.machine
 	txn, ok := c.siteTxn(s.Write)
 	if !ok {
-		g.inputs = append(g.inputs, gateway.Stored{ID: s.ID, Outcome: gateway.Conflict})
+		g.inputs = append(g.inputs, federation.Stored{ID: s.ID, Outcome: federation.Conflict})
 		return
 	}
 	txn.If = append(txn.If, g.team.leaderCondition())
@@ -25,15 +25,15 @@
 			return // this node has been deposed since; the mirror follows the watch
 		}
 		delete(g.inFlight, s.ID)
-		out := gateway.Stored{ID: s.ID, Outcome: gateway.Unknown}
+		out := federation.Stored{ID: s.ID, Outcome: federation.Unknown}
 		switch r.Outcome {
 		case Applied:
-			out.Outcome = gateway.Applied
+			out.Outcome = federation.Applied
 			c.mirror(txn.Then, r.Revision)
 			delete(g.foreign, r.Revision)
 			c.handOver(s.Write, r.Revision)
 		case Conflict:
-			out.Outcome = gateway.Conflict
+			out.Outcome = federation.Conflict
 		}
 		g.inputs = append(g.inputs, out)
 	})
@@ -55,8 +55,8 @@
 }
 
 // handOver tells the home of an accepted job's team at once.
-func (c *Core) handOver(w gateway.Write, revision uint64) {
-	d, ok := w.(gateway.Decide)
+func (c *Core) handOver(w federation.Write, revision uint64) {
+	d, ok := w.(federation.Decide)
 	if !ok || !d.Taken.Accepted {
 		return
 	}
@@ -67,33 +67,33 @@
 
 // siteTxn is the transaction of a write, or not if the mirror shows that it would
 // fail.
-func (c *Core) siteTxn(w gateway.Write) (protocol.Txn, bool) {
+func (c *Core) siteTxn(w federation.Write) (protocol.Txn, bool) {
 	switch w := w.(type) {
-	case gateway.MakeAway:
+	case federation.MakeAway:
 		return c.makeAway(w)
-	case gateway.MarkTold:
-		return c.changeAway(w.Job, w.Epoch, func(a *gateway.Away) { a.Accepted = true })
-	case gateway.MarkCancel:
-		return c.changeAway(w.Job, w.Epoch, func(a *gateway.Away) { a.CancelAsked = true })
-	case gateway.TakeBack:
+	case federation.MarkTold:
+		return c.changeAway(w.Job, w.Epoch, func(a *federation.Away) { a.Accepted = true })
+	case federation.MarkCancel:
+		return c.changeAway(w.Job, w.Epoch, func(a *federation.Away) { a.CancelAsked = true })
+	case federation.TakeBack:
 		return c.takeBack(w)
-	case gateway.Finish:
+	case federation.Finish:
 		return c.finishAway(w)
-	case gateway.Decide:
+	case federation.Decide:
 		return c.decide(w)
-	case gateway.NoteEnd:
+	case federation.NoteEnd:
 		k, there := c.handoffs.Taken[w.Hold]
 		k.State = w.State
 		return protocol.Txn{If: c.asMirrored(takenKey(w.Hold)), Then: []protocol.Change{putJSON(takenKey(w.Hold), k)}}, there
-	case gateway.Forget:
+	case federation.Forget:
 		return c.forget(w)
-	case gateway.SetDrain:
+	case federation.SetDrain:
 		change := protocol.Change{Delete: drainedKey(w.Site)}
 		if w.On {
 			change = putJSON(drainedKey(w.Site), struct{}{})
 		}
 		return protocol.Txn{If: c.asMirrored(drainedKey(w.Site)), Then: []protocol.Change{change}}, true
-	case gateway.SetLast:
+	case federation.SetLast:
 		return protocol.Txn{If: c.asMirrored(lastKey(w.Site)), Then: []protocol.Change{putJSON(lastKey(w.Site), w.Last)}}, true
 	}
 	panic("core: unknown write of the gateway")
@@ -110,7 +110,7 @@
 
 // makeAway gives the right away. That the head is unchanged shows that nothing is
 // bound; a binding that comes later finds the record.
-func (c *Core) makeAway(w gateway.MakeAway) (protocol.Txn, bool) {
+func (c *Core) makeAway(w federation.MakeAway) (protocol.Txn, bool) {
 	j := c.jobs[w.Job]
 	if j == nil || !c.untouched(j) || !c.everyNodeKnows() || w.Away.Epoch != c.handoffs.Last[w.Away.To]+1 {
 		return protocol.Txn{}, false
@@ -125,20 +125,20 @@
 }
 
 // awayUnder tells whether the mirror shows a job to be away under an epoch.
-func (c *Core) awayUnder(id string, e gateway.Epoch) bool {
+func (c *Core) awayUnder(id string, e federation.Epoch) bool {
 	a, there := c.handoffs.Away[id]
 	return there && a.Epoch == e
 }
 
 // changeAway changes the record of a job that is away under an epoch.
-func (c *Core) changeAway(id string, e gateway.Epoch, change func(*gateway.Away)) (protocol.Txn, bool) {
+func (c *Core) changeAway(id string, e federation.Epoch, change func(*federation.Away)) (protocol.Txn, bool) {
 	a := c.handoffs.Away[id]
 	change(&a)
 	return protocol.Txn{If: c.asMirrored(awayKey(id)), Then: []protocol.Change{putJSON(awayKey(id), a)}}, c.awayUnder(id, e)
 }
 
 // takeBack brings the right home, or ends the job if its user wanted that.
-func (c *Core) takeBack(w gateway.TakeBack) (protocol.Txn, bool) {
+func (c *Core) takeBack(w federation.TakeBack) (protocol.Txn, bool) {
 	held := c.awayUnder(w.Job, w.Epoch)
 	if w.Cancelled {
 		return c.endAway(w.Job, protocol.Cancelled), held
@@ -146,7 +146,7 @@
 	return protocol.Txn{If: c.asMirrored(awayKey(w.Job)), Then: []protocol.Change{{Delete: awayKey(w.Job)}}}, held
 }
 
-func (c *Core) finishAway(w gateway.Finish) (protocol.Txn, bool) {
+func (c *Core) finishAway(w federation.Finish) (protocol.Txn, bool) {
 	if c.jobs[w.Job] == nil {
 		return protocol.Txn{}, false
 	}
@@ -167,7 +167,7 @@
 }
 
 // decide stores a decision for good, with the job if it is accepted.
-func (c *Core) decide(w gateway.Decide) (protocol.Txn, bool) {
+func (c *Core) decide(w federation.Decide) (protocol.Txn, bool) {
 	k := w.Taken
 	k.At = c.now.Wall
 	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Hold.Origin), takenKey(w.Hold)), Then: []protocol.Change{putJSON(takenKey(w.Hold), k)}}
@@ -187,7 +187,7 @@
 
 // forget drops decisions. The final states of the jobs stay, as any job's: workers
 // that come back late are told by them what to stop.
-func (c *Core) forget(w gateway.Forget) (protocol.Txn, bool) {
+func (c *Core) forget(w federation.Forget) (protocol.Txn, bool) {
 	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Origin)), Then: []protocol.Change{putJSON(floorKey(w.Origin), w.Floor)}}
 	for _, h := range w.Drop {
 		txn.Then = append(txn.Then, protocol.Change{Delete: takenKey(h)})
--- a/internal/core/sites.go
+++ b/internal/core/handoffs.go
@@ -8,7 +8,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
 
@@ -21,17 +21,19 @@
 	keyDrained = keyFederation + "d/" // j/gd/<site>: no new hand-offs with it
 )
 
-func awayKey(id string) string         { return keyAway + id }
-func takenKey(h gateway.Hold) string   { return keyTaken + string(h.Origin) + "/" + epochText(h.Epoch) }
-func floorKey(s gateway.Site) string   { return keyFloor + string(s) }
-func lastKey(s gateway.Site) string    { return keyLast + string(s) }
-func drainedKey(s gateway.Site) string { return keyDrained + string(s) }
-func epochText(e gateway.Epoch) string { return strconv.FormatUint(uint64(e), 10) }
+func awayKey(id string) string { return keyAway + id }
+func takenKey(h federation.Hold) string {
+	return keyTaken + string(h.Origin) + "/" + epochText(h.Epoch)
+}
+func floorKey(s federation.Site) string   { return keyFloor + string(s) }
+func lastKey(s federation.Site) string    { return keyLast + string(s) }
+func drainedKey(s federation.Site) string { return keyDrained + string(s) }
+func epochText(e federation.Epoch) string { return strconv.FormatUint(uint64(e), 10) }
 
 // handoffRecords mirror the hand-offs on every controller, with a gateway or without:
 // what is away is bound nowhere here.
 type handoffRecords struct {
-	gateway.Records
+	federation.Records
 	// versions are the keys' versions, gone the revisions of deletions that the
 	// watch has not told yet.
 	versions map[string]uint64
@@ -43,8 +45,8 @@
 }
 
 func newSiteRecords() handoffRecords {
-	return handoffRecords{Records: gateway.Records{Last: map[gateway.Site]gateway.Epoch{}, Away: map[string]gateway.Away{},
-		Taken: map[gateway.Hold]gateway.Taken{}, Floors: map[gateway.Site]gateway.Epoch{}, Drained: map[gateway.Site]bool{}},
+	return handoffRecords{Records: federation.Records{Last: map[federation.Site]federation.Epoch{}, Away: map[string]federation.Away{},
+		Taken: map[federation.Hold]federation.Taken{}, Floors: map[federation.Site]federation.Epoch{}, Drained: map[federation.Site]bool{}},
 		versions: map[string]uint64{}, gone: map[string]uint64{}, unconfirmed: map[string]time.Duration{}, progress: map[string]Progress{}}
 }
 
@@ -106,24 +108,24 @@
 	}
 	switch kind {
 	case keyAway:
-		var a gateway.Away
+		var a federation.Away
 		err = json.Unmarshal(item.Value, &a)
 		s.Away[name] = a
 		delete(s.unconfirmed, name)
 	case keyTaken:
-		var k gateway.Taken
-		var h gateway.Hold
+		var k federation.Taken
+		var h federation.Hold
 		if h, err = holdOf(name); err == nil {
 			err = json.Unmarshal(item.Value, &k)
 			s.Taken[h] = k
 		}
 	case keyFloor, keyLast:
-		var e gateway.Epoch
+		var e federation.Epoch
 		err = json.Unmarshal(item.Value, &e)
-		of := map[string]map[gateway.Site]gateway.Epoch{keyFloor: s.Floors, keyLast: s.Last}[kind]
-		of[gateway.Site(name)] = max(of[gateway.Site(name)], e)
+		of := map[string]map[federation.Site]federation.Epoch{keyFloor: s.Floors, keyLast: s.Last}[kind]
+		of[federation.Site(name)] = max(of[federation.Site(name)], e)
 	case keyDrained:
-		s.Drained[gateway.Site(name)] = true
+		s.Drained[federation.Site(name)] = true
 	}
 	return err
 }
@@ -138,10 +140,10 @@
 	return "", "", strconv.ErrSyntax
 }
 
-func holdOf(name string) (gateway.Hold, error) {
+func holdOf(name string) (federation.Hold, error) {
 	origin, epoch, _ := strings.Cut(name, "/")
 	e, err := strconv.ParseUint(epoch, 10, 64)
-	return gateway.Hold{Origin: gateway.Site(origin), Epoch: gateway.Epoch(e)}, err
+	return federation.Hold{Origin: federation.Site(origin), Epoch: federation.Epoch(e)}, err
 }
 
 // onFederationDelete applies the deletion of a record.
@@ -172,7 +174,7 @@
 			delete(s.Taken, h)
 		}
 	case keyDrained:
-		delete(s.Drained, gateway.Site(name))
+		delete(s.Drained, federation.Site(name))
 	}
 	c.siteChanged(revision)
 }
--- a/internal/core/headroom/headroom_test.go
+++ b/internal/core/headroom/headroom_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/repeatable"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed of the property tests.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, nil)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // Room is kept for two of the largest jobs, but never for more than a quarter of what a
 // class has: a single service of thousands must not idle as many places again.
--- a/internal/core/job/await.go
+++ b/internal/core/job/await.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pepperlever/internal/core/chain"
+	"pepperlever/internal/core/dependency"
 )
 
 // waiting is what a job's controllers derive from the jobs that it awaits and from those
@@ -16,7 +16,7 @@
 	// to be done, 0 for a job that never waited.
 	readyAt int64
 	// inherited is the urgency of the jobs that need this one, if any do.
-	inherited *chain.Urgency
+	inherited *dependency.Urgency
 }
 
 // Ready ends the wait of a job for others.
@@ -32,7 +32,7 @@
 func (j *Job) Since() int64 { return max(j.Accepted, j.readyAt) }
 
 // Inherit gives a job the urgency of those that need it, or takes it back.
-func (j *Job) Inherit(u *chain.Urgency) { j.inherited = u }
+func (j *Job) Inherit(u *dependency.Urgency) { j.inherited = u }
 
 // Rank is the job's priority, or the highest of those that need it.
 func (j *Job) Rank() int {
@@ -47,7 +47,7 @@
 
 // HasDeadline tells whether the job, or one that needs it, is to be done in time.
 func (j *Job) HasDeadline() bool {
-	return j.DeadlineS > 0 || j.inherited != nil && j.inherited.LatestStart != chain.NoDeadline
+	return j.DeadlineS > 0 || j.inherited != nil && j.inherited.LatestStart != dependency.NoDeadline
 }
 
 // Runs is the owner's estimate of a task's run time, in milliseconds.
@@ -60,7 +60,7 @@
 	if j.inherited != nil {
 		start = min(start, j.inherited.LatestStart)
 	}
-	if start == chain.NoDeadline {
+	if start == dependency.NoDeadline {
 		return j.Since() + patience*j.Runs()
 	}
 	return start
@@ -72,7 +72,7 @@
 // OwnLatestStart is the latest start by the job's own deadline.
 func (j *Job) OwnLatestStart() int64 {
 	if j.DeadlineS == 0 {
-		return chain.NoDeadline
+		return dependency.NoDeadline
 	}
 	return j.Accepted + int64(j.DeadlineS*1000) - j.Runs()
 }
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -12,11 +12,11 @@
 	"github.com/segmentio/encoding/json"
 	"pgregory.net/rapid"
 
-	"pepperlever/internal/repeatable"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed of the property tests, and their number: fewer miss a move that is not undone.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, repeatable.Flags{"rapid.checks": "500"})) }
+func TestMain(m *testing.M) { os.Exit(testseed.Run(m, testseed.Flags{"rapid.checks": "500"})) }
 
 const (
 	formerChunk = 16
--- a/internal/core/tally/tally.go
+++ b/internal/core/jobstats/jobstats.go
@@ -1,6 +1,6 @@
-// Package tally counts what has become of jobs, by class and by team, as one controller
+// Package jobstats counts what has become of jobs, by class and by team, as one controller
 // has seen it since it began.
-package tally
+package jobstats
 
 import (
 	"cmp"
--- a/internal/core/tally/tally_test.go
+++ b/internal/core/jobstats/jobstats_test.go
@@ -1,4 +1,4 @@
-package tally
+package jobstats
 
 import (
 	"testing"
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -5,7 +5,7 @@
 
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
 
@@ -145,17 +145,17 @@
 // Commands from other sites and the operator's gateway file.
 type (
 	// SiteMessageReceived is a message of another site, whose sender has been verified.
-	SiteMessageReceived struct{ Message gateway.Message }
+	SiteMessageReceived struct{ Message federation.Message }
 	// SiteUp tells that messages can be sent to another site.
-	SiteUp struct{ Site gateway.Site }
+	SiteUp struct{ Site federation.Site }
 	// SiteConfig is the gateway file, read again after a change.
-	SiteConfig struct{ Config *gateway.Config }
+	SiteConfig struct{ Config *federation.Config }
 )
 
 // Effects.
 type (
 	// SendSite sends a message to another site.
-	SendSite struct{ Message gateway.Message }
+	SendSite struct{ Message federation.Message }
 	// Answer ends a request of a user or worker.
 	Answer struct {
 		Req        uint64
@@ -238,7 +238,7 @@
 // parts is set: a message of another site, a job to be cancelled, jobs' progress,
 // an operator's question, or its answer.
 type FederationNote struct {
-	Message  *gateway.Message    `json:"m,omitempty"`
+	Message  *federation.Message `json:"m,omitempty"`
 	Cancel   string              `json:"c,omitempty"`
 	Progress map[string]Progress `json:"p,omitempty"`
 	Request  *OperatorRequest    `json:"a,omitempty"`
@@ -284,7 +284,7 @@
 // SiteStatus is the gateway's state, and which controller is its home.
 type SiteStatus struct {
 	Node string `json:"node"`
-	gateway.Status
+	federation.Status
 }
 
 // OperatorResult is what was done on an operator's word.
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"pepperlever/internal/core/bulletin"
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/core/relay"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/settings"
 )
 
@@ -48,8 +48,8 @@
 func sharedTypes() map[string]any {
 	return map[string]any{
 		"message": PeerMessage{}, "node": nodeRecord{}, "home": leaderRecord{}, "mark": cordonRecord{}, "state": finalStateRecord{}, "counter": tokenCounter{},
-		"intent": rentalIntent{}, "record": usageRecord{}, "cancellation": cancelRecord{}, "page": bulletin.Page{}, "page beat": relayHeartbeat{},
-		"spec": job.Spec{}, "away": gateway.Away{}, "taken": gateway.Taken{},
+		"intent": rentalIntent{}, "record": usageRecord{}, "cancellation": cancelRecord{}, "page": relay.Page{}, "page beat": relayHeartbeat{},
+		"spec": job.Spec{}, "away": federation.Away{}, "taken": federation.Taken{},
 	}
 }
 
--- a/internal/core/bulletin/bulletin.go
+++ b/internal/core/relay/relay.go
@@ -1,8 +1,8 @@
-// Package bulletin is what a controller publishes in the state service for those
+// Package relay is what a controller publishes in the state service for those
 // that cannot hear it: which machines report to it, and what has become of the
 // tasks on them. It lays a bulletin out in pages and tells which of them have to
 // be written; it has neither input nor output.
-package bulletin
+package relay
 
 import (
 	"bytes"
--- a/internal/core/bulletin/bulletin_test.go
+++ b/internal/core/relay/relay_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package relay
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 	"github.com/segmentio/encoding/json"
 	"pgregory.net/rapid"
 
-	"pepperlever/internal/repeatable"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed of the property tests.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, nil)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // Whatever a controller has to say fits into pages and is read again as it was, and
 // the changes that are written, in any portions and with lost answers, end with the
--- a/internal/core/served.go
+++ b/internal/core/statistics.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"pepperlever/internal/core/tally"
+	"pepperlever/internal/core/jobstats"
 )
 
 // ServedRows is the answer to Served.
 type ServedRows struct {
-	Rows []tally.Row
+	Rows []jobstats.Row
 	// Unanswered is the longest time for which no question about some job was answered
 	// by this controller.
 	Unanswered time.Duration
--- a/internal/core/partition.go
+++ b/internal/core/storerelay.go
@@ -7,8 +7,8 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"pepperlever/internal/core/bulletin"
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/relay"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/protocol"
 )
@@ -18,7 +18,7 @@
 type storeRelay struct {
 	// next is when the bulletin is looked at again, acted when starts last were.
 	next, startsCheckedAt time.Duration
-	published             bulletin.Board
+	published             relay.Board
 	busy                  bool
 	// inboxes holds the bulletins of the other controllers.
 	inboxes map[string]*relayInbox
@@ -27,7 +27,7 @@
 // relayInbox is the bulletin of another controller, and when its sign of life came.
 type relayInbox struct {
 	lastHeartbeat time.Duration
-	pages         map[string]*bulletin.Page
+	pages         map[string]*relay.Page
 }
 
 // relayWriteShare is the part of the state service's limit on changes that all
@@ -129,7 +129,7 @@
 	}
 	var want map[string]json.RawMessage
 	if split {
-		want = bulletin.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.reachableMachines(), c.pageSize())
+		want = relay.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.reachableMachines(), c.pageSize())
 	}
 	c.publishRelay(c.relay.published.Diff(want, c.pagesPerTxn()))
 }
@@ -216,8 +216,8 @@
 
 // relayEntries lists what has become of tasks on this node's machines whose homes may not
 // hear of it, for as long as the store shows them bound.
-func (c *Core) relayEntries() []bulletin.Fact {
-	var out []bulletin.Fact
+func (c *Core) relayEntries() []relay.Fact {
+	var out []relay.Fact
 	for id := range c.agents {
 		m := c.machines[id]
 		if m == nil || m.Node != c.cfg.Node {
@@ -235,7 +235,7 @@
 			verdict, t := m.Judge(task, b)
 			made, decided := c.decisionOn(id, b.Term, taskAttempt{task, b.Attempt})
 			if verdict == worker.Ended || verdict == worker.Absent || decided && made.refused {
-				out = append(out, bulletin.Fact{Job: ref.Job.ID, Index: ref.Index, Attempt: b.Attempt, Machine: id, Why: t.Why})
+				out = append(out, relay.Fact{Job: ref.Job.ID, Index: ref.Index, Attempt: b.Attempt, Machine: id, Why: t.Why})
 			}
 		}
 	}
@@ -243,14 +243,14 @@
 }
 
 // reachableMachines lists the machines that this node hears.
-func (c *Core) reachableMachines() map[bulletin.Kind][]string {
-	out := map[bulletin.Kind][]string{}
+func (c *Core) reachableMachines() map[relay.Kind][]string {
+	out := map[relay.Kind][]string{}
 	for id, w := range ordered(c.agents) {
 		m := c.machines[id]
 		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.Seen > 2*c.reportInterval() {
 			continue
 		}
-		k := bulletin.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Term: w.token, Session: m.Session}
+		k := relay.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Term: w.token, Session: m.Session}
 		if m.NoticeAt > 0 {
 			k.NoticeS = max(1, int((m.NoticeAt-c.now.Steady).Seconds()/noticeStep)*noticeStep)
 		}
@@ -265,7 +265,7 @@
 
 // publishRelay writes changes of this node's bulletin, attached to its lease, so that it
 // ends with this node.
-func (c *Core) publishRelay(changes []bulletin.Change) {
+func (c *Core) publishRelay(changes []relay.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -297,13 +297,13 @@
 	if c.peers[node] == nil {
 		return nil
 	}
-	page := &bulletin.Page{}
+	page := &relay.Page{}
 	if err := json.Unmarshal(item.Value, page); err != nil {
 		return err
 	}
 	r := c.relay.inboxes[node]
 	if r == nil {
-		r = &relayInbox{pages: map[string]*bulletin.Page{}}
+		r = &relayInbox{pages: map[string]*relay.Page{}}
 		c.relay.inboxes[node] = r
 	}
 	r.pages[name] = page
@@ -334,7 +334,7 @@
 
 // onRelayMachines notes which machines another controller hears. Of what is on them it
 // proves nothing: that takes reports, or facts.
-func (c *Core) onRelayMachines(node string, p *bulletin.Page) {
+func (c *Core) onRelayMachines(node string, p *relay.Page) {
 	for _, g := range p.Machines {
 		for _, id := range g.Machines {
 			if !c.cordons[id].Terminated {
@@ -344,7 +344,7 @@
 	}
 }
 
-func (c *Core) onRelayMachine(node, id string, k bulletin.Kind) {
+func (c *Core) onRelayMachine(node, id string, k relay.Kind) {
 	m := c.machines[id]
 	switch {
 	case m == nil:
@@ -370,7 +370,7 @@
 
 // applyRelayEntries ends the bindings of this node's teams of which another controller says
 // what has become.
-func (c *Core) applyRelayEntries(p *bulletin.Page) error {
+func (c *Core) applyRelayEntries(p *relay.Page) error {
 	all, err := p.All()
 	for _, f := range all {
 		j := c.jobs[f.Job]
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
 
@@ -53,7 +53,7 @@
 		c.replyUnavailable(m.Req)
 		return
 	}
-	if c.federation != nil && strings.HasPrefix(s.ID, gateway.LocalPrefix) {
+	if c.federation != nil && strings.HasPrefix(s.ID, federation.LocalPrefix) {
 		c.reply(m.Req, http.StatusBadRequest, protocol.Problem{Error: "job id is kept for jobs of other sites"})
 		return
 	}
@@ -258,7 +258,7 @@
 		c.replyUnknown(m.Req)
 		return
 	}
-	if c.federation != nil && m.Req != 0 && strings.HasPrefix(m.ID, gateway.LocalPrefix) {
+	if c.federation != nil && m.Req != 0 && strings.HasPrefix(m.ID, federation.LocalPrefix) {
 		c.reply(m.Req, http.StatusUnprocessableEntity, protocol.Problem{Error: "job is of another site: cancel it there"})
 		return
 	}
--- a/internal/core/wire_test.go
+++ b/internal/core/wire_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"pepperlever/internal/core/bulletin"
+	"pepperlever/internal/core/relay"
 	"pepperlever/internal/protocol"
 )
 
@@ -33,7 +33,7 @@
 			}
 		}
 	}
-	for _, v := range []any{PeerMessage{}, bulletin.Page{}, relayHeartbeat{}, nodeRecord{}, leaderRecord{}, cordonRecord{}, rentalIntent{}, usageRecord{},
+	for _, v := range []any{PeerMessage{}, relay.Page{}, relayHeartbeat{}, nodeRecord{}, leaderRecord{}, cordonRecord{}, rentalIntent{}, usageRecord{},
 		cancelRecord{}, protocol.Report{}, protocol.Submission{}, protocol.MachineList{}, protocol.Catalogue{}, protocol.Changes{}, protocol.KeyList{}} {
 		walk(reflect.TypeOf(v), reflect.TypeOf(v).Name())
 	}
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -12,7 +12,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -69,8 +69,8 @@
 	broken, faulty map[string]bool
 	// gateways holds the gateway files of the nodes that have one; sent is what was
 	// sent to other sites.
-	gateways map[string]*gateway.Config
-	sent     []gateway.Message
+	gateways map[string]*federation.Config
+	sent     []federation.Message
 	// tell, if set, is told of every effect.
 	tell func(node string, e Effect)
 	// names are the controllers; most is how many machines the cloud has.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -13,14 +13,14 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"pepperlever/internal/agent"
 	"pepperlever/internal/api"
 	"pepperlever/internal/cloud"
 	"pepperlever/internal/core"
+	"pepperlever/internal/federation/transport"
 	"pepperlever/internal/peer"
 	"pepperlever/internal/settings"
-	"pepperlever/internal/sitelink"
 	"pepperlever/internal/store"
+	"pepperlever/internal/workerclient"
 )
 
 // queueLength bounds the commands that wait for the core, batchLength those
@@ -40,10 +40,10 @@
 	api   *api.API
 	store *store.Store
 	cloud *cloud.Cloud
-	agent *agent.Agent
+	agent *workerclient.Agent
 	peers *peer.Peers
 	// sites are the streams to other sites, nil without a gateway.
-	sites *sitelink.Links
+	sites *transport.Links
 }
 
 // Run serves until ctx ends. gatewayFile switches the gateway to other sites on; it
@@ -57,10 +57,10 @@
 	d.api = api.New(cfg, d.offer)
 	d.store = store.New(cfg, core.Root, emit)
 	d.cloud = cloud.New(cfg, emit)
-	d.agent = agent.New(cfg, emit)
+	d.agent = workerclient.New(cfg, emit)
 	d.peers = peer.New(cfg, emit)
 	if gatewayFile != "" {
-		links, gate, err := sitelink.New(gatewayFile, emit)
+		links, gate, err := transport.New(gatewayFile, emit)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/agent.go
+++ b/internal/emulator/agent.go
@@ -1,4 +1,4 @@
-package lab
+package emulator
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/valyala/fasthttp"
 
-	"pepperlever/internal/httpc"
+	"pepperlever/internal/httpclient"
 	"pepperlever/internal/protocol"
 )
 
@@ -24,7 +24,7 @@
 	}
 	s.fleet.Add(now, ch.Machine, ln.Addr().String(), ch.Type, ch.Zone, ch.Spot)
 	ctx, s.workers[ch.Machine] = context.WithCancel(ctx)
-	w := &agent{site: s, machine: ch.Machine, http: httpc.New(protocol.ReportTimeout, 2)}
+	w := &agent{site: s, machine: ch.Machine, http: httpclient.New(protocol.ReportTimeout, 2)}
 	s.group.Go(func() error { return serve(ctx, ln, w.handle) })
 	s.group.Go(func() error { return w.loop(ctx) })
 }
@@ -33,7 +33,7 @@
 type agent struct {
 	site    *Site
 	machine string
-	http    *httpc.Client
+	http    *httpclient.Client
 	// at is the controller that it reports to.
 	at int
 }
--- a/internal/lab/config.go
+++ b/internal/emulator/config.go
@@ -1,4 +1,4 @@
-package lab
+package emulator
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"pepperlever/internal/settings"
-	"pepperlever/internal/strict"
+	"pepperlever/internal/strictconfig"
 )
 
 // Config is what a lab site is made of. Times are in seconds, sizes in GB, prices
@@ -84,7 +84,7 @@
 // error, told in one line.
 func Load(path string) (*Config, error) {
 	c := Default()
-	return &c, strict.Load(path, &c)
+	return &c, strictconfig.Load(path, &c)
 }
 
 // Check tells what is wrong with the file.
--- a/internal/lab/kv.go
+++ b/internal/emulator/kv.go
@@ -1,7 +1,7 @@
-// Package lab holds stand-ins for what a site needs round its controllers: the
+// Package emulator holds stand-ins for what a site needs round its controllers: the
 // state service, the cloud, workers and the users' front door, as docs/lab.md
 // describes them. They follow the protocol, not any product.
-package lab
+package emulator
 
 import (
 	"cmp"
--- a/internal/lab/kv_test.go
+++ b/internal/emulator/kv_test.go
@@ -1,4 +1,4 @@
-package lab
+package emulator
 
 import (
 	"fmt"
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 
 	"pepperlever/internal/protocol"
-	"pepperlever/internal/repeatable"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed of the property tests; -rapid.seed and -rapid.checks search further.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, nil)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // replay is what a watcher knows that began with a list and followed the changes.
 type replay struct {
--- a/internal/lab/measure.go
+++ b/internal/emulator/measure.go
@@ -1,4 +1,4 @@
-package lab
+package emulator
 
 import (
 	"context"
--- a/internal/lab/pair.go
+++ b/internal/emulator/pair.go
@@ -1,4 +1,4 @@
-package lab
+package emulator
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
+	"pepperlever/internal/federation/transport"
 	"pepperlever/internal/protocol"
-	"pepperlever/internal/sitelink"
 )
 
 // Goes is the class whose jobs may be handed to the second site. Those that can run
@@ -34,7 +34,7 @@
 }
 
 // pairNames are what the two sites are called.
-var pairNames = [2]gateway.Site{"east", "west"}
+var pairNames = [2]federation.Site{"east", "west"}
 
 // OpenPair makes two sites of one description, the second on the next port. delay is
 // how long a message takes between them.
@@ -44,7 +44,7 @@
 	if p.dir, err = os.MkdirTemp("", "pepperlever-lab-gateways-"); err != nil {
 		return nil, err
 	}
-	if err := sitelink.Issue(p.dir, []string{string(pairNames[0]), string(pairNames[1])}, time.Hour, false); err != nil {
+	if err := transport.Issue(p.dir, []string{string(pairNames[0]), string(pairNames[1])}, time.Hour, false); err != nil {
 		return nil, err
 	}
 	for i := range p.Sites {
@@ -99,7 +99,7 @@
 // join writes the gateway's files of site i, whose streams go through its link.
 func (p *Pair) join(i int) error {
 	other := p.Sites[1-i]
-	peer := gateway.Peer{Site: pairNames[1-i], AtOnce: gateway.MostAway, Takes: gateway.MostAway, Zones: other.cfg.Zones}
+	peer := federation.Peer{Site: pairNames[1-i], AtOnce: federation.MostAway, Takes: federation.MostAway, Zones: other.cfg.Zones}
 	for _, k := range other.controllers {
 		ln, err := net.Listen("tcp4", loopback)
 		if err != nil {
@@ -109,12 +109,12 @@
 		p.serve = append(p.serve, func(ctx context.Context) error { return p.Links[i].serve(ctx, ln, k.gate) })
 	}
 	in := func(name string) string { return filepath.Join(p.dir, name) }
-	cfg := gateway.Default()
-	cfg.Site, cfg.Peers = pairNames[i], []gateway.Peer{peer}
+	cfg := federation.Default()
+	cfg.Site, cfg.Peers = pairNames[i], []federation.Peer{peer}
 	cfg.RetryS, cfg.RetryMaxS = 1, 4
-	cfg.Class = []gateway.Class{{Name: Goes, Accept: []gateway.Site{peer.Site}, Repeat: true}}
+	cfg.Class = []federation.Class{{Name: Goes, Accept: []federation.Site{peer.Site}, Repeat: true}}
 	if i == 0 {
-		cfg.Class[0].To = []gateway.Site{peer.Site}
+		cfg.Class[0].To = []federation.Site{peer.Site}
 	}
 	cfg.Authority, cfg.TicketKeys = in("authority.pem"), in("tickets.toml")
 	cfg.Certificate, cfg.Key = in(string(cfg.Site)+".pem"), in(string(cfg.Site)+"-key.pem")
--- a/internal/gateway/agenda.go
+++ b/internal/federation/agenda.go
@@ -1,4 +1,4 @@
-package gateway
+package federation
 
 import (
 	"cmp"
--- a/internal/gateway/config.go
+++ b/internal/federation/config.go
@@ -1,4 +1,4 @@
-package gateway
+package federation
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"pepperlever/internal/strict"
+	"pepperlever/internal/strictconfig"
 )
 
 // Config is the gateway's file. Times are in seconds.
@@ -79,7 +79,7 @@
 // Load reads and checks a gateway's file. Unknown keys are errors, told in one line.
 func Load(path string) (*Config, error) {
 	c := Default()
-	return &c, strict.Load(path, &c)
+	return &c, strictconfig.Load(path, &c)
 }
 
 // MostAway bounds the jobs that are away at one peer, so that a list of them fits a
--- a/internal/gateway/gateway_test.go
+++ b/internal/federation/gateway_test.go
@@ -1,4 +1,4 @@
-package gateway
+package federation
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"pgregory.net/rapid"
 
-	"pepperlever/internal/repeatable"
+	"pepperlever/internal/testseed"
 )
 
 // TestMain fixes the seed of the property tests; -rapid.seed and -rapid.checks search further.
-func TestMain(m *testing.M) { os.Exit(repeatable.Run(m, nil)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // Three sites, any order of messages, cuts, ends of gateways and of state services,
 // writes without an answer or applied late, cancels and operators: one right to
--- a/internal/gateway/messages.go
+++ b/internal/federation/messages.go
@@ -1,8 +1,8 @@
-// Package gateway hands jobs to other sites and brings their results back. It is
+// Package federation hands jobs to other sites and brings their results back. It is
 // one site's part in that, for both roles, without input or output: messages,
 // replies of the state service and the time go in, effects come out.
 // docs/gateway.md has the design and what must hold.
-package gateway
+package federation
 
 import (
 	"encoding/json"
--- a/internal/sitelink/authority.go
+++ b/internal/federation/transport/authority.go
@@ -1,4 +1,4 @@
-package sitelink
+package transport
 
 import (
 	"crypto/ecdsa"
@@ -18,7 +18,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"pepperlever/internal/strict"
+	"pepperlever/internal/strictconfig"
 )
 
 // Names of the files that Issue writes.
@@ -102,7 +102,7 @@
 // ticketKeys makes a file of ticket keys, or puts a new one in front.
 func ticketKeys(path string, roll bool) error {
 	var keys TicketKeys
-	err := strict.Load(path, &keys)
+	err := strictconfig.Load(path, &keys)
 	fresh := errors.Is(err, fs.ErrNotExist)
 	if err != nil && !fresh || err == nil && !roll {
 		return err
--- a/internal/sitelink/keys.go
+++ b/internal/federation/transport/keys.go
@@ -1,4 +1,4 @@
-package sitelink
+package transport
 
 import (
 	"crypto/hmac"
@@ -13,8 +13,8 @@
 	"slices"
 	"time"
 
-	"pepperlever/internal/gateway"
-	"pepperlever/internal/strict"
+	"pepperlever/internal/federation"
+	"pepperlever/internal/strictconfig"
 )
 
 // TicketKey signs tickets between sites.
@@ -49,7 +49,7 @@
 }
 
 // mac signs all of a ticket but the signature.
-func mac(t gateway.Ticket, key TicketKey) ([]byte, error) {
+func mac(t federation.Ticket, key TicketKey) ([]byte, error) {
 	t.MAC = nil
 	raw, err := json.Marshal(t)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // Sign is a ticket with the first key's signature.
-func (k *TicketKeys) Sign(t gateway.Ticket) (gateway.Ticket, error) {
+func (k *TicketKeys) Sign(t federation.Ticket) (federation.Ticket, error) {
 	t.Key = k.Keys[0].ID
 	var err error
 	t.MAC, err = mac(t, k.Keys[0])
@@ -73,7 +73,7 @@
 }
 
 // Verify tells what is wrong with a ticket's signature, or nil.
-func (k *TicketKeys) Verify(t gateway.Ticket) error {
+func (k *TicketKeys) Verify(t federation.Ticket) error {
 	i := slices.IndexFunc(k.Keys, func(o TicketKey) bool { return o.ID == t.Key })
 	if i < 0 {
 		return fmt.Errorf("ticket is signed with key %q, which is not known here", t.Key)
@@ -93,7 +93,7 @@
 }
 
 // loadSecrets reads the files, and refuses a certificate that no peer would take.
-func loadSecrets(c *gateway.Config) (*secrets, error) {
+func loadSecrets(c *federation.Config) (*secrets, error) {
 	s := &secrets{authority: x509.NewCertPool()}
 	pem, err := os.ReadFile(c.Authority)
 	if err != nil {
@@ -118,11 +118,11 @@
 	if _, err := leaf.Verify(x509.VerifyOptions{Roots: s.authority, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
 		return nil, fmt.Errorf("certificate: %w", err)
 	}
-	return s, strict.Load(c.TicketKeys, &s.tickets)
+	return s, strictconfig.Load(c.TicketKeys, &s.tickets)
 }
 
 // stamp tells when any of the files last changed.
-func stamp(c *gateway.Config, path string) (out [5]time.Time) {
+func stamp(c *federation.Config, path string) (out [5]time.Time) {
 	for i, p := range []string{path, c.Authority, c.Certificate, c.Key, c.TicketKeys} {
 		if info, err := os.Stat(p); err == nil {
 			out[i] = info.ModTime()
--- a/internal/sitelink/link.go
+++ b/internal/federation/transport/link.go
@@ -1,9 +1,9 @@
 //lint:file-ignore SA1019 net/http has no way yet to serve HTTP/2 on one connection that was accepted and checked before.
 
-// Package sitelink carries messages between the gateways of sites: HTTP/2 streams
+// Package transport carries messages between the gateways of sites: HTTP/2 streams
 // over mutual TLS, a JSON line a message. Each site opens streams to the others for
 // what it sends; the answers hold what was refused, and why.
-package sitelink
+package transport
 
 import (
 	"bufio"
@@ -26,7 +26,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 	"pepperlever/internal/stream"
 )
 
@@ -48,17 +48,17 @@
 	Refused atomic.Int64
 
 	mu      sync.Mutex
-	cfg     *gateway.Config
+	cfg     *federation.Config
 	secrets *secrets
-	outs    map[gateway.Site]*stream.Out
+	outs    map[federation.Site]*stream.Out
 	// changed is closed when files have changed: streams begin anew.
 	changed chan struct{}
 }
 
 // New reads a gateway's file and all that it names, and makes Links that pass
 // messages to emit.
-func New(path string, emit func(core.Command)) (*Links, *gateway.Config, error) {
-	cfg, err := gateway.Load(path)
+func New(path string, emit func(core.Command)) (*Links, *federation.Config, error) {
+	cfg, err := federation.Load(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	l := &Links{path: path, emit: emit, cfg: cfg, secrets: s, outs: map[gateway.Site]*stream.Out{}, changed: make(chan struct{})}
+	l := &Links{path: path, emit: emit, cfg: cfg, secrets: s, outs: map[federation.Site]*stream.Out{}, changed: make(chan struct{})}
 	for _, p := range cfg.Peers {
 		l.outs[p.Site] = stream.NewOut(queueLength)
 	}
@@ -74,7 +74,7 @@
 }
 
 // Send queues a message; what finds no stream is dropped, and sent again later.
-func (l *Links) Send(m gateway.Message) {
+func (l *Links) Send(m federation.Message) {
 	l.mu.Lock()
 	out, s := l.outs[m.To], l.secrets
 	l.mu.Unlock()
@@ -98,7 +98,7 @@
 }
 
 // now is what holds at the moment.
-func (l *Links) now() (*gateway.Config, *secrets, chan struct{}) {
+func (l *Links) now() (*federation.Config, *secrets, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cfg, l.secrets, l.changed
@@ -142,7 +142,7 @@
 }
 
 func (l *Links) reload() error {
-	cfg, err := gateway.Load(l.path)
+	cfg, err := federation.Load(l.path)
 	if err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 }
 
 // keep opens a stream to one of a peer's controllers after the other.
-func (l *Links) keep(ctx context.Context, cfg *gateway.Config, s *secrets, p gateway.Peer) {
+func (l *Links) keep(ctx context.Context, cfg *federation.Config, s *secrets, p federation.Peer) {
 	told := false
 	for i := 0; ctx.Err() == nil; i++ {
 		if len(p.Addresses) > 0 {
@@ -207,13 +207,13 @@
 }
 
 // period is for how long nothing is heard before a stream is looked into.
-func period(cfg *gateway.Config) time.Duration {
+func period(cfg *federation.Config) time.Duration {
 	return time.Duration(cfg.RetryS * float64(time.Second))
 }
 
 // dial opens a stream and writes to it until it breaks; opened tells that it was open
 // for a while, err why it no longer is.
-func (l *Links) dial(ctx context.Context, cfg *gateway.Config, s *secrets, site gateway.Site, address string) (opened bool, err error) {
+func (l *Links) dial(ctx context.Context, cfg *federation.Config, s *secrets, site federation.Site, address string) (opened bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conf := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{s.own}, RootCAs: s.authority,
@@ -320,7 +320,7 @@
 }
 
 // sender is the peer that a certificate names.
-func sender(cert *x509.Certificate, cfg *gateway.Config) (gateway.Site, error) {
+func sender(cert *x509.Certificate, cfg *federation.Config) (federation.Site, error) {
 	for _, p := range cfg.Peers {
 		if slices.Contains(cert.DNSNames, string(p.Site)) {
 			return p.Site, nil
@@ -331,7 +331,7 @@
 
 // receive reads one site's messages for as long as its stream lasts. A line that is
 // not taken is answered with the reason; the others go on.
-func (l *Links) receive(w http.ResponseWriter, r *http.Request, cfg *gateway.Config, s *secrets) {
+func (l *Links) receive(w http.ResponseWriter, r *http.Request, cfg *federation.Config, s *secrets) {
 	from, err := sender(r.TLS.PeerCertificates[0], cfg)
 	if err != nil || r.URL.Path != streamPath {
 		l.Refused.Add(1)
@@ -347,7 +347,7 @@
 	lines := bufio.NewReaderSize(r.Body, maxLine)
 	for {
 		line, err := readLine(lines)
-		var m gateway.Message
+		var m federation.Message
 		switch {
 		case errors.Is(err, errTooLong):
 		case err != nil:
@@ -385,8 +385,8 @@
 }
 
 // take checks a message of a site.
-func take(line []byte, from gateway.Site, cfg *gateway.Config, s *secrets) (gateway.Message, error) {
-	var m gateway.Message
+func take(line []byte, from federation.Site, cfg *federation.Config, s *secrets) (federation.Message, error) {
+	var m federation.Message
 	if err := json.Unmarshal(line, &m); err != nil {
 		return m, fmt.Errorf("message is not understood: %w", err)
 	}
--- a/internal/sitelink/link_test.go
+++ b/internal/federation/transport/link_test.go
@@ -1,6 +1,6 @@
 //lint:file-ignore SA1019 net/http has no way yet to serve HTTP/2 on one connection that was accepted and checked before.
 
-package sitelink
+package transport
 
 import (
 	"bufio"
@@ -20,14 +20,14 @@
 	"golang.org/x/net/http2"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/gateway"
+	"pepperlever/internal/federation"
 )
 
 // site writes a gateway's file for a site whose keys are in dir.
-func site(t *testing.T, dir, keys string, name, peer gateway.Site) string {
+func site(t *testing.T, dir, keys string, name, peer federation.Site) string {
 	t.Helper()
-	c := gateway.Default()
-	c.Site, c.Peers = name, []gateway.Peer{{Site: peer}}
+	c := federation.Default()
+	c.Site, c.Peers = name, []federation.Peer{{Site: peer}}
 	c.RetryS, c.RetryMaxS = 600, 600 // no test waits for a time-out
 	c.Authority, c.TicketKeys = filepath.Join(keys, authorityFile), filepath.Join(keys, ticketsFile)
 	c.Certificate, c.Key = filepath.Join(keys, string(name)+".pem"), filepath.Join(keys, string(name)+"-key.pem")
@@ -54,12 +54,12 @@
 // pair is west, which listens, and a client with east's certificate.
 type pair struct {
 	west *Links
-	came chan gateway.Message
+	came chan federation.Message
 }
 
 func newPair(t *testing.T) *pair {
 	keys := issued(t, time.Hour)
-	p := &pair{came: make(chan gateway.Message, 16)}
+	p := &pair{came: make(chan federation.Message, 16)}
 	var err error
 	p.west, _, err = New(site(t, t.TempDir(), keys, "west", "east"), func(c core.Command) { p.came <- c.(core.SiteMessageReceived).Message })
 	if err != nil {
@@ -119,7 +119,7 @@
 	return res.StatusCode, back, s.Err()
 }
 
-func line(t *testing.T, m gateway.Message) string {
+func line(t *testing.T, m federation.Message) string {
 	t.Helper()
 	raw, err := json.Marshal(m)
 	if err != nil {
@@ -131,29 +131,29 @@
 // What is bad is refused with one line, and the good messages around it arrive.
 func TestBadMessagesAreRefusedAndGoodOnesArrive(t *testing.T) {
 	p := newPair(t)
-	sign := func(change func(*gateway.Ticket)) string {
-		ticket := gateway.Ticket{Origin: "east", To: "west", Job: "req-1", Class: "k", Epoch: 3, Path: []gateway.Site{"east"}, Body: json.RawMessage(`{"a":"<b>"}`)}
+	sign := func(change func(*federation.Ticket)) string {
+		ticket := federation.Ticket{Origin: "east", To: "west", Job: "req-1", Class: "k", Epoch: 3, Path: []federation.Site{"east"}, Body: json.RawMessage(`{"a":"<b>"}`)}
 		signed, err := p.west.secrets.tickets.Sign(ticket)
 		if err != nil {
 			t.Fatal(err)
 		}
 		change(&signed)
-		return line(t, gateway.Message{From: "east", To: "west", Kind: gateway.Offered, Epoch: 3, Ticket: &signed})
+		return line(t, federation.Message{From: "east", To: "west", Kind: federation.Offered, Epoch: 3, Ticket: &signed})
 	}
-	none := func(*gateway.Ticket) {}
+	none := func(*federation.Ticket) {}
 	cases := []struct{ line, why string }{
-		{line(t, gateway.Message{From: "east", To: "west", Kind: gateway.Roomed}), ""},
+		{line(t, federation.Message{From: "east", To: "west", Kind: federation.Roomed}), ""},
 		{"garbage", "message is not understood"},
 		{strings.Repeat("x", maxLine+1), "message is longer than"},
 		{sign(none), ""},
-		{line(t, gateway.Message{From: "north", To: "west"}), `from "north", the certificate says "east"`},
-		{line(t, gateway.Message{From: "east", To: "north"}), `for "north"`},
-		{sign(func(k *gateway.Ticket) { k.Origin = "north" }), "ticket is for another hand-off"},
-		{sign(func(k *gateway.Ticket) { k.To = "north" }), "ticket is for another hand-off"},
-		{sign(func(k *gateway.Ticket) { k.Epoch = 4 }), "ticket is for another hand-off"},
-		{sign(func(k *gateway.Ticket) { k.Job = "req-2" }), "signature is not that of key"},
-		{sign(func(k *gateway.Ticket) { k.MAC = nil }), "signature is not that of key"},
-		{sign(func(k *gateway.Ticket) { k.Key = "mine" }), `key "mine", which is not known`},
+		{line(t, federation.Message{From: "north", To: "west"}), `from "north", the certificate says "east"`},
+		{line(t, federation.Message{From: "east", To: "north"}), `for "north"`},
+		{sign(func(k *federation.Ticket) { k.Origin = "north" }), "ticket is for another hand-off"},
+		{sign(func(k *federation.Ticket) { k.To = "north" }), "ticket is for another hand-off"},
+		{sign(func(k *federation.Ticket) { k.Epoch = 4 }), "ticket is for another hand-off"},
+		{sign(func(k *federation.Ticket) { k.Job = "req-2" }), "signature is not that of key"},
+		{sign(func(k *federation.Ticket) { k.MAC = nil }), "signature is not that of key"},
+		{sign(func(k *federation.Ticket) { k.Key = "mine" }), `key "mine", which is not known`},
 		{sign(none), ""},
 	}
 	var lines []string
@@ -201,7 +201,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, back, err := p.post(t, cert, line(t, gateway.Message{From: "east", To: "west", Kind: gateway.Roomed}))
+		_, back, err := p.post(t, cert, line(t, federation.Message{From: "east", To: "west", Kind: federation.Roomed}))
 		told := strings.Join(back, " ")
 		if err != nil {
 			told += err.Error()
@@ -253,7 +253,7 @@
 // and hands it to the core, and a broken file leaves the earlier one in force.
 func TestTicketKeysRollOver(t *testing.T) {
 	p := newPair(t)
-	old, err := p.west.secrets.tickets.Sign(gateway.Ticket{Job: "req-1"})
+	old, err := p.west.secrets.tickets.Sign(federation.Ticket{Job: "req-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,7 +266,7 @@
 		t.Fatalf("reload: %v, %d", err, taken)
 	}
 	keys := p.west.secrets.tickets
-	fresh, err := keys.Sign(gateway.Ticket{Job: "req-1"})
+	fresh, err := keys.Sign(federation.Ticket{Job: "req-1"})
 	if err != nil || fresh.Key == old.Key || keys.Verify(old) != nil || keys.Verify(fresh) != nil {
 		t.Errorf("keys %q and %q: %v, %v, %v", old.Key, fresh.Key, err, keys.Verify(old), keys.Verify(fresh))
 	}
--- a/internal/httpc/httpc.go
+++ b/internal/httpclient/httpclient.go
@@ -1,6 +1,6 @@
-// Package httpc is the HTTP client of the program: one request, JSON both
+// Package httpclient is the HTTP client of the program: one request, JSON both
 // ways, never sent twice.
-package httpc
+package httpclient
 
 import (
 	"errors"
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -10,18 +10,18 @@
 	"github.com/valyala/fasthttp"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/httpc"
+	"pepperlever/internal/httpclient"
 	"pepperlever/internal/protocol"
 )
 
 // client does single requests.
 type client struct {
-	http *httpc.Client
+	http *httpclient.Client
 	addr string
 }
 
 func newClient(addr string, timeout time.Duration) *client {
-	return &client{addr: addr, http: httpc.New(timeout, 32)}
+	return &client{addr: addr, http: httpclient.New(timeout, 32)}
 }
 
 func (c *client) call(method, path string, body, out any) (int, error) {
@@ -37,7 +37,7 @@
 	status, err := c.call(fasthttp.MethodPost, protocol.PathTxn, t, &r)
 	out := core.StoreReply{Revision: r.Revision, Failed: r.Failed}
 	switch {
-	case errors.Is(err, httpc.ErrUnsent):
+	case errors.Is(err, httpclient.ErrUnsent):
 		out.Outcome, out.Down = core.Refused, true
 	case err != nil:
 		out.Outcome = core.Unknown
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/httpc"
+	"pepperlever/internal/httpclient"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -303,7 +303,7 @@
 			args = append(args, protocol.ArgAfter, after)
 		}
 		var page protocol.KeyList
-		status, err := s.watch.call(fasthttp.MethodGet, httpc.Query(protocol.PathKV, args...), nil, &page)
+		status, err := s.watch.call(fasthttp.MethodGet, httpclient.Query(protocol.PathKV, args...), nil, &page)
 		if err != nil {
 			return 0, err
 		}
@@ -332,7 +332,7 @@
 		default:
 		}
 		var ch protocol.Changes
-		status, err := s.watch.call(fasthttp.MethodGet, httpc.Query(protocol.PathWatch, protocol.ArgPrefix, s.root,
+		status, err := s.watch.call(fasthttp.MethodGet, httpclient.Query(protocol.PathWatch, protocol.ArgPrefix, s.root,
 			protocol.ArgAfter, strconv.FormatUint(since, 10),
 			protocol.ArgWait, strconv.FormatInt(s.wait().Milliseconds(), 10)), nil, &ch)
 		switch {
--- a/internal/strict/strict.go
+++ b/internal/strictconfig/strictconfig.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which a key that is not known is an error.
-package strict
+// Package strictconfig reads TOML files in which a key that is not known is an error.
+package strictconfig
 
 import (
 	"bytes"
--- a/internal/repeatable/repeatable.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package repeatable lets property tests say the same in every run. Only tests import it.
-package repeatable
+// Package testseed lets property tests say the same in every run. Only tests import it.
+package testseed
 
 import (
 	"flag"
--- a/internal/agent/agent.go
+++ b/internal/workerclient/agent.go
@@ -1,5 +1,5 @@
-// Package agent sends commands straight to workers.
-package agent
+// Package workerclient sends commands straight to workers.
+package workerclient
 
 import (
 	"time"
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 
 	"pepperlever/internal/core"
-	"pepperlever/internal/httpc"
+	"pepperlever/internal/httpclient"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -15,14 +15,14 @@
 // Agent delivers commands; each delivery is sent at most once.
 type Agent struct {
 	emit  func(core.Command)
-	http  *httpc.Client
+	http  *httpclient.Client
 	slots chan struct{}
 }
 
 // New makes an Agent that tells emit what came of deliveries.
 func New(cfg *settings.Settings, emit func(core.Command)) *Agent {
 	timeout := time.Duration(cfg.Params.Workers.ReportS * float64(time.Second) * 2 / 3)
-	return &Agent{emit: emit, http: httpc.New(timeout, 2), slots: make(chan struct{}, max(8, cfg.Params.Limits.MaxConnections/8))}
+	return &Agent{emit: emit, http: httpclient.New(timeout, 2), slots: make(chan struct{}, max(8, cfg.Params.Limits.MaxConnections/8))}
 }
 
 // Deliver sends commands to a worker without waiting for the answer.
