--- a/internal/core/agents.go
+++ b/internal/core/agents.go
@@ -157,7 +157,7 @@
 	before := m.Deaf()
 	m.Answered(o.Report.Token, o.Token)
 	if m.Deaf() != before {
-		c.scheduler.dirty = true
+		c.requestRound()
 		if o.Node == c.cfg.Node {
 			c.log(Info, "machine does not hear its answers, or does again", "machine", m.Machine, "deaf", !before)
 		}
@@ -477,12 +477,12 @@
 	} else if !m.Newer(&r) {
 		if m.Session == r.Session && o.Token > m.Term {
 			m.Node, m.Term = o.Node, o.Token
-			c.scheduler.dirty = true
+			c.requestRound()
 		}
 		return
 	}
 	if m.Node != o.Node || m.Term != o.Token || len(m.Tasks) != len(r.Tasks) {
-		c.scheduler.dirty = true
+		c.requestRound()
 	}
 	m.Node, m.Term = o.Node, o.Token
 	c.trackAcknowledgement(m, &o)
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -45,7 +45,7 @@
 		c.unbindUnstored(j)
 	}
 	c.stopCancelled(j)
-	c.scheduler.dirty = true
+	c.requestRound()
 }
 
 // cancelled tells whether a job is known to be cancelled.
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -26,7 +26,7 @@
 	id, i, ok := job.SplitTask(k.Task)
 	if j := c.jobs[id]; ok && j != nil && !c.leads(j) {
 		j.Claim(i, &job.Binding{Machine: k.Machine, Attempt: k.Attempt, Since: c.now.Steady})
-		c.scheduler.dirty = true
+		c.requestRound()
 	}
 }
 
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -64,7 +64,7 @@
 // becameReady lets a job begin whose last awaited job is done.
 func (c *Core) becameReady(j *job.Job) {
 	j.Ready(c.now.Steady, c.now.Wall)
-	c.scheduler.dirty = true
+	c.requestRound()
 	c.log(Debug, "job awaits nothing any more", "job", j.ID)
 }
 
@@ -155,5 +155,5 @@
 			c.dependencies.inheriting = append(c.dependencies.inheriting, j)
 		}
 	}
-	c.scheduler.dirty = true
+	c.requestRound()
 }
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -56,7 +56,7 @@
 	}
 	if !j.Suspected && !j.Proven && j.Done.Len() == 0 && len(j.FailedOn) >= suspicionThreshold {
 		j.Suspected = true
-		c.scheduler.dirty = true
+		c.requestRound()
 		if c.leads(j) {
 			j.Touch(0)
 			c.log(Info, "job is suspected of a mistake", "job", j.ID, "team", j.Team, "class", j.Class,
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -165,7 +165,7 @@
 	case keyAway:
 		delete(s.Away, name)
 		delete(s.progress, name)
-		c.scheduler.dirty = true
+		c.requestRound()
 		if j := c.jobs[name]; j != nil {
 			j.WaitingSince = c.now.Steady
 		}
--- a/internal/core/jobwrites.go
+++ b/internal/core/jobwrites.go
@@ -255,5 +255,5 @@
 func (c *Core) unbind(j *job.Job, i int) {
 	j.Unbind(i)
 	j.Urgent = j.Urgent || j.Kind != job.Array
-	c.scheduler.dirty = true
+	c.requestRound()
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -147,7 +147,7 @@
 	if c.federation != nil && t == c.federation.team {
 		c.federation.open(c)
 	}
-	c.scheduler.dirty = true
+	c.requestRound()
 }
 
 // lostLeadership ends this node's part as home. What it had not stored is void, so
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -15,7 +15,7 @@
 	c.machines[id] = m
 	at, _ := slices.BinarySearch(c.machineNames, id)
 	c.machineNames = slices.Insert(c.machineNames, at, id)
-	c.scheduler.dirty = true
+	c.requestRound()
 	return m
 }
 
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -143,7 +143,7 @@
 	case protocol.WhyDone:
 		c.log(Debug, "task done", "task", t.Task, "machine", m.Machine)
 		j.Finish(i)
-		c.scheduler.dirty = true
+		c.requestRound()
 		return
 	case protocol.WhyError:
 		c.mayStartCanary(j)
@@ -218,7 +218,7 @@
 	}
 	k.since = c.now.Steady
 	c.cordons[machine] = k
-	c.scheduler.dirty = true
+	c.requestRound()
 	c.expediteExits(machine)
 	if !k.Terminated {
 		return
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -227,7 +227,7 @@
 		delete(c.pendingChunks, id)
 	}
 	c.trackDependencies(j)
-	c.scheduler.dirty = true
+	c.requestRound()
 	return nil
 }
 
@@ -252,7 +252,7 @@
 	t.jobs[j.ID] = j
 	c.stats.Accept(j.ID, j.Class, j.Team, j.Tasks, c.now.Steady)
 	c.ledger.Add(j)
-	c.scheduler.dirty = true
+	c.requestRound()
 }
 
 func (c *Core) forgetJob(j *job.Job) {
@@ -262,7 +262,7 @@
 	if t := c.teamBy[j.Team]; t != nil {
 		delete(t.jobs, j.ID)
 	}
-	c.scheduler.dirty = true
+	c.requestRound()
 }
 
 // onJobDelete notes the end of a job that the watch tells of: its head goes when
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -59,7 +59,7 @@
 	for _, t := range m.Types {
 		c.types[t.Name] = t
 	}
-	c.scheduler.dirty = true
+	c.requestRound()
 }
 
 func (c *Core) handleInventory(m InventoryReceived) {
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -255,6 +255,10 @@
 	return others
 }
 
+// requestRound has waiting tasks placed anew soon, since jobs, room or limits have changed.
+// Without a request the next scheduling round comes later.
+func (c *Core) requestRound() { c.scheduler.dirty = true }
+
 // schedule places waiting tasks. The plan covers the teams of all controllers
 // in the order of the ranking; this node binds those of its own teams and
 // leaves the room of the others to their homes.
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -360,7 +360,7 @@
 	}
 	if m.Node != node || m.Term != k.Term {
 		m.Node, m.Term = node, k.Term
-		c.scheduler.dirty = true
+		c.requestRound()
 	}
 	if k.NoticeS > 0 && m.NoticeAt == 0 {
 		m.NoticeAt = c.now.Steady + seconds(float64(k.NoticeS))
