--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"pepperlever/internal/core/dependency"
-	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/scaling"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -153,7 +153,7 @@
 	if !j.Awaiting || c.startAllowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
 		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingNeed(team))
 	}
-	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d fleet.Demand) bool { return d.Spec.ID == j.ID }) {
+	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d scaling.Demand) bool { return d.Spec.ID == j.ID }) {
 		t.Error("machines are rented for it")
 	}
 	asked := team.record
--- a/internal/core/headroom/headroom.go
+++ b/internal/core/headroom/headroom.go
@@ -26,29 +26,29 @@
 	c.Active += s.Tasks
 }
 
-// Spare is for how many more tasks of a class of services room is kept: for two of its
+// Headroom is for how many more tasks of a class of services room is kept: for two of its
 // largest jobs at once, but no more than a quarter of what it has.
-func (c *Class) Spare() int {
+func (c *Class) Headroom() int {
 	return min(2*c.Largest, int(math.Ceil(float64(c.Active)/4)))
 }
 
 // Peak is the most that was noted in a sliding time of one to two windows.
 type Peak struct {
-	window      int64
-	now, before int
+	window            int64
+	current, previous int
 }
 
-// Note takes a figure of the window with this number, which never falls.
-func (p *Peak) Note(window int64, n int) {
+// Observe takes a figure of the window with this number, which never falls.
+func (p *Peak) Observe(window int64, n int) {
 	switch {
 	case window == p.window+1:
-		p.before, p.now = p.now, 0
+		p.previous, p.current = p.current, 0
 	case window > p.window:
-		p.before, p.now = 0, 0
+		p.previous, p.current = 0, 0
 	}
 	p.window = max(p.window, window)
-	p.now = max(p.now, n)
+	p.current = max(p.current, n)
 }
 
 // Max is the most that was noted.
-func (p *Peak) Max() int { return max(p.now, p.before) }
+func (p *Peak) Max() int { return max(p.current, p.previous) }
--- a/internal/core/headroom/headroom_test.go
+++ b/internal/core/headroom/headroom_test.go
@@ -23,7 +23,7 @@
 			c.Add(&job.Spec{ID: "req-1", Tasks: n})
 			sum, largest = sum+n, max(largest, n)
 		}
-		spare := c.Spare()
+		spare := c.Headroom()
 		if spare > 2*largest || 4*spare > sum+3 || sum > 0 && spare == 0 {
 			t.Fatalf("%d places for %d tasks, at most %d a job", spare, sum, largest)
 		}
@@ -46,7 +46,7 @@
 		window  int64
 		n, want int
 	}{{0, 3, 3}, {0, 8, 8}, {0, 1, 8}, {1, 2, 8}, {2, 1, 2}, {2, 5, 5}, {9, 1, 1}} {
-		if p.Note(step.window, step.n); p.Max() != step.want {
+		if p.Observe(step.window, step.n); p.Max() != step.want {
 			t.Errorf("step %d: %d, not %d", i, p.Max(), step.want)
 		}
 	}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -4,9 +4,9 @@
 	"math"
 	"slices"
 
-	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/placement"
+	"pepperlever/internal/core/scaling"
 	"pepperlever/internal/protocol"
 )
 
@@ -66,5 +66,5 @@
 
 // cheapOnly tells whether a job is kept off machines that have cheaper spot ones.
 func (c *Core) cheapOnly(u *candidate, j *job.Job) bool {
-	return j.Spot && c.policy.Spot && c.entitlement(u, j) == fleet.Idle
+	return j.Spot && c.policy.Spot && c.entitlement(u, j) == scaling.BestEffort
 }
--- a/internal/core/placement/picker.go
+++ b/internal/core/placement/picker.go
@@ -12,17 +12,17 @@
 // hosts once for as many tasks as wait, not anew for each of them: a host that
 // was the best stays so while it has room, since it only gets fuller.
 type Picker struct {
-	spec  *job.Spec
-	hosts []*Host
-	best  []scored
-	// all is set when best holds every host that can take a task.
-	all bool
+	spec   *job.Spec
+	hosts  []*Host
+	ranked []scored
+	// complete is set when best holds every host that can take a task.
+	complete bool
 }
 
 type scored struct {
 	host  *Host
 	score float64
-	place int
+	index int
 }
 
 // NewPicker makes a Picker for the tasks of a job.
@@ -31,21 +31,21 @@
 // Next is the host for the next of n tasks, or nil. The caller takes its room.
 func (p *Picker) Next(n int, zones Zones) *Host {
 	for {
-		for len(p.best) > 0 {
-			if h := p.best[0].host; Allowed(p.spec, h, zones) {
+		for len(p.ranked) > 0 {
+			if h := p.ranked[0].host; Allowed(p.spec, h, zones) {
 				return h
 			}
-			p.best = p.best[1:]
+			p.ranked = p.ranked[1:]
 		}
-		if p.all {
+		if p.complete {
 			return nil
 		}
-		p.weigh(max(n, 1), zones)
+		p.rank(max(n, 1), zones)
 	}
 }
 
-// weigh finds the n best hosts.
-func (p *Picker) weigh(n int, zones Zones) {
+// rank finds the n best hosts.
+func (p *Picker) rank(n int, zones Zones) {
 	top := worstFirst{}
 	for i, h := range p.hosts {
 		if !Suits(p.spec, h, zones) {
@@ -60,14 +60,14 @@
 			heap.Fix(&top, 0)
 		}
 	}
-	p.all = len(top) < n
+	p.complete = len(top) < n
 	slices.SortFunc(top, better)
-	p.best = top
+	p.ranked = top
 }
 
 // better orders by score; equals stay in the order of the hosts.
 func better(a, b scored) int {
-	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.place, b.place))
+	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
 // worstFirst is a heap with the worst of the chosen hosts on top.
@@ -83,11 +83,11 @@
 	return last
 }
 
-// Open lists the hosts that have room for any task at all.
-func Open(hosts []*Host) []*Host {
+// WithFreeCPUs lists the hosts that have room for any task at all.
+func WithFreeCPUs(hosts []*Host) []*Host {
 	out := make([]*Host, 0, len(hosts))
 	for _, h := range hosts {
-		if h.Room.CPUs > 0 || h.Size.CPUs <= 0 {
+		if h.Free.CPUs > 0 || h.Capacity.CPUs <= 0 {
 			out = append(out, h)
 		}
 	}
--- a/internal/core/placement/picker_test.go
+++ b/internal/core/placement/picker_test.go
@@ -11,7 +11,7 @@
 	var hosts []*Host
 	for i := range 6 {
 		h := host(fmt.Sprint("m", i), "a", 4)
-		h.Dear = float64(5-i) / 10
+		h.PricePremium = float64(5-i) / 10
 		hosts = append(hosts, h)
 	}
 	s := spec(2, 9)
@@ -22,17 +22,17 @@
 		if h == nil {
 			break
 		}
-		h.Room = h.Room.Plus(s.Need, -1)
+		h.Free = h.Free.Plus(s.Need, -1)
 		got = append(got, h.ID)
 		if n == 8 { // another job takes what would come next
-			hosts[4].Room.CPUs = 0
+			hosts[4].Free.CPUs = 0
 		}
 	}
 	want := "[m5 m5 m3 m3 m2 m2 m1 m1 m0]"
 	if fmt.Sprint(got) != want {
 		t.Errorf("got %v, want %s", got, want)
 	}
-	hosts[0].Room.CPUs = 0
+	hosts[0].Free.CPUs = 0
 	if h := p.Next(1, nil); h != nil {
 		t.Errorf("got %s, where nothing has room", h.ID)
 	}
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -10,7 +10,7 @@
 
 func host(id, zone string, cpus float64) *Host {
 	r := job.Resources{CPUs: cpus, MemoryGB: 100}
-	return &Host{ID: id, Type: "t", Zone: zone, Room: r, Size: r, Lasts: -1}
+	return &Host{ID: id, Type: "t", Zone: zone, Free: r, Capacity: r, RemainingS: -1}
 }
 
 func spec(cpus float64, tasks int) *job.Spec {
@@ -38,7 +38,7 @@
 		"a zone that is not known":   {oneZone, host("m", "a", 4), Zones{"?": 1}, false},
 		"half, rounded up":           {spread, host("m", "a", 4), Zones{"a": 2}, true},
 		"more than half":             {spread, host("m", "a", 4), Zones{"a": 3}, false},
-		"perhaps more than half":     {spread, host("m", "a", 4), Zones{"a": 2, AnyZone: 1}, false},
+		"perhaps more than half":     {spread, host("m", "a", 4), Zones{"a": 2, UnknownZone: 1}, false},
 	} {
 		if got := Allowed(c.spec, c.host, c.zones); got != c.want {
 			t.Errorf("%s: got %v", name, got)
@@ -50,18 +50,18 @@
 	hosts := []*Host{host("m1", "a", 4), host("m2", "b", 8)}
 	s := spec(4, 2)
 	s.OneZone = true
-	out := Gang(s, 2, hosts, nil)
+	out := PlaceGang(s, 2, hosts, nil)
 	if len(out) != 2 || out[0].ID != "m2" || out[1].ID != "m2" {
 		t.Fatalf("got %v", out)
 	}
-	if out := Gang(s, 2, hosts, nil); out != nil || hosts[0].Room.CPUs != 4 {
+	if out := PlaceGang(s, 2, hosts, nil); out != nil || hosts[0].Free.CPUs != 4 {
 		t.Errorf("half a gang was placed or room was lost: %v", out)
 	}
 }
 
 func TestLargeTaskIsNotStarvedBySmallOnes(t *testing.T) {
 	hosts := []*Host{host("m1", "a", 8), host("m2", "a", 8)}
-	hosts[0].Room.CPUs, hosts[1].Room.CPUs = 2, 4
+	hosts[0].Free.CPUs, hosts[1].Free.CPUs = 2, 4
 	if kept := Reserve(spec(8, 1), 2, nil, hosts); len(kept) != 1 || kept[0].ID != "m1" {
 		t.Fatalf("kept %v, not the first of half of the hosts", kept)
 	}
@@ -69,7 +69,7 @@
 		t.Errorf("small task went to %v", h)
 	}
 	// In the next round it is kept before anything is placed, but for tasks as large.
-	hosts[0].Reserved, hosts[0].KeptFor, hosts[0].Room = false, spec(8, 1).Need, hosts[0].Size
+	hosts[0].Reserved, hosts[0].PriorReservation, hosts[0].Free = false, spec(8, 1).Need, hosts[0].Capacity
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
 		t.Errorf("small task went to %v", h)
 	}
@@ -80,7 +80,7 @@
 
 func TestMachineAboutToLeaveTakesOnlyWhatEndsInTime(t *testing.T) {
 	h := host("m", "a", 8)
-	h.Lasts = 10
+	h.RemainingS = 10
 	long, short := spec(1, 1), spec(1, 1)
 	long.EstimateS, short.EstimateS = 20, 5
 	if Choose(long, []*Host{h}, nil) != nil || Choose(short, []*Host{h}, nil) == nil {
@@ -90,13 +90,13 @@
 
 func TestDearHostsEmptyWhileOthersHaveRoom(t *testing.T) {
 	dear, cheap := host("dear", "a", 8), host("cheap", "a", 32)
-	dear.Dear, dear.Room.CPUs = 1, 1 // nearly full, so the better fit
+	dear.PricePremium, dear.Free.CPUs = 1, 1 // nearly full, so the better fit
 	hosts := []*Host{dear, cheap}
-	Drain(hosts, 0.1)
+	DeprioritizeSurplus(hosts, 0.1)
 	if h := Choose(spec(1, 1), hosts, nil); h != cheap {
 		t.Errorf("task went to %s", h.ID)
 	}
-	cheap.Room.CPUs = 0
+	cheap.Free.CPUs = 0
 	if h := Choose(spec(1, 1), hosts, nil); h != dear {
 		t.Error("a drained host is no choice at all")
 	}
@@ -106,7 +106,7 @@
 // request may be, and the machine could not be heard any more.
 func TestMachineTakesNoMoreTasksThanItsReportCanHold(t *testing.T) {
 	s := &job.Spec{ID: "req-000001", Need: job.Resources{CPUs: 0.001}}
-	h := &Host{Size: job.Resources{CPUs: 64}, Room: job.Resources{CPUs: 64}, Lasts: -1}
+	h := &Host{Capacity: job.Resources{CPUs: 64}, Free: job.Resources{CPUs: 64}, RemainingS: -1}
 	n := 0
 	for p := NewPicker(s, []*Host{h}); p.Next(1, Zones{}) != nil; n++ {
 		h.Take(s)
@@ -126,8 +126,8 @@
 func TestUrgentWorkGoesWhereItsImageIsEvenToADrainedHost(t *testing.T) {
 	for priority, want := range map[string]string{"critical": "warm", "urgent": "warm", "normal": "cold", "low": "cold"} {
 		warm, cold := host("warm", "a", 32), host("cold", "a", 4)
-		warm.Images, warm.Dear, warm.Scale = imageOn("i"), 1, 1
-		Drain([]*Host{warm, cold}, 0)
+		warm.Images, warm.PricePremium, warm.RelativeSize = imageOn("i"), 1, 1
+		DeprioritizeSurplus([]*Host{warm, cold}, 0)
 		s := spec(1, 1)
 		s.Image, s.Priority = "i", slices.Index(protocol.Priorities, priority)
 		if h := Choose(s, []*Host{warm, cold}, nil); h == nil || h.ID != want {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -69,7 +69,7 @@
 
 // isPreemptible lists the hosts that stay and have work on them that may be stopped.
 func (c *Core) isPreemptible(hosts []*placement.Host, may func(*job.Job) bool) []*placement.Host {
-	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.Lasts >= 0 || !c.hasTasks(h.ID, may) })
+	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.RemainingS >= 0 || !c.hasTasks(h.ID, may) })
 }
 
 // preemptibleLoad lists the machines with work for idle time, with the room there would
@@ -92,8 +92,8 @@
 		}
 		if idle.CPUs > 0 {
 			size := capacity(c.types[m.Type])
-			out = append(out, &placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Size: size, Lasts: -1,
-				Room: size.Plus(c.boundLoad(m), -1).Plus(idle, 1), Loss: least, LossPerCPU: perCPU})
+			out = append(out, &placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: size, RemainingS: -1,
+				Free: size.Plus(c.boundLoad(m), -1).Plus(idle, 1), PreemptionLoss: least, PreemptionLossPerCPU: perCPU})
 		}
 	}
 	return out
@@ -120,7 +120,7 @@
 		if of[h.Zone] >= weighed {
 			continue
 		}
-		if m := c.machines[h.ID]; m != nil && j.Allows(h.Type, h.Zone, h.Spot) && j.Need.Fits(h.Size) && !h.AsideFrom(&j.Spec) {
+		if m := c.machines[h.ID]; m != nil && j.Allows(h.Type, h.Zone, h.Spot) && j.Need.Fits(h.Capacity) && !h.Excludes(&j.Spec) {
 			if out, loss := c.victims(j, h, m); out != nil && loss < most {
 				all = append(all, opening{h, out, loss})
 				of[h.Zone]++
@@ -131,7 +131,7 @@
 	var out []opening
 	zones, left := c.zonesOf(j), c.startAllowance(j)
 	for _, o := range all {
-		if left > 0 && placement.InZone(&j.Spec, o.host.Zone, zones) {
+		if left > 0 && placement.ZoneAllowed(&j.Spec, o.host.Zone, zones) {
 			zones[o.host.Zone]++
 			left--
 			out = append(out, o)
@@ -160,7 +160,7 @@
 		all = append(all, victim{v, i, b, c.loss(v, m, t.Task, t.Attempt)})
 	}
 	slices.SortFunc(all, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
-	room, sum := h.Room, 0.0
+	room, sum := h.Free, 0.0
 	for n, v := range all {
 		room, sum = room.Plus(v.job.Need, 1), sum+v.loss
 		if j.Need.Fits(room) {
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/scaling"
 	"pepperlever/internal/protocol"
 )
 
@@ -94,7 +94,7 @@
 		{Name: "dear", CPUs: 4, MemoryGB: 16, Price: 2, SpotPrice: 0.5, BootS: 5, Zones: []string{"z1"}},
 	}})
 	const tasks = 1000
-	c.scheduler.pendingDemand = []fleet.Demand{{Spec: &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: 4}, Spot: true}, Tasks: tasks, Right: fleet.Plain}}
+	c.scheduler.pendingDemand = []scaling.Demand{{Spec: &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: 4}, Spot: true}, Tasks: tasks, Entitlement: scaling.Standard}}
 	got, rounds := 0, 0
 	for ; got < tasks && rounds < 10; rounds++ {
 		c.effects = nil
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -6,10 +6,10 @@
 	"math"
 	"slices"
 
-	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/headroom"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/placement"
+	"pepperlever/internal/core/scaling"
 )
 
 // aside is the room that is set aside: machines with accelerators for the work that
@@ -46,7 +46,7 @@
 		switch {
 		case j.Need.GPUs > 0:
 			if t := c.leastDear(&j.Spec); t != "" {
-				need[t] += float64(j.Tasks-j.Done.Len()) / float64(placement.Fit(j.Need, capacity(c.types[t])))
+				need[t] += float64(j.Tasks-j.Done.Len()) / float64(placement.FitCount(j.Need, capacity(c.types[t])))
 				a.spot[t] = a.spot[t] || j.Spot
 			}
 		default:
@@ -70,7 +70,7 @@
 			p = &headroom.Peak{}
 			a.peaks[t] = p
 		}
-		p.Note(window, int(math.Ceil(need[t]-1e-6))) // whatever the order of the sum
+		p.Observe(window, int(math.Ceil(need[t]-1e-6))) // whatever the order of the sum
 		if p.Max() > 0 {
 			a.wanted[t] = p.Max()
 		}
@@ -83,7 +83,7 @@
 	best, least := "", math.Inf(1)
 	for name, t := range ordered(c.types) {
 		if s.Need.Fits(capacity(t)) && (s.Types == nil || slices.Contains(s.Types, name)) {
-			if price := t.Price / float64(placement.Fit(s.Need, capacity(t))); price < least {
+			if price := t.Price / float64(placement.FitCount(s.Need, capacity(t))); price < least {
 				best, least = name, price
 			}
 		}
@@ -114,14 +114,14 @@
 		}
 	}
 	others := func(h *placement.Host) float64 {
-		if h.Room.GPUs < h.Size.GPUs {
+		if h.Free.GPUs < h.Capacity.GPUs {
 			return -1
 		}
-		return h.Size.CPUs - h.Room.CPUs
+		return h.Capacity.CPUs - h.Free.CPUs
 	}
 	slices.SortStableFunc(of, func(a, b *placement.Host) int { return cmp.Compare(others(a), others(b)) })
 	for _, h := range of[:min(n, len(of))] {
-		h.ForGPUs = true
+		h.GPUOnly = true
 		c.scheduler.reserved.hosts[h.ID] = true
 	}
 }
@@ -131,7 +131,7 @@
 // fetch one. Only where there is too little are arrays left to end for it, and machines
 // asked for.
 func (c *Core) reserveForServices(s *headroom.Class, images map[string]bool, hosts []*placement.Host) {
-	spare := s.Spare() + c.misplaced(s.Spec.Class, hosts)
+	spare := s.Headroom() + c.misplaced(s.Spec.Class, hosts)
 	able := c.rooms(s.Spec, hosts)
 	now := slices.DeleteFunc(slices.Clone(able), func(r room) bool { return r.ending > 0 })
 	perImage := func(rooms []room) {
@@ -146,7 +146,7 @@
 		c.keepRoom(spare, able)
 		several := *s.Spec
 		several.Spread = false // they are of more than one job
-		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, fleet.Demand{Spec: &several, Tasks: left, Right: fleet.Guaranteed})
+		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, scaling.Demand{Spec: &several, Tasks: left, Entitlement: scaling.Guaranteed})
 	}
 }
 
@@ -155,7 +155,7 @@
 func (c *Core) misplaced(class string, hosts []*placement.Host) int {
 	n := 0
 	for _, h := range hosts {
-		if load := c.ledger.On(h.ID); h.ForGPUs && load != nil {
+		if load := c.ledger.On(h.ID); h.GPUOnly && load != nil {
 			for ref := range load.Tasks {
 				if ref.Job.Class == class {
 					n++
@@ -178,19 +178,19 @@
 func (c *Core) rooms(s *job.Spec, hosts []*placement.Host) []room {
 	var out []room
 	for _, h := range hosts {
-		if h.ForGPUs || h.Lasts >= 0 || !s.Allows(h.Type, h.Zone, h.Spot) {
+		if h.GPUOnly || h.RemainingS >= 0 || !s.Allows(h.Type, h.Zone, h.Spot) {
 			continue
 		}
-		r := room{host: h, slots: placement.Fit(s.Need, h.Room)}
+		r := room{host: h, slots: placement.FitCount(s.Need, h.Free)}
 		if load := c.ledger.On(h.ID); r.slots == 0 && load != nil {
-			free := h.Room
+			free := h.Free
 			for ref := range load.Tasks {
 				if ref.Job.Kind == job.Array {
 					free = free.Plus(ref.Job.Need, 1)
 					r.ending += int(1000 * ref.Job.Need.CPUs)
 				}
 			}
-			r.slots = placement.Fit(s.Need, free)
+			r.slots = placement.FitCount(s.Need, free)
 		}
 		if r.slots > 0 {
 			out = append(out, r)
@@ -207,7 +207,7 @@
 func (c *Core) keepRoom(n int, rooms []room) int {
 	zones := map[string][]room{}
 	for _, r := range rooms {
-		if r.host.ForServices {
+		if r.host.ServicesOnly {
 			n -= r.slots
 		} else {
 			zones[r.host.Zone] = append(zones[r.host.Zone], r)
@@ -218,7 +218,7 @@
 		for _, of := range ordered(zones) {
 			if i < len(of) && n > 0 {
 				found = true
-				of[i].host.ForServices = true
+				of[i].host.ServicesOnly = true
 				c.scheduler.reserved.hosts[of[i].host.ID] = true
 				n -= of[i].slots
 			}
@@ -235,7 +235,7 @@
 		return
 	}
 	for _, h := range hosts {
-		if !h.ForGPUs || h.Room.GPUs < h.Size.GPUs {
+		if !h.GPUOnly || h.Free.GPUs < h.Capacity.GPUs {
 			continue
 		}
 		zones := map[string]placement.Zones{}
@@ -285,7 +285,7 @@
 		return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(c.gangReservationTime(a), c.gangReservationTime(b)), cmp.Compare(a.ID, b.ID))
 	})
 	for _, j := range old {
-		placement.Hold(&j.Spec, j.Waiting(), hosts)
+		placement.ReserveForGang(&j.Spec, j.Waiting(), hosts)
 	}
 }
 
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/placement"
+	"pepperlever/internal/core/scaling"
 	"pepperlever/internal/protocol"
 )
 
@@ -151,7 +151,7 @@
 		}
 		seen[id] = true
 		size := capacity(t)
-		out = append(out, &placement.Host{ID: id, Type: typ, Zone: zone, Spot: spot, Room: size, Size: size, Lasts: -1})
+		out = append(out, &placement.Host{ID: id, Type: typ, Zone: zone, Spot: spot, Free: size, Capacity: size, RemainingS: -1})
 	}
 	for _, l := range ordered(c.autoscaler.listed) {
 		if l.State == protocol.Booting && c.now.Steady-c.autoscaler.firstSeen[l.ID] < c.provisioningDeadline(l.Type) {
@@ -195,7 +195,7 @@
 	// bounded by one request an offer, a large demand went on to dear offers while
 	// there were cheap machines left.
 	requests := int(max(1, c.cfg.Params.Cloud.RPS))
-	for _, o := range fleet.Plan(c.scheduler.pendingDemand, coming, c.preemptibleLoad(), c.offers(c.backlog(coming)), requests*protocol.MaxRental) {
+	for _, o := range scaling.Plan(c.scheduler.pendingDemand, coming, c.preemptibleLoad(), c.offers(c.backlog(coming)), requests*protocol.MaxRental) {
 		for ; o.Count > 0 && requests > 0; requests-- {
 			part := o
 			part.Count = min(o.Count, protocol.MaxRental)
@@ -210,13 +210,13 @@
 func (c *Core) backlog(coming []*placement.Host) time.Duration {
 	work, cpus := 0.0, c.totalCapacity()[0]
 	for _, d := range c.scheduler.pendingDemand {
-		if d.Right == fleet.Idle {
+		if d.Entitlement == scaling.BestEffort {
 			continue
 		}
 		work += float64(d.Tasks) * d.Spec.Need.CPUs * d.Spec.EstimateS
 	}
 	for _, h := range coming {
-		cpus += h.Size.CPUs
+		cpus += h.Capacity.CPUs
 	}
 	switch {
 	case cpus == 0 && c.spotOpen():
@@ -243,20 +243,20 @@
 // several times as much as spot ones, so they are for work that would be late
 // without them, and for a backlog of several times as long as they take to boot.
 // Guaranteed work need not wait for as long.
-func (c *Core) offers(backlog time.Duration) []fleet.Offer {
-	var out []fleet.Offer
+func (c *Core) offers(backlog time.Duration) []scaling.Offer {
+	var out []scaling.Offer
 	for _, name := range slices.Sorted(maps.Keys(c.types)) {
 		t := c.types[name]
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				dear := fleet.Idle
+				dear := scaling.BestEffort
 				if !spot && t.SpotPrice < t.Price && c.policy.Spot {
 					dear = dearness(backlog, seconds(t.BootS))
 				}
 				if spot && !c.policy.Spot || c.now.Steady < c.autoscaler.backoffs[offerKey{name, zone, spot}].until {
 					continue
 				}
-				out = append(out, fleet.Offer{Type: t, Zone: zone, Spot: spot, Dear: dear})
+				out = append(out, scaling.Offer{Type: t, Zone: zone, Spot: spot, MinEntitlement: dear})
 			}
 		}
 	}
@@ -265,19 +265,19 @@
 
 // dearness is the right that work needs to have ordinary machines rented, by
 // the backlog in boots of such a machine.
-func dearness(backlog, boot time.Duration) fleet.Right {
+func dearness(backlog, boot time.Duration) scaling.Entitlement {
 	switch {
 	case backlog >= 5*boot:
-		return fleet.Plain
+		return scaling.Standard
 	case backlog >= 2*boot:
-		return fleet.Guaranteed
+		return scaling.Guaranteed
 	}
-	return fleet.Pressed
+	return scaling.AtRisk
 }
 
 // startRental stores the rental before it asks the cloud, so that a later renter can
 // repeat it under the same name.
-func (c *Core) startRental(o fleet.Order) {
+func (c *Core) startRental(o scaling.Order) {
 	c.nextID++
 	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.incarnation, c.nextID)
 	i := &rentalIntent{Rental: protocol.Rental{Request: name, Type: o.Offer.Type.Name, Zone: o.Offer.Zone,
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/scaling/plan.go
@@ -1,5 +1,5 @@
 // Package fleet decides which machines to rent.
-package fleet
+package scaling
 
 import (
 	"cmp"
@@ -17,9 +17,9 @@
 	Type protocol.MachineType
 	Zone string
 	Spot bool
-	// Dear is how strong a right demand needs to use the offer, unless it may
+	// MinEntitlement is how strong a right demand needs to use the offer, unless it may
 	// not use cheaper ones.
-	Dear Right
+	MinEntitlement Entitlement
 }
 
 // Price is the current price per hour.
@@ -40,25 +40,25 @@
 // Demand is a number of like tasks that have no place. Zones counts the other tasks of
 // their job by zone.
 type Demand struct {
-	Spec  *job.Spec
-	Tasks int
-	Right Right
-	Zones placement.Zones
+	Spec        *job.Spec
+	Tasks       int
+	Entitlement Entitlement
+	Zones       placement.Zones
 }
 
-// Right is demand's right to dear machines.
-type Right uint8
+// Entitlement is demand's right to dear machines.
+type Entitlement uint8
 
 // Rights, the strongest last.
 const (
-	// Idle demand uses what is there or cheap.
-	Idle Right = iota
-	// Plain demand may wait.
-	Plain
+	// BestEffort demand uses what is there or cheap.
+	BestEffort Entitlement = iota
+	// Standard demand may wait.
+	Standard
 	// Guaranteed demand is within the guarantee of its team.
 	Guaranteed
-	// Pressed demand will be late unless it finds room soon.
-	Pressed
+	// AtRisk demand will be late unless it finds room soon.
+	AtRisk
 )
 
 // Order asks for a number of machines of an offer.
@@ -74,13 +74,13 @@
 func Plan(demands []Demand, coming, yielding []*placement.Host, offers []Offer, limit int) []Order {
 	hosts := slices.Clone(coming)
 	counts := make([]int, len(offers))
-	for _, d := range inOrder(demands) {
+	for _, d := range byEntitlement(demands) {
 		room := hosts
-		if d.Right > Idle {
-			room = append(slices.Clip(hosts), yieldingTo(d.Spec, yielding)...)
+		if d.Entitlement > BestEffort {
+			room = append(slices.Clip(hosts), preemptibleFor(d.Spec, yielding)...)
 		}
-		at := whereabouts(d, room, offers, limit)
-		left, picker := d.Tasks, placement.NewPicker(d.Spec, at.in(room))
+		at := chooseZone(d, room, offers, limit)
+		left, picker := d.Tasks, placement.NewPicker(d.Spec, at.hostsIn(room))
 		for left > 0 {
 			h := picker.Next(left, at.zones)
 			if h == nil {
@@ -89,13 +89,13 @@
 			left -= at.fill(h, left)
 		}
 		for left > 0 {
-			i := cheapest(d, left, at, offers, counts, limit)
+			i := cheapestOffer(d, left, at, offers, counts, limit)
 			if i < 0 {
 				break
 			}
 			counts[i]++
 			o := offers[i]
-			h := &placement.Host{Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Room: o.Size(), Size: o.Size(), Lasts: -1}
+			h := &placement.Host{Type: o.Type.Name, Zone: o.Zone, Spot: o.Spot, Free: o.Size(), Capacity: o.Size(), RemainingS: -1}
 			left -= at.fill(h, left)
 			hosts = append(hosts, h)
 		}
@@ -114,28 +114,28 @@
 
 func byPrice(a, b Offer) int { return cmp.Compare(a.unitPrice(), b.unitPrice()) }
 
-// yieldingTo leaves out hosts on which more work would be lost than a task has: nothing is
+// preemptibleFor leaves out hosts on which more work would be lost than a task has: nothing is
 // stopped there for it, and where their room counted none was rented either.
-func yieldingTo(s *job.Spec, hosts []*placement.Host) []*placement.Host {
+func preemptibleFor(s *job.Spec, hosts []*placement.Host) []*placement.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
-		return s.Kind != job.Service && max(h.Loss, h.LossPerCPU*s.Need.CPUs) > s.Need.CPUs*s.EstimateS
+		return s.Kind != job.Service && max(h.PreemptionLoss, h.PreemptionLossPerCPU*s.Need.CPUs) > s.Need.CPUs*s.EstimateS
 	})
 }
 
-// place is where machines for the tasks of a job may be. Rented wherever they are cheapest
+// zoneChoice is where machines for the tasks of a job may be. Rented wherever they are cheapest
 // they were of no use to a job whose other tasks are in another zone, or which is to be
 // spread over two, and were returned and rented again for as long as it waited.
-type place struct {
+type zoneChoice struct {
 	spec  *job.Spec
 	zones placement.Zones
 	// only, if set, is the zone for all of them.
 	only string
 }
 
-// whereabouts finds the zone for tasks that have to be together and may still choose one:
+// chooseZone finds the zone for tasks that have to be together and may still choose one:
 // the cheapest that may have room for all, or else the one that may have most.
-func whereabouts(d Demand, coming []*placement.Host, offers []Offer, limit int) *place {
-	p := &place{spec: d.Spec, zones: placement.Zones{}}
+func chooseZone(d Demand, coming []*placement.Host, offers []Offer, limit int) *zoneChoice {
+	p := &zoneChoice{spec: d.Spec, zones: placement.Zones{}}
 	maps.Copy(p.zones, d.Zones)
 	if !d.Spec.OneZone || len(d.Zones) > 0 || d.Spec.AtOnce() == 1 {
 		return p
@@ -143,12 +143,12 @@
 	room, price := map[string]int{}, map[string]float64{}
 	for _, h := range coming {
 		if placement.Suits(d.Spec, h, nil) {
-			room[h.Zone] += placement.Fit(d.Spec.Need, h.Room)
+			room[h.Zone] += placement.FitCount(d.Spec.Need, h.Free)
 		}
 	}
 	for _, o := range offers {
 		if usable(d, o) {
-			room[o.Zone] += limit * placement.Fit(d.Spec.Need, o.Size())
+			room[o.Zone] += limit * placement.FitCount(d.Spec.Need, o.Size())
 			if least, priced := price[o.Zone]; !priced || o.unitPrice() < least {
 				price[o.Zone] = o.unitPrice()
 			}
@@ -164,12 +164,12 @@
 }
 
 // allows tells whether one more task may go to a zone.
-func (p *place) allows(zone string) bool {
-	return (p.only == "" || zone == p.only) && placement.InZone(p.spec, zone, p.zones)
+func (p *zoneChoice) allows(zone string) bool {
+	return (p.only == "" || zone == p.only) && placement.ZoneAllowed(p.spec, zone, p.zones)
 }
 
-// in leaves out the hosts of other zones than the only one.
-func (p *place) in(hosts []*placement.Host) []*placement.Host {
+// hostsIn leaves out the hosts of other zones than the only one.
+func (p *zoneChoice) hostsIn(hosts []*placement.Host) []*placement.Host {
 	if p.only == "" {
 		return hosts
 	}
@@ -177,37 +177,37 @@
 }
 
 // fill puts as many of n like tasks on a host as it and its zone have room for.
-func (p *place) fill(h *placement.Host, n int) int {
-	n = min(n, placement.Fit(p.spec.Need, h.Room), placement.ZoneRoom(p.spec, h.Zone, p.zones))
-	h.Room = h.Room.Plus(p.spec.Need, -float64(n))
+func (p *zoneChoice) fill(h *placement.Host, n int) int {
+	n = min(n, placement.FitCount(p.spec.Need, h.Free), placement.ZoneAllowance(p.spec, h.Zone, p.zones))
+	h.Free = h.Free.Plus(p.spec.Need, -float64(n))
 	p.zones[h.Zone] += n
 	return n
 }
 
 // usable tells whether an offer's machines may be rented for a demand.
 func usable(d Demand, o Offer) bool {
-	return !(d.Spec.Spot && d.Right < o.Dear) && d.Spec.Allows(o.Type.Name, o.Zone, o.Spot) && d.Spec.Need.Fits(o.Size())
+	return !(d.Spec.Spot && d.Entitlement < o.MinEntitlement) && d.Spec.Allows(o.Type.Name, o.Zone, o.Spot) && d.Spec.Need.Fits(o.Size())
 }
 
-// inOrder puts demand with the strongest right first, since it would have dear
+// byEntitlement puts demand with the strongest right first, since it would have dear
 // machines rented where others took the room that is coming; then the largest
 // tasks, so that small ones fill the gaps.
-func inOrder(demands []Demand) []Demand {
+func byEntitlement(demands []Demand) []Demand {
 	out := slices.Clone(demands)
 	slices.SortStableFunc(out, func(a, b Demand) int {
-		return cmp.Or(cmp.Compare(b.Right, a.Right), cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs))
+		return cmp.Or(cmp.Compare(b.Entitlement, a.Entitlement), cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs))
 	})
 	return out
 }
 
-// cheapest finds the offer with the least price per task.
-func cheapest(d Demand, tasks int, at *place, offers []Offer, counts []int, limit int) int {
+// cheapestOffer finds the offer with the least price per task.
+func cheapestOffer(d Demand, tasks int, at *zoneChoice, offers []Offer, counts []int, limit int) int {
 	s, best, bestPrice := d.Spec, -1, math.Inf(1)
 	for i, o := range offers {
 		if counts[i] >= limit || !usable(d, o) || !at.allows(o.Zone) {
 			continue
 		}
-		price := o.Price() / float64(min(placement.Fit(s.Need, o.Size()), max(tasks, 1)))
+		price := o.Price() / float64(min(placement.FitCount(s.Need, o.Size()), max(tasks, 1)))
 		// Of two offers of about the same price the smaller machine leaves the
 		// large ones to tasks that need them, and empties sooner.
 		if best >= 0 && o.Size().CPUs > offers[best].Size().CPUs {
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/scaling/plan_test.go
@@ -1,4 +1,4 @@
-package fleet
+package scaling
 
 import (
 	"maps"
@@ -40,7 +40,7 @@
 
 func TestMachinesOnTheirWayAreNotRentedAgain(t *testing.T) {
 	room := job.Resources{CPUs: 32, MemoryGB: 128}
-	coming := []*placement.Host{{Type: "large", Zone: "a", Spot: true, Room: room, Size: room, Lasts: -1}}
+	coming := []*placement.Host{{Type: "large", Zone: "a", Spot: true, Free: room, Capacity: room, RemainingS: -1}}
 	if got := Plan([]Demand{demand(16, 2, true)}, coming, nil, offers(), 9); len(got) != 0 {
 		t.Errorf("got %+v", got)
 	}
@@ -49,9 +49,9 @@
 // Ordinary machines rented for every short backlog made up most of the price.
 func TestDearMachinesAreForWorkThatWouldBeLate(t *testing.T) {
 	dear := offers()[:1]
-	dear[0].Dear = Guaranteed
+	dear[0].MinEntitlement = Guaranteed
 	guaranteed, pressed := demand(2, 2, true), demand(2, 2, true)
-	guaranteed.Right, pressed.Right = Guaranteed, Pressed
+	guaranteed.Entitlement, pressed.Entitlement = Guaranteed, AtRisk
 	for name, c := range map[string]struct {
 		demand Demand
 		orders int
@@ -76,11 +76,11 @@
 // Machines used to be rented for work that had idle work stopped at the same
 // moment: hundreds came, found nothing to do and went back.
 func TestRoomOfIdleWorkIsNotRentedAgainForOtherWork(t *testing.T) {
-	yielding := []*placement.Host{{Type: "large", Zone: "a", Spot: true, Lasts: -1,
-		Size: job.Resources{CPUs: 64, MemoryGB: 256}, Room: job.Resources{CPUs: 64, MemoryGB: 256}}}
+	yielding := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1,
+		Capacity: job.Resources{CPUs: 64, MemoryGB: 256}, Free: job.Resources{CPUs: 64, MemoryGB: 256}}}
 	d := demand(16, 2, true)
-	for right, want := range map[Right]int{Idle: 1, Plain: 0, Pressed: 0} {
-		d.Right = right
+	for right, want := range map[Entitlement]int{BestEffort: 1, Standard: 0, AtRisk: 0} {
+		d.Entitlement = right
 		if got := Plan([]Demand{d}, nil, yielding, offers(), 9); len(got) != want {
 			t.Errorf("right %d: %d orders, want %d", right, len(got), want)
 		}
@@ -96,7 +96,7 @@
 	dear.Price, dear.SpotPrice = 2, 0.8
 	both := []Offer{{Type: small, Zone: "a"}, {Type: dear, Zone: "b"}}
 	coming := func() []*placement.Host {
-		return []*placement.Host{{Zone: "a", Type: "small", Room: job.Resources{CPUs: 4, MemoryGB: 16}, Lasts: -1}}
+		return []*placement.Host{{Zone: "a", Type: "small", Free: job.Resources{CPUs: 4, MemoryGB: 16}, RemainingS: -1}}
 	}
 	for name, c := range map[string]struct {
 		spec   job.Spec
@@ -114,7 +114,7 @@
 		"a gang together":                {job.Spec{Tasks: 4, Kind: job.Gang, OneZone: true}, nil, both, nil, map[string]int{"a": 4}},
 		"a gang, one zone is full":       {job.Spec{Tasks: 4, Kind: job.Gang, OneZone: true}, nil, both[1:], coming(), map[string]int{"b": 4}},
 		"a gang, one is coming":          {job.Spec{Tasks: 4, Kind: job.Gang, OneZone: true}, nil, both, coming(), map[string]int{"a": 3}},
-		"nothing is known of a zone":     {job.Spec{Tasks: 8, OneZone: true}, placement.Zones{placement.AnyZone: 1}, both, nil, map[string]int{}},
+		"nothing is known of a zone":     {job.Spec{Tasks: 8, OneZone: true}, placement.Zones{placement.UnknownZone: 1}, both, nil, map[string]int{}},
 	} {
 		c.spec.Need = job.Resources{CPUs: 4, MemoryGB: 1}
 		got := map[string]int{}
@@ -143,8 +143,8 @@
 		"for a service":         {loss: 8000, perCPU: 500, kind: job.Service, orders: 0},
 	} {
 		d := demand(16, 2, true)
-		d.Spec.EstimateS, d.Spec.Kind, d.Spec.Tasks, d.Right = 30, c.kind, 2, Plain
-		yielding := []*placement.Host{{Type: "large", Zone: "a", Spot: true, Lasts: -1, Size: size, Room: size, Loss: c.loss, LossPerCPU: c.perCPU}}
+		d.Spec.EstimateS, d.Spec.Kind, d.Spec.Tasks, d.Entitlement = 30, c.kind, 2, Standard
+		yielding := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1, Capacity: size, Free: size, PreemptionLoss: c.loss, PreemptionLossPerCPU: c.perCPU}}
 		if got := Plan([]Demand{d}, nil, yielding, offers(), 9); len(got) != c.orders {
 			t.Errorf("%s: %d orders, want %d", name, len(got), c.orders)
 		}
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"pepperlever/internal/core/fairness"
-	"pepperlever/internal/core/fleet"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/placement"
+	"pepperlever/internal/core/scaling"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/protocol"
 )
@@ -32,7 +32,7 @@
 	returned map[string]bool
 	giveBack []string
 	// pendingDemand is the demand that found no room in the last round.
-	pendingDemand []fleet.Demand
+	pendingDemand []scaling.Demand
 	// starved holds this node's jobs among them.
 	starved []*job.Job
 	// hosts is the room for the list of hosts, used again by each round.
@@ -45,7 +45,7 @@
 	// reservedNeeds holds the needs for which a host is kept in this round, wanting what is
 	// older than the time-out and found no room.
 	reservedNeeds []job.Resources
-	overdueDemand []fleet.Demand
+	overdueDemand []scaling.Demand
 	// reservedFor tells what hosts were kept for in the newest round, previouslyReserved for
 	// which needs any was in the one before.
 	reservedFor        map[string]job.Resources
@@ -154,11 +154,11 @@
 		if !known || !c.isSchedulable(m) {
 			continue
 		}
-		h := placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Size: k.size,
-			Room: k.size.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.hasBindings(id), Lasts: -1,
-			KeptFor: c.scheduler.reservedFor[id], Penalty: float64(c.suspicion(m)), Report: c.reportBytes(m), Scale: k.scale, Dear: k.dear, GPUShare: k.accel}
+		h := placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: k.size,
+			Free: k.size.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.hasBindings(id), RemainingS: -1,
+			PriorReservation: c.scheduler.reservedFor[id], Penalty: float64(c.suspicion(m)), ReportBytes: c.reportBytes(m), RelativeSize: k.scale, PricePremium: k.dear, GPUShare: k.accel}
 		if m.NoticeAt > 0 {
-			h.Lasts = (m.NoticeAt - c.now.Steady).Seconds()
+			h.RemainingS = (m.NoticeAt - c.now.Steady).Seconds()
 		}
 		c.scheduler.hosts = append(c.scheduler.hosts, h)
 		out = append(out, &c.scheduler.hosts[len(c.scheduler.hosts)-1])
@@ -228,7 +228,7 @@
 		if m := c.machines[b.Machine]; m != nil {
 			out[m.Zone]++
 		} else {
-			out[placement.AnyZone]++
+			out[placement.UnknownZone]++
 		}
 	}
 	return out
@@ -287,10 +287,10 @@
 		c.scheduler.previouslyReserved[need] = true
 	}
 	c.scheduler.reservedFor = map[string]job.Resources{}
-	placement.Drain(hosts, c.policy.Spare)
+	placement.DeprioritizeSurplus(hosts, c.policy.Spare)
 	c.reserve(hosts)
 	c.reserveForGangs(turns, hosts)
-	c.place(turns, ranked, placement.Open(hosts))
+	c.place(turns, ranked, placement.WithFreeCPUs(hosts))
 	c.reserveHosts()
 	c.evacuate(hosts)
 	if len(c.scheduler.starved) > 0 {
@@ -340,16 +340,16 @@
 
 // entitlement is the right of a job that found no room to dear machines: the
 // strongest once half of its slack has gone by.
-func (c *Core) entitlement(u *candidate, j *job.Job) fleet.Right {
+func (c *Core) entitlement(u *candidate, j *job.Job) scaling.Entitlement {
 	switch {
 	case lowest(j) && c.now.Steady-j.WaitingSince < idlePatience*seconds(c.cfg.Params.Workers.LeaseS):
-		return fleet.Idle
+		return scaling.BestEffort
 	case c.now.Wall-j.Since() > (j.LatestStart()-j.Since())/2:
-		return fleet.Pressed
+		return scaling.AtRisk
 	case u.used.CPUs+j.Need.CPUs <= u.team.CPUs:
-		return fleet.Guaranteed
+		return scaling.Guaranteed
 	}
-	return fleet.Plain
+	return scaling.Standard
 }
 
 // place runs a round: the ranking picks a team, the team's first job that fits
@@ -449,16 +449,16 @@
 		return // reserveForGangs gathers them
 	}
 	if !lowest(j) && time.Duration(c.now.Wall-j.Since())*time.Millisecond >= seconds(c.policy.TimeoutS) {
-		c.scheduler.overdueDemand = append(c.scheduler.overdueDemand, fleet.Demand{Spec: &j.Spec, Tasks: left, Zones: c.boundZones(j)})
+		c.scheduler.overdueDemand = append(c.scheduler.overdueDemand, scaling.Demand{Spec: &j.Spec, Tasks: left, Zones: c.boundZones(j)})
 	}
 	if as := func(kept job.Resources) bool { return j.Need.Fits(kept) }; !slices.ContainsFunc(c.scheduler.reservedNeeds, as) {
-		c.reserveHostsFor(fleet.Demand{Spec: &j.Spec, Tasks: 1, Zones: c.boundZones(j)})
+		c.reserveHostsFor(scaling.Demand{Spec: &j.Spec, Tasks: 1, Zones: c.boundZones(j)})
 	}
 }
 
 // reserveHosts keeps hosts for what is older than the time-out, the largest tasks first.
 func (c *Core) reserveHosts() {
-	slices.SortStableFunc(c.scheduler.overdueDemand, func(a, b fleet.Demand) int { return cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs) })
+	slices.SortStableFunc(c.scheduler.overdueDemand, func(a, b scaling.Demand) int { return cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs) })
 	short := map[job.Resources]bool{}
 	for _, d := range c.scheduler.overdueDemand {
 		if !short[d.Spec.Need] {
@@ -468,7 +468,7 @@
 }
 
 // reserveHostsFor keeps up to as many hosts as there are tasks without a place, and tells how many.
-func (c *Core) reserveHostsFor(d fleet.Demand) int {
+func (c *Core) reserveHostsFor(d scaling.Demand) int {
 	hosts := placement.Reserve(d.Spec, d.Tasks, d.Zones, c.scheduler.all)
 	for _, h := range hosts {
 		c.scheduler.reservedNeeds = append(c.scheduler.reservedNeeds, d.Spec.Need)
@@ -491,13 +491,13 @@
 func (c *Core) noteUnplaced(u *candidate, j *job.Job, n int) {
 	c.scheduler.reserved.short = c.scheduler.reserved.short || j.Need.GPUs > 0
 	right := c.entitlement(u, j)
-	if right == fleet.Idle {
+	if right == scaling.BestEffort {
 		n = c.worth(j, n)
 	}
 	fit := c.fitsLimit(u.team, u.used, j, n)
 	u.used = u.used.Plus(j.Need, float64(fit))
 	if fit > 0 {
-		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, fleet.Demand{Spec: &j.Spec, Tasks: fit, Right: right, Zones: c.boundZones(j)})
+		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, scaling.Demand{Spec: &j.Spec, Tasks: fit, Entitlement: right, Zones: c.boundZones(j)})
 	}
 	if u.team.leading && fit > 0 {
 		c.scheduler.starved = append(c.scheduler.starved, j)
@@ -510,14 +510,14 @@
 // anyHolds tells whether any host could hold a task, were it empty.
 func anyHolds(s *job.Spec, hosts []*placement.Host) bool {
 	return slices.ContainsFunc(hosts, func(h *placement.Host) bool {
-		return s.Allows(h.Type, h.Zone, h.Spot) && s.Need.Fits(h.Size)
+		return s.Allows(h.Type, h.Zone, h.Spot) && s.Need.Fits(h.Capacity)
 	})
 }
 
 // choose finds hosts for n tasks of a job and takes their room.
 func choose(j *job.Job, p *jobPlacement, n, left int, hosts []*placement.Host) []*placement.Host {
 	if n > 1 || j.Kind == job.Gang {
-		return placement.Gang(&j.Spec, n, hosts, p.zones)
+		return placement.PlaceGang(&j.Spec, n, hosts, p.zones)
 	}
 	h := p.picker.Next(left, p.zones)
 	if h == nil {
