--- /dev/null
+++ b/internal/core/failover_test.go
@@ -0,0 +1,143 @@
+package core
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTeamsOfACrashedHomeGoOnElsewhere(t *testing.T) {
+	w := newWorld(t).ready()
+	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
+	for _, id := range ids {
+		accepted(t, w.submit("c", id, 10, ""))
+	}
+	w.run(12*time.Second, nil)
+	for _, n := range []string{"a", "b"} {
+		w.crash(n)
+		w.expire(n)
+	}
+	if !w.run(4*time.Minute, w.finished(ids...)) {
+		t.Fatal("jobs do not end after two crashes")
+	}
+}
+
+func TestAllControllersCrashInAnOutageAndNothingRunsTwice(t *testing.T) {
+	w := newWorld(t).ready()
+	accepted(t, w.submit("a", "req-blue-1", 12, ""))
+	w.run(9*time.Second, nil)
+	w.outage = true
+	w.run(2*time.Second, nil)
+	for _, n := range nodeNames {
+		w.crash(n)
+	}
+	w.run(3*time.Second, nil)
+	w.outage = false
+	for _, n := range nodeNames {
+		w.boot(n)
+	}
+	if !w.run(4*time.Minute, w.finished("req-blue-1")) {
+		t.Fatal("job does not end")
+	}
+}
+
+func TestHomeCutFromTheStoreIsDeposedAndItsStartsAreHarmless(t *testing.T) {
+	w := newWorld(t).ready()
+	accepted(t, w.submit("a", "req-red-1", 12, ""))
+	w.run(8*time.Second, nil)
+	for _, n := range nodeNames {
+		w.cut[n] = true
+		w.expire(n)
+		w.run(10*time.Second, nil)
+		w.cut[n] = false
+		w.send(n, LeaseExpired{})
+		w.nextReq++
+		w.leases[w.nextReq] = n
+		w.send(n, LeaseGranted{Lease: w.nextReq})
+	}
+	if !w.run(4*time.Minute, w.finished("req-red-1")) {
+		t.Fatal("job does not end")
+	}
+}
+
+// A home that alone could not reach the state service went on as home, and
+// stopped all that the new home started, up to 85 times a task (inc-491b).
+func TestDeposedHomeThatWasNotToldStopsNothingOfTheNewOne(t *testing.T) {
+	for name, inFlight := range map[string]bool{"idle": false, "with a write on its way": true} {
+		w := newWorld(t).ready()
+		home := w.cores["a"].teamBy["free"].leader
+		accepted(t, w.submit(home, "req-free-1", 6, ""))
+		if !inFlight {
+			w.run(time.Second, nil)
+		}
+		w.cut[home] = true
+		w.expire(home)
+		if !w.run(2*time.Minute, w.finished("req-free-1")) {
+			t.Fatalf("%s: job does not end", name)
+		}
+		for task, n := range w.starts {
+			if n > 2 {
+				t.Errorf("%s: %s was started %d times", name, task, n)
+			}
+		}
+	}
+}
+
+func TestTransactionsWithoutAnAnswerAreSettledByTheirNonce(t *testing.T) {
+	w := newWorld(t).ready()
+	accepted(t, w.submit("a", "req-blue-1", 4, ""))
+	for range 30 {
+		w.unknown = 1
+		w.run(time.Second, nil)
+	}
+	w.unknown = 0
+	if !w.run(2*time.Minute, w.finished("req-blue-1")) {
+		t.Fatal("job does not end")
+	}
+	w.startedOnce()
+}
+
+func TestNewRenterDoesNotGiveUpMachinesThatAreOnTheirWayToIt(t *testing.T) {
+	w := newWorld(t).ready()
+	accepted(t, w.submit("a", "req-blue-1", 12, ""))
+	w.run(40*time.Second, w.finished("req-blue-1"))
+	accepted(t, w.submit("b", "req-blue-2", 12, ""))
+	w.run(4*time.Second, nil)
+	before := w.onMachines("req-blue-2")
+	for _, n := range nodeNames {
+		w.crash(n)
+		w.expire(n)
+		w.boot(n)
+	}
+	w.now += 5 * time.Minute // the machines are old by the cloud's list
+	for _, f := range w.workers {
+		f.next, f.leased = w.now+5*time.Second, w.now
+		for k := range f.running {
+			f.running[k] = w.now + 10*time.Second
+		}
+	}
+	w.run(4*time.Second, nil)
+	if after := w.onMachines("req-blue-2"); before == 0 || after < before {
+		t.Errorf("%d tasks were on machines before the crash, %d after", before, after)
+	}
+}
+
+func TestWorkersSpreadAgainAfterACrash(t *testing.T) {
+	w := newWorld(t).ready()
+	for range 12 {
+		w.addWorker("z1", false)
+	}
+	w.crash("b")
+	w.expire("b")
+	w.crash("c")
+	w.expire("c")
+	accepted(t, w.submit("a", "req-free-1", 900, ""))
+	w.run(10*time.Second, nil)
+	w.boot("b")
+	w.boot("c")
+	w.run(20*time.Second, nil)
+	for _, n := range nodeNames {
+		if got := len(w.cores[n].agents); got < 3 {
+			t.Errorf("%s hears %d workers of %d", n, got, len(w.workers))
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/simcluster_test.go
@@ -0,0 +1,398 @@
+package core
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"pepperlever/internal/core/job"
+	"pepperlever/internal/federation"
+	"pepperlever/internal/protocol"
+	"pepperlever/internal/settings"
+)
+
+// world plays scripted controllers, workers, cloud and state service against a
+// fake clock, and checks the rules on every start.
+type world struct {
+	t     tester
+	rng   *rand.Rand
+	now   time.Duration
+	tick  time.Duration
+	cores map[string]*Core
+	inbox map[string][]Command
+	cut   map[string]bool // nodes without the store
+
+	kv       map[string]protocol.KeyValue
+	revision uint64
+	events   []protocol.Event
+	seen     map[string]uint64
+	leases   map[uint64]string
+	outage   bool
+
+	workers map[string]*fakeWorker
+	rented  int
+	// loseDo holds deliveries back instead of carrying them out.
+	loseDo bool
+	held   []Deliver
+	// holdDo lets every fourth delivery be carried out seconds later, without an answer.
+	holdDo bool
+	// lateWrite says for a transaction with changes how late it is carried out, without an
+	// answer, or 0.
+	lateWrite func(node string, e StoreTxn) time.Duration
+	// unknown makes transactions be applied without an answer.
+	unknown int
+
+	answers map[uint64]Answer
+	nextReq uint64
+	starts  map[string]int
+	cfg     map[string]*settings.Settings
+	// unlisted is a machine that the cloud has taken back without notice.
+	unlisted string
+	// requests counts what the controllers ask of the state service.
+	requests int
+	// terse makes a failed transaction name one failed key only.
+	terse bool
+	// deaf nodes cannot be reached by workers; redirected counts how many were
+	// sent to each node.
+	deaf       map[string]bool
+	redirected map[string]int
+	// racing lets tasks start whose start was on its way when their job was
+	// cancelled.
+	racing bool
+	// broken jobs fail wherever they run, on faulty machines everything does.
+	broken, faulty map[string]bool
+	// gateways holds the gateway files of the nodes that have one; sent is what was
+	// sent to other sites.
+	gateways map[string]*federation.Config
+	sent     []federation.Message
+	// tell, if set, is told of every effect.
+	tell func(node string, e Effect)
+	// names are the controllers; most is how many machines the cloud has.
+	names []string
+	most  int
+	// taskTime is how long a task runs.
+	taskTime time.Duration
+	// types is the cloud's catalogue.
+	types []protocol.MachineType
+	// refused holds the links between controllers over which nothing passes, frozen
+	// the controllers that stand still, unreached the workers without a network.
+	refused map[link]bool
+	// slow links hold back what is sent over them until they are restored.
+	slow      map[link]bool
+	late      map[link][]PeerMessage
+	frozen    map[string]bool
+	unreached map[string]bool
+	// unhearing are the machines whose reports arrive while nothing reaches them;
+	// unheardBy are the controllers that a machine does not hear.
+	unhearing map[string]bool
+	unheardBy map[link]bool
+	// mute are the machines that reach no controller, while direct calls reach them.
+	mute map[string]bool
+	// copying lets copies of past reports come late, to any controller.
+	copying bool
+	past    []Heartbeat
+	// noCloud keeps the cloud from taking machines back.
+	noCloud bool
+	// dark is since when the state service answers a controller nothing, as it notices
+	// after a report interval; blind holds those that have.
+	dark  map[string]time.Duration
+	blind map[string]bool
+	// watchLag is the pause between two watches of a controller, watchedAt its last.
+	watchLag  time.Duration
+	watchedAt map[string]time.Duration
+	// slowWatcher is a controller whose watch brings nothing.
+	slowWatcher string
+	// unread holds the controllers that wait for the stored state, unleased those that wait
+	// for a lease.
+	unread, unleased map[string]bool
+	// later holds what goes on beside, until it says that it is over.
+	later []func() bool
+	// latency keeps messages between controllers flying from one tick to the next; those
+	// of a controller that ends are lost.
+	latency bool
+	flying  []flight
+	// old are controllers of the release before, which know less of messages.
+	old []string
+	// uneven lets every second task of a job run three times as long; healed counts how
+	// often all troubles ended.
+	uneven bool
+	healed int
+	// terms tells which run has taken each term.
+	terms map[uint64]string
+	// completed are the tasks that have ended by themselves.
+	completed map[string]bool
+	// told is when the user of a job was told that it is cancelled.
+	told map[string]time.Duration
+	// specs are the jobs that were handed in, as their users described them.
+	specs map[string]*job.Spec
+	// tune changes the settings that every controller is given.
+	tune func(*settings.Settings)
+	// zoned lets the cloud have as many machines in each zone; zoneOf is where
+	// controllers are, zoneCut a zone that is cut off from everything else.
+	zoned   bool
+	zoneOf  map[string]string
+	zoneCut string
+	// closed is a zone of which the cloud has no machines.
+	closed string
+	// hungUntil is until when machines hang.
+	hungUntil map[string]time.Duration
+	// whole are the attempts of gangs that were on machines with all their tasks.
+	whole map[taskAttempt]bool
+	// forgotten is set once all controllers have ended at once. What they had told users of is
+	// in the state service alone then, and if that is out for longer than a cancellation may
+	// take, nothing but its lease ends what is on a machine that hangs.
+	forgotten bool
+	// holdReports lets some reports get no answer and arrive much later, anywhere.
+	holdReports bool
+	// endedAt is when the final state of a job was stored.
+	endedAt map[string]time.Duration
+	// former are the controllers that have the version before: they do not state theirs.
+	former map[string]bool
+	// lowLimits is set once the state service has the limits to come.
+	lowLimits bool
+}
+
+// tester is what a world needs of a test, or of one try of a property.
+type tester interface {
+	Helper()
+	Error(args ...any)
+	Errorf(format string, args ...any)
+	Fatal(args ...any)
+	Fatalf(format string, args ...any)
+	Logf(format string, args ...any)
+}
+
+func newWorld(t tester) *world { return newWorldOf(t, nodeNames) }
+
+func newWorldOf(t tester, names []string) *world { return newTunedWorld(t, names, nil) }
+
+// newTunedWorld is a world whose controllers are given other settings.
+func newTunedWorld(t tester, names []string, tune func(*settings.Settings)) *world {
+	w := &world{tune: tune, specs: map[string]*job.Spec{}, endedAt: map[string]time.Duration{}, former: map[string]bool{}, hungUntil: map[string]time.Duration{}, whole: map[taskAttempt]bool{}, t: t, rng: rand.New(rand.NewPCG(1, 2)), tick: 100 * time.Millisecond,
+		cores: map[string]*Core{}, inbox: map[string][]Command{}, cut: map[string]bool{},
+		kv: map[string]protocol.KeyValue{}, seen: map[string]uint64{}, leases: map[uint64]string{},
+		workers: map[string]*fakeWorker{}, answers: map[uint64]Answer{}, starts: map[string]int{}, broken: map[string]bool{}, faulty: map[string]bool{},
+		deaf: map[string]bool{}, redirected: map[string]int{},
+		cfg: map[string]*settings.Settings{}, names: names, most: 40, taskTime: 5 * time.Second,
+		refused: map[link]bool{}, slow: map[link]bool{}, late: map[link][]PeerMessage{}, frozen: map[string]bool{}, unreached: map[string]bool{}, unhearing: map[string]bool{}, mute: map[string]bool{}, unheardBy: map[link]bool{}, dark: map[string]time.Duration{}, blind: map[string]bool{}, unread: map[string]bool{}, unleased: map[string]bool{}, watchedAt: map[string]time.Duration{}, told: map[string]time.Duration{}, completed: map[string]bool{}, terms: map[uint64]string{}}
+	w.types = []protocol.MachineType{
+		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"z1", "z2"}},
+	}
+	for _, n := range names {
+		w.boot(n)
+	}
+	return w
+}
+
+func testSettings(node string) *settings.Settings { return settingsAmong(node, nodeNames) }
+
+func settingsAmong(node string, names []string) *settings.Settings {
+	s := &settings.Settings{Node: node}
+	for _, n := range names {
+		if n != node {
+			s.Peers = append(s.Peers, settings.Peer{Node: n})
+		}
+	}
+	p := &s.Params
+	p.Nodes = len(names)
+	p.Zones = []string{"z1", "z2"}
+	p.Teams = []settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}, {Name: "blue", CPUs: 8}, {Name: "free"}}
+	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = 2, 16, 30
+	p.Workers.GangWaitS, p.Workers.GangPeerS = 30, 4
+	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = 200, 40, 4, 8
+	p.Cloud.RPS, p.Cloud.ListLagS = 4, 4
+	return s
+}
+
+var nodeNames = []string{"a", "b", "c"}
+
+// boot starts a controller, or starts it again.
+func (w *world) boot(node string) {
+	w.cfg[node] = settingsAmong(node, w.names)
+	if w.tune != nil {
+		w.tune(w.cfg[node])
+	}
+	w.place(node)
+	w.nextReq++
+	w.cores[node] = New(w.cfg[node], settings.DefaultPolicy(), fmt.Sprint(node, w.nextReq))
+	if g := w.gateways[node]; g != nil {
+		w.cores[node].Join(g)
+	}
+	w.inbox[node] = nil
+	delete(w.dark, node)
+	delete(w.blind, node)
+	if w.unread[node] = true; !w.outage && !w.cut[node] {
+		w.read(node)
+	}
+	w.grant(node)
+	for _, other := range w.names {
+		if w.cores[other] != nil && other != node {
+			w.connect(node, other)
+			w.connect(other, node)
+		}
+	}
+}
+
+func (w *world) send(node string, c Command) {
+	if s, is := c.(Submit); is {
+		w.handedIn(s.Body)
+	}
+	w.inbox[node] = append(w.inbox[node], c)
+}
+
+// run plays for d, or until done says so.
+func (w *world) run(d time.Duration, done func() bool) bool {
+	for end := w.now + d; w.now < end; w.now += w.tick {
+		if done != nil && done() {
+			return true
+		}
+		w.later = slices.DeleteFunc(w.later, func(over func() bool) bool { return over() })
+		for _, f := range w.flying {
+			w.send(f.to, PeerMessageReceived{Node: f.from, Message: f.msg})
+		}
+		w.flying = nil
+		w.tendWorkers()
+		w.sendCopies()
+		for _, node := range w.names {
+			w.step(node)
+		}
+		w.checkCancelled()
+	}
+	return done != nil && done()
+}
+
+func (w *world) step(node string) {
+	c := w.cores[node]
+	if c == nil || w.frozen[node] {
+		return
+	}
+	if !w.outage && !w.cut[node] && !w.unread[node] && w.seen[node] < uint64(len(w.events)) && w.now >= w.watchedAt[node]+w.watchLag && (w.slowWatcher == "" || w.slowWatcher != node) {
+		w.watchedAt[node] = w.now
+		w.send(node, StoreChanged{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
+		w.seen[node] = uint64(len(w.events))
+	}
+	w.noticeStore(node)
+	batch := w.inbox[node]
+	w.inbox[node] = nil
+	for _, e := range c.Step(Now{Steady: w.now, Wall: w.now.Milliseconds()}, batch) {
+		w.carryOut(node, e)
+	}
+}
+
+// crash ends a controller; expire ends its lease.
+func (w *world) crash(node string) {
+	delete(w.cores, node)
+	w.flying = slices.DeleteFunc(w.flying, func(f flight) bool { return f.from == node })
+	for _, other := range w.names {
+		if w.cores[other] != nil {
+			w.send(other, PeerDisconnected{Node: node})
+		}
+	}
+}
+
+// ready plays until every node can take requests.
+func (w *world) ready() *world {
+	w.t.Helper()
+	if !w.run(20*time.Second, func() bool {
+		for _, n := range w.names {
+			c := w.cores[n]
+			if c == nil || !c.loaded || c.types == nil || c.tokens.current == 0 || c.fleet.leader == "" {
+				return false
+			}
+		}
+		return true
+	}) {
+		w.t.Fatal("controllers do not get ready")
+	}
+	return w
+}
+
+func (w *world) carryOut(node string, e Effect) {
+	if w.tell != nil {
+		w.tell(node, e)
+	}
+	switch e := e.(type) {
+	case Log:
+		if e.Text == "term taken" {
+			w.checkTerm(node, e.Attrs[1].(uint64))
+		}
+	case Answer:
+		w.answers[e.Req] = e
+	case StoreTxn:
+		w.txn(node, e)
+	case StoreGet:
+		w.get(node, e)
+	case StoreReload:
+		w.read(node)
+	case SendPeer:
+		if slices.Contains(w.old, node) {
+			e.Message = asOld(e.Message)
+		}
+		for _, to := range e.Nodes {
+			msg := e.Message
+			if slices.Contains(w.old, to) {
+				msg = asOld(msg)
+			}
+			switch l := (link{node, to}); {
+			case w.cores[to] == nil || w.refused[l]:
+			case w.slow[l]:
+				w.late[l] = append(w.late[l], msg)
+			case w.latency:
+				w.flying = append(w.flying, flight{l, msg})
+			default:
+				w.send(to, PeerMessageReceived{Node: node, Message: msg})
+			}
+		}
+	case SendSite:
+		w.sent = append(w.sent, e.Message)
+	case Deliver:
+		if w.loseDo {
+			w.held = append(w.held, e)
+			w.send(node, Delivered{Machine: e.Machine, Orders: e.Orders})
+			return
+		}
+		if w.holdDo && w.rng.IntN(4) == 0 {
+			w.holdCall(node, e, time.Duration(1+w.rng.IntN(12))*time.Second)
+			return
+		}
+		w.deliver(node, e)
+	case FetchCatalog:
+		w.send(node, CloudHealth{OK: !w.noCloud})
+		if !w.noCloud {
+			w.send(node, CatalogReceived{Types: w.types})
+		}
+	case FetchList:
+		w.list(node)
+	case Rent:
+		if len(w.workers) >= w.most || w.full(e.Rental.Zone) {
+			w.send(node, Rented{Rental: e.Rental, Outcome: Refused})
+			return
+		}
+		var names []string
+		for range e.Rental.Count {
+			id := w.addWorker(e.Rental.Zone, e.Rental.Spot)
+			w.workers[id].Type = e.Rental.Type
+			names = append(names, id)
+		}
+		w.send(node, Rented{Rental: e.Rental, Outcome: Applied, Machines: names})
+	case Release:
+		if w.noCloud {
+			w.send(node, Released{Machines: e.Machines})
+			return
+		}
+		for _, m := range e.Machines {
+			delete(w.workers, m)
+		}
+		w.send(node, Released{Machines: e.Machines, OK: true})
+	}
+}
+
+// asOld is what a controller of the release before makes of a message, or sends.
+func asOld(m PeerMessage) PeerMessage {
+	m.Cancellations, m.Acknowledged = nil, nil
+	if b := m.Heartbeat; b != nil {
+		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, Due: b.Due, Records: b.Records, Heard: b.Heard, Seqs: b.Seqs, Unreachable: b.Unreachable}
+	}
+	return m
+}
--- /dev/null
+++ b/internal/core/simfaults_test.go
@@ -0,0 +1,108 @@
+package core
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// allAway ends all controllers and lets them be back after a while.
+func (w *world) allAway(d time.Duration) {
+	w.forgotten = true
+	for _, n := range w.names {
+		if w.cores[n] != nil {
+			w.crash(n)
+			w.expire(n)
+		}
+	}
+	w.after(d, func() {
+		for _, n := range w.names {
+			if w.cores[n] == nil {
+				w.boot(n)
+			}
+		}
+	})
+}
+
+// changeLeaders moves the home of a team every so often, by an end or by a lease that runs
+// out.
+func (w *world) changeLeaders(team string, times int, every time.Duration) {
+	for i := range times {
+		w.after(time.Duration(i)*every, func() {
+			home := w.homeOf(team)
+			if home == "" || w.cores[home] == nil || w.frozen[home] {
+				return
+			}
+			if i%2 == 0 {
+				w.again(home)
+				w.expireFormer(home)
+				return
+			}
+			w.noStore(home)
+			w.after(every/4, func() {
+				if w.cut[home] && w.cores[home] != nil {
+					w.withStore(home)
+				}
+			})
+		})
+	}
+}
+
+// sound tells whether a controller and at least two more are well, so that it may fail.
+func (w *world) sound(node string) bool {
+	n := 0
+	for _, other := range w.names {
+		if w.cores[other] != nil && !w.cut[other] && !w.frozen[other] {
+			n++
+		}
+	}
+	return n > 2 && w.cores[node] != nil && !w.cut[node] && !w.frozen[node]
+}
+
+// after lets something happen later, unless the day's troubles are over by then.
+func (w *world) after(d time.Duration, f func()) {
+	at, day := w.now+d, w.healed
+	w.later = append(w.later, func() bool {
+		if w.now >= at && w.healed == day {
+			f()
+		}
+		return w.now >= at
+	})
+}
+
+// some visits a part of all machines.
+func (w *world) some(part int, f func(id string)) {
+	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
+		if w.rng.IntN(part) == 0 {
+			f(id)
+		}
+	}
+}
+
+func (w *world) alone(node string) {
+	w.noStore(node)
+	w.refuse(func(f, t string) bool { return f == node || t == node })
+}
+
+// again ends a controller that is back at once; the lease of its former run lives on for
+// a while.
+func (w *world) again(node string) {
+	if w.cores[node] == nil {
+		return
+	}
+	former := w.leasesOf(node)
+	w.crash(node)
+	w.boot(node)
+	w.after(leaseLife, func() { w.endLeases(former) })
+}
+
+// recover ends all troubles.
+func (w *world) recover() {
+	w.healed++
+	w.endOutage()
+	w.noCloud, w.holdDo, w.watchLag, w.lateWrite, w.holdReports, w.closed = false, false, 0, nil, false, ""
+	w.joinZone()
+	w.heal()
+	clear(w.unreached)
+	clear(w.former)
+}
