--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -235,7 +235,7 @@
 		s := job.Spec{ID: "req-9", Team: c.teams[0].Name, Tasks: job.MaxTasks, Need: job.Resources{CPUs: 1}, Spot: true, EstimateS: 10}
 		for b.Loop() {
 			b.StopTimer()
-			j := job.New(s, c.chunkSize(), 0)
+			j := job.New(s, c.limits.defaultChunkSize(), 0)
 			j.Version = 1
 			c.addJob(c.teams[0], j)
 			c.now.Steady += time.Nanosecond
@@ -257,7 +257,7 @@
 func BenchmarkLongReport(b *testing.B) {
 	c := busyCore(100)
 	r := benchReport(0, "")
-	j := job.New(job.Spec{ID: "req-9", Team: c.teams[0].Name, Tasks: 600, Need: job.Resources{CPUs: 0.001}}, c.chunkSize(), 0)
+	j := job.New(job.Spec{ID: "req-9", Team: c.teams[0].Name, Tasks: 600, Need: job.Resources{CPUs: 0.001}}, c.limits.defaultChunkSize(), 0)
 	j.Version = 1
 	c.addJob(c.teams[0], j)
 	for r.Tasks = nil; len(r.Tasks) < 600; {
--- a/internal/core/flood_test.go
+++ b/internal/core/burst_test.go
@@ -57,20 +57,3 @@
 		}
 	}
 }
-
-// The cloud's list lags: a machine may report while it is listed as booting, or
-// not listed at all.
-func TestMachineThatReportsWhileItIsListedAsBootingIsUsedAndKept(t *testing.T) {
-	c := renter(t, 1, 10*time.Minute)
-	c.comesUp("vm-9000")
-	c.comesUp("vm-unheard-of")
-	c.reconcileInventory()
-	for _, id := range []string{"vm-9000", "vm-unheard-of"} {
-		if why := c.autoscaler.returnReasons[id]; why != "" {
-			t.Errorf("%s is given up: %s", id, why)
-		}
-		if m := c.machines[id]; m == nil || !c.isSchedulable(m) {
-			t.Errorf("%s is not used", id)
-		}
-	}
-}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,7 +13,6 @@
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/jobstats"
-	"pepperlever/internal/core/rollout"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
@@ -63,7 +62,9 @@
 	unannounced       map[string]*cancelAnnouncement
 	// endRevisions holds the revisions that ended jobs.
 	endRevisions map[string]uint64
-	upgrade      upgrade
+	upgrade      upgradeTracker
+	// limits are those of the store on what this controller writes.
+	limits       storeLimits
 	dependencies dependencyState
 	// handoffs mirrors the hand-offs to and from other sites.
 	handoffs handoffRecords
@@ -138,6 +139,7 @@
 func New(cfg *settings.Settings, policy settings.Policy, inc string) *Core {
 	c := &Core{
 		cfg: cfg, policy: policy, incarnation: inc,
+		limits:         storeLimits{settings: &cfg.Params.State},
 		pendingReplies: map[uint64]pendingReply{}, nodes: map[string]nodeRecord{},
 		teamBy: map[string]*team{}, jobs: map[string]*job.Job{},
 		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
@@ -157,7 +159,7 @@
 	c.roster = append(slices.Collect(maps.Keys(c.peers)), cfg.Node)
 	slices.Sort(c.roster)
 	c.dependencies = dependencyState{graph: dependency.New(), asking: map[string]bool{}}
-	c.upgrade = upgrade{versions: rollout.New(c.roster), revisions: map[string]uint64{}}
+	c.upgrade = newUpgradeTracker(c.roster)
 	return c
 }
 
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -372,7 +372,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.change(protocol.Change{Put: jobKey(waits), Value: job.New(*s, w.cores["a"].chunkSize(), 0).Head()})
+		w.change(protocol.Change{Put: jobKey(waits), Value: job.New(*s, w.cores["a"].limits.defaultChunkSize(), 0).Head()})
 		w.step("a")
 		for _, node := range w.names {
 			if got := w.stance(node, waits); got != "" && got != want {
@@ -493,7 +493,7 @@
 			accepted(t, w.submit("a", "req-free-1", tasks, `,"vcpus":1.0`))
 			w.started("req-free-1", 100)
 			c := w.cores[w.homeOf("free")]
-			if c.jobs["req-free-1"].ChunkSize != c.chunkSize() {
+			if c.jobs["req-free-1"].ChunkSize != c.limits.defaultChunkSize() {
 				t.Fatal("split before all are upgraded")
 			}
 			w.lateWrite = func(_ string, e StoreTxn) time.Duration {
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -50,7 +50,7 @@
 }
 
 // limit sets what follows from the state service's limits.
-func (g *federationAdapter) limit(c *Core) { g.cfg.Drops = c.limits().TxnOps - 1 }
+func (g *federationAdapter) limit(c *Core) { g.cfg.Drops = c.limits.maxChanges() - 1 }
 
 // open starts the machine, as this node has become its home: the mirror holds all
 // that an earlier one has stored.
@@ -167,7 +167,7 @@
 
 // unfit tells why a job of another site can never run here, or nothing.
 func (c *Core) unfit(t *federation.Ticket) string {
-	s, err := job.Parse(t.Body, c.specBytes())
+	s, err := job.Parse(t.Body, c.limits.maxSpecBytes())
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -175,7 +175,7 @@
 	if !k.Accepted {
 		return txn, !decided
 	}
-	s, err := job.Parse(w.Ticket.Body, c.specBytes())
+	s, err := job.Parse(w.Ticket.Body, c.limits.maxSpecBytes())
 	if err != nil || decided {
 		return txn, false
 	}
--- /dev/null
+++ b/internal/core/inventory_test.go
@@ -0,0 +1,53 @@
+package core
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"pepperlever/internal/protocol"
+)
+
+// The cloud's lists lag, may be older than the one before or cut short. A machine that reports
+// is not returned for any of that.
+func TestOldShuffledAndShortListsCostNoMachineThatReports(t *testing.T) {
+	const fleet = 2000
+	rng := rand.New(rand.NewPCG(3, 4))
+	c := renter(t, fleet, time.Minute)
+	all := slices.SortedFunc(maps.Values(c.autoscaler.listed), func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	report := c.reportInterval()
+	for round := range uint64(40) {
+		for i := range fleet {
+			r := protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i), Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: round + 1, Token: 1}
+			c.applyObservation(Observation{Node: c.cfg.Node, Token: 1, Report: r})
+		}
+		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		c.handleInventory(InventoryReceived{Machines: all[:rng.IntN(fleet)]})
+		c.reconcileInventory()
+		if n := len(c.autoscaler.returnReasons); n > 0 {
+			t.Fatalf("round %d: %d machines are given up", round, n)
+		}
+		c.now.Steady += 2 * report
+	}
+}
+
+// The cloud's list lags: a machine may report while it is listed as booting, or
+// not listed at all.
+func TestMachineThatReportsWhileItIsListedAsBootingIsUsedAndKept(t *testing.T) {
+	c := renter(t, 1, 10*time.Minute)
+	c.comesUp("vm-9000")
+	c.comesUp("vm-unheard-of")
+	c.reconcileInventory()
+	for _, id := range []string{"vm-9000", "vm-unheard-of"} {
+		if why := c.autoscaler.returnReasons[id]; why != "" {
+			t.Errorf("%s is given up: %s", id, why)
+		}
+		if m := c.machines[id]; m == nil || !c.isSchedulable(m) {
+			t.Errorf("%s is not used", id)
+		}
+	}
+}
--- a/internal/core/jobwrites.go
+++ b/internal/core/jobwrites.go
@@ -39,7 +39,7 @@
 		others = endChanges
 	}
 	more := false
-	u.writes, more = j.TakeDirty(c.chunksPerTxn(others))
+	u.writes, more = j.TakeDirty(c.limits.chunksPerTxn(others))
 	for _, w := range u.writes {
 		key := chunkKey(j.ID, w.Key)
 		if w.Value == nil {
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -96,12 +96,12 @@
 // more than could be answered by then.
 func (c *Core) lookupsOverdue(waiting []pendingLookup) bool {
 	return len(waiting) > 0 && c.now.Steady-waiting[0].since > protocol.PollTimeout/2 ||
-		float64(len(waiting)) > 4*c.lookupRate()*float64(c.maxConditions())
+		float64(len(waiting)) > 4*c.lookupRate()*float64(c.limits.maxConditions())
 }
 
 // lookupRate is this node's number of checks a second.
 func (c *Core) lookupRate() float64 {
-	return max(1, lookupShare*c.limits().RPS/float64(len(c.roster)))
+	return max(1, lookupShare*c.limits.requestRate()/float64(len(c.roster)))
 }
 
 // sendLookups sends the checks that are due, the longest waiting questions first.
@@ -111,9 +111,9 @@
 	a.at = c.now.Steady
 	for a.budget >= 1 && len(a.known)+len(a.unknown) > 0 {
 		a.budget--
-		from, size := &a.known, c.maxConditions()
+		from, size := &a.known, c.limits.maxConditions()
 		if len(a.known) == 0 || len(a.unknown) > 0 && a.unknown[0].since < a.known[0].since {
-			from, size = &a.unknown, c.maxConditions()/2
+			from, size = &a.unknown, c.limits.maxConditions()/2
 		}
 		c.sendLookupBatch(take(from, size))
 	}
@@ -134,7 +134,7 @@
 	c.lookups.unknown = rest
 	for len(urgent) > 0 {
 		c.lookups.budget--
-		c.sendLookupBatch(take(&urgent, c.maxConditions()/2))
+		c.sendLookupBatch(take(&urgent, c.limits.maxConditions()/2))
 	}
 }
 
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -84,7 +84,7 @@
 func TestFloodOfPollsIsTurnedAwayAtOnceBeyondWhatCanBeAnswered(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
-	limit := int(c.lookupRate()) * c.maxConditions()
+	limit := int(c.lookupRate()) * c.limits.maxConditions()
 	w.answers = map[uint64]Answer{}
 	for i := range 6 * limit {
 		w.send("a", Status{Req: 1<<32 + uint64(i), ID: fmt.Sprintf("req-nobody-%d", i)})
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -139,7 +139,7 @@
 			continue
 		}
 		heads++
-		j := job.New(job.Spec{ID: id}, read.chunkSize(), 0)
+		j := job.New(job.Spec{ID: id}, read.limits.defaultChunkSize(), 0)
 		if err := j.LoadHead(compact(t, raw)); err != nil {
 			t.Errorf("%s: %v", key, err)
 		}
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -197,7 +197,7 @@
 		return nil // an old event, or an acceptance told late, of a job that has ended since
 	}
 	if j == nil {
-		j = job.New(job.Spec{ID: id}, c.chunkSize(), c.now.Steady)
+		j = job.New(job.Spec{ID: id}, c.limits.defaultChunkSize(), c.now.Steady)
 	}
 	attempt := j.Attempt
 	if err := j.LoadHead(item.Value); err != nil {
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -20,7 +20,7 @@
 		if !k.Terminated || c.hasBindings(id) || c.now.Steady-k.since < keepGone*seconds(c.cfg.Params.Workers.LeaseS) {
 			continue
 		}
-		if txn.Then = append(txn.Then, protocol.Change{Delete: keyCordon + id}); len(txn.Then) == c.limits().TxnOps {
+		if txn.Then = append(txn.Then, protocol.Change{Delete: keyCordon + id}); len(txn.Then) == c.limits.maxChanges() {
 			break
 		}
 	}
@@ -234,7 +234,7 @@
 	if !c.fleet.leading {
 		return
 	}
-	for batch := range slices.Chunk(m.Machines, c.limits().TxnOps) {
+	for batch := range slices.Chunk(m.Machines, c.limits.maxChanges()) {
 		if !m.OK {
 			for _, id := range batch {
 				delete(c.autoscaler.releasing, id)
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -484,7 +484,7 @@
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
 		return false // the old attempt has to be gone first
 	}
-	return withinLimit(u.team, u.used.Plus(need, 1)) && len(p.unstored) < c.maxConditions()-4
+	return withinLimit(u.team, u.used.Plus(need, 1)) && len(p.unstored) < c.limits.maxConditions()-4
 }
 
 // noteUnplaced notes demand of n tasks for the renting of machines, up to the team's limit.
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -39,7 +39,7 @@
 // relayInterval is the pause between two changes of a bulletin, about two pages
 // each time.
 func (c *Core) relayInterval() time.Duration {
-	return max(c.reportInterval()/5, seconds(2*float64(len(c.roster))/(relayWriteShare*c.writeRate())))
+	return max(c.reportInterval()/5, seconds(2*float64(len(c.roster))/(relayWriteShare*c.limits.writeRate())))
 }
 
 // isUnreachable tells whether a controller lives, by the store, and is not heard here.
@@ -129,25 +129,9 @@
 	}
 	var want map[string]json.RawMessage
 	if split {
-		want = relay.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.reachableMachines(), c.pageSize())
+		want = relay.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.reachableMachines(), c.limits.relayPageBytes())
 	}
-	c.publishRelay(c.relay.published.Diff(want, c.pagesPerTxn()))
-}
-
-// pageSize is the most bytes that a page of a bulletin has. Several fit into one
-// transaction: where a value may be half as long as a request, the page with the sign
-// of life, which changes each time, took all of them, no machine was ever told of, and a
-// renter gave hundreds back as silent (docs/incidents/pages.md).
-func (c *Core) pageSize() int {
-	return min(int(c.limits().ValueKB*1024)*7/8, protocol.MaxBody*3/4/pagesAtOnce)
-}
-
-// pagesAtOnce is how many pages fit into a transaction whatever a value may have.
-const pagesAtOnce = 4
-
-// pagesPerTxn keeps a transaction of pages within the limits on changes and size.
-func (c *Core) pagesPerTxn() int {
-	return max(2, min(c.limits().TxnOps, protocol.MaxBody*3/4/c.pageSize()))
+	c.publishRelay(c.relay.published.Diff(want, c.limits.maxRelayPages()))
 }
 
 // nextRelayHeartbeat is this node's sign of life for a bulletin; its number makes each unlike
--- a/internal/core/submitdependent.go
+++ b/internal/core/submitdependent.go
@@ -8,18 +8,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// awaitsBytes is how long the list of awaited jobs may be: what the description and the
-// head's other fields leave of a value. It is stored only while nothing is bound.
-func (c *Core) awaitsBytes() int { return int(c.limits().ValueKB*1024) * 5 / 8 }
-
 // submitDependent accepts a job that awaits others, once it is known what has become of them.
 func (c *Core) submitDependent(req uint64, t *team, s *job.Spec) {
 	switch {
 	case slices.Contains(s.Awaits, s.ID):
 		c.rejectSubmission(req, s.ID, http.StatusUnprocessableEntity, "job can't await itself")
-	case s.AwaitsBytes() > c.awaitsBytes():
+	case s.AwaitsBytes() > c.limits.maxDependencyBytes():
 		c.rejectSubmission(req, s.ID, http.StatusBadRequest, "job awaits too many others")
-	case !c.allUpgraded():
+	case !c.upgrade.complete():
 		c.replyUnavailable(req) // a home of the version before would start it at once
 	default:
 		a := &awaitedCheck{core: c, req: req, team: t, spec: s, left: len(s.Awaits)}
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -10,83 +10,108 @@
 	"pepperlever/internal/protocol"
 )
 
-// upgrade is how far the controllers are upgraded, and whether the state service's limits
-// of after the upgrade are in force.
-type upgrade struct {
+// upgradeTracker follows which versions the controllers have stated in the store, and states
+// this controller's own.
+type upgradeTracker struct {
 	versions *rollout.Tracker
-	// stating is set while this node's own statement is being written, revisions are
-	// those of the stored statements.
-	stating   bool
+	// storing is set while this node's own statement is being written.
+	storing bool
+	// revisions are those of the stored statements, by node.
 	revisions map[string]uint64
-	// lowRate is set once the state service has shown that it takes fewer changes.
-	lowRate bool
 }
 
-// currentVersion is what this program states.
-var currentVersion = rollout.Record{Version: rollout.Current}
+func newUpgradeTracker(roster []string) upgradeTracker {
+	return upgradeTracker{versions: rollout.New(roster), revisions: map[string]uint64{}}
+}
+
+// complete tells whether what only this version understands may be stored.
+func (u *upgradeTracker) complete() bool { return u.versions.AllAtLeast(rollout.Dependencies) }
+
+// stated tells whether the store holds a controller's statement of this version.
+func (u *upgradeTracker) stated(node string) bool {
+	return u.versions.Version(node) >= rollout.Current
+}
+
+// statement is the transaction that states this version for a controller, for good.
+func (u *upgradeTracker) statement(node string) protocol.Txn {
+	key := keyVersion + node
+	return protocol.Txn{
+		If:   []protocol.Condition{{Key: key, Version: u.revisions[node]}},
+		Then: []protocol.Change{putJSON(key, rollout.Record{Version: rollout.Current})},
+	}
+}
+
+// observe takes a stored statement and reports whether it completes the upgrade.
+func (u *upgradeTracker) observe(item protocol.KeyValue) (completes bool, err error) {
+	var record rollout.Record
+	if err := json.Unmarshal(item.Value, &record); err != nil {
+		return false, err
+	}
+	before := u.complete()
+	node := strings.TrimPrefix(item.Key, keyVersion)
+	u.versions.Observe(node, record)
+	u.revisions[node] = item.Version
+	return !before && u.complete(), nil
+}
 
 // stateVersion writes once, for good, that this controller has this version.
 func (c *Core) stateVersion() {
-	if c.upgrade.stating || c.upgrade.versions.Stated(c.cfg.Node) >= rollout.Current {
+	if c.upgrade.storing || c.upgrade.stated(c.cfg.Node) {
 		return
 	}
-	c.upgrade.stating = true
-	key := keyVersion + c.cfg.Node
-	c.compareAndSwap(protocol.Txn{If: []protocol.Condition{{Key: key, Version: c.upgrade.revisions[c.cfg.Node]}}, Then: []protocol.Change{putJSON(key, currentVersion)}},
-		false, func(StoreReply) { c.upgrade.stating = false }) // the watch shows it
+	c.upgrade.storing = true
+	c.compareAndSwap(c.upgrade.statement(c.cfg.Node), false, func(StoreReply) {
+		c.upgrade.storing = false // the watch shows the outcome
+	})
 }
 
 // onVersionPut takes a controller's statement.
 func (c *Core) onVersionPut(item protocol.KeyValue) error {
-	var r rollout.Record
-	if err := json.Unmarshal(item.Value, &r); err != nil {
-		return err
-	}
-	before, node := c.allUpgraded(), strings.TrimPrefix(item.Key, keyVersion)
-	c.upgrade.versions.Note(node, r)
-	c.upgrade.revisions[node] = item.Version
-	if !before && c.allUpgraded() {
+	completes, err := c.upgrade.observe(item)
+	if completes {
 		c.log(Info, "all controllers are upgraded", "version", int(rollout.Current))
 	}
-	return nil
+	return err
 }
 
-// allUpgraded tells whether what only this version understands may be stored.
-func (c *Core) allUpgraded() bool { return c.upgrade.versions.All(rollout.Chains) }
-
-// storesSmaller tells whether jobs are to be stored in chunks that fit smaller values to come.
-func (c *Core) storesSmaller() bool {
-	return c.allUpgraded() && c.limits().ValueKB < c.cfg.Params.State.ValueKB
+// storesTightChunks tells whether jobs are to be stored in chunks that fit smaller values to come.
+func (c *Core) storesTightChunks() bool {
+	return c.upgrade.complete() && c.limits.valueShrinks()
 }
 
 // newJob makes a job that is about to be accepted, in the layout that all controllers read.
-func (c *Core) newJob(s job.Spec) *job.Job {
-	if small := c.smallChunk(s.StoredBytes()); c.storesSmaller() && small < c.chunkSize() {
-		return job.NewSized(s, small, c.now.Steady)
+func (c *Core) newJob(spec job.Spec) *job.Job {
+	size := c.limits.defaultChunkSize()
+	if c.storesTightChunks() {
+		tight := c.limits.tightChunkSize(spec.StoredBytes(), c.longestName)
+		if tight < size {
+			return job.NewSized(spec, tight, c.now.Steady)
+		}
 	}
-	return job.New(s, c.chunkSize(), c.now.Steady)
+	return job.New(spec, size, c.now.Steady)
 }
 
 // splitChunks divides a stored job whose chunks may be too large for the limits to come,
 // before it is written again.
 func (c *Core) splitChunks(j *job.Job) {
-	if !c.storesSmaller() {
+	if !c.storesTightChunks() {
 		return
 	}
-	small := c.smallChunk(j.SpecBytes())
-	if j.ChunkSize <= small {
+	size := c.limits.tightChunkSize(j.SpecBytes(), c.longestName)
+	if j.ChunkSize <= size {
 		return
 	}
-	if j.Split(small, c.chunksPerTxn(headChanges)) {
+	if j.Split(size, c.limits.chunksPerTxn(headChanges)) {
 		c.counts.Splits++
-		c.log(Debug, "job is stored in smaller chunks", "job", j.ID, "tasks a chunk", j.ChunkSize)
+		c.log(Debug, "job chunks split", "job", j.ID, "chunk_size", j.ChunkSize)
 	}
 }
 
-// storeLimitLowered takes it that the limits of after the upgrade are in force.
+// storeLimitLowered notes that the store's limits of after the upgrade are in force.
 func (c *Core) storeLimitLowered() {
-	if !c.upgrade.lowRate {
-		c.upgrade.lowRate = true
-		c.log(Info, "state service takes fewer changes than before", "a second", c.writeRate())
+	if c.limits.writeRateLowered {
+		return
 	}
+	c.limits.writeRateLowered = true
+	c.log(Info, "store write rate lowered", "changes_per_second", c.limits.writeRate())
 }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -39,7 +39,7 @@
 
 // submit accepts a job by one conditional write; only then is it accepted.
 func (c *Core) submit(m Submit) {
-	s, err := job.Parse(m.Body, c.specBytes())
+	s, err := job.Parse(m.Body, c.limits.maxSpecBytes())
 	if err != nil {
 		c.rejectSubmission(m.Req, job.SubmittedID(m.Body), http.StatusBadRequest, err.Error())
 		return
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -45,7 +45,7 @@
 // should be stored within a second, rank by rank as far as the changes go; what
 // is left over is for all homes alike, so that each can store a start at once.
 func (c *Core) part() float64 {
-	left := c.writeRate() * jobsPart
+	left := c.limits.writeRate() * jobsPart
 	homes := float64(len(c.roster))
 	least := left / 4 / homes
 	all := c.writeBudget.due
@@ -147,7 +147,7 @@
 // gatherTime is how long the finished tasks of a job gather: the more jobs there
 // are the longer.
 func (c *Core) gatherTime() time.Duration {
-	return seconds(float64(len(c.jobs)) / (c.writeRate() * jobsPart * endsPart))
+	return seconds(float64(len(c.jobs)) / (c.limits.writeRate() * jobsPart * endsPart))
 }
 
 // flushDue lets a job's finished tasks gather for a while. Until they are
