--- a/internal/core/agents.go
+++ b/internal/core/agents.go
@@ -347,7 +347,7 @@
 	if m == nil {
 		return false
 	}
-	room := capacity(c.types[m.Type])
+	room := c.catalog.Capacity(m.Type)
 	for _, need := range w.pendingStarts {
 		room = room.Plus(need, -1)
 	}
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -55,7 +55,7 @@
 	if m == nil {
 		return true
 	}
-	room := capacity(c.types[m.Type]).Plus(c.boundLoad(m), -1)
+	room := c.catalog.Capacity(m.Type).Plus(c.boundLoad(m), -1)
 	if (job.Resources{}).Fits(room) {
 		return true
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/dependency"
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
@@ -70,7 +71,7 @@
 	handoffs handoffRecords
 
 	// Machines.
-	types    map[string]protocol.MachineType
+	catalog  catalog.Catalog
 	machines map[string]*worker.Machine
 	// machineNames names the machines in order; ledger holds what is bound to them.
 	machineNames []string
@@ -308,7 +309,7 @@
 func (c *Core) reportInterval() time.Duration { return seconds(c.cfg.Params.Workers.ReportS) }
 
 func (c *Core) catalogInterval() time.Duration {
-	if c.types == nil {
+	if !c.catalog.Loaded() {
 		return c.reportInterval() / 3
 	}
 	return 10 * seconds(c.cfg.Params.Cloud.ListLagS)
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -138,7 +138,7 @@
 	}
 	in := federation.Received{Message: m}
 	if m.Kind == federation.Offered && m.Ticket != nil {
-		if c.types == nil {
+		if !c.catalog.Loaded() {
 			return // it is offered again
 		}
 		in.Unfit = c.unfit(m.Ticket)
@@ -207,7 +207,7 @@
 			if len(w.Jobs) == mostOffered {
 				break
 			}
-			never := c.types != nil && c.rejectionReason(c.teamBy[j.Team], &j.Spec) != ""
+			never := c.catalog.Loaded() && c.rejectionReason(c.teamBy[j.Team], &j.Spec) != ""
 			if waited := c.now.Steady - j.WaitingSince; never || g.cfg.Goes(j.Class, waited) {
 				w.Jobs = append(w.Jobs, c.offerable(j, waited, never))
 			}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -24,11 +24,7 @@
 // renting: as many as end it within a few boots, not a place for each of
 // thousands of short tasks.
 func (c *Core) worth(j *job.Job, tasks int) int {
-	boot := 0.0
-	for _, t := range c.types {
-		boot = max(boot, t.BootS)
-	}
-	places := math.Ceil(float64(j.Waiting()) * j.EstimateS / max(idleBoots*boot, 1))
+	places := math.Ceil(float64(j.Waiting()) * j.EstimateS / max(idleBoots*c.catalog.LongestBootS(), 1))
 	return max(0, min(tasks, int(places)-len(j.Bound)))
 }
 
@@ -42,28 +38,18 @@
 	if !c.cheapOnly(u, j) {
 		return hosts
 	}
-	short := j.EstimateS <= c.quickestBoot()
+	short := j.EstimateS <= c.catalog.ShortestBootS()
 	if c.scheduler.cheap[short] == nil {
 		if c.scheduler.cheap == nil {
 			c.scheduler.cheap = map[bool][]*placement.Host{}
 		}
 		c.scheduler.cheap[short] = slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
-			t := c.types[h.Type]
-			return !h.Spot && t.SpotPrice < t.Price && !(short && c.hasTasks(h.ID, func(j *job.Job) bool { return !lowest(j) }))
+			return !h.Spot && c.catalog.HasSpotDiscount(h.Type) && !(short && c.hasTasks(h.ID, func(j *job.Job) bool { return !lowest(j) }))
 		})
 	}
 	return c.scheduler.cheap[short]
 }
 
-// quickestBoot is the shortest nominal boot time of any type, in seconds.
-func (c *Core) quickestBoot() float64 {
-	boot := math.Inf(1)
-	for _, t := range c.types {
-		boot = min(boot, t.BootS)
-	}
-	return boot
-}
-
 // cheapOnly tells whether a job is kept off machines that have cheaper spot ones.
 func (c *Core) cheapOnly(u *candidate, j *job.Job) bool {
 	return j.Spot && c.policy.Spot && c.entitlement(u, j) == scaling.BestEffort
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -91,7 +91,7 @@
 			}
 		}
 		if idle.CPUs > 0 {
-			size := capacity(c.types[m.Type])
+			size := c.catalog.Capacity(m.Type)
 			out = append(out, &placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: size, RemainingS: -1,
 				Free: size.Plus(c.boundLoad(m), -1).Plus(idle, 1), PreemptionLoss: least, PreemptionLossPerCPU: perCPU})
 		}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -65,7 +65,7 @@
 			seen[l.Type] = append(seen[l.Type], rental{at, age})
 		}
 	}
-	for typ := range c.types {
+	for typ := range c.catalog.All() {
 		b.typical[typ] = min(max(c.nominalProvisioningTime(typ), median(seen[typ])), slowest*c.nominalProvisioningTime(typ))
 	}
 }
@@ -81,7 +81,7 @@
 	return all[len(all)/2].took
 }
 
-func (c *Core) nominalProvisioningTime(typ string) time.Duration { return seconds(c.types[typ].BootS) }
+func (c *Core) nominalProvisioningTime(typ string) time.Duration { return c.catalog.BootTime(typ) }
 
 // provisioningDeadline is for how long a machine is expected to come up: meanwhile no other is
 // rented in its place.
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -375,5 +375,5 @@
 
 // noteImage remembers that a machine has an image.
 func (c *Core) noteImage(m *worker.Machine, j *job.Job, t protocol.TaskReport) {
-	m.UseImage(j.Image, j.ImageGB, c.types[m.Type].CacheGB, c.now.Steady)
+	m.UseImage(j.Image, j.ImageGB, c.catalog.CacheGB(m.Type), c.now.Steady)
 }
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -45,8 +45,8 @@
 		}
 		switch {
 		case j.Need.GPUs > 0:
-			if t := c.leastDear(&j.Spec); t != "" {
-				need[t] += float64(j.Tasks-j.Done.Len()) / float64(placement.FitCount(j.Need, capacity(c.types[t])))
+			if t := c.catalog.CheapestFor(&j.Spec); t != "" {
+				need[t] += float64(j.Tasks-j.Done.Len()) / float64(placement.FitCount(j.Need, c.catalog.Capacity(t)))
 				a.spot[t] = a.spot[t] || j.Spot
 			}
 		default:
@@ -64,7 +64,7 @@
 	}
 	window := int64(c.now.Steady / (peakLeases * seconds(c.cfg.Params.Workers.LeaseS)))
 	a.wanted = map[string]int{}
-	for t := range c.types {
+	for t := range c.catalog.All() {
 		p := a.peaks[t]
 		if p == nil {
 			p = &headroom.Peak{}
@@ -78,19 +78,6 @@
 	return len(a.wanted)+len(a.services) > 0
 }
 
-// leastDear is the type on which a task costs least, of those that may hold one.
-func (c *Core) leastDear(s *job.Spec) string {
-	best, least := "", math.Inf(1)
-	for name, t := range ordered(c.types) {
-		if s.Need.Fits(capacity(t)) && (s.Types == nil || slices.Contains(s.Types, name)) {
-			if price := t.Price / float64(placement.FitCount(s.Need, capacity(t))); price < least {
-				best, least = name, price
-			}
-		}
-	}
-	return best
-}
-
 // reserve marks the hosts that are set aside in this round.
 func (c *Core) reserve(hosts []*placement.Host) {
 	a := &c.scheduler.reserved
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -173,7 +173,7 @@
 // idleTime is how long a machine is kept without work: a part of what a new
 // one would take to come.
 func (c *Core) idleTime(m *worker.Machine) time.Duration {
-	return max(seconds(c.types[m.Type].BootS)/4, 2*c.reportInterval())
+	return max(c.catalog.BootTime(m.Type)/4, 2*c.reportInterval())
 }
 
 // closeMachine writes the mark that no binding can pass. Once the replica shows
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/placement"
 	"pepperlever/internal/core/scaling"
 	"pepperlever/internal/protocol"
@@ -52,13 +51,10 @@
 }
 
 func (c *Core) handleCatalog(m CatalogReceived) {
-	if c.types == nil {
-		c.log(Info, "catalogue read", "types", len(m.Types))
-	}
-	c.types = make(map[string]protocol.MachineType, len(m.Types))
-	for _, t := range m.Types {
-		c.types[t.Name] = t
+	if !c.catalog.Loaded() {
+		c.log(Info, "catalog loaded", "types", len(m.Types))
 	}
+	c.catalog = catalog.New(m.Types)
 	c.requestRound()
 }
 
@@ -75,7 +71,7 @@
 
 // runAutoscaler rents for what finds no room and returns what nobody needs.
 func (c *Core) runAutoscaler() {
-	if c.types == nil {
+	if !c.catalog.Loaded() {
 		return
 	}
 	c.updateProvisioningTimes()
@@ -144,13 +140,13 @@
 	var out []*placement.Host
 	seen := map[string]bool{}
 	add := func(id, typ, zone string, spot bool) {
-		t, known := c.types[typ]
+		t, known := c.catalog.Lookup(typ)
 		_, closing := c.cordons[id]
 		if !known || closing || seen[id] || c.machines[id] != nil {
 			return
 		}
 		seen[id] = true
-		size := capacity(t)
+		size := catalog.Capacity(t)
 		out = append(out, &placement.Host{ID: id, Type: typ, Zone: zone, Spot: spot, Free: size, Capacity: size, RemainingS: -1})
 	}
 	for _, l := range ordered(c.autoscaler.listed) {
@@ -229,7 +225,7 @@
 
 // spotOpen tells whether the cloud may have any spot machine.
 func (c *Core) spotOpen() bool {
-	for name, t := range ordered(c.types) {
+	for name, t := range c.catalog.All() {
 		for _, zone := range t.Zones {
 			if c.policy.Spot && c.now.Steady >= c.autoscaler.backoffs[offerKey{name, zone, true}].until {
 				return true
@@ -245,8 +241,7 @@
 // Guaranteed work need not wait for as long.
 func (c *Core) offers(backlog time.Duration) []scaling.Offer {
 	var out []scaling.Offer
-	for _, name := range slices.Sorted(maps.Keys(c.types)) {
-		t := c.types[name]
+	for name, t := range c.catalog.All() {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				dear := scaling.BestEffort
--- a/internal/core/scaling/plan.go
+++ b/internal/core/scaling/plan.go
@@ -7,6 +7,7 @@
 	"math"
 	"slices"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/placement"
 	"pepperlever/internal/protocol"
@@ -34,7 +35,7 @@
 
 // Size is what a machine of the offer has.
 func (o Offer) Size() job.Resources {
-	return job.Resources{CPUs: o.Type.CPUs, GPUs: o.Type.GPUs, MemoryGB: o.Type.MemoryGB}
+	return catalog.Capacity(o.Type)
 }
 
 // Demand is a number of like tasks that have no place. Zones counts the other tasks of
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -2,10 +2,10 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/placement"
@@ -94,7 +94,7 @@
 func (c *Core) totalCapacity() fairness.Vector {
 	var sum job.Resources
 	for _, id := range c.machineNames {
-		sum = sum.Plus(capacity(c.types[c.machines[id].Type]), 1)
+		sum = sum.Plus(c.catalog.Capacity(c.machines[id].Type), 1)
 	}
 	return vector(sum)
 }
@@ -115,48 +115,21 @@
 	return sum
 }
 
-// machineKind is what all machines of one type, spot or ordinary, have in common.
-type machineKind struct {
-	size               job.Resources
-	dear, scale, accel float64
-}
-
-type kindKey struct {
-	typ  string
-	spot bool
-}
-
-func (c *Core) kinds() map[kindKey]machineKind {
-	largest, accel, cheapest := 1.0, 1.0, math.Inf(1)
-	for name, t := range c.types {
-		largest, accel = max(largest, t.CPUs), max(accel, t.GPUs)
-		cheapest = min(cheapest, c.pricePerCPU(name, true), c.pricePerCPU(name, false))
-	}
-	cheapest = max(cheapest, 1e-9)
-	out := make(map[kindKey]machineKind, 2*len(c.types))
-	for name, t := range c.types {
-		for _, spot := range []bool{true, false} {
-			out[kindKey{name, spot}] = machineKind{capacity(t), min(1, c.pricePerCPU(name, spot)/cheapest-1), t.CPUs / largest, t.GPUs / accel}
-		}
-	}
-	return out
-}
-
 // hosts lists the machines that can take tasks. Every node makes the same list
 // from the same replica, so their plans differ little.
 func (c *Core) hosts() []*placement.Host {
-	kinds := c.kinds()
+	kinds := c.catalog.Kinds()
 	c.scheduler.hosts = slices.Grow(c.scheduler.hosts[:0], len(c.machineNames))
 	out := make([]*placement.Host, 0, len(c.machineNames))
 	for _, id := range c.machineNames {
 		m := c.machines[id]
-		k, known := kinds[kindKey{m.Type, m.Spot}]
+		k, known := kinds[catalog.Kind{Type: m.Type, Spot: m.Spot}]
 		if !known || !c.isSchedulable(m) {
 			continue
 		}
-		h := placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: k.size,
-			Free: k.size.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.hasBindings(id), RemainingS: -1,
-			PriorReservation: c.scheduler.reservedFor[id], Penalty: float64(c.suspicion(m)), ReportBytes: c.reportBytes(m), RelativeSize: k.scale, PricePremium: k.dear, GPUShare: k.accel}
+		h := placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: k.Capacity,
+			Free: k.Capacity.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.hasBindings(id), RemainingS: -1,
+			PriorReservation: c.scheduler.reservedFor[id], Penalty: float64(c.suspicion(m)), ReportBytes: c.reportBytes(m), RelativeSize: k.RelativeSize, PricePremium: k.PricePremium, GPUShare: k.GPUShare}
 		if m.NoticeAt > 0 {
 			h.RemainingS = (m.NoticeAt - c.now.Steady).Seconds()
 		}
@@ -166,15 +139,6 @@
 	return out
 }
 
-// pricePerCPU is the nominal price per hour of a CPU on a kind of machine.
-func (c *Core) pricePerCPU(typ string, spot bool) float64 {
-	t := c.types[typ]
-	if spot {
-		return t.SpotPrice / max(t.CPUs, 1)
-	}
-	return t.Price / max(t.CPUs, 1)
-}
-
 // isSchedulable tells whether new tasks may go to a machine: it is heard and hears, does not
 // close, and its controller can be told.
 func (c *Core) isSchedulable(m *worker.Machine) bool {
@@ -265,7 +229,7 @@
 func (c *Core) schedule() {
 	defer c.deliverAll()
 	interval := c.reportInterval() / 30
-	if !c.loaded || c.types == nil || c.now.Steady < c.scheduler.next {
+	if !c.loaded || !c.catalog.Loaded() || c.now.Steady < c.scheduler.next {
 		return
 	}
 	if !c.scheduler.dirty && c.now.Steady < c.scheduler.next+10*interval {
--- a/internal/core/simcloud_test.go
+++ b/internal/core/simcloud_test.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
 )
@@ -34,7 +35,7 @@
 func (w *world) sizeOf(typ string) job.Resources {
 	for _, t := range w.types {
 		if t.Name == typ {
-			return capacity(t)
+			return catalog.Capacity(t)
 		}
 	}
 	return job.Resources{}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
@@ -49,7 +50,7 @@
 		return
 	}
 	t := c.teamBy[s.Team]
-	if t != nil && c.types == nil || !c.loaded || !c.storeOK {
+	if t != nil && !c.catalog.Loaded() || !c.loaded || !c.storeOK {
 		c.replyUnavailable(m.Req)
 		return
 	}
@@ -138,9 +139,9 @@
 // and that holds a task. A type that is listed in no zone can't be rented.
 func (c *Core) feasibleZones(s *job.Spec) int {
 	zones := map[string]bool{}
-	for _, typ := range c.types {
+	for _, typ := range c.catalog.All() {
 		for _, zone := range typ.Zones {
-			if s.Need.Fits(capacity(typ)) && s.Allows(typ.Name, zone, s.Spot) {
+			if s.Need.Fits(catalog.Capacity(typ)) && s.Allows(typ.Name, zone, s.Spot) {
 				zones[zone] = true
 			}
 		}
@@ -153,10 +154,6 @@
 	return (t.CPUsMax <= 0 || r.CPUs <= t.CPUsMax+1e-6) && (t.GPUsMax <= 0 || r.GPUs <= t.GPUsMax+1e-6)
 }
 
-func capacity(t protocol.MachineType) job.Resources {
-	return job.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-}
-
 // answerRepeated answers a submission of a known job with its current state.
 func (c *Core) answerRepeated(req uint64, id string) {
 	c.lookUp(id, func(f lookupResult, s protocol.JobState) {
@@ -327,7 +324,7 @@
 		}
 	}
 	outage := len(c.peers) == 0 || down > 0 && 2*down >= heard
-	if !c.loaded || c.types == nil || !c.storeOK && !outage {
+	if !c.loaded || !c.catalog.Loaded() || !c.storeOK && !outage {
 		c.replyUnavailable(m.Req)
 		return
 	}
