--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -96,7 +96,7 @@
 		if err := json.Unmarshal(raw, &said); err != nil {
 			return err
 		}
-		fmt.Fprintln(cmd.OutOrStdout(), args[0], said.Said)
+		fmt.Fprintln(cmd.OutOrStdout(), args[0], said.Message)
 		return nil
 	}})
 	if op == core.ActionDrain {
@@ -104,7 +104,7 @@
 		return cmd
 	}
 	cmd.Flags().StringVar(&m.Operator, "operator", m.Operator, "who says so")
-	cmd.Flags().StringVar(&m.Why, "why", "", "why, for the log")
+	cmd.Flags().StringVar(&m.Reason, "why", "", "why, for the log")
 	return cmd
 }
 
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -129,7 +129,7 @@
 // Rent asks for machines. An answer that is not clear is Unknown: the same
 // request may safely be repeated under its name.
 func (c *Cloud) Rent(r protocol.Rental) {
-	reply := core.Rented{Rental: r, Outcome: core.Unknown}
+	reply := core.RentalResult{Rental: r, Outcome: core.Unknown}
 	c.enqueue(func() {
 		var out struct {
 			protocol.MachineNames
@@ -152,6 +152,6 @@
 	c.enqueue(func() {
 		status, err := c.call(fasthttp.MethodPost, protocol.PathRelease, protocol.MachineNames{Machines: machines}, nil)
 		c.note(status, err)
-		c.emit(core.Released{Machines: machines, OK: err == nil && status == fasthttp.StatusOK})
-	}, func() { c.emit(core.Released{Machines: machines}) })
+		c.emit(core.ReleaseResult{Machines: machines, OK: err == nil && status == fasthttp.StatusOK})
+	}, func() { c.emit(core.ReleaseResult{Machines: machines}) })
 }
--- a/internal/core/agents.go
+++ b/internal/core/agents.go
@@ -389,7 +389,7 @@
 // handleDelivery takes the outcome of a delivery. Without an answer its starts may
 // yet be carried out, so the worker's term is raised above theirs; refused
 // ones never are.
-func (c *Core) handleDelivery(d Delivered) {
+func (c *Core) handleDelivery(d DeliveryResult) {
 	w := c.agents[d.Machine]
 	if w == nil {
 		return
@@ -422,7 +422,7 @@
 }
 
 // refuseDelivery tells the homes of starts that the worker has turned down whole.
-func (c *Core) refuseDelivery(d Delivered) {
+func (c *Core) refuseDelivery(d DeliveryResult) {
 	for _, cmd := range d.Orders.Commands {
 		if cmd.Op != protocol.OpStart {
 			continue
--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -7,17 +7,6 @@
 	"pepperlever/internal/protocol"
 )
 
-// Cancellation says that the state service holds the cancellation of a job. That is final,
-// so whoever gets it acts on it at once, whatever its own replica shows; all other messages
-// between controllers are advice.
-type Cancellation struct {
-	Job string `json:"j"`
-	// Revision is one at which the cancellation was stored, Asked the time of day at
-	// which the user asked for it, in milliseconds.
-	Revision uint64 `json:"v"`
-	Asked    int64  `json:"t,omitempty"`
-}
-
 // cancelAnnouncement is a Cancellation that is known here, and which controllers have acknowledged it.
 type cancelAnnouncement struct {
 	Cancellation
@@ -30,12 +19,12 @@
 }
 
 const (
-	// cancellationsPerMsg bounds a message, maxBroadcasts the memory. Past it the oldest are
+	// cancellationsPerMessage bounds a message, maxAnnouncements the memory. Past it the oldest are
 	// dropped, which are left to the watch of those that have not heard of them.
-	cancellationsPerMsg = 256
-	maxBroadcasts       = 4 * maxFinalStates
-	// broadcastLife is for how many times the time allowed a cancellation is broadcast.
-	broadcastLife = 4
+	cancellationsPerMessage = 256
+	maxAnnouncements        = 4 * maxFinalStates
+	// announcementLifetime is for how many times the time allowed a cancellation is broadcast.
+	announcementLifetime = 4
 )
 
 // noteCancellation notes a cancellation that the state service holds, whoever told of it:
@@ -47,7 +36,7 @@
 	}
 	c.rememberFinalState(k.Job, protocol.JobState{ID: k.Job, State: protocol.Cancelled})
 	if w := c.announcements[k.Job]; w != nil {
-		w.Revision, w.Asked = min(w.Revision, k.Revision), max(w.Asked, k.Asked)
+		w.Revision, w.RequestedAt = min(w.Revision, k.Revision), max(w.RequestedAt, k.RequestedAt)
 	} else if c.endRevisions[k.Job] == 0 {
 		c.startAnnouncement(k)
 	}
@@ -58,16 +47,16 @@
 	w := &cancelAnnouncement{Cancellation: k, at: c.now.Steady, acknowledgedBy: map[string]bool{}}
 	c.announcements[k.Job] = w
 	c.announcementOrder = append(c.announcementOrder, k.Job)
-	for len(c.announcementOrder) > maxBroadcasts {
+	for len(c.announcementOrder) > maxAnnouncements {
 		delete(c.announcements, c.announcementOrder[0])
 		c.announcementOrder = c.announcementOrder[1:]
 	}
 	c.timers.stopReported = 0
 }
 
-// stopReported stops the tasks of cancelled jobs that the newest reports of own machines
+// stopReportedTasks stops the tasks of cancelled jobs that the newest reports of own machines
 // show: neither the job, nor a binding, nor the state service is needed for it.
-func (c *Core) stopReported() {
+func (c *Core) stopReportedTasks() {
 	if len(c.announcements) == 0 {
 		return
 	}
@@ -160,7 +149,7 @@
 	alone := true
 	for node, p := range c.peers {
 		_, live := c.nodes[node]
-		if c.hasAcknowledged(node, w) || c.inDirectContact(node) && p.stamp == "" {
+		if c.hasAcknowledged(node, w) || c.inDirectContact(node) && p.lastHeartbeatID == "" {
 			return true
 		}
 		alone = alone && !live && !c.inDirectContact(node)
@@ -190,7 +179,7 @@
 		if w == nil {
 			continue
 		}
-		if c.now.Steady-w.at > broadcastLife*c.cancelDeadline() {
+		if c.now.Steady-w.at > announcementLifetime*c.cancelDeadline() {
 			delete(c.announcements, id)
 			continue
 		}
@@ -201,7 +190,7 @@
 		c.announceAgainTo(p.Node)
 	}
 	if c.every(&c.timers.stopReported, c.reportInterval()) {
-		c.stopReported()
+		c.stopReportedTasks()
 	}
 }
 
@@ -211,7 +200,7 @@
 	var out []Cancellation
 	for _, id := range c.announcementOrder {
 		if w := c.announcements[id]; w != nil && c.now.Steady-w.at >= c.reportInterval() && !c.hasAcknowledged(node, w) {
-			if out = append(out, w.Cancellation); len(out) == cancellationsPerMsg {
+			if out = append(out, w.Cancellation); len(out) == cancellationsPerMessage {
 				break
 			}
 		}
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -48,7 +48,7 @@
 	} {
 		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
 		c.revision, c.now.Steady = 5, sent
-		c.nextStamp()
+		c.nextHeartbeatID()
 		c.now.Steady = later
 		d.happens(c)
 		if got := c.freshUntil(); got != d.want {
@@ -133,17 +133,17 @@
 // However many cancellations come, memory and messages stay bounded.
 func TestBroadcastsAreBounded(t *testing.T) {
 	c := newWorld(t).cores["a"]
-	for i := range 2 * maxBroadcasts {
+	for i := range 2 * maxAnnouncements {
 		c.noteCancellation(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
 	}
-	if len(c.announcements) > maxBroadcasts || len(c.announcementOrder) > maxBroadcasts {
+	if len(c.announcements) > maxAnnouncements || len(c.announcementOrder) > maxAnnouncements {
 		t.Errorf("%d broadcasts are kept", len(c.announcements))
 	}
 	c.peers["b"].connected = true
 	c.effects = nil
 	c.now.Steady = time.Minute
 	c.announceAgainTo("b")
-	if m := c.effects[0].(SendPeer); len(m.Message.Cancellations) != cancellationsPerMsg {
+	if m := c.effects[0].(SendPeer); len(m.Message.Cancellations) != cancellationsPerMessage {
 		t.Errorf("a message has %d cancellations", len(m.Message.Cancellations))
 	}
 	if b := c.newHeartbeat(); len(b.Unacknowledged) != 2 {
@@ -188,7 +188,7 @@
 			w.started("req-free-1", 40)
 			given := 0
 			w.tell = func(_ string, e Effect) {
-				if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonNotStopped)) {
+				if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
 					given++
 				}
 			}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -16,7 +16,7 @@
 // milliseconds, at which it was asked for: it hastens what a controller does that
 // comes to know of it late, and decides nothing else.
 type cancelRecord struct {
-	At int64 `json:"t,omitempty"`
+	RequestedAt int64 `json:"t,omitempty"`
 }
 
 // onCancelPut notes a cancellation that the watch tells of.
@@ -26,8 +26,8 @@
 		return err
 	}
 	id := strings.TrimPrefix(item.Key, keyCancel)
-	c.cancelRequests[id] = k.At
-	c.noteCancellation(Cancellation{Job: id, Revision: item.Version, Asked: k.At})
+	c.cancelRequests[id] = k.RequestedAt
+	c.noteCancellation(Cancellation{Job: id, Revision: item.Version, RequestedAt: k.RequestedAt})
 	return nil
 }
 
@@ -39,7 +39,7 @@
 	j.Cancel()
 	j.CancelledAt, j.CancelAsked = c.now.Steady, c.cancelRequests[j.ID]
 	if w := c.announcements[j.ID]; w != nil {
-		j.CancelledAt, j.CancelAsked = w.at, w.Asked
+		j.CancelledAt, j.CancelAsked = w.at, w.RequestedAt
 	}
 	if !j.InFlight {
 		c.unbindUnstored(j)
@@ -61,8 +61,8 @@
 	return withdrawn || c.announcements[id] != nil
 }
 
-// stopForOthers stops the cancelled jobs of a team that has its home elsewhere.
-func (c *Core) stopForOthers(t *team) {
+// stopCancelledJobs stops the cancelled jobs of a team that has its home elsewhere.
+func (c *Core) stopCancelledJobs(t *team) {
 	for _, j := range ordered(t.jobs) {
 		if j.Cancelled {
 			c.stopCancelled(j)
@@ -84,16 +84,16 @@
 		if home || c.agents[b.Machine] != nil {
 			c.stopTask(j, i, b, 0)
 		}
-		if c.mayRunOn(j, i, b) {
-			c.returnMachineOf(j, b.Machine)
+		if c.mayStillRun(j, i, b) {
+			c.returnUnstoppedMachine(j, b.Machine)
 		}
 	}
 }
 
-// mayRunOn tells whether a task of a cancelled job may still be on its machine. It is not
+// mayStillRun tells whether a task of a cancelled job may still be on its machine. It is not
 // where that is proved, nor for as long as a controller that knows of the cancellation,
 // and is heard, reports the machine without it: should a start still come, it is stopped.
-func (c *Core) mayRunOn(j *job.Job, i int, b *job.Binding) bool {
+func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
 	m, task := c.machines[b.Machine], j.TaskID(i)
 	switch {
 	case c.cordons[b.Machine].Terminated || c.scheduler.returned[b.Machine]:
@@ -110,9 +110,9 @@
 	return verdict == worker.Open || verdict == worker.Present
 }
 
-// returnMachineOf has a machine given back on which a task of a cancelled job does not end, by
+// returnUnstoppedMachine has a machine given back on which a task of a cancelled job does not end, by
 // the renter or by a mark, or by this node itself while neither may help.
-func (c *Core) returnMachineOf(j *job.Job, machine string) {
+func (c *Core) returnUnstoppedMachine(j *job.Job, machine string) {
 	unaware := c.isUnaware(j.ID, machine)
 	part := c.cancelDeadline() / 2
 	if unaware && !c.storeOK {
@@ -124,23 +124,23 @@
 	// One that has just come to know goes by the time of day only for what is its own to
 	// judge: a leader that was cut off and came back knew nothing newer of the machines,
 	// and marked a hundred of them.
-	here, mine := c.now.Steady-j.CancelledAt, c.answersFor(j, machine)
-	if unaware && here > part || mine && c.isLate(j, part) {
-		c.requestReturn(machine, reasonNotStopped)
+	here, mine := c.now.Steady-j.CancelledAt, c.isResponsibleFor(j, machine)
+	if unaware && here > part || mine && c.cancellationOverdue(j, part) {
+		c.requestReturn(machine, reasonTaskNotStopped)
 	}
-	if turn := part + c.turnToAct(); c.noFleetLeader() && (here > turn || mine && c.isLate(j, turn)) {
+	if turn := part + c.releaseDelay(); c.fleetLeaderUnavailable() && (here > turn || mine && c.cancellationOverdue(j, turn)) {
 		c.releaseWithoutLeader(machine)
 	}
 }
 
-// reasonNotStopped is why a machine with a cancelled task is given back.
-const reasonNotStopped = "cancelled task does not end"
+// reasonTaskNotStopped is why a machine with a cancelled task is given back.
+const reasonTaskNotStopped = "cancelled task does not end"
 
-// isLate tells whether so much of the time that a cancellation may take has gone by here.
+// cancellationOverdue tells whether so much of the time that a cancellation may take has gone by here.
 // Controllers that start over in the middle of it begin to count anew, so they go by the
 // time of day of the cancellation too, once reports had time to come, or three quarters of
 // it all are over.
-func (c *Core) isLate(j *job.Job, part time.Duration) bool {
+func (c *Core) cancellationOverdue(j *job.Job, part time.Duration) bool {
 	here := c.now.Steady - j.CancelledAt
 	all := time.Duration(0)
 	if j.CancelAsked > 0 {
@@ -159,12 +159,12 @@
 	return w != nil && (m == nil || !c.hasAcknowledged(m.Node, w))
 }
 
-// answersFor tells whether it is for this node to have a machine given back for a
+// isResponsibleFor tells whether it is for this node to have a machine given back for a
 // task of a cancelled job: its controller sees what is left there. The home
 // answers for machines whose controller it reaches too, or that nobody is known to
 // hear. It leaves alone those of a live controller that it does not: they may
 // have stopped long ago.
-func (c *Core) answersFor(j *job.Job, machine string) bool {
+func (c *Core) isResponsibleFor(j *job.Job, machine string) bool {
 	m := c.machines[machine]
 	if m == nil {
 		return c.leads(j)
@@ -173,15 +173,15 @@
 	return m.Node == c.cfg.Node && c.agents[machine] != nil || c.leads(j) && (c.hasContact(m.Node) || !live)
 }
 
-// noFleetLeader tells whether there may be no renter, and a mark for the next one can't be
+// fleetLeaderUnavailable tells whether there may be no renter, and a mark for the next one can't be
 // stored: the state service does not answer, or the renter is gone. Then whoever knows
 // of a cancellation gives machines back itself. To the others it is as if the cloud had
 // taken them without notice; the renter finds that out from its list.
-func (c *Core) noFleetLeader() bool { return !c.storeOK || c.fleet.leader == "" }
+func (c *Core) fleetLeaderUnavailable() bool { return !c.storeOK || c.fleet.leader == "" }
 
-// turnToAct keeps controllers from all giving the same machine back at once: each waits
+// releaseDelay keeps controllers from all giving the same machine back at once: each waits
 // for its turn, a sixteenth of the time allowed in all, and the cloud has few requests.
-func (c *Core) turnToAct() time.Duration {
+func (c *Core) releaseDelay() time.Duration {
 	turn := slices.Index(c.roster, c.cfg.Node)
 	return c.cancelDeadline() / 16 * time.Duration(turn) / time.Duration(len(c.roster))
 }
@@ -192,14 +192,14 @@
 		return
 	}
 	c.scheduler.released[machine] = c.now.Steady
-	c.log(Info, "machine is given back without a renter", "machine", machine, "why", reasonNotStopped)
+	c.log(Info, "machine is given back without a renter", "machine", machine, "why", reasonTaskNotStopped)
 	c.scheduler.giveBack = append(c.scheduler.giveBack, machine)
 }
 
 // flushReleases asks the cloud to take the machines that this node gives back itself.
 func (c *Core) flushReleases() {
 	for names := range slices.Chunk(c.scheduler.giveBack, protocol.MaxRelease) {
-		c.emit(Release{Machines: names})
+		c.emit(ReleaseMachines{Machines: names})
 	}
 	c.scheduler.giveBack = nil
 }
@@ -215,7 +215,7 @@
 	c.scheduler.returnRequested[machine] = c.now.Steady
 	switch _, marked := c.cordons[machine]; {
 	case c.fleet.leader != "" && c.inDirectContact(c.fleet.leader):
-		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Why: why}})
+		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: why}})
 	case why != reasonSilent && !marked:
 		c.log(Info, "machine is marked to be given back", "machine", machine, "why", why)
 		c.compareAndSwap(protocol.Txn{
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -225,7 +225,7 @@
 		c.peerConnected(m.Node)
 	case PeerDisconnected:
 		c.peers[m.Node].connected = false
-	case Delivered:
+	case DeliveryResult:
 		c.handleDelivery(m)
 	case CatalogReceived:
 		c.handleCatalog(m)
@@ -233,13 +233,13 @@
 		c.handleInventory(m)
 	case CloudHealth:
 		c.freshness.cloudOutage = !m.OK
-	case Rented:
+	case RentalResult:
 		c.handleRental(m)
-	case Released:
+	case ReleaseResult:
 		c.handleRelease(m)
 	case SiteMessageReceived:
 		c.handleSiteMessage(m.Message)
-	case SiteUp:
+	case SiteConnected:
 		if c.federation != nil && c.federation.machine != nil {
 			c.federation.inputs = append(c.federation.inputs, federation.Reachable{Site: m.Site})
 		}
@@ -296,7 +296,7 @@
 		c.runAutoscaler()
 	}
 	if c.fleet.leading && c.every(&c.timers.inventory, c.listInterval()) {
-		c.emit(FetchList{})
+		c.emit(FetchInventory{})
 	}
 	if c.fleet.leading && c.every(&c.timers.statistics, tellEvery*report) {
 		c.logJobStatistics()
--- a/internal/core/dark_test.go
+++ b/internal/core/dark_test.go
@@ -67,12 +67,12 @@
 	c.now.Steady += 32 * time.Second
 	c.handleInventory(InventoryReceived{Machines: []protocol.ListedMachine{{ID: "vm-listed", Zone: "z2", State: protocol.Running}}})
 	for id, given := range map[string]bool{"vm-9015": false, "vm-listed": false, "vm-nobody-knows": true} {
-		c.returnRequested(ReturnRequest{Machine: id, Why: reasonSilent})
+		c.returnRequested(ReturnRequest{Machine: id, Reason: reasonSilent})
 		if got := c.autoscaler.returnReasons[id] != ""; got != given {
 			t.Errorf("%s: given up %v", id, got)
 		}
 	}
-	c.returnRequested(ReturnRequest{Machine: "vm-9015", Why: "cancelled task does not end"})
+	c.returnRequested(ReturnRequest{Machine: "vm-9015", Reason: "cancelled task does not end"})
 	if c.autoscaler.returnReasons["vm-9015"] == "" {
 		t.Error("a cancelled task is left on a machine of a dark zone")
 	}
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -58,11 +58,11 @@
 		parts = []any{"deliver", e.Machine, e.Address, e.Orders}
 	case FetchCatalog:
 		parts = []any{"catalogue"}
-	case FetchList:
+	case FetchInventory:
 		parts = []any{"list"}
-	case Rent:
+	case RequestRental:
 		parts = []any{"rent", e.Rental}
-	case Release:
+	case ReleaseMachines:
 		parts = []any{"release", e.Machines}
 	default:
 		panic(fmt.Sprintf("effect %T has no form in the digest", e))
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -332,11 +332,11 @@
 	g.asked[g.nextID] = q
 	switch m.Op {
 	case ActionGiveUp:
-		g.inputs = append(g.inputs, federation.GiveUp{Req: g.nextID, Job: m.Name, Operator: m.Operator, Why: m.Why})
+		g.inputs = append(g.inputs, federation.GiveUp{Req: g.nextID, Job: m.Name, Operator: m.Operator, Why: m.Reason})
 	case ActionDrain:
 		g.inputs = append(g.inputs, federation.Drain{Req: g.nextID, Site: federation.Site(m.Name), On: m.On})
 	case ActionRenew:
-		g.inputs = append(g.inputs, federation.Renew{Req: g.nextID, Site: federation.Site(m.Name), Operator: m.Operator, Why: m.Why})
+		g.inputs = append(g.inputs, federation.Renew{Req: g.nextID, Site: federation.Site(m.Name), Operator: m.Operator, Why: m.Reason})
 	}
 }
 
@@ -351,7 +351,7 @@
 		c.siteTell(q, http.StatusConflict, protocol.Problem{Error: a.Err})
 		return
 	}
-	c.siteTell(q, http.StatusOK, OperatorResult{Said: a.State})
+	c.siteTell(q, http.StatusOK, OperatorResult{Message: a.State})
 }
 
 func (c *Core) siteTell(q operator, status int, body any) {
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -158,7 +158,7 @@
 func (c *Core) endAway(id, state string) protocol.Txn {
 	txn := protocol.Txn{If: append(c.asMirrored(awayKey(id)), protocol.Condition{Key: keyState + id})}
 	if state == protocol.Cancelled {
-		txn.Then = []protocol.Change{putJSON(keyState+id, finalStateRecord{State: state}), putJSON(cancelKey(id), cancelRecord{At: c.now.Wall})}
+		txn.Then = []protocol.Change{putJSON(keyState+id, finalStateRecord{State: state}), putJSON(cancelKey(id), cancelRecord{RequestedAt: c.now.Wall})}
 	} else {
 		txn.Then = []protocol.Change{putJSON(keyState+id, finalStateRecord{State: state, Tasks: c.jobs[id].Tasks}), {Delete: jobKey(id)}}
 	}
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -22,7 +22,7 @@
 		revision uint64
 	}
 	// sent are the newest beats of this node, n how many there were.
-	sent [beatsKept]stamped
+	sent [heartbeatsKept]sentHeartbeat
 	n    int
 	// cloudOutage is set while the cloud refuses to act.
 	cloudOutage bool
@@ -31,20 +31,14 @@
 	probed, asked time.Duration
 }
 
-// stamped is a beat and when it was sent.
-type stamped struct {
+// sentHeartbeat is a beat and when it was sent.
+type sentHeartbeat struct {
 	stamp string
 	at    time.Duration
 }
 
-// beatsKept is how many beats an answer may be late.
-const beatsKept = 16
-
-// Acknowledgement is the newest beat of a controller that another one has had.
-type Acknowledgement struct {
-	Node  string `json:"n"`
-	Stamp string `json:"s"`
-}
+// heartbeatsKept is how many beats an answer may be late.
+const heartbeatsKept = 16
 
 // noteStoreReply takes an answer of the state service: it holds all that was stored when the
 // request was sent.
@@ -70,12 +64,12 @@
 	}
 }
 
-// nextStamp numbers a beat of this run.
-func (c *Core) nextStamp() string {
+// nextHeartbeatID numbers a beat of this run.
+func (c *Core) nextHeartbeatID() string {
 	p := &c.freshness
 	p.n++
 	s := fmt.Sprintf("%s.%d", c.incarnation, p.n)
-	p.sent[p.n%beatsKept] = stamped{s, c.now.Steady}
+	p.sent[p.n%heartbeatsKept] = sentHeartbeat{s, c.now.Steady}
 	return s
 }
 
@@ -83,18 +77,18 @@
 // has cancellations for.
 func (c *Core) acknowledgements() (out []Acknowledgement, owed []string) {
 	for _, node := range c.roster {
-		if p := c.peers[node]; p != nil && p.stamp != "" {
-			out = append(out, Acknowledgement{node, p.stamp})
+		if p := c.peers[node]; p != nil && p.lastHeartbeatID != "" {
+			out = append(out, Acknowledgement{node, p.lastHeartbeatID})
 		}
-		if c.owesCancellations(node) {
+		if c.hasUnacknowledged(node) {
 			owed = append(owed, node)
 		}
 	}
 	return out, owed
 }
 
-// owesCancellations tells whether a controller is not known to know of some cancellation.
-func (c *Core) owesCancellations(node string) bool {
+// hasUnacknowledged tells whether a controller is not known to know of some cancellation.
+func (c *Core) hasUnacknowledged(node string) bool {
 	for _, w := range c.announcements {
 		if !c.hasAcknowledged(node, w) {
 			return true
@@ -114,7 +108,7 @@
 			continue
 		}
 		for _, s := range c.freshness.sent {
-			if s.stamp == e.Stamp {
+			if s.stamp == e.HeartbeatID {
 				p.freshUntil = max(p.freshUntil, s.at)
 			}
 		}
--- a/internal/core/mute_test.go
+++ b/internal/core/mute_test.go
@@ -255,7 +255,7 @@
 			node := w.cores["a"].machines[f.Machine].Node
 			r := w.snapshot(f)
 			orders := protocol.Orders{Token: f.Token, Session: f.Session}
-			w.send(node, Delivered{Machine: f.Machine, Orders: orders, Executed: true, Report: change(&r, w.workers[ids[4]])})
+			w.send(node, DeliveryResult{Machine: f.Machine, Orders: orders, Executed: true, Report: change(&r, w.workers[ids[4]])})
 			w.run(time.Minute, nil)
 			if a := w.status("b", muteJob); stateOf(t, a).Done > 0 || w.onMachines(muteJob) != 20 || f.Session != 1 {
 				t.Errorf("%v, %d tasks are left", a.Body, w.onMachines(muteJob))
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -14,13 +14,13 @@
 	connected   bool
 	storeOK     bool
 	lastContact time.Duration
-	// due is how many changes of jobs wait there to be stored.
-	due ranks
+	// pendingWrites is how many changes of jobs wait there to be stored.
+	pendingWrites ranks
 	// revision is how far its replica has been.
 	revision uint64
-	// stamp is its newest beat here; up to sure it has told all that it knew of.
-	stamp      string
-	freshUntil time.Duration
+	// lastHeartbeatID is its newest beat here; up to sure it has told all that it knew of.
+	lastHeartbeatID string
+	freshUntil      time.Duration
 	// unreachable are the nodes that it says it does not hear, cut those that it can't send to.
 	unreachable, disconnected []string
 }
@@ -96,10 +96,10 @@
 	}
 }
 
-// tasksPerMsg bounds the size of one message: the reports of machines with
+// tasksPerMessage bounds the size of one message: the reports of machines with
 // hundreds of small tasks each would make it longer than a peer takes in one
 // line, and the stream would be opened anew again and again.
-const tasksPerMsg = 1024
+const tasksPerMessage = 1024
 
 // batchObservations splits observations into messages. One report is never split.
 func batchObservations(all []Observation) iter.Seq[[]Observation] {
@@ -107,7 +107,7 @@
 		from, tasks := 0, 0
 		for i, o := range all {
 			n := 8 + len(o.Report.Tasks) // a report without tasks is as long as a few of them
-			if tasks += n; tasks > tasksPerMsg && i > from {
+			if tasks += n; tasks > tasksPerMessage && i > from {
 				if !yield(all[from:i]) {
 					return
 				}
@@ -197,7 +197,7 @@
 	}
 	for id := range ordered(c.agents) {
 		if m := c.machines[id]; m != nil && m.Node == c.cfg.Node && m.Reported > c.heartbeatAt {
-			b.Heard, b.Seqs = append(b.Heard, id), append(b.Seqs, m.Seq)
+			b.HeardMachines, b.ReportSeqs = append(b.HeardMachines, id), append(b.ReportSeqs, m.Seq)
 		}
 	}
 	c.heartbeatAt = c.now.Steady
@@ -206,7 +206,7 @@
 
 // newHeartbeat is what a beat says by whichever way it goes.
 func (c *Core) newHeartbeat() NodeHeartbeat {
-	b := NodeHeartbeat{Revision: c.revision, StoreOK: c.storeOK, Due: c.writeBudget.due, Unreachable: c.unreachablePeers(), Stamp: c.nextStamp()}
+	b := NodeHeartbeat{Revision: c.revision, StoreOK: c.storeOK, PendingWrites: c.writeBudget.due, Unreachable: c.unreachablePeers(), ID: c.nextHeartbeatID()}
 	b.Acknowledgements, b.Unacknowledged = c.acknowledgements()
 	for _, other := range c.cfg.Peers {
 		if !c.peers[other.Node].connected {
@@ -235,19 +235,19 @@
 		return
 	}
 	p.revision = max(p.revision, b.Revision)
-	p.stamp = b.Stamp
+	p.lastHeartbeatID = b.ID
 	c.noteAcknowledgements(p, &b)
-	p.storeOK, p.due = b.StoreOK, b.Due
+	p.storeOK, p.pendingWrites = b.StoreOK, b.PendingWrites
 	p.unreachable, p.disconnected = b.Unreachable, b.Disconnected
 	for name, r := range b.Records {
 		if t := c.teamBy[name]; t != nil && !t.leading {
 			t.record, t.ranked = r, r
 		}
 	}
-	for i, id := range b.Heard {
+	for i, id := range b.HeardMachines {
 		if m := c.machines[id]; m != nil {
-			if m.Node == node && i < len(b.Seqs) {
-				m.HeardSeq = max(m.HeardSeq, b.Seqs[i])
+			if m.Node == node && i < len(b.ReportSeqs) {
+				m.HeardSeq = max(m.HeardSeq, b.ReportSeqs[i])
 			}
 			c.noteContact(m, false)
 		}
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -106,7 +106,7 @@
 				continue
 			}
 			c.handle(StoreReply{ID: put.ID, Outcome: Applied, Revision: 9})
-			rent := c.effects[len(c.effects)-1].(Rent)
+			rent := c.effects[len(c.effects)-1].(RequestRental)
 			if asked++; rent.Rental.Type != "cheap" || rent.Rental.Count > protocol.MaxRental {
 				t.Fatalf("asked for %+v", rent.Rental)
 			}
@@ -116,7 +116,7 @@
 				names = append(names, fmt.Sprintf("vm-8%04d", got))
 			}
 			c.timers.autoscaler = time.Hour
-			c.handle(Rented{Rental: rent.Rental, Outcome: Applied, Machines: names})
+			c.handle(RentalResult{Rental: rent.Rental, Outcome: Applied, Machines: names})
 			if c.timers.autoscaler > c.now.Steady {
 				t.Fatal("the next round waits")
 			}
@@ -137,7 +137,7 @@
 		c := renter(t, 0, 0)
 		c.intents["r"] = &rentalIntent{}
 		c.timers.autoscaler = c.now.Steady + time.Second
-		c.handleRental(Rented{Rental: protocol.Rental{Request: "r", Type: "small", Zone: "z1", Count: 1}, Outcome: outcome, Machines: []string{"vm-1"}})
+		c.handleRental(RentalResult{Rental: protocol.Rental{Request: "r", Type: "small", Zone: "z1", Count: 1}, Outcome: outcome, Machines: []string{"vm-1"}})
 		if (c.timers.autoscaler == 0) != atOnce {
 			t.Errorf("outcome %v: asked again at once: %v", outcome, !atOnce)
 		}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -249,7 +249,7 @@
 	c.reapplyRelay()
 	for _, t := range c.teams {
 		if !t.leading {
-			c.stopForOthers(t)
+			c.stopCancelledJobs(t)
 			continue
 		}
 		for _, j := range ordered(t.jobs) {
--- a/internal/core/refused_test.go
+++ b/internal/core/refused_test.go
@@ -86,12 +86,12 @@
 	w.racing, w.taskTime = true, 4*w.allowed()
 	given, released := 0, map[string]int{}
 	w.tell = func(node string, e Effect) {
-		if r, is := e.(Release); is && !w.cores[node].fleet.leading && !w.noCloud {
+		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
 			for _, m := range r.Machines {
 				released[node+m]++
 			}
 		}
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
+		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
 			given++
 		}
 	}
@@ -377,7 +377,7 @@
 	w.run(time.Second, nil)
 	given := 0
 	w.tell = func(node string, e Effect) {
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonNotStopped)) {
+		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
 			given++
 		}
 	}
@@ -405,7 +405,7 @@
 	w.run(w.allowed(), nil)
 	given := 0
 	w.tell = func(_ string, e Effect) {
-		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonNotStopped)) && l.Text != "machine returned" {
+		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && l.Text != "machine returned" {
 			given++
 		}
 	}
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -16,62 +16,62 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Group names machines that have all but their names in common.
-type Group struct {
-	Kind
+// MachineGroup names machines that have all but their names in common.
+type MachineGroup struct {
+	MachineKind
 	Machines []string `json:"m"`
 }
 
-// Kind is what the machines of a Group have in common: what they are, under which
+// MachineKind is what the machines of a Group have in common: what they are, under which
 // fencing term and session they can be given starts, and when they are taken back,
 // in seconds, 0 if nobody has said so.
-type Kind struct {
+type MachineKind struct {
 	Type    string `json:"t"`
 	Zone    string `json:"z"`
 	Spot    bool   `json:"s,omitempty"`
-	Term    uint64 `json:"k"`
-	Session uint64 `json:"e"`
+	Token   uint64 `json:"k"`
+	Epoch   uint64 `json:"e"`
 	NoticeS int    `json:"n,omitempty"`
 }
 
-// Fact is what has become of one attempt of a task, for good.
-type Fact struct {
+// Entry is what has become of one attempt of a task, for good.
+type Entry struct {
 	Job     string
 	Index   int
 	Attempt uint64
 	Machine string
-	// Why the attempt has exited, or nothing: then it was not started, and never
+	// Reason the attempt has exited, or nothing: then it was not started, and never
 	// will be.
-	Why string
+	Reason string
 }
 
 // Page is one key's worth of a bulletin.
 type Page struct {
-	// Beat is the controller's sign of life; only the first page has it.
-	Beat     json.RawMessage `json:"b,omitempty"`
-	Facts    []JobFacts      `json:"f,omitempty"`
-	Machines []Group         `json:"m,omitempty"`
+	// Heartbeat is the controller's sign of life; only the first page has it.
+	Heartbeat json.RawMessage `json:"b,omitempty"`
+	Jobs      []JobEntries    `json:"f,omitempty"`
+	Machines  []MachineGroup  `json:"m,omitempty"`
 }
 
-// JobFacts are the facts on one job, each in its short form. They are no map from
+// JobEntries are the facts on one job, each in its short form. They are no map from
 // strings to slices of strings: the JSON library corrupts memory where it reads one
 // (docs/incidents/apart.md).
-type JobFacts struct {
-	Job  string   `json:"j"`
-	Said []string `json:"s"`
+type JobEntries struct {
+	Job     string   `json:"j"`
+	Entries []string `json:"s"`
 }
 
 // String is the stored form of a fact within its job.
-func (f Fact) String() string {
-	return fmt.Sprintf("%d %d %s %s", f.Index, f.Attempt, f.Machine, f.Why)
+func (f Entry) String() string {
+	return fmt.Sprintf("%d %d %s %s", f.Index, f.Attempt, f.Machine, f.Reason)
 }
 
-// All lists the facts of a page in order; what is malformed is an error.
-func (p *Page) All() ([]Fact, error) {
-	var out []Fact
-	for _, of := range p.Facts {
+// Entries lists the facts of a page in order; what is malformed is an error.
+func (p *Page) Entries() ([]Entry, error) {
+	var out []Entry
+	for _, of := range p.Jobs {
 		id := of.Job
-		for _, s := range of.Said {
+		for _, s := range of.Entries {
 			part := strings.Split(s, " ")
 			if len(part) != 4 {
 				return nil, fmt.Errorf("fact %q of %s has %d parts", s, id, len(part))
@@ -84,7 +84,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("fact %q of %s: %w", s, id, err)
 			}
-			out = append(out, Fact{id, index, attempt, part[2], part[3]})
+			out = append(out, Entry{id, index, attempt, part[2], part[3]})
 		}
 	}
 	return out, nil
@@ -96,15 +96,15 @@
 // Pages lays a bulletin out in named pages of about limit bytes at most: facts, the
 // sign of life on the first of them, and apart from those the machines, whose pages
 // seldom change.
-func Pages(beat json.RawMessage, facts []Fact, machines map[Kind][]string, limit int) map[string]json.RawMessage {
-	facts = slices.SortedFunc(slices.Values(facts), func(a, b Fact) int {
+func Pages(beat json.RawMessage, facts []Entry, machines map[MachineKind][]string, limit int) map[string]json.RawMessage {
+	facts = slices.SortedFunc(slices.Values(facts), func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
-	pages := []*Page{{Beat: beat}}
+	pages := []*Page{{Heartbeat: beat}}
 	size := len(beat) + overhead
 	for _, f := range facts {
 		page, s := pages[len(pages)-1], f.String()
-		n, first := len(s)+3, len(page.Facts) == 0 || page.Facts[len(page.Facts)-1].Job != f.Job
+		n, first := len(s)+3, len(page.Jobs) == 0 || page.Jobs[len(page.Jobs)-1].Job != f.Job
 		if first {
 			n += len(f.Job) + overhead
 		}
@@ -114,18 +114,18 @@
 			n = len(s) + 3 + len(f.Job) + overhead
 		}
 		if first {
-			page.Facts = append(page.Facts, JobFacts{Job: f.Job})
+			page.Jobs = append(page.Jobs, JobEntries{Job: f.Job})
 		}
-		of := &page.Facts[len(page.Facts)-1]
-		of.Said = append(of.Said, s)
+		of := &page.Jobs[len(page.Jobs)-1]
+		of.Entries = append(of.Entries, s)
 		size += n
 	}
 	out := map[string]json.RawMessage{}
 	for n, p := range pages {
-		out[fmt.Sprint("f", n)] = raw(p)
+		out[fmt.Sprint("f", n)] = marshalPage(p)
 	}
 	for n, p := range machinePages(machines, limit) {
-		out[fmt.Sprint("m", n)] = raw(p)
+		out[fmt.Sprint("m", n)] = marshalPage(p)
 	}
 	return out
 }
@@ -133,12 +133,12 @@
 // overhead is at most about what a page or a part of one takes beside its contents.
 const overhead = 32
 
-func machinePages(machines map[Kind][]string, limit int) []*Page {
+func machinePages(machines map[MachineKind][]string, limit int) []*Page {
 	var pages []*Page
 	size := limit
-	kinds := slices.SortedFunc(maps.Keys(machines), func(a, b Kind) int {
-		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Term, b.Term),
-			cmp.Compare(a.Session, b.Session), cmp.Compare(a.NoticeS, b.NoticeS), strings.Compare(fmt.Sprint(a.Spot), fmt.Sprint(b.Spot)))
+	kinds := slices.SortedFunc(maps.Keys(machines), func(a, b MachineKind) int {
+		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Token, b.Token),
+			cmp.Compare(a.Epoch, b.Epoch), cmp.Compare(a.NoticeS, b.NoticeS), strings.Compare(fmt.Sprint(a.Spot), fmt.Sprint(b.Spot)))
 	})
 	for _, k := range kinds {
 		fresh := true
@@ -153,7 +153,7 @@
 			}
 			p := pages[len(pages)-1]
 			if fresh {
-				p.Machines = append(p.Machines, Group{Kind: k})
+				p.Machines = append(p.Machines, MachineGroup{MachineKind: k})
 				fresh = false
 			}
 			g := &p.Machines[len(p.Machines)-1]
@@ -164,7 +164,7 @@
 	return pages
 }
 
-func raw(p *Page) json.RawMessage {
+func marshalPage(p *Page) json.RawMessage {
 	out, err := json.Marshal(p)
 	if err != nil {
 		panic(err) // plain data always has a JSON form
@@ -172,26 +172,26 @@
 	return out
 }
 
-// Board follows which pages of this controller's bulletin the store holds, and at which
+// Publication follows which pages of this controller's bulletin the store holds, and at which
 // versions: each is written on the condition that it is as it was seen, so that a write
 // which is carried out late, after newer ones, is void.
-type Board struct {
-	stored map[string]stored
-	// last is the page that was written last, apart from the first page.
-	last string
+type Publication struct {
+	stored map[string]storedPage
+	// lastWritten is the page that was written last, apart from the first page.
+	lastWritten string
 }
 
-// stored is a page as the store holds it; without a value it is not there.
-type stored struct {
+// storedPage is a page as the store holds it; without a value it is not there.
+type storedPage struct {
 	value   json.RawMessage
 	version uint64
 }
 
 // Empty tells whether nothing is stored.
-func (b *Board) Empty() bool { return len(b.Pages()) == 0 }
+func (b *Publication) Empty() bool { return len(b.StoredPages()) == 0 }
 
-// Pages names the pages that are stored.
-func (b *Board) Pages() (out []string) {
+// StoredPages names the pages that are stored.
+func (b *Publication) StoredPages() (out []string) {
 	for _, name := range slices.Sorted(maps.Keys(b.stored)) {
 		if b.stored[name].value != nil {
 			out = append(out, name)
@@ -211,58 +211,58 @@
 // Diff lists at most limit changes that bring the stored pages up to want: the first
 // page, and then the others in turn, or pages that change each time would keep the rest
 // from ever being written.
-func (b *Board) Diff(want map[string]json.RawMessage, limit int) []Change {
+func (b *Publication) Diff(want map[string]json.RawMessage, limit int) []Change {
 	var out []Change
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		if !bytes.Equal(want[name], b.stored[name].value) {
 			out = append(out, Change{name, want[name], b.version(name)})
 		}
 	}
-	for _, name := range b.Pages() {
+	for _, name := range b.StoredPages() {
 		if want[name] == nil {
 			out = append(out, Change{Page: name, Version: b.version(name)})
 		}
 	}
-	slices.SortStableFunc(out, func(a, c Change) int { return cmp.Compare(b.turn(a.Page), b.turn(c.Page)) })
+	slices.SortStableFunc(out, func(a, c Change) int { return cmp.Compare(b.writeOrder(a.Page), b.writeOrder(c.Page)) })
 	return out[:min(len(out), limit)]
 }
 
 // version is the one at which a page is stored, 0 if it is not.
-func (b *Board) version(page string) uint64 {
+func (b *Publication) version(page string) uint64 {
 	if s := b.stored[page]; s.value != nil {
 		return s.version
 	}
 	return 0
 }
 
-// turn orders pages: the first page, those after the one written last, and the rest.
-func (b *Board) turn(page string) int {
+// writeOrder orders pages: the first page, those after the one written last, and the rest.
+func (b *Publication) writeOrder(page string) int {
 	switch {
 	case page == FirstPage:
 		return 0
-	case page > b.last:
+	case page > b.lastWritten:
 		return 1
 	}
 	return 2
 }
 
-// Wrote notes that changes have been written at a revision. One whose answer did not come
+// Confirm notes that changes have been written at a revision. One whose answer did not come
 // is found out by what the store shows.
-func (b *Board) Wrote(changes []Change, revision uint64) {
+func (b *Publication) Confirm(changes []Change, revision uint64) {
 	for _, c := range changes {
 		if c.Page != FirstPage {
-			b.last = c.Page
+			b.lastWritten = c.Page
 		}
-		b.Saw(c.Page, c.Value, revision)
+		b.Observe(c.Page, c.Value, revision)
 	}
 }
 
-// Saw notes what the store holds of a page as of a revision, nil for nothing.
-func (b *Board) Saw(page string, value json.RawMessage, revision uint64) {
+// Observe notes what the store holds of a page as of a revision, nil for nothing.
+func (b *Publication) Observe(page string, value json.RawMessage, revision uint64) {
 	if b.stored == nil {
-		b.stored = map[string]stored{}
+		b.stored = map[string]storedPage{}
 	}
 	if revision > b.stored[page].version {
-		b.stored[page] = stored{value, revision}
+		b.stored[page] = storedPage{value, revision}
 	}
 }
--- a/internal/core/relay/relay_test.go
+++ b/internal/core/relay/relay_test.go
@@ -22,18 +22,18 @@
 func TestPagesHoldEverythingWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(512, 8192).Draw(t, "limit")
-		said := map[Fact]bool{}
+		said := map[Entry]bool{}
 		for _, n := range rapid.SliceOfN(rapid.IntRange(0, 5000), 0, 400).Draw(t, "facts") {
-			said[Fact{fmt.Sprintf("req-%06d", n%7), n, uint64(n) * 3, fmt.Sprintf("vm-%06d", n), []string{"done", "error", ""}[n%3]}] = true
+			said[Entry{fmt.Sprintf("req-%06d", n%7), n, uint64(n) * 3, fmt.Sprintf("vm-%06d", n), []string{"done", "error", ""}[n%3]}] = true
 		}
-		machines := map[Kind][]string{}
+		machines := map[MachineKind][]string{}
 		for _, n := range rapid.SliceOfN(rapid.IntRange(0, 9000), 0, 400).Draw(t, "machines") {
-			k := Kind{Type: "sixteen", Zone: fmt.Sprint("z", n%3), Spot: n%2 == 0, Term: uint64(n % 40), Session: 1, NoticeS: n % 4}
+			k := MachineKind{Type: "sixteen", Zone: fmt.Sprint("z", n%3), Spot: n%2 == 0, Token: uint64(n % 40), Epoch: 1, NoticeS: n % 4}
 			machines[k] = append(machines[k], fmt.Sprintf("vm-%06d", n))
 		}
 		want := Pages(json.RawMessage(`{"n":1}`), keysOf(said), machines, limit)
 
-		var board Board
+		var board Publication
 		stored, versions := map[string]json.RawMessage{}, map[string]uint64{}
 		revision := uint64(0)
 		// carry does what the state service does, and tells whether the conditions held.
@@ -55,7 +55,7 @@
 		}
 		watch := func() {
 			for page := range versions {
-				board.Saw(page, stored[page], revision)
+				board.Observe(page, stored[page], revision)
 			}
 		}
 		var late [][]Change
@@ -74,12 +74,12 @@
 			if round < 3 && rapid.Bool().Draw(t, "carried out late") {
 				late = append(late, changes)
 			} else if carry(changes) && rapid.Bool().Draw(t, "answered") {
-				board.Wrote(changes, revision)
+				board.Confirm(changes, revision)
 			} else {
 				watch()
 			}
 		}
-		heard := map[Kind][]string{}
+		heard := map[MachineKind][]string{}
 		for name, value := range stored {
 			if len(value) > limit {
 				t.Fatalf("page %s has %d bytes", name, len(value))
@@ -88,10 +88,10 @@
 			if err := json.Unmarshal(value, &p); err != nil {
 				t.Fatal(err)
 			}
-			if (name == FirstPage) != (p.Beat != nil) {
-				t.Fatalf("page %s: sign of life is %s", name, p.Beat)
+			if (name == FirstPage) != (p.Heartbeat != nil) {
+				t.Fatalf("page %s: sign of life is %s", name, p.Heartbeat)
 			}
-			facts, err := p.All()
+			facts, err := p.Entries()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -102,7 +102,7 @@
 				delete(said, f)
 			}
 			for _, g := range p.Machines {
-				heard[g.Kind] = append(heard[g.Kind], g.Machines...)
+				heard[g.MachineKind] = append(heard[g.MachineKind], g.Machines...)
 			}
 		}
 		if len(said) > 0 {
@@ -114,15 +114,15 @@
 				t.Fatalf("%+v: %d machines of %d", k, len(heard[k]), len(ids))
 			}
 		}
-		board.Wrote(board.Diff(nil, 1<<20), revision+1)
+		board.Confirm(board.Diff(nil, 1<<20), revision+1)
 		if !board.Empty() {
 			t.Fatal("pages are left once there is nothing to say")
 		}
 	})
 }
 
-func keysOf(m map[Fact]bool) []Fact {
-	var out []Fact
+func keysOf(m map[Entry]bool) []Entry {
+	var out []Entry
 	for f := range m {
 		out = append(out, f)
 	}
@@ -131,7 +131,7 @@
 
 func TestMalformedFactsAreErrors(t *testing.T) {
 	for _, s := range []string{"", "1 2 vm", "x 2 vm done", "1 -2 vm done", "1 2 vm done more"} {
-		if _, err := (&Page{Facts: []JobFacts{{"req-1", []string{s}}}}).All(); err == nil {
+		if _, err := (&Page{Jobs: []JobEntries{{"req-1", []string{s}}}}).Entries(); err == nil {
 			t.Errorf("%q is taken", s)
 		}
 	}
@@ -141,12 +141,12 @@
 // be. They must not keep the rest from being written: with one page in a transaction no
 // machine was ever told of, and a renter gave seven hundred back as silent.
 func TestPagesThatChangeEachTimeLeaveRoomForTheOthers(t *testing.T) {
-	machines := map[Kind][]string{{Type: "t", Zone: "a"}: {"vm-000001"}, {Type: "t", Zone: "b"}: {"vm-000002"}}
-	var facts []Fact
+	machines := map[MachineKind][]string{{Type: "t", Zone: "a"}: {"vm-000001"}, {Type: "t", Zone: "b"}: {"vm-000002"}}
+	var facts []Entry
 	for n := range 60 {
-		facts = append(facts, Fact{Job: "req-000001", Index: n, Attempt: 1, Machine: "vm-000001", Why: "done"})
+		facts = append(facts, Entry{Job: "req-000001", Index: n, Attempt: 1, Machine: "vm-000001", Reason: "done"})
 	}
-	var board Board
+	var board Publication
 	stored := map[string]bool{}
 	for round := range 40 {
 		for n := range facts {
@@ -160,7 +160,7 @@
 		for _, c := range changes {
 			stored[c.Page] = true
 		}
-		board.Wrote(changes, uint64(round+1))
+		board.Confirm(changes, uint64(round+1))
 		if len(stored) == len(want) {
 			return
 		}
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -63,7 +63,7 @@
 	for key := range c.handoffs.versions {
 		out[key] = true
 	}
-	for _, page := range c.relay.published.Pages() {
+	for _, page := range c.relay.published.StoredPages() {
 		out[pageKey(c.cfg.Node, page)] = true
 	}
 	for node, r := range c.relay.inboxes {
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -142,8 +142,8 @@
 }
 
 func (c *Core) returnRequested(m ReturnRequest) {
-	if c.fleet.leading && (m.Why != reasonSilent || !c.mayReturn(m.Machine)) {
-		c.returnMachine(m.Machine, m.Why)
+	if c.fleet.leading && (m.Reason != reasonSilent || !c.mayReturn(m.Machine)) {
+		c.returnMachine(m.Machine, m.Reason)
 	}
 }
 
@@ -219,13 +219,13 @@
 		}
 	}
 	if len(names) > 0 {
-		c.emit(Release{Machines: names})
+		c.emit(ReleaseMachines{Machines: names})
 	}
 }
 
 // handleRelease notes the cloud's word that machines are gone, which ends all that
 // was bound to them.
-func (c *Core) handleRelease(m Released) {
+func (c *Core) handleRelease(m ReleaseResult) {
 	for _, id := range m.Machines {
 		if _, mine := c.scheduler.released[id]; mine && m.OK {
 			c.scheduler.returned[id] = true
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -91,7 +91,7 @@
 		case i.pending:
 		case i.Machines == nil:
 			i.pending = true
-			c.emit(Rent{Rental: i.Rental})
+			c.emit(RequestRental{Rental: i.Rental})
 		case c.allShown(i):
 			i.pending = true
 			c.dropIntent(name, i)
@@ -287,12 +287,12 @@
 			return
 		}
 		i.version = r.Revision
-		c.emit(Rent{Rental: i.Rental})
+		c.emit(RequestRental{Rental: i.Rental})
 	})
 }
 
 // handleRental takes the cloud's answer to a rental.
-func (c *Core) handleRental(m Rented) {
+func (c *Core) handleRental(m RentalResult) {
 	i := c.intents[m.Rental.Request]
 	if i == nil {
 		return
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -27,7 +27,7 @@
 	asked           map[string]bool
 	returnRequested map[string]time.Duration
 	// released is when this node last gave a machine back without a renter, returned
-	// holds those that the cloud has taken, returnMachineOf those to ask for next.
+	// holds those that the cloud has taken, returnUnstoppedMachine those to ask for next.
 	released map[string]time.Duration
 	returned map[string]bool
 	giveBack []string
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -349,7 +349,7 @@
 	case Deliver:
 		if w.loseDo {
 			w.held = append(w.held, e)
-			w.send(node, Delivered{Machine: e.Machine, Orders: e.Orders})
+			w.send(node, DeliveryResult{Machine: e.Machine, Orders: e.Orders})
 			return
 		}
 		if w.holdDo && w.rng.IntN(4) == 0 {
@@ -362,11 +362,11 @@
 		if !w.noCloud {
 			w.send(node, CatalogReceived{Types: w.types})
 		}
-	case FetchList:
+	case FetchInventory:
 		w.list(node)
-	case Rent:
+	case RequestRental:
 		if len(w.workers) >= w.most || w.full(e.Rental.Zone) {
-			w.send(node, Rented{Rental: e.Rental, Outcome: Refused})
+			w.send(node, RentalResult{Rental: e.Rental, Outcome: Refused})
 			return
 		}
 		var names []string
@@ -375,16 +375,16 @@
 			w.workers[id].Type = e.Rental.Type
 			names = append(names, id)
 		}
-		w.send(node, Rented{Rental: e.Rental, Outcome: Applied, Machines: names})
-	case Release:
+		w.send(node, RentalResult{Rental: e.Rental, Outcome: Applied, Machines: names})
+	case ReleaseMachines:
 		if w.noCloud {
-			w.send(node, Released{Machines: e.Machines})
+			w.send(node, ReleaseResult{Machines: e.Machines})
 			return
 		}
 		for _, m := range e.Machines {
 			delete(w.workers, m)
 		}
-		w.send(node, Released{Machines: e.Machines, OK: true})
+		w.send(node, ReleaseResult{Machines: e.Machines, OK: true})
 	}
 }
 
@@ -392,7 +392,7 @@
 func asOld(m PeerMessage) PeerMessage {
 	m.Cancellations, m.Acknowledged = nil, nil
 	if b := m.Heartbeat; b != nil {
-		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, Due: b.Due, Records: b.Records, Heard: b.Heard, Seqs: b.Seqs, Unreachable: b.Unreachable}
+		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, PendingWrites: b.PendingWrites, Records: b.Records, HeardMachines: b.HeardMachines, ReportSeqs: b.ReportSeqs, Unreachable: b.Unreachable}
 	}
 	return m
 }
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -139,7 +139,7 @@
 // deliver carries a direct call out as a worker would, early or late.
 func (w *world) deliver(node string, d Deliver) {
 	f := w.workers[d.Machine]
-	out := Delivered{Machine: d.Machine, Orders: d.Orders}
+	out := DeliveryResult{Machine: d.Machine, Orders: d.Orders}
 	if f != nil && w.hangs(f.Machine) && !w.across(node, f) {
 		// It is carried out when the machine goes on, unless its lease is over by then.
 		w.holdCall(node, d, w.hungUntil[f.Machine]-w.now+2*w.tick)
@@ -163,7 +163,7 @@
 // holdCall lets a direct call get no answer and be carried out later, as when the machine
 // hangs for a while.
 func (w *world) holdCall(node string, d Deliver, d2 time.Duration) {
-	w.send(node, Delivered{Machine: d.Machine, Orders: d.Orders})
+	w.send(node, DeliveryResult{Machine: d.Machine, Orders: d.Orders})
 	at := w.now + d2
 	w.later = append(w.later, func() bool {
 		if w.now < at {
--- a/internal/core/startdelivery_test.go
+++ b/internal/core/startdelivery_test.go
@@ -95,7 +95,7 @@
 		if why := c.startRefusalReason(k, s); why != "" {
 			t.Errorf("healthy: %s", why)
 		}
-		w.send("a", Delivered{Machine: id, Orders: protocol.Orders{Token: k.token}})
+		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: k.token}})
 		w.step("a")
 		if why := c.startRefusalReason(k, s); why == "" {
 			t.Error("a worker without an answer takes starts")
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -18,7 +18,7 @@
 type storeRelay struct {
 	// next is when the bulletin is looked at again, acted when starts last were.
 	next, startsCheckedAt time.Duration
-	published             relay.Board
+	published             relay.Publication
 	busy                  bool
 	// inboxes holds the bulletins of the other controllers.
 	inboxes map[string]*relayInbox
@@ -119,8 +119,8 @@
 	if split && c.every(&c.relay.startsCheckedAt, c.reportInterval()/30) {
 		for id, w := range ordered(c.agents) {
 			if m := c.machines[id]; m != nil && m.Node == c.cfg.Node {
-				c.startForLeaders(id, w, m)
-				c.forgetForLeaders(m)
+				c.startForUnreachableLeaders(id, w, m)
+				c.forgetForUnreachableLeaders(m)
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	var want map[string]json.RawMessage
 	if split {
-		want = relay.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.reachableMachines(), c.limits.relayPageBytes())
+		want = relay.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.machinesHeardHere(), c.limits.relayPageBytes())
 	}
 	c.publishRelay(c.relay.published.Diff(want, c.limits.maxRelayPages()))
 }
@@ -140,18 +140,18 @@
 	c.nextID++
 	b := c.newHeartbeat()
 	b.Records = c.ownRecords()
-	return mustMarshal(relayHeartbeat{Number: c.nextID, NodeHeartbeat: b})
+	return mustMarshal(relayHeartbeat{Sequence: c.nextID, NodeHeartbeat: b})
 }
 
 type relayHeartbeat struct {
-	Number uint64 `json:"#"`
+	Sequence uint64 `json:"#"`
 	NodeHeartbeat
 }
 
-// startForLeaders starts what the store says is bound to a machine, for homes that may not
+// startForUnreachableLeaders starts what the store says is bound to a machine, for homes that may not
 // be able to say so: once, under exactly the term and session of the binding, as the
 // home's own message would. A gang's tasks are started once all of them are bound.
-func (c *Core) startForLeaders(id string, w *agentSession, m *worker.Machine) {
+func (c *Core) startForUnreachableLeaders(id string, w *agentSession, m *worker.Machine) {
 	if w.unanswered {
 		return
 	}
@@ -178,8 +178,8 @@
 	})
 }
 
-// forgetForLeaders has exited tasks forgotten whose end their home has stored.
-func (c *Core) forgetForLeaders(m *worker.Machine) {
+// forgetForUnreachableLeaders has exited tasks forgotten whose end their home has stored.
+func (c *Core) forgetForUnreachableLeaders(m *worker.Machine) {
 	if m.Exits == 0 {
 		return
 	}
@@ -200,8 +200,8 @@
 
 // relayEntries lists what has become of tasks on this node's machines whose homes may not
 // hear of it, for as long as the store shows them bound.
-func (c *Core) relayEntries() []relay.Fact {
-	var out []relay.Fact
+func (c *Core) relayEntries() []relay.Entry {
+	var out []relay.Entry
 	for id := range c.agents {
 		m := c.machines[id]
 		if m == nil || m.Node != c.cfg.Node {
@@ -219,33 +219,33 @@
 			verdict, t := m.Judge(task, b)
 			made, decided := c.decisionOn(id, b.Term, taskAttempt{task, b.Attempt})
 			if verdict == worker.Ended || verdict == worker.Absent || decided && made.refused {
-				out = append(out, relay.Fact{Job: ref.Job.ID, Index: ref.Index, Attempt: b.Attempt, Machine: id, Why: t.Why})
+				out = append(out, relay.Entry{Job: ref.Job.ID, Index: ref.Index, Attempt: b.Attempt, Machine: id, Reason: t.Why})
 			}
 		}
 	}
 	return out
 }
 
-// reachableMachines lists the machines that this node hears.
-func (c *Core) reachableMachines() map[relay.Kind][]string {
-	out := map[relay.Kind][]string{}
+// machinesHeardHere lists the machines that this node hears.
+func (c *Core) machinesHeardHere() map[relay.MachineKind][]string {
+	out := map[relay.MachineKind][]string{}
 	for id, w := range ordered(c.agents) {
 		m := c.machines[id]
 		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.Seen > 2*c.reportInterval() {
 			continue
 		}
-		k := relay.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Term: w.token, Session: m.Session}
+		k := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: w.token, Epoch: m.Session}
 		if m.NoticeAt > 0 {
-			k.NoticeS = max(1, int((m.NoticeAt-c.now.Steady).Seconds()/noticeStep)*noticeStep)
+			k.NoticeS = max(1, int((m.NoticeAt-c.now.Steady).Seconds()/noticeStepSeconds)*noticeStepSeconds)
 		}
 		out[k] = append(out[k], id)
 	}
 	return out
 }
 
-// noticeStep is to how many seconds the time of a notice is rounded: a bulletin that
+// noticeStepSeconds is to how many seconds the time of a notice is rounded: a bulletin that
 // changed every second would be written every second.
-const noticeStep = 5
+const noticeStepSeconds = 5
 
 // publishRelay writes changes of this node's bulletin, attached to its lease, so that it
 // ends with this node.
@@ -267,7 +267,7 @@
 	c.compareAndSwap(txn, true, func(r StoreReply) {
 		c.relay.busy = false
 		if r.Outcome == Applied {
-			c.relay.published.Wrote(changes, r.Revision)
+			c.relay.published.Confirm(changes, r.Revision)
 		}
 	})
 }
@@ -276,7 +276,7 @@
 func (c *Core) onRelayPagePut(item protocol.KeyValue) error {
 	node, name, _ := strings.Cut(strings.TrimPrefix(item.Key, keyRelay), "/")
 	if node == c.cfg.Node {
-		c.relay.published.Saw(name, item.Value, item.Version)
+		c.relay.published.Observe(name, item.Value, item.Version)
 	}
 	if c.peers[node] == nil {
 		return nil
@@ -291,59 +291,59 @@
 		c.relay.inboxes[node] = r
 	}
 	r.pages[name] = page
-	if page.Beat != nil {
+	if page.Heartbeat != nil {
 		var b relayHeartbeat
-		if err := json.Unmarshal(page.Beat, &b); err != nil {
+		if err := json.Unmarshal(page.Heartbeat, &b); err != nil {
 			return err
 		}
 		r.lastHeartbeat = c.now.Steady
 		c.handleNodeHeartbeat(node, b.NodeHeartbeat)
 		for _, p := range ordered(r.pages) {
-			c.onRelayMachines(node, p) // they live as long as it does
+			c.applyRelayMachines(node, p) // they live as long as it does
 		}
 	}
-	c.onRelayMachines(node, page)
+	c.applyRelayMachines(node, page)
 	return c.applyRelayEntries(page)
 }
 
 func (c *Core) onRelayPageDelete(key string, revision uint64) {
 	node, name, _ := strings.Cut(strings.TrimPrefix(key, keyRelay), "/")
 	if node == c.cfg.Node {
-		c.relay.published.Saw(name, nil, revision)
+		c.relay.published.Observe(name, nil, revision)
 	}
 	if r := c.relay.inboxes[node]; r != nil {
 		delete(r.pages, name)
 	}
 }
 
-// onRelayMachines notes which machines another controller hears. Of what is on them it
+// applyRelayMachines notes which machines another controller hears. Of what is on them it
 // proves nothing: that takes reports, or facts.
-func (c *Core) onRelayMachines(node string, p *relay.Page) {
+func (c *Core) applyRelayMachines(node string, p *relay.Page) {
 	for _, g := range p.Machines {
 		for _, id := range g.Machines {
 			if !c.cordons[id].Terminated {
-				c.onRelayMachine(node, id, g.Kind)
+				c.applyRelayMachine(node, id, g.MachineKind)
 			}
 		}
 	}
 }
 
-func (c *Core) onRelayMachine(node, id string, k relay.Kind) {
+func (c *Core) applyRelayMachine(node, id string, k relay.MachineKind) {
 	m := c.machines[id]
 	switch {
 	case m == nil:
 		c.provisioned(&protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 		m = c.addMachine(id)
-	case k.Term < m.Term || k.Session < m.Session:
+	case k.Token < m.Term || k.Epoch < m.Session:
 		return // a newer controller has it
 	}
-	if m.Session < k.Session {
+	if m.Session < k.Epoch {
 		// A new session has none of the tasks of the one before.
-		m.Update(protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Session: k.Session}, c.now.Steady)
+		m.Update(protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Session: k.Epoch}, c.now.Steady)
 		c.ledger.Touch(id)
 	}
-	if m.Node != node || m.Term != k.Term {
-		m.Node, m.Term = node, k.Term
+	if m.Node != node || m.Term != k.Token {
+		m.Node, m.Term = node, k.Token
 		c.requestRound()
 	}
 	if k.NoticeS > 0 && m.NoticeAt == 0 {
@@ -355,7 +355,7 @@
 // applyRelayEntries ends the bindings of this node's teams of which another controller says
 // what has become.
 func (c *Core) applyRelayEntries(p *relay.Page) error {
-	all, err := p.All()
+	all, err := p.Entries()
 	for _, f := range all {
 		j := c.jobs[f.Job]
 		if j == nil || !c.leads(j) {
@@ -369,14 +369,14 @@
 		if m == nil {
 			m = &worker.Machine{Report: protocol.Report{Machine: f.Machine}}
 		}
-		if f.Why == "" {
+		if f.Reason == "" {
 			m.FullAt = c.now.Steady
 			c.log(Debug, "task was not started", "task", j.TaskID(f.Index), "machine", f.Machine)
 			c.unbind(j, f.Index)
 			continue
 		}
-		t := protocol.TaskReport{Task: j.TaskID(f.Index), Attempt: f.Attempt, State: protocol.Exited, Why: f.Why}
-		if f.Why == protocol.WhyDone || f.Why == protocol.WhyError {
+		t := protocol.TaskReport{Task: j.TaskID(f.Index), Attempt: f.Attempt, State: protocol.Exited, Why: f.Reason}
+		if f.Reason == protocol.WhyDone || f.Reason == protocol.WhyError {
 			c.attributeFailure(j, m, f.Machine, t)
 		}
 		c.taskEnded(j, f.Index, b, m, t)
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -282,12 +282,12 @@
 	state := keyState + m.ID
 	c.userTxn(protocol.Txn{
 		If:   append([]protocol.Condition{{Key: state}}, c.notHandedOff(m.ID)...),
-		Then: []protocol.Change{putJSON(state, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(m.ID), cancelRecord{At: c.now.Wall})},
+		Then: []protocol.Change{putJSON(state, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(m.ID), cancelRecord{RequestedAt: c.now.Wall})},
 	}, func(r StoreReply) {
 		switch r.Outcome {
 		case Applied:
 			c.log(Debug, "job cancelled", "job", m.ID)
-			c.noteCancellation(Cancellation{Job: m.ID, Revision: r.Revision, Asked: c.now.Wall})
+			c.noteCancellation(Cancellation{Job: m.ID, Revision: r.Revision, RequestedAt: c.now.Wall})
 			c.announceCancel(m.ID)
 			c.lookUp(m.ID, func(f lookupResult, s protocol.JobState) { c.replyLookup(m.Req, f, s) })
 		case Conflict:
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -51,7 +51,7 @@
 	all := c.writeBudget.due
 	for node, p := range c.peers {
 		if c.hasContact(node) {
-			for r, n := range p.due {
+			for r, n := range p.pendingWrites {
 				all[r] += n
 			}
 		}
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -78,12 +78,12 @@
 	c := busyCore(4)
 	all := c.cfg.Params.State.WriteRPS * jobsPart
 	other := c.peers[c.cfg.Peers[0].Node]
-	other.lastContact, other.due = c.now.Steady, ranks{4: 500}
+	other.lastContact, other.pendingWrites = c.now.Steady, ranks{4: 500}
 	c.writeBudget.due = ranks{2: int(all)}
 	if got := c.part(); got < 0.9*all {
 		t.Errorf("urgent starts have %v of %v changes a second", got, all)
 	}
-	c.writeBudget.due, other.due = ranks{4: 500}, ranks{}
+	c.writeBudget.due, other.pendingWrites = ranks{4: 500}, ranks{}
 	if got := c.part(); got < 0.9*all {
 		t.Errorf("a swarm alone has %v of %v changes a second", got, all)
 	}
@@ -104,7 +104,7 @@
 		for _, o := range part {
 			tasks += len(o.Report.Tasks)
 		}
-		if tasks > tasksPerMsg && len(part) > 1 {
+		if tasks > tasksPerMessage && len(part) > 1 {
 			t.Errorf("%d tasks in %d reports of one message", tasks, len(part))
 		}
 		seen += len(part)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -141,11 +141,11 @@
 		d.agent.Deliver(e)
 	case core.FetchCatalog:
 		d.cloud.Catalog()
-	case core.FetchList:
+	case core.FetchInventory:
 		d.cloud.List()
-	case core.Rent:
+	case core.RequestRental:
 		d.cloud.Rent(e.Rental)
-	case core.Release:
+	case core.ReleaseMachines:
 		d.cloud.Release(e.Machines)
 	case core.Log:
 		slog.Log(context.Background(), levels[e.Level], e.Text, e.Attrs...)
--- a/internal/federation/transport/link.go
+++ b/internal/federation/transport/link.go
@@ -238,7 +238,7 @@
 		func() {
 			opened = true
 			slog.Info("stream to site is open", "site", site, "address", address)
-			l.emit(core.SiteUp{Site: site})
+			l.emit(core.SiteConnected{Site: site})
 		}, func() {},
 		func(back io.Reader) {
 			lines := bufio.NewScanner(back)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -38,7 +38,7 @@
 	out := core.StoreReply{Revision: r.Revision, Failed: r.Failed}
 	switch {
 	case errors.Is(err, httpclient.ErrUnsent):
-		out.Outcome, out.Down = core.Refused, true
+		out.Outcome, out.Unavailable = core.Refused, true
 	case err != nil:
 		out.Outcome = core.Unknown
 	case status == fasthttp.StatusOK:
@@ -51,8 +51,8 @@
 		slog.Error("state service calls a transaction malformed", "error", r.Error, "changes", len(t.Then), "conditions", len(t.If), "largest value", largestValue(t))
 		out.Outcome, out.Oversized = core.Refused, true
 	default:
-		out.Outcome, out.Down = core.Refused, status == fasthttp.StatusServiceUnavailable
-		out.TooMany = status == fasthttp.StatusTooManyRequests
+		out.Outcome, out.Unavailable = core.Refused, status == fasthttp.StatusServiceUnavailable
+		out.RateLimited = status == fasthttp.StatusTooManyRequests
 	}
 	return out
 }
@@ -73,7 +73,7 @@
 	switch {
 	case err != nil:
 	case status == fasthttp.StatusServiceUnavailable:
-		out.Down = true
+		out.Unavailable = true
 	case status == fasthttp.StatusOK:
 		out.Outcome = core.Applied
 	case status == fasthttp.StatusNotFound:
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -48,12 +48,12 @@
 		"conflict":     {409, `{"failed":["k"],"ledgerTick":6}`, core.Conflict, core.StoreReply{}},
 		"lease ended":  {400, `{"error":"no such lease"}`, core.NoLease, core.StoreReply{}},
 		"malformed":    {400, `{"error":"bad key"}`, core.Refused, core.StoreReply{Oversized: true}},
-		"too many":     {429, ``, core.Refused, core.StoreReply{TooMany: true}},
+		"too many":     {429, ``, core.Refused, core.StoreReply{RateLimited: true}},
 		"down":         {503, ``, core.Refused, core.StoreReply{}},
 		"hangs up":     {0, ``, core.Unknown, core.StoreReply{}},
 		"broken reply": {200, `{"ledgerTick":`, core.Unknown, core.StoreReply{}},
 	} {
-		if got := standIn(t, c.status, c.body).txn(txn); got.Outcome != c.want || got.TooMany != c.why.TooMany || got.Oversized != c.why.Oversized {
+		if got := standIn(t, c.status, c.body).txn(txn); got.Outcome != c.want || got.RateLimited != c.why.RateLimited || got.Oversized != c.why.Oversized {
 			t.Errorf("%s: got %+v, want %d for %+v", name, got, c.want, c.why)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -119,7 +119,7 @@
 // soon as the state service shows that they have.
 func (s *Store) notePressure(changes int, r core.StoreReply) {
 	state := s.cfg.Params.State
-	if state.Tightest() == state.StateLimits || !s.pressure.note(time.Now(), changes, r.TooMany, r.Oversized) {
+	if state.Tightest() == state.StateLimits || !s.pressure.note(time.Now(), changes, r.RateLimited, r.Oversized) {
 		return
 	}
 	s.limit.setWrites(state.Tightest().WriteRPS)
@@ -174,7 +174,7 @@
 		}
 		r := f()
 		s.health.note(r.Outcome != core.Refused && r.Outcome != core.Unknown, s.report())
-		if r.Outcome != core.Refused || quick && r.Down || time.Since(start)+pause > patience {
+		if r.Outcome != core.Refused || quick && r.Unavailable || time.Since(start)+pause > patience {
 			return r
 		}
 		time.Sleep(pause/2 + rand.N(pause))
--- a/internal/workerclient/agent.go
+++ b/internal/workerclient/agent.go
@@ -30,7 +30,7 @@
 	go func() {
 		a.slots <- struct{}{}
 		defer func() { <-a.slots }()
-		out := core.Delivered{Machine: d.Machine, Orders: d.Orders}
+		out := core.DeliveryResult{Machine: d.Machine, Orders: d.Orders}
 		var r protocol.Report
 		status, err := a.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.Orders, &r)
 		if err == nil && (status == fasthttp.StatusOK || status == fasthttp.StatusConflict) {
