--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -154,11 +154,11 @@
 // Where nothing is wrong a cancellation costs one message to each controller, and one back.
 func TestBroadcastsCostNothingWhereAllIsWell(t *testing.T) {
 	w := idleWorld(t, 20)
-	w.racing, w.taskTime = true, 10*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 40, ""))
 	w.started("req-free-1", 40)
 	messages, machines := 0, len(w.workers)
-	w.tell = func(_ string, e Effect) {
+	w.onEffect = func(_ string, e Effect) {
 		if m, is := e.(SendPeer); is && m.Message.Cancellations != nil {
 			messages += len(m.Nodes)
 		}
@@ -182,12 +182,12 @@
 		t.Run(fmt.Sprint(old), func(t *testing.T) {
 			t.Parallel()
 			w := idleWorld(t, 20)
-			w.old = old
-			w.racing, w.taskTime = true, 10*time.Minute
+			w.previousRelease = old
+			w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 			accepted(t, w.submit("e", "req-free-1", 40, ""))
 			w.started("req-free-1", 40)
 			given := 0
-			w.tell = func(_ string, e Effect) {
+			w.onEffect = func(_ string, e Effect) {
 				if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
 					given++
 				}
@@ -209,7 +209,7 @@
 // it is held to what that one is held to, and tells no user before another one knows.
 func TestWatchAloneIsToldOnlyOnceAnotherKnows(t *testing.T) {
 	w := idleWorld(t, 20)
-	w.racing, w.taskTime = true, 10*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("b", refusedJob, 40, ""))
 	w.started(refusedJob, 40)
 	w.refuse(everyLink)
@@ -234,7 +234,7 @@
 			return Submit{Req: req, Body: []byte(submission(refusedJob, "free", 40, ""))}
 		},
 	} {
-		if a := w.ask("b", make1); a.Status != http.StatusServiceUnavailable {
+		if a := w.request("b", make1); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("told %v while nobody else knows", a.Body)
 		}
 	}
--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -33,7 +33,7 @@
 func TestSwarmSubmittedAtOnceIsAnsweredAndCancelledAtOnceIsGone(t *testing.T) {
 	const swarm = 500
 	w := newWorld(t).ready()
-	w.racing = true
+	w.allowRacingStarts = true
 	id := func(i int) string { return fmt.Sprintf("req-free-%d", i) }
 	taken := w.together("a", swarm, func(i int, req uint64) Command {
 		return Submit{Req: req, Body: []byte(submission(id(i), "free", 1, ""))}
--- a/internal/core/cancelnow_test.go
+++ b/internal/core/cancelnow_test.go
@@ -16,7 +16,7 @@
 func tunedIdleWorld(t tester, machines int, lease, cancel float64) *world {
 	t.Helper()
 	w := newTunedWorld(t, five, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = lease, cancel })
-	w.most, w.racing, w.taskTime = machines, true, 20*time.Minute
+	w.maxMachines, w.allowRacingStarts, w.taskTime = machines, true, 20*time.Minute
 	for i := range machines {
 		w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 	}
@@ -45,7 +45,7 @@
 					w := tunedIdleWorld(t, 20, p.lease, p.cancel)
 					accepted(t, w.submit("b", refusedJob, 40, ""))
 					w.started(refusedJob, 40)
-					leader := w.homeOf("free")
+					leader := w.leaderOf("free")
 					if !links {
 						w.refuse(everyLink)
 					}
@@ -53,8 +53,8 @@
 					for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 						if d := long(w); d > 0 && hung < 8 && w.loadOf(w.workers[id], "").CPUs > 0 {
 							w.hang(id, d)
-							w.mute[id] = hang == "hang and mute"
-							w.unheardBy[link{leader, id}] = hang == "then report to one more"
+							w.silentWorkers[id] = hang == "hang and mute"
+							w.workerCannotReach[link{leader, id}] = hang == "then report to one more"
 							hung++
 						}
 					}
@@ -67,7 +67,7 @@
 						t.Fatalf("%d machines hang, with %d tasks", hung, before)
 					}
 					w.run(w.allowed()*5/4, nil) // the world checks what is cancelled
-					if len(w.told) > 0 {
+					if len(w.cancellationToldAt) > 0 {
 						t.Error("the time allowed is not over")
 					}
 					w.recover()
@@ -98,7 +98,7 @@
 		for _, home := range []bool{true, false} {
 			for tenths := -4; tenths < 12; tenths++ {
 				w := newWorldOf(t, five).ready()
-				w.racing, w.taskTime, w.most = true, 6*time.Second, 80
+				w.allowRacingStarts, w.taskTime, w.maxMachines = true, 6*time.Second, 80
 				w.watchLag, w.latency = 300*time.Millisecond, true
 				id := "req-free-1"
 				accepted(t, w.submit("a", id, tasks, more))
@@ -118,7 +118,7 @@
 				if all() {
 					w.run(time.Duration(max(0, tenths))*100*time.Millisecond, nil)
 				}
-				node := w.homeOf("free")
+				node := w.leaderOf("free")
 				if !home {
 					node = w.notHome(node)
 				}
@@ -157,7 +157,7 @@
 					if cancel.Status == http.StatusOK {
 						break
 					}
-					cancel = w.ask(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
+					cancel = w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
 				}
 				told := stateOf(t, cancel)
 				outcomes[name+" "+told.State]++
@@ -166,7 +166,7 @@
 					if s := stateOf(t, w.status(n, id)); s.State != told.State {
 						t.Errorf("%s, %d tenths, home %v: told %s, and %s by %s", name, tenths, home, told.State, s.State, n)
 					}
-					if s := stateOf(t, w.ask(n, func(req uint64) Command { return Submit{Req: req, Body: body} })); s.State != told.State {
+					if s := stateOf(t, w.request(n, func(req uint64) Command { return Submit{Req: req, Body: body} })); s.State != told.State {
 						t.Errorf("%s: a repeat is answered %s after %s", name, s.State, told.State)
 					}
 				}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -87,7 +87,7 @@
 // accepted, and it is once all have stated theirs.
 func TestAwaitsTakeEffectOnceAllAreUpgraded(t *testing.T) {
 	w := newWorld(t)
-	w.former["c"] = true
+	w.notUpgraded["c"] = true
 	w.ready().run(5*time.Second, nil)
 	accepted(t, w.submit("a", "req-free-1", 1, ""))
 	if a := w.submit("a", "req-free-2", 1, awaiting("req-free-1")); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
@@ -95,7 +95,7 @@
 	}
 	w.crash("c")
 	w.expire("c")
-	delete(w.former, "c")
+	delete(w.notUpgraded, "c")
 	w.boot("c")
 	w.run(10*time.Second, nil)
 	accepted(t, w.submit("a", "req-free-2", 1, awaiting("req-free-1")))
@@ -113,7 +113,7 @@
 // on the way, and after each takeover the new home knows what is done, also an hour ago.
 func TestChainOfTenPassesTakeovers(t *testing.T) {
 	w := idleWorld(t, 10)
-	w.racing, w.taskTime = true, 3*time.Second
+	w.allowRacingStarts, w.taskTime = true, 3*time.Second
 	teams := []string{"red", "blue", "free"}
 	var ids []string
 	for n := range 10 {
@@ -127,10 +127,10 @@
 	for n, id := range ids {
 		if n == 2 || n == 5 {
 			next := strings.Split(ids[n], "-")[1]
-			home := w.homeOf(next)
+			home := w.leaderOf(next)
 			w.crash(home)
 			w.expire(home)
-			w.run(20*time.Second, func() bool { h := w.homeOf(next); return h != "" && h != home })
+			w.run(20*time.Second, func() bool { h := w.leaderOf(next); return h != "" && h != home })
 			w.boot(home)
 		}
 		if !w.run(2*time.Minute, w.finished(id)) {
@@ -148,7 +148,7 @@
 	accepted(t, w.submit("a", "req-red-1", 1, ""))
 	accepted(t, w.submit("a", "req-red-2", 30, awaiting("req-red-1")))
 	w.run(10*time.Second, nil)
-	c := w.cores[w.homeOf("red")]
+	c := w.cores[w.leaderOf("red")]
 	j, team := c.jobs["req-red-2"], c.teamBy["red"]
 	if !j.Awaiting || c.startAllowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
 		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingNeed(team))
@@ -176,7 +176,7 @@
 // What an urgent job needs is as urgent, whoever asks for it first.
 func TestAwaitedJobIsAsUrgentAsWhatNeedsIt(t *testing.T) {
 	w := idleWorld(t, 0)
-	w.most = 0
+	w.maxMachines = 0
 	accepted(t, w.submit("a", "req-free-1", 4, `,"urgency":"low","dueS":null`))
 	accepted(t, w.submit("a", "req-blue-1", 4, `,"urgency":"critical","dueS":30.0`+awaiting("req-free-1")))
 	w.run(2*time.Second, nil)
@@ -205,19 +205,19 @@
 	for name, meanwhile := range map[string]func(w *world){
 		"all is well": func(*world) {},
 		"the home is refused, then an outage": func(w *world) {
-			w.refuseStore(w.homeOf("blue"))
+			w.refuseStore(w.leaderOf("blue"))
 			w.run(time.Second, nil)
 			w.outage = true
 			w.run(w.allowed()*3/2, nil)
 			w.endOutage()
 		},
-		"all end":          func(w *world) { w.allAway(3 * time.Second) },
+		"all end":          func(w *world) { w.stopAllFor(3 * time.Second) },
 		"changes are late": func(w *world) { w.watchLag = 3 * time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := idleWorld(t, 10)
-			w.racing, w.taskTime = true, 5*time.Minute
+			w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 			accepted(t, w.submit("a", "req-free-1", 2, ""))
 			ids := []string{"req-free-1"}
 			for n := range 10 {
@@ -283,7 +283,7 @@
 		t.Fatalf("cancellation of a finished job got %v", a.Body)
 	}
 	w.run(10*time.Second, nil)
-	w.allAway(time.Second)
+	w.stopAllFor(time.Second)
 	w.recover()
 	w.ready().run(10*time.Second, nil)
 	for _, node := range w.names {
@@ -315,12 +315,12 @@
 	w.started("req-free-1", 2)
 	behind := ""
 	for _, node := range w.names {
-		if node != w.homeOf("free") && node != w.homeOf("blue") {
+		if node != w.leaderOf("free") && node != w.leaderOf("blue") {
 			behind = node
 		}
 	}
 	w.slowWatcher = behind
-	home := w.homeOf("blue")
+	home := w.leaderOf("blue")
 	w.lateWrite = func(node string, e StoreTxn) time.Duration { // the cascade is not stored meanwhile
 		if node == home && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Delete, keyJob) }) {
 			return time.Minute
@@ -328,7 +328,7 @@
 		return 0
 	}
 	w.refuse(func(f, to string) bool { return f == behind || to == behind })
-	if a := w.cancelJob(w.homeOf("free"), "req-free-1"); a.Status != http.StatusOK {
+	if a := w.cancelJob(w.leaderOf("free"), "req-free-1"); a.Status != http.StatusOK {
 		t.Fatalf("cancellation got %d", a.Status)
 	}
 	c := w.cores[behind]
@@ -363,7 +363,7 @@
 	if !w.run(time.Minute, func() bool { return w.finished("req-free-2")() && w.kv[jobKey("req-free-1")].Version == 0 }) {
 		t.Fatal("jobs do not end")
 	}
-	w.allAway(time.Second)
+	w.stopAllFor(time.Second)
 	w.recover()
 	w.ready()
 	for id, want := range map[string]string{"req-free-1": protocol.Cancelled, "req-free-2": protocol.Queued} {
@@ -390,11 +390,11 @@
 // ends once, and nothing of either cancellation is left in the store.
 func TestCascadeMeetsTheUsersOwnCancellation(t *testing.T) {
 	w := idleWorld(t, 10)
-	w.racing, w.taskTime = true, 5*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 1, ""))
 	accepted(t, w.submit("a", "req-blue-1", 1, awaiting("req-free-1")))
 	w.started("req-free-1", 1)
-	home := w.homeOf("blue")
+	home := w.leaderOf("blue")
 	users := protocol.Txn{ // as any controller would store it
 		If:   []protocol.Condition{{Key: keyState + "req-blue-1"}},
 		Then: []protocol.Change{putJSON(keyState+"req-blue-1", finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey("req-blue-1"), cancelRecord{})},
@@ -429,7 +429,7 @@
 // A wide cascade does not hold up what starts: nobody waits for its stored ends.
 func TestCascadeLetsStartsPass(t *testing.T) {
 	w := idleWorld(t, 20)
-	w.racing, w.taskTime = true, 5*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 1, ""))
 	const wide = 300
 	for n := range wide {
@@ -452,7 +452,7 @@
 // A job that names one whose cancellation is known, but whose tasks have not ended yet.
 func TestJobThatAwaitsOneThatIsEndingIsCancelled(t *testing.T) {
 	w := idleWorld(t, 10)
-	w.racing, w.taskTime, w.noCloud = true, 5*time.Minute, true
+	w.allowRacingStarts, w.taskTime, w.noCloud = true, 5*time.Minute, true
 	accepted(t, w.submit("a", "req-free-1", 2, ""))
 	w.started("req-free-1", 2)
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
@@ -484,7 +484,7 @@
 			w := newTunedWorld(t, five, func(s *settings.Settings) {
 				s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
 			})
-			w.former["c"] = true
+			w.notUpgraded["c"] = true
 			for i := range 40 {
 				w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
@@ -492,7 +492,7 @@
 			w.taskTime = 20 * time.Second
 			accepted(t, w.submit("a", "req-free-1", tasks, `,"vcpus":1.0`))
 			w.started("req-free-1", 100)
-			c := w.cores[w.homeOf("free")]
+			c := w.cores[w.leaderOf("free")]
 			if c.jobs["req-free-1"].ChunkSize != c.limits.defaultChunkSize() {
 				t.Fatal("split before all are upgraded")
 			}
@@ -502,10 +502,10 @@
 				}
 				return 0
 			}
-			clear(w.former)
+			clear(w.notUpgraded)
 			w.run(5*time.Second, nil)
 			w.lowLimits, w.lateWrite = true, nil
-			home := w.homeOf("free")
+			home := w.leaderOf("free")
 			w.crash(home)
 			w.expire(home)
 			if !w.run(5*time.Minute, w.finished("req-free-1")) {
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -20,7 +20,7 @@
 	w.cancelJob("a", "req-free-first")
 	deaf := slices.Sorted(maps.Keys(w.workers))[:2]
 	sent := map[string]int{}
-	w.tell = func(_ string, e Effect) {
+	w.onEffect = func(_ string, e Effect) {
 		if d, ok := e.(Deliver); ok {
 			for _, cmd := range d.Orders.Commands {
 				if cmd.Op == protocol.OpStart {
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, id := range deaf {
-		w.unhearing[id] = true
+		w.unreachableWorkers[id] = true
 	}
 	work(0, 4) // two answers have to be lost
 	clear(sent)
@@ -46,7 +46,7 @@
 			t.Errorf("%s was sent %d starts that can't reach it", id, sent[id])
 		}
 	}
-	clear(w.unhearing)
+	clear(w.unreachableWorkers)
 	w.run(12*time.Second, nil)
 	for _, id := range deaf {
 		for _, node := range w.names {
@@ -61,7 +61,7 @@
 func TestDeafMachineIsGivenBack(t *testing.T) {
 	w, _ := partitionedWorld(t, 10, "req-free-1")
 	id := slices.Sorted(maps.Keys(w.workers))[2]
-	w.unhearing[id] = true
+	w.unreachableWorkers[id] = true
 	if !w.run(time.Minute, func() bool { return w.workers[id] == nil }) {
 		t.Error("kept for a minute")
 	}
@@ -90,7 +90,7 @@
 	for name, r := range copies {
 		for _, to := range w.names {
 			before := *w.cores[to].machines[f.Machine]
-			a := w.ask(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} })
+			a := w.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} })
 			switch orders, _ := a.Body.(protocol.Orders); {
 			case to != node && a.Status != http.StatusServiceUnavailable:
 				t.Errorf("%s: %s answers %d", name, to, a.Status)
@@ -122,7 +122,7 @@
 	w.run(3*time.Second, nil)
 	r.Seq += 100 // sent later than anything that was heard
 	for _, to := range w.names {
-		if a := w.ask(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusServiceUnavailable {
+		if a := w.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("%s answers %d", to, a.Status)
 		}
 	}
@@ -137,20 +137,20 @@
 // Controllers that have all started over know nothing newer than a copy.
 func TestCopiesMisleadNoControllerThatStartedOver(t *testing.T) {
 	w := idleWorld(t, 20)
-	w.copying = true
+	w.replayReports = true
 	var ids []string
 	for n := range 6 {
 		id := fmt.Sprintf("req-free-%d", n)
 		accepted(t, w.submit(w.informed(), id, 30, ""))
 		ids = append(ids, id)
-		w.run(8*time.Second, func() bool { return len(w.past) > 10 })
+		w.run(8*time.Second, func() bool { return len(w.pastReports) > 10 })
 		for _, node := range w.names {
 			w.crash(node)
 			w.expire(node)
 		}
 		for _, node := range w.names {
 			w.boot(node)
-			w.send(node, w.past[w.rng.IntN(len(w.past))])
+			w.send(node, w.pastReports[w.rng.IntN(len(w.pastReports))])
 		}
 		w.run(5*time.Second, nil)
 	}
@@ -170,7 +170,7 @@
 			accepted(t, w.submit("a", "req-free-1", 60, ""))
 			w.started("req-free-1", 60)
 			for _, n := range w.names[:alone] {
-				w.noStore(n)
+				w.cutStore(n)
 				w.refuse(func(f, t string) bool { return f == n || t == n })
 				w.confirmsNothing(n) // it does not know yet
 				w.send(n, StoreHealth{})
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -45,10 +45,10 @@
 	accepted(t, w.submit("a", "req-red-1", 12, ""))
 	w.run(8*time.Second, nil)
 	for _, n := range nodeNames {
-		w.cut[n] = true
+		w.withoutStore[n] = true
 		w.expire(n)
 		w.run(10*time.Second, nil)
-		w.cut[n] = false
+		w.withoutStore[n] = false
 		w.send(n, LeaseExpired{})
 		w.nextReq++
 		w.leases[w.nextReq] = n
@@ -69,7 +69,7 @@
 		if !inFlight {
 			w.run(time.Second, nil)
 		}
-		w.cut[home] = true
+		w.withoutStore[home] = true
 		w.expire(home)
 		if !w.run(2*time.Minute, w.finished("req-free-1")) {
 			t.Fatalf("%s: job does not end", name)
@@ -86,10 +86,10 @@
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 4, ""))
 	for range 30 {
-		w.unknown = 1
+		w.lostReplies = 1
 		w.run(time.Second, nil)
 	}
-	w.unknown = 0
+	w.lostReplies = 0
 	if !w.run(2*time.Minute, w.finished("req-blue-1")) {
 		t.Fatal("job does not end")
 	}
@@ -110,7 +110,7 @@
 	}
 	w.now += 5 * time.Minute // the machines are old by the cloud's list
 	for _, f := range w.workers {
-		f.next, f.leased = w.now+5*time.Second, w.now
+		f.next, f.leaseRenewedAt = w.now+5*time.Second, w.now
 		for k := range f.running {
 			f.running[k] = w.now + 10*time.Second
 		}
--- a/internal/core/federation_test.go
+++ b/internal/core/federation_test.go
@@ -257,10 +257,10 @@
 func TestGatewayFindsOutAboutUnansweredWrites(t *testing.T) {
 	w, f := joined(t)
 	f.decide = func(federation.Message) federation.Message {
-		w.unknown = 1 + len(f.taken)%3 // the next writes, of whoever it is
+		w.lostReplies = 1 + len(f.taken)%3 // the next writes, of whoever it is
 		return federation.Message{Kind: federation.Decided, Accepted: true}
 	}
-	f.end = func() string { w.unknown++; return protocol.Done }
+	f.end = func() string { w.lostReplies++; return protocol.Done }
 	for i := range 5 {
 		f.handIn(fmt.Sprintf("req-red-%d", i))
 	}
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -55,7 +55,7 @@
 func TestPollsAreNotOlderThanTheStoreWhateverTheReplicaHolds(t *testing.T) {
 	for _, terse := range []bool{false, true} {
 		w := newWorld(t).ready()
-		w.terse = terse
+		w.nameOneFailedKey = terse
 		ids := []string{"req-blue-1", "req-blue-2", "req-blue-3", "req-free-1"}
 		for _, id := range ids[:3] {
 			accepted(t, w.submit("a", id, 1, ""))
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -74,7 +74,7 @@
 	seen := map[string]int{}
 	for tenths := range 16 {
 		w := newWorldOf(t, five).ready()
-		w.racing = true
+		w.allowRacingStarts = true
 		accepted(t, w.submit("a", "req-blue-1", 1, ""))
 		w.started("req-blue-1", 1)
 		home := w.cores["a"].teamBy["blue"].leader
@@ -86,7 +86,7 @@
 		w.hold(everyLink)
 		var a Answer
 		for range 5 { // it waits until another controller knows
-			if a = w.ask("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
+			if a = w.request("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
 				break
 			}
 			w.run(time.Second, nil)
@@ -152,7 +152,7 @@
 				t.Parallel()
 				w := newWorldOf(t, five)
 				w.twoZones()
-				w.racing, w.taskTime = true, 30*time.Second
+				w.allowRacingStarts, w.taskTime = true, 30*time.Second
 				w.ready()
 				accepted(t, w.submit("a", id, 8, c.more))
 				w.started(id, 8)
@@ -173,13 +173,13 @@
 				if lost == 0 {
 					t.Fatal("no task was lost")
 				}
-				w.closed = zone
+				w.fullZone = zone
 				w.run(90*time.Second, nil)
 				s, _ := w.state(id)
 				if whole := w.onMachines(id) == 8 || s.State == protocol.Done; whole != c.other {
 					t.Errorf("without the zone %d of 8 tasks run, the job is %q", w.onMachines(id), s.State)
 				}
-				w.closed = ""
+				w.fullZone = ""
 				if !w.run(2*time.Minute, func() bool { return w.finished(id)() || w.onMachines(id) == 8 }) {
 					t.Error("it does not go on")
 				}
@@ -192,7 +192,7 @@
 // other job has any there.
 func TestSpreadReplicasGetMachinesInTheirZones(t *testing.T) {
 	w := newWorldOf(t, five).ready()
-	w.racing = true
+	w.allowRacingStarts = true
 	accepted(t, w.submit("b", "req-free-2", 6, serviceMore))
 	w.run(40*time.Second, nil)
 	if zones := w.zonesWith("req-free-2"); zones["z1"] != 3 || zones["z2"] != 3 || w.rented > 12 {
@@ -206,9 +206,9 @@
 func TestCancellationMeetsABindingOnItsWay(t *testing.T) {
 	const id = "req-free-1"
 	w := newWorldOf(t, five).ready()
-	w.racing, w.taskTime = true, 10*time.Minute
-	home, writes, met := w.homeOf("free"), 0, false
-	w.tell = func(node string, e Effect) {
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
+	home, writes, met := w.leaderOf("free"), 0, false
+	w.onEffect = func(node string, e Effect) {
 		txn, is := e.(StoreTxn)
 		if !is || node != home || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
 			return
@@ -235,7 +235,7 @@
 // came free, and others waited beside them.
 func TestGangAtItsLimitGathersNothing(t *testing.T) {
 	w := newWorldOf(t, five)
-	w.most, w.racing, w.taskTime = 8, true, 10*time.Minute
+	w.maxMachines, w.allowRacingStarts, w.taskTime = 8, true, 10*time.Minute
 	w.ready()
 	accepted(t, w.submit("a", "req-red-1", 6, ""))
 	w.started("req-red-1", 6)
@@ -252,9 +252,9 @@
 
 // leads counts the homes that a team has had since the count began.
 func (w *world) leads(team string) func() int {
-	seen, last := 0, w.homeOf(team)
-	w.later = append(w.later, func() bool {
-		if home := w.homeOf(team); home != "" && home != last {
+	seen, last := 0, w.leaderOf(team)
+	w.scheduled = append(w.scheduled, func() bool {
+		if home := w.leaderOf(team); home != "" && home != last {
 			seen, last = seen+1, home
 		}
 		return false
@@ -269,7 +269,7 @@
 		t.Run(fmt.Sprintf("outage %v", outage), func(t *testing.T) {
 			t.Parallel()
 			w := idleWorld(t, 20)
-			w.racing, w.uneven, w.taskTime = true, true, 50*time.Second
+			w.allowRacingStarts, w.unevenRunTimes, w.taskTime = true, true, 50*time.Second
 			for n := range 4 {
 				accepted(t, w.submit("a", fmt.Sprintf("req-free-%d", n), 3, ""))
 			}
@@ -291,7 +291,7 @@
 			if n := changes(); n < 10 {
 				t.Fatalf("the home has changed %d times", n)
 			}
-			if len(w.told) > 0 && w.onMachines("req-free-3") > 0 {
+			if len(w.cancellationToldAt) > 0 && w.onMachines("req-free-3") > 0 {
 				t.Error("what was cancelled runs")
 			}
 			w.recover()
@@ -309,14 +309,14 @@
 func TestAllAreAwayForLongerThanALease(t *testing.T) {
 	for name, also := range map[string]func(w *world){
 		"nothing":        func(*world) {},
-		"machines taken": func(w *world) { w.some(3, func(id string) { delete(w.workers, id) }) },
-		"late reports":   func(w *world) { w.copying = true },
+		"machines taken": func(w *world) { w.eachOfSome(3, func(id string) { delete(w.workers, id) }) },
+		"late reports":   func(w *world) { w.replayReports = true },
 		"an outage":      func(w *world) { w.outage = true; w.after(30*time.Second, w.endOutage) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := idleWorld(t, 20)
-			w.racing, w.taskTime = true, 25*time.Second
+			w.allowRacingStarts, w.taskTime = true, 25*time.Second
 			accepted(t, w.submit("a", "req-free-1", 20, ""))
 			accepted(t, w.submit("b", "req-red-2", 8, ""))
 			accepted(t, w.submit("b", "req-free-3", 6, ""))
@@ -327,7 +327,7 @@
 			}
 			machines := slices.Sorted(maps.Keys(w.workers))
 			also(w)
-			w.allAway(w.lease() * 3 / 2)
+			w.stopAllFor(w.lease() * 3 / 2)
 			w.run(w.lease()*3/2+time.Second, nil)
 			if !w.sessions(machines) {
 				t.Fatal("no session has risen")
@@ -351,7 +351,7 @@
 			t.Parallel()
 			w := newWorldOf(t, five)
 			w.twoZones()
-			w.racing, w.taskTime = true, 4*time.Minute
+			w.allowRacingStarts, w.taskTime = true, 4*time.Minute
 			w.ready()
 			accepted(t, w.submit("a", "req-free-1", 8, `,"yard":"z2"`))
 			accepted(t, w.submit("a", "req-blue-2", 4, `,"yard":"z2"`))
@@ -370,9 +370,9 @@
 			if w.onMachines("req-free-5") != 4 || w.onMachines("req-free-4") != 0 {
 				t.Errorf("%d tasks run outside, %d in the zone", w.onMachines("req-free-5"), w.onMachines("req-free-4"))
 			}
-			w.joinZone()
+			w.reconnectZone()
 			w.run(w.allowed(), nil)
-			if w.onMachines("req-blue-2") > 0 || len(w.told) > 0 {
+			if w.onMachines("req-blue-2") > 0 || len(w.cancellationToldAt) > 0 {
 				t.Error("what was cancelled is left")
 			}
 			kept := 0
@@ -395,12 +395,16 @@
 // given back, and then arrives: it is the only one of its number, newer than what most have.
 func TestReportIsHeldBackUntilANewLeaderHasActed(t *testing.T) {
 	for name, meanwhile := range map[string]func(w *world, f *fakeWorker){
-		"its controller ended":     func(w *world, f *fakeWorker) { n := w.names[f.node%5]; w.crash(n); w.expire(n) },
-		"a new session":            func(w *world, f *fakeWorker) { w.mute[f.Machine] = true; w.run(w.lease()*5/4, nil); clear(w.mute) },
+		"its controller ended": func(w *world, f *fakeWorker) { n := w.names[f.node%5]; w.crash(n); w.expire(n) },
+		"a new session": func(w *world, f *fakeWorker) {
+			w.silentWorkers[f.Machine] = true
+			w.run(w.lease()*5/4, nil)
+			clear(w.silentWorkers)
+		},
 		"given back":               func(w *world, f *fakeWorker) { f.dead = true },
-		"the home has changed":     func(w *world, _ *fakeWorker) { h := w.homeOf("free"); w.crash(h); w.expire(h) },
+		"the home has changed":     func(w *world, _ *fakeWorker) { h := w.leaderOf("free"); w.crash(h); w.expire(h) },
 		"its task was cancelled":   func(w *world, _ *fakeWorker) { w.cancelJob("a", "req-free-1") },
-		"all controllers are back": func(w *world, _ *fakeWorker) { w.allAway(time.Second) },
+		"all controllers are back": func(w *world, _ *fakeWorker) { w.stopAllFor(time.Second) },
 	} {
 		for _, to := range five {
 			t.Run(name+", to "+to, func(t *testing.T) {
@@ -437,7 +441,7 @@
 // passed, and all work ends.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	w := idleWorld(t, 10)
-	w.racing, w.latency, w.taskTime = true, true, 8*time.Second
+	w.allowRacingStarts, w.latency, w.taskTime = true, true, 8*time.Second
 	var ids []string
 	for n := range 4 {
 		for i, team := range []string{"red", "blue", "free"} {
@@ -450,7 +454,7 @@
 	for range 30 { // links hold everything for three seconds and let it go for one
 		w.hold(everyLink)
 		w.run(3*time.Second, nil)
-		for _, held := range w.late {
+		for _, held := range w.heldMessages {
 			slow += len(held)
 		}
 		w.restore()
@@ -475,16 +479,16 @@
 func TestTeamIsAtItsLimitWhenItsLeaderChanges(t *testing.T) {
 	for name, unasked := range map[string]func(w *world, id string){
 		"hang":      func(w *world, id string) { w.hang(id, 14*time.Second) },
-		"are cut":   func(w *world, id string) { w.unreached[id] = true },
-		"are mute":  func(w *world, id string) { w.mute[id] = true },
-		"are deaf":  func(w *world, id string) { w.unhearing[id] = true },
+		"are cut":   func(w *world, id string) { w.cutWorkers[id] = true },
+		"are mute":  func(w *world, id string) { w.silentWorkers[id] = true },
+		"are deaf":  func(w *world, id string) { w.unreachableWorkers[id] = true },
 		"are taken": func(w *world, id string) { delete(w.workers, id) },
 	} {
 		for _, twice := range []bool{false, true} {
 			t.Run(fmt.Sprintf("machines %s, twice %v", name, twice), func(t *testing.T) {
 				t.Parallel()
 				w := idleWorld(t, 20)
-				w.racing, w.taskTime = true, 5*time.Minute
+				w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 				accepted(t, w.submit("a", "req-red-1", 4, ""))
 				accepted(t, w.submit("a", "req-red-2", 4, ""))
 				accepted(t, w.submit("a", "req-red-3", 8, ""))
@@ -501,7 +505,7 @@
 						unasked(w, id)
 					}
 				}
-				home := w.homeOf("red")
+				home := w.leaderOf("red")
 				w.crash(home)
 				w.expire(home)
 				w.run(time.Second, nil)
@@ -515,7 +519,7 @@
 				}
 				if twice {
 					w.run(4*time.Second, nil)
-					if next := w.homeOf("red"); next != "" && w.cores[next] != nil {
+					if next := w.leaderOf("red"); next != "" && w.cores[next] != nil {
 						w.crash(next)
 						w.expire(next)
 					}
--- a/internal/core/mute_test.go
+++ b/internal/core/mute_test.go
@@ -22,7 +22,7 @@
 	var out []string
 	for i, id := range slices.Sorted(maps.Keys(w.workers)) {
 		if i%nth == 0 {
-			w.mute[id] = true
+			w.silentWorkers[id] = true
 			out = append(out, id)
 		}
 	}
@@ -58,10 +58,10 @@
 	mute := w.silence(3)
 	w.run(reports(3), nil) // that a report is missing shows after more than two intervals
 	meant := 0
-	w.tell = func(_ string, e Effect) {
+	w.onEffect = func(_ string, e Effect) {
 		switch e := e.(type) {
 		case Deliver:
-			if w.mute[e.Machine] && slices.ContainsFunc(e.Orders.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart }) {
+			if w.silentWorkers[e.Machine] && slices.ContainsFunc(e.Orders.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart }) {
 				meant++
 			}
 		case Log:
@@ -85,7 +85,7 @@
 	if !w.sessions(mute) {
 		t.Fatal("no lease ran out")
 	}
-	clear(w.mute)
+	clear(w.silentWorkers)
 	if !w.run(2*time.Minute, w.finished("req-free-2-0", "req-free-2-5")) {
 		t.Error("jobs do not end")
 	}
@@ -98,7 +98,7 @@
 	mute := w.silence(5)
 	before := w.tasksOn(mute)
 	w.run(w.lease()-reports(2), nil)
-	clear(w.mute)
+	clear(w.silentWorkers)
 	w.run(reports(4), nil)
 	if after := w.tasksOn(mute); before == 0 || after != before || w.sessions(mute) {
 		t.Errorf("of %d tasks %d are left", before, after)
@@ -168,7 +168,7 @@
 			w.after(w.lease()/2, w.endOutage)
 		},
 		"no links":     func(w *world, _ string) { w.refuse(everyLink) },
-		"late reports": func(w *world, _ string) { w.copying = true },
+		"late reports": func(w *world, _ string) { w.replayReports = true },
 		"all end at once": func(w *world, _ string) {
 			for _, n := range w.names {
 				w.crash(n)
@@ -183,7 +183,7 @@
 				t.Run(fmt.Sprintf("%s, %s, for %v leases", machines, trouble, leases), func(t *testing.T) {
 					t.Parallel()
 					w := idleWorld(t, 20)
-					w.racing, w.uneven, w.taskTime = true, true, 20*time.Second
+					w.allowRacingStarts, w.unevenRunTimes, w.taskTime = true, true, 20*time.Second
 					accepted(t, w.submit("a", "req-free-1", 30, ""))
 					accepted(t, w.submit("a", "req-blue-2", 4, ""))
 					accepted(t, w.submit("a", "req-free-3", 6, ""))
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -163,9 +163,9 @@
 		s.Params.State.ValueKB = 1
 		s.Params.State.Next = settings.StateLimits{ValueKB: 0.5, TxnOps: 5}
 	})
-	w.former["c"], w.racing = true, true
+	w.notUpgraded["c"], w.allowRacingStarts = true, true
 	statements, chunks := 0, 0
-	w.tell = func(node string, e Effect) {
+	w.onEffect = func(node string, e Effect) {
 		x, is := e.(StoreTxn)
 		if !is {
 			return
@@ -197,7 +197,7 @@
 	accepted(t, w.submit("a", "req-free-1", 40, `,"vcpus":0.5`))
 	accepted(t, w.submit("b", "req-red-1", 4, `,"shape":"group","samePlace":true`))
 	w.run(5*time.Second, nil)
-	home := w.homeOf("free")
+	home := w.leaderOf("free")
 	w.crash(home)
 	w.expire(home)
 	if !w.run(3*time.Minute, w.finished("req-free-1", "req-red-1")) {
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// chainsEnd checks that what needs a cancelled job ends cancelled.
-func (d *day) chainsEnd() {
+// checkDependentsEnd checks that what needs a cancelled job ends cancelled.
+func (d *randomDay) checkDependentsEnd() {
 	needsCancelled := func(id string) bool {
 		return slices.ContainsFunc(d.specs[id].Awaits, func(awaited string) bool {
 			s, _ := d.state(awaited)
@@ -28,7 +28,7 @@
 }
 
 // served tells whether all jobs are done, and all replicas of services up.
-func (d *day) served() bool {
+func (d *randomDay) served() bool {
 	return !slices.ContainsFunc(d.open, func(id string) bool {
 		s, _ := d.state(id)
 		return s.State != protocol.Done && (d.specs[id].Kind != job.Service || d.onMachines(id) < d.specs[id].Tasks)
@@ -36,16 +36,16 @@
 }
 
 // isReady tells whether all that a job awaits has been done for that long.
-func (d *day) isReady(id string, since time.Duration) bool {
+func (d *randomDay) isReady(id string, since time.Duration) bool {
 	return !slices.ContainsFunc(d.specs[id].Awaits, func(awaited string) bool {
 		s, _ := d.state(awaited)
 		return s.State != protocol.Done || d.now-d.endedAt[awaited] < since
 	})
 }
 
-// noneWaits checks that no job has nothing on machines for that long while there is room
+// checkNoneWaitsBesideRoom checks that no job has nothing on machines for that long while there is room
 // for it and its team is under its limit.
-func (d *day) noneWaits(within time.Duration) {
+func (d *randomDay) checkNoneWaitsBesideRoom(within time.Duration) {
 	since := map[string]time.Duration{}
 	for end := d.now + 3*within; d.now < end && !d.served(); d.run(time.Second, nil) {
 		for _, id := range d.open {
@@ -64,13 +64,13 @@
 	}
 }
 
-// learner takes an answer to a request on a job that is sent now: it may not be older than
+// answerChecker takes an answer to a request on a job that is sent now: it may not be older than
 // what its user had been told by then, and a job has one final state.
-func (d *day) learner(id string) func(Answer) {
+func (d *randomDay) answerChecker(id string) func(Answer) {
 	before, asked := d.final[id], d.now
 	return func(a Answer) {
-		d.learn(id, before, a)
-		if at, told := d.upstreamTold(id); told && asked-at > d.allowed() {
+		d.checkAnswer(id, before, a)
+		if at, told := d.dependencyToldAt(id); told && asked-at > d.allowed() {
 			if s, is := a.Body.(protocol.JobState); is && (s.State == protocol.Queued || s.State == protocol.Running) {
 				d.t.Errorf("%v: %s is %s, and one that it needs was cancelled at %v", d.now, id, s.State, at)
 			}
@@ -78,8 +78,8 @@
 	}
 }
 
-// learn checks an answer against what was told before it was asked for.
-func (d *day) learn(id, before string, a Answer) {
+// checkAnswer checks an answer against what was told before it was asked for.
+func (d *randomDay) checkAnswer(id, before string, a Answer) {
 	s, is := a.Body.(protocol.JobState)
 	switch now := d.final[id]; {
 	case a.Status == http.StatusNotFound:
@@ -90,7 +90,7 @@
 		d.t.Errorf("%v: %s was %s and is %s", d.now, id, now, s.State)
 	case s.State == protocol.Cancelled:
 		if d.final[id] = s.State; now == "" {
-			d.told[id], d.cancelledAt[id] = d.now, d.now
+			d.cancellationToldAt[id], d.cancelledAt[id] = d.now, d.now
 		}
 		if !d.mayBeCancelled(id) {
 			d.t.Errorf("%v: %s is cancelled, and nobody has asked for it", d.now, id)
@@ -100,15 +100,15 @@
 	}
 }
 
-// isKnown checks that each job is answered by some controller within that time.
-func (d *day) isKnown(within time.Duration) {
+// checkKnown checks that each job is answered by some controller within that time.
+func (d *randomDay) checkKnown(within time.Duration) {
 	asked, learn := map[uint64]string{}, map[uint64]func(Answer){}
 	known := map[string]bool{}
 	for end := d.now + within; d.now < end && len(known) < len(d.all); d.run(5*time.Second, nil) {
 		for _, id := range d.all {
 			if !known[id] {
 				d.nextReq++
-				asked[d.nextReq], learn[d.nextReq] = id, d.learner(id)
+				asked[d.nextReq], learn[d.nextReq] = id, d.answerChecker(id)
 				d.send(d.names[d.rng.IntN(len(d.names))], Status{Req: d.nextReq, ID: id})
 			}
 		}
@@ -130,10 +130,10 @@
 	}
 }
 
-// allBegin checks that all jobs begin in time. A team at its limit waits for its own
+// checkAllStart checks that all jobs begin in time. A team at its limit waits for its own
 // tasks; what may be asked of it is that it does not wait while it has room for one. Of the
-// other one with a limit, whose jobs are of all shapes, noneWaits asks the same.
-func (d *day) allBegin(within time.Duration) {
+// other one with a limit, whose jobs are of all shapes, checkNoneWaitsBesideRoom asks the same.
+func (d *randomDay) checkAllStart(within time.Duration) {
 	waits := func(team string) bool {
 		return slices.ContainsFunc(d.open, func(id string) bool {
 			limited := !strings.HasPrefix(id, "req-free")
--- a/internal/core/randomdays_test.go
+++ b/internal/core/randomdays_test.go
@@ -24,9 +24,9 @@
 	os.Exit(status)
 }
 
-// event is one moment of a day of troubles: jobs come, one may be cancelled, and
+// faultEvent is one moment of a day of troubles: jobs come, one may be cancelled, and
 // something fails, after a pause.
-type event struct {
+type faultEvent struct {
 	What string
 	// Node and Other are controllers it may happen to, Seed is for what else is open.
 	Node, Other int
@@ -43,11 +43,11 @@
 	Awaits int
 }
 
-// drawEvent draws one moment; every third has the trouble that the days are about.
-func drawEvent(about string) *rapid.Generator[event] {
-	names := slices.Sorted(maps.Keys(troubles))
-	return rapid.Custom(func(t *rapid.T) event {
-		e := event{What: about}
+// drawFaultEvent draws one moment; every third has the trouble that the days are about.
+func drawFaultEvent(about string) *rapid.Generator[faultEvent] {
+	names := slices.Sorted(maps.Keys(faults))
+	return rapid.Custom(func(t *rapid.T) faultEvent {
+		e := faultEvent{What: about}
 		if rapid.IntRange(0, 2).Draw(t, "about") > 0 {
 			e.What = rapid.SampledFrom(names).Draw(t, "what")
 		}
@@ -57,7 +57,7 @@
 		e.Tasks = rapid.IntRange(0, 9).Draw(t, "tasks")
 		e.Long = rapid.Bool().Draw(t, "long")
 		e.Cancel = rapid.IntRange(0, 8).Draw(t, "cancel")
-		e.Shape = rapid.IntRange(0, 2*len(shapes)).Draw(t, "shape")
+		e.Shape = rapid.IntRange(0, 2*len(jobShapes)).Draw(t, "shape")
 		e.Awaits = max(0, rapid.IntRange(-2, 3).Draw(t, "awaits"))
 		return e
 	})
@@ -66,18 +66,18 @@
 // Days on which any two troubles meet, and more, with jobs that are submitted, asked for
 // and cancelled at any moment. A day that fails shrinks to a short one.
 func TestRulesHoldWhicheverTroublesMeet(t *testing.T) {
-	for about := range troubles {
+	for about := range faults {
 		t.Run(about, func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, func(t *rapid.T) {
-				playDay(t, rapid.SliceOfN(drawEvent(about), 2, 24).Draw(t, "day"))
+				playRandomDay(t, rapid.SliceOfN(drawFaultEvent(about), 2, 24).Draw(t, "day"))
 			})
 		})
 	}
 }
 
-// day is what the users of one day know.
-type day struct {
+// randomDay is what the users of one day know.
+type randomDay struct {
 	*world
 	// open are the jobs to be done, all those that were accepted.
 	open, all []string
@@ -85,29 +85,29 @@
 	final map[string]string
 	// replies are what waits for the answers to requests.
 	replies map[uint64]func(Answer)
-	// calledOff are the jobs whose users have asked for their end, cancelledAt when they
+	// cancelRequested are the jobs whose users have asked for their end, cancelledAt when they
 	// were told first of it.
-	calledOff   map[string]bool
-	cancelledAt map[string]time.Duration
-	// atEnd is until when jobs are called off as they end.
-	atEnd time.Duration
+	cancelRequested map[string]bool
+	cancelledAt     map[string]time.Duration
+	// cancelAtEndUntil is until when jobs are called off as they end.
+	cancelAtEndUntil time.Duration
 	// recorder hashes what leaves the controllers.
 	recorder *effectRecorder
 }
 
-// newDay has five controllers in two zones, one of which may be upgraded during the day,
+// newRandomDay has five controllers in two zones, one of which may be upgraded during the day,
 // machines of two types and two teams with a limit.
-func newDay(t tester, former bool) *day {
+func newRandomDay(t tester, former bool) *randomDay {
 	w := newTunedWorld(t, five, func(s *settings.Settings) {
 		s.Params.Teams[1].CPUsMax = 24
 		s.Params.State.ValueKB = 2
 		s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
 	})
-	w.former["c"] = former
+	w.notUpgraded["c"] = former
 	if !former {
-		clear(w.former)
+		clear(w.notUpgraded)
 	}
-	w.most, w.racing = 60, true
+	w.maxMachines, w.allowRacingStarts = 60, true
 	w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 3, SpotPrice: 1.2,
 		BootS: 5, Zones: []string{"z1", "z2"}})
 	w.twoZones()
@@ -118,42 +118,42 @@
 		}
 	}
 	w.ready().run(10*time.Second, nil)
-	d := &day{world: w, final: map[string]string{}, replies: map[uint64]func(Answer){}, calledOff: map[string]bool{}, cancelledAt: map[string]time.Duration{}}
+	d := &randomDay{world: w, final: map[string]string{}, replies: map[uint64]func(Answer){}, cancelRequested: map[string]bool{}, cancelledAt: map[string]time.Duration{}}
 	recorder := newEffectRecorder()
 	d.recorder = recorder
-	w.tell = func(node string, e Effect) {
+	w.onEffect = func(node string, e Effect) {
 		recorder.record(w.now, node, e)
 		if a, is := e.(Answer); is && d.replies[a.Req] != nil {
 			d.replies[a.Req](a)
 			delete(d.replies, a.Req)
 		}
 	}
-	w.later = append(w.later, func() bool { d.cancelEnding(); return false })
+	w.scheduled = append(w.scheduled, func() bool { d.cancelEndingJobs(); return false })
 	return d
 }
 
-// playDay plays a day, and checks over what users and workers see that every rule holds,
+// playRandomDay plays a day, and checks over what users and workers see that every rule holds,
 // and that all that was accepted is known, begins and ends once all troubles are over.
-func playDay(t tester, events []event) {
-	d := newDay(t, len(events)%4 == 0)
+func playRandomDay(t tester, events []faultEvent) {
+	d := newRandomDay(t, len(events)%4 == 0)
 	defer d.recorder.finish()
 	for n, e := range events {
 		d.rng = rand.New(rand.NewPCG(e.Seed, 23))
 		d.submitAll(n, e)
-		troubles[e.What](d, d.names[e.Node], d.names[e.Other])
+		faults[e.What](d, d.names[e.Node], d.names[e.Other])
 		d.pollSome()
 		d.run(e.Pause, nil)
 		if node := d.serving(); node != "" && e.Cancel > 0 && e.Cancel <= len(d.open) {
 			id := d.open[e.Cancel-1]
-			learn := d.learner(id)
-			d.forgo(id)
-			learn(d.question(node, func(req uint64) Command { return Cancel{Req: req, ID: id} }))
+			learn := d.answerChecker(id)
+			d.expectCancelled(id)
+			learn(d.requestAndWait(node, func(req uint64) Command { return Cancel{Req: req, ID: id} }))
 		}
 	}
 	d.recover()
-	d.isKnown(75 * time.Second)
-	d.allBegin(4 * time.Minute)
-	d.noneWaits(90 * time.Second)
+	d.checkKnown(75 * time.Second)
+	d.checkAllStart(4 * time.Minute)
+	d.checkNoneWaitsBesideRoom(90 * time.Second)
 	if !d.run(20*time.Minute, d.served) {
 		for _, id := range d.open {
 			if s, _ := d.state(id); s.State != protocol.Done {
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	d.chainsEnd()
+	d.checkDependentsEnd()
 	for _, id := range d.all {
 		if s, _ := d.state(id); s.State == protocol.Done {
 			for n := range s.Tasks {
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -23,14 +23,14 @@
 // was sent again, 500 times a minute on a recorded day.
 func TestWorkersAreNotSentAgainAndAgainToAControllerThatTheyCannotReach(t *testing.T) {
 	w := busyWorld(t, 12)
-	w.deaf["c"] = true
+	w.unreachableNodes["c"] = true
 	w.run(20*time.Second, nil)
 	before := w.redirected["c"]
 	w.run(30*time.Second, nil)
 	if n := w.redirected["c"] - before; n > 6 {
 		t.Errorf("%d workers were sent to c, which they cannot reach", n)
 	}
-	w.deaf["c"] = false
+	w.unreachableNodes["c"] = false
 	w.run(2*time.Minute, nil)
 	if n := len(w.cores["c"].agents); n < 3 {
 		t.Errorf("c hears %d workers again", n)
--- a/internal/core/refused_test.go
+++ b/internal/core/refused_test.go
@@ -14,14 +14,14 @@
 // refuseStore lets the state service refuse one controller alone. Its lease runs out,
 // unless an outage comes before: then every lease has its full time again.
 func (w *world) refuseStore(node string) {
-	w.cut[node] = true
+	w.withoutStore[node] = true
 	refusedAt := w.now
-	w.later = append(w.later, func() bool {
-		if w.outage || !w.cut[node] {
+	w.scheduled = append(w.scheduled, func() bool {
+		if w.outage || !w.withoutStore[node] {
 			refusedAt = w.now
 		}
 		if w.now-refusedAt <= leaseLife {
-			return !w.cut[node]
+			return !w.withoutStore[node]
 		}
 		w.expire(node)
 		return true
@@ -32,11 +32,11 @@
 func (w *world) endOutage() {
 	w.outage = false
 	for _, node := range w.names {
-		if w.cut[node] && w.cores[node] != nil {
+		if w.withoutStore[node] && w.cores[node] != nil {
 			if len(w.leasesOf(node)) == 0 {
-				w.withStore(node)
+				w.restoreStore(node)
 			}
-			delete(w.cut, node)
+			delete(w.withoutStore, node)
 		}
 	}
 }
@@ -83,9 +83,9 @@
 func (d refused) play(t *testing.T) {
 	machines := max(d.machines, 20)
 	w := idleWorld(t, machines)
-	w.racing, w.taskTime = true, 4*w.allowed()
+	w.allowRacingStarts, w.taskTime = true, 4*w.allowed()
 	given, released := 0, map[string]int{}
-	w.tell = func(node string, e Effect) {
+	w.onEffect = func(node string, e Effect) {
 		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
 			for _, m := range r.Machines {
 				released[node+m]++
@@ -99,7 +99,7 @@
 		d.before(w)
 	}
 	accepted(t, w.submit("b", refusedJob, max(d.tasks, 2*machines), d.more))
-	if w.run(10*time.Second, nil); !w.loseDo {
+	if w.run(10*time.Second, nil); !w.loseDeliveries {
 		w.started(refusedJob, max(d.tasks, 2*machines))
 	}
 	old := w.cores["b"].teamBy["free"].leader
@@ -116,7 +116,7 @@
 	if !d.atOnce {
 		w.run(d.gap, nil)
 	}
-	if w.onMachines(refusedJob) == 0 && !w.loseDo {
+	if w.onMachines(refusedJob) == 0 && !w.loseDeliveries {
 		t.Fatal("no task is running when the user cancels")
 	}
 	told := w.confirm()
@@ -138,10 +138,10 @@
 		}
 	}
 	w.endOutage()
-	w.noCloud, w.deaf = false, map[string]bool{}
+	w.noCloud, w.unreachableNodes = false, map[string]bool{}
 	w.heal()
 	w.run(w.allowed(), nil)
-	if len(w.told) > 0 {
+	if len(w.cancellationToldAt) > 0 {
 		t.Error("the day ended before the time allowed")
 	}
 }
@@ -226,9 +226,9 @@
 			each(w, old, func(f *fakeWorker) { f.dead = true })
 		}},
 		"machines are deaf": {outage: func(w *world, old, _ string) {
-			each(w, old, func(f *fakeWorker) { w.unhearing[f.Machine] = true })
+			each(w, old, func(f *fakeWorker) { w.unreachableWorkers[f.Machine] = true })
 		}},
-		"machines change controllers": {outage: func(w *world, old, _ string) { w.deaf[old] = true }},
+		"machines change controllers": {outage: func(w *world, old, _ string) { w.unreachableNodes[old] = true }},
 		"machines come to one that never heard of the job": {
 			before: func(w *world) {
 				w.refuse(func(f, t string) bool { return f == "e" || t == "e" })
@@ -237,23 +237,23 @@
 			},
 			outage: func(w *world, _, _ string) {
 				for _, n := range []string{"a", "b", "c", "d"} {
-					w.deaf[n] = true
+					w.unreachableNodes[n] = true
 				}
 			}},
 		"starts are on their way": {
-			before: func(w *world) { w.loseDo = true },
+			before: func(w *world) { w.loseDeliveries = true },
 			outage: func(w *world, old, _ string) {
 				w.run(5*time.Second, nil)
-				w.loseDo = false
-				for _, d := range w.held {
+				w.loseDeliveries = false
+				for _, d := range w.heldDeliveries {
 					w.deliver(old, d)
 				}
 			}},
 		"starts come late to machines that then hang": {
-			before: func(w *world) { w.loseDo = true },
+			before: func(w *world) { w.loseDeliveries = true },
 			outage: func(w *world, old, _ string) {
-				w.loseDo = false
-				for _, d := range w.held {
+				w.loseDeliveries = false
+				for _, d := range w.heldDeliveries {
 					w.deliver(old, d)
 				}
 				each(w, old, func(f *fakeWorker) { f.dead = true })
@@ -281,10 +281,10 @@
 			refused: func(w *world) { w.hold(everyLink) },
 			outage: func(w *world, _, _ string) {
 				w.run(reports(2), nil)
-				for l := range w.late {
-					delete(w.late, l)
+				for l := range w.heldMessages {
+					delete(w.heldMessages, l)
 				}
-				clear(w.slow)
+				clear(w.slowLinks)
 			},
 			gone: reports(2), kept: true},
 		"the old leader has forgotten its jobs": {
@@ -361,7 +361,7 @@
 // Machines are given back only once reports had time to come.
 func TestControllersThatStartOverWaitForReportsBeforeTheyGiveMachinesBack(t *testing.T) {
 	w := idleWorld(t, 20)
-	w.racing, w.taskTime = true, 10*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("a", refusedJob, 40, ""))
 	w.started(refusedJob, 40)
 	w.send("a", Cancel{Req: 1 << 20, ID: refusedJob})
@@ -376,7 +376,7 @@
 	}
 	w.run(time.Second, nil)
 	given := 0
-	w.tell = func(node string, e Effect) {
+	w.onEffect = func(node string, e Effect) {
 		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
 			given++
 		}
@@ -395,16 +395,16 @@
 // long ago. What it last knew of the machines says nothing of where its tasks are.
 func TestLeaderThatIsBackGivesNoMachinesBack(t *testing.T) {
 	w := idleWorld(t, 20)
-	w.racing, w.taskTime = true, 10*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("b", refusedJob, 30, ""))
 	w.started(refusedJob, 30)
 	old := w.cores["b"].teamBy["free"].leader
-	w.alone(old)
+	w.isolate(old)
 	w.run(reports(2), nil)
 	w.confirm()
 	w.run(w.allowed(), nil)
 	given := 0
-	w.tell = func(_ string, e Effect) {
+	w.onEffect = func(_ string, e Effect) {
 		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && l.Text != "machine returned" {
 			given++
 		}
--- a/internal/core/repeat_test.go
+++ b/internal/core/repeat_test.go
@@ -14,7 +14,7 @@
 	script := func() []string {
 		w := newWorld(t)
 		var out []string
-		w.tell = func(node string, e Effect) {
+		w.onEffect = func(node string, e Effect) {
 			raw, err := json.Marshal(e)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -18,7 +18,7 @@
 func gpuWorld(t *testing.T, small, large int) *world {
 	t.Helper()
 	w := newWorldOf(t, five)
-	w.most, w.racing = small+large, true
+	w.maxMachines, w.allowRacingStarts = small+large, true
 	w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
 		Price: 20, SpotPrice: 8, BootS: 5, Zones: []string{"z1", "z2"}})
 	for i := range small + large {
@@ -133,7 +133,7 @@
 	if n := w.onType("req-free-watch", "large"); n != 8 {
 		t.Fatalf("%d of 8 replicas are where they should be moved from", n)
 	}
-	w.most = 0 // the cloud has no more
+	w.maxMachines = 0 // the cloud has no more
 	w.cancelJob("a", "req-free-batch")
 	accepted(t, w.submit("b", "req-blue-gang", 1, gangMore))
 	if !w.run(time.Minute, func() bool { return w.startsOf("req-blue-gang") == 1 }) {
@@ -235,7 +235,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := newWorldOf(t, five)
-			w.racing, w.taskTime = true, 5*time.Second
+			w.allowRacingStarts, w.taskTime = true, 5*time.Second
 			m := plain
 			c.change(&m)
 			w.types = []protocol.MachineType{m}
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	if s, ok := w.state(id); ok && !w.racing {
+	if s, ok := w.state(id); ok && !w.allowRacingStarts {
 		w.t.Errorf("%v: %s starts although its job is %s", w.now, task, s.State)
 	}
 	if awaited := w.unfinished(id); awaited != "" {
@@ -49,12 +49,12 @@
 
 // checkCancelled checks that what a user was told is cancelled has gone in time.
 func (w *world) checkCancelled() {
-	for id, at := range w.told {
+	for id, at := range w.cancellationToldAt {
 		if w.now-at > seconds(w.cfg[w.names[0]].Params.Workers.CancelS) {
 			if n := w.onMachines(id); n > 0 {
 				w.t.Errorf("%v: %d tasks of %s still run, cancelled at %v", w.now, n, id, at)
 			}
-			delete(w.told, id)
+			delete(w.cancellationToldAt, id)
 		}
 	}
 }
@@ -187,10 +187,10 @@
 	return n
 }
 
-// homeOf is the home of a team by the store, or nothing.
-func (w *world) homeOf(team string) string {
+// leaderOf is the home of a team by the store, or nothing.
+func (w *world) leaderOf(team string) string {
 	for _, n := range w.names {
-		if c := w.cores[n]; c != nil && !w.cut[n] && c.loaded {
+		if c := w.cores[n]; c != nil && !w.withoutStore[n] && c.loaded {
 			return c.teamBy[team].leader
 		}
 	}
--- a/internal/core/simcloud_test.go
+++ b/internal/core/simcloud_test.go
@@ -21,15 +21,15 @@
 	w.send(node, l)
 }
 
-// full tells whether the cloud has no more machines in a zone.
-func (w *world) full(zone string) bool {
+// isZoneFull tells whether the cloud has no more machines in a zone.
+func (w *world) isZoneFull(zone string) bool {
 	n := 0
 	for _, f := range w.workers {
 		if f.Zone == zone {
 			n++
 		}
 	}
-	return zone == w.closed || w.zoned && n >= w.most/2
+	return zone == w.fullZone || w.zoned && n >= w.maxMachines/2
 }
 
 func (w *world) sizeOf(typ string) job.Resources {
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -15,13 +15,13 @@
 // world plays scripted controllers, workers, cloud and state service against a
 // fake clock, and checks the rules on every start.
 type world struct {
-	t     tester
-	rng   *rand.Rand
-	now   time.Duration
-	tick  time.Duration
-	cores map[string]*Core
-	inbox map[string][]Command
-	cut   map[string]bool // nodes without the store
+	t            tester
+	rng          *rand.Rand
+	now          time.Duration
+	tick         time.Duration
+	cores        map[string]*Core
+	inbox        map[string][]Command
+	withoutStore map[string]bool // nodes without the store
 
 	kv       map[string]protocol.KeyValue
 	revision uint64
@@ -32,16 +32,16 @@
 
 	workers map[string]*fakeWorker
 	rented  int
-	// loseDo holds deliveries back instead of carrying them out.
-	loseDo bool
-	held   []Deliver
-	// holdDo lets every fourth delivery be carried out seconds later, without an answer.
-	holdDo bool
+	// loseDeliveries holds deliveries back instead of carrying them out.
+	loseDeliveries bool
+	heldDeliveries []Deliver
+	// delayDeliveries lets every fourth delivery be carried out seconds later, without an answer.
+	delayDeliveries bool
 	// lateWrite says for a transaction with changes how late it is carried out, without an
 	// answer, or 0.
 	lateWrite func(node string, e StoreTxn) time.Duration
-	// unknown makes transactions be applied without an answer.
-	unknown int
+	// lostReplies makes transactions be applied without an answer.
+	lostReplies int
 
 	answers map[uint64]Answer
 	nextReq uint64
@@ -51,79 +51,79 @@
 	unlisted string
 	// requests counts what the controllers ask of the state service.
 	requests int
-	// terse makes a failed transaction name one failed key only.
-	terse bool
-	// deaf nodes cannot be reached by workers; redirected counts how many were
+	// nameOneFailedKey makes a failed transaction name one failed key only.
+	nameOneFailedKey bool
+	// unreachableNodes nodes cannot be reached by workers; redirected counts how many were
 	// sent to each node.
-	deaf       map[string]bool
-	redirected map[string]int
-	// racing lets tasks start whose start was on its way when their job was
+	unreachableNodes map[string]bool
+	redirected       map[string]int
+	// allowRacingStarts lets tasks start whose start was on its way when their job was
 	// cancelled.
-	racing bool
+	allowRacingStarts bool
 	// broken jobs fail wherever they run, on faulty machines everything does.
 	broken, faulty map[string]bool
 	// gateways holds the gateway files of the nodes that have one; sent is what was
 	// sent to other sites.
 	gateways map[string]*federation.Config
 	sent     []federation.Message
-	// tell, if set, is told of every effect.
-	tell func(node string, e Effect)
+	// onEffect, if set, is told of every effect.
+	onEffect func(node string, e Effect)
 	// names are the controllers; most is how many machines the cloud has.
-	names []string
-	most  int
+	names       []string
+	maxMachines int
 	// taskTime is how long a task runs.
 	taskTime time.Duration
 	// types is the cloud's catalogue.
 	types []protocol.MachineType
-	// refused holds the links between controllers over which nothing passes, frozen
+	// refusedLinks holds the links between controllers over which nothing passes, frozen
 	// the controllers that stand still, unreached the workers without a network.
-	refused map[link]bool
-	// slow links hold back what is sent over them until they are restored.
-	slow      map[link]bool
-	late      map[link][]PeerMessage
-	frozen    map[string]bool
-	unreached map[string]bool
-	// unhearing are the machines whose reports arrive while nothing reaches them;
-	// unheardBy are the controllers that a machine does not hear.
-	unhearing map[string]bool
-	unheardBy map[link]bool
-	// mute are the machines that reach no controller, while direct calls reach them.
-	mute map[string]bool
-	// copying lets copies of past reports come late, to any controller.
-	copying bool
-	past    []Heartbeat
+	refusedLinks map[link]bool
+	// slowLinks links hold back what is sent over them until they are restored.
+	slowLinks    map[link]bool
+	heldMessages map[link][]PeerMessage
+	frozen       map[string]bool
+	cutWorkers   map[string]bool
+	// unreachableWorkers are the machines whose reports arrive while nothing reaches them;
+	// workerCannotReach are the controllers that a machine does not hear.
+	unreachableWorkers map[string]bool
+	workerCannotReach  map[link]bool
+	// silentWorkers are the machines that reach no controller, while direct calls reach them.
+	silentWorkers map[string]bool
+	// replayReports lets copies of past reports come late, to any controller.
+	replayReports bool
+	pastReports   []Heartbeat
 	// noCloud keeps the cloud from taking machines back.
 	noCloud bool
-	// dark is since when the state service answers a controller nothing, as it notices
+	// storeLostAt is since when the state service answers a controller nothing, as it notices
 	// after a report interval; blind holds those that have.
-	dark  map[string]time.Duration
-	blind map[string]bool
+	storeLostAt      map[string]time.Duration
+	storeLossNoticed map[string]bool
 	// watchLag is the pause between two watches of a controller, watchedAt its last.
 	watchLag  time.Duration
 	watchedAt map[string]time.Duration
 	// slowWatcher is a controller whose watch brings nothing.
 	slowWatcher string
-	// unread holds the controllers that wait for the stored state, unleased those that wait
+	// awaitingSnapshot holds the controllers that wait for the stored state, unleased those that wait
 	// for a lease.
-	unread, unleased map[string]bool
-	// later holds what goes on beside, until it says that it is over.
-	later []func() bool
+	awaitingSnapshot, awaitingLease map[string]bool
+	// scheduled holds what goes on beside, until it says that it is over.
+	scheduled []func() bool
 	// latency keeps messages between controllers flying from one tick to the next; those
 	// of a controller that ends are lost.
-	latency bool
-	flying  []flight
-	// old are controllers of the release before, which know less of messages.
-	old []string
-	// uneven lets every second task of a job run three times as long; healed counts how
+	latency          bool
+	messagesInFlight []flight
+	// previousRelease are controllers of the release before, which know less of messages.
+	previousRelease []string
+	// unevenRunTimes lets every second task of a job run three times as long; healed counts how
 	// often all troubles ended.
-	uneven bool
-	healed int
-	// terms tells which run has taken each term.
-	terms map[uint64]string
+	unevenRunTimes bool
+	recoveries     int
+	// tokenOwners tells which run has taken each term.
+	tokenOwners map[uint64]string
 	// completed are the tasks that have ended by themselves.
 	completed map[string]bool
-	// told is when the user of a job was told that it is cancelled.
-	told map[string]time.Duration
+	// cancellationToldAt is when the user of a job was told that it is cancelled.
+	cancellationToldAt map[string]time.Duration
 	// specs are the jobs that were handed in, as their users described them.
 	specs map[string]*job.Spec
 	// tune changes the settings that every controller is given.
@@ -133,22 +133,22 @@
 	zoned   bool
 	zoneOf  map[string]string
 	zoneCut string
-	// closed is a zone of which the cloud has no machines.
-	closed string
+	// fullZone is a zone of which the cloud has no machines.
+	fullZone string
 	// hungUntil is until when machines hang.
 	hungUntil map[string]time.Duration
-	// whole are the attempts of gangs that were on machines with all their tasks.
-	whole map[taskAttempt]bool
-	// forgotten is set once all controllers have ended at once. What they had told users of is
+	// completeGangs are the attempts of gangs that were on machines with all their tasks.
+	completeGangs map[taskAttempt]bool
+	// allRestarted is set once all controllers have ended at once. What they had told users of is
 	// in the state service alone then, and if that is out for longer than a cancellation may
 	// take, nothing but its lease ends what is on a machine that hangs.
-	forgotten bool
+	allRestarted bool
 	// holdReports lets some reports get no answer and arrive much later, anywhere.
 	holdReports bool
 	// endedAt is when the final state of a job was stored.
 	endedAt map[string]time.Duration
-	// former are the controllers that have the version before: they do not state theirs.
-	former map[string]bool
+	// notUpgraded are the controllers that have the version before: they do not state theirs.
+	notUpgraded map[string]bool
 	// lowLimits is set once the state service has the limits to come.
 	lowLimits bool
 }
@@ -169,13 +169,13 @@
 
 // newTunedWorld is a world whose controllers are given other settings.
 func newTunedWorld(t tester, names []string, tune func(*settings.Settings)) *world {
-	w := &world{tune: tune, specs: map[string]*job.Spec{}, endedAt: map[string]time.Duration{}, former: map[string]bool{}, hungUntil: map[string]time.Duration{}, whole: map[taskAttempt]bool{}, t: t, rng: rand.New(rand.NewPCG(1, 2)), tick: 100 * time.Millisecond,
-		cores: map[string]*Core{}, inbox: map[string][]Command{}, cut: map[string]bool{},
+	w := &world{tune: tune, specs: map[string]*job.Spec{}, endedAt: map[string]time.Duration{}, notUpgraded: map[string]bool{}, hungUntil: map[string]time.Duration{}, completeGangs: map[taskAttempt]bool{}, t: t, rng: rand.New(rand.NewPCG(1, 2)), tick: 100 * time.Millisecond,
+		cores: map[string]*Core{}, inbox: map[string][]Command{}, withoutStore: map[string]bool{},
 		kv: map[string]protocol.KeyValue{}, seen: map[string]uint64{}, leases: map[uint64]string{},
 		workers: map[string]*fakeWorker{}, answers: map[uint64]Answer{}, starts: map[string]int{}, broken: map[string]bool{}, faulty: map[string]bool{},
-		deaf: map[string]bool{}, redirected: map[string]int{},
-		cfg: map[string]*settings.Settings{}, names: names, most: 40, taskTime: 5 * time.Second,
-		refused: map[link]bool{}, slow: map[link]bool{}, late: map[link][]PeerMessage{}, frozen: map[string]bool{}, unreached: map[string]bool{}, unhearing: map[string]bool{}, mute: map[string]bool{}, unheardBy: map[link]bool{}, dark: map[string]time.Duration{}, blind: map[string]bool{}, unread: map[string]bool{}, unleased: map[string]bool{}, watchedAt: map[string]time.Duration{}, told: map[string]time.Duration{}, completed: map[string]bool{}, terms: map[uint64]string{}}
+		unreachableNodes: map[string]bool{}, redirected: map[string]int{},
+		cfg: map[string]*settings.Settings{}, names: names, maxMachines: 40, taskTime: 5 * time.Second,
+		refusedLinks: map[link]bool{}, slowLinks: map[link]bool{}, heldMessages: map[link][]PeerMessage{}, frozen: map[string]bool{}, cutWorkers: map[string]bool{}, unreachableWorkers: map[string]bool{}, silentWorkers: map[string]bool{}, workerCannotReach: map[link]bool{}, storeLostAt: map[string]time.Duration{}, storeLossNoticed: map[string]bool{}, awaitingSnapshot: map[string]bool{}, awaitingLease: map[string]bool{}, watchedAt: map[string]time.Duration{}, cancellationToldAt: map[string]time.Duration{}, completed: map[string]bool{}, tokenOwners: map[uint64]string{}}
 	w.types = []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"z1", "z2"}},
 	}
@@ -213,16 +213,16 @@
 	if w.tune != nil {
 		w.tune(w.cfg[node])
 	}
-	w.place(node)
+	w.assignZone(node)
 	w.nextReq++
 	w.cores[node] = New(w.cfg[node], settings.DefaultPolicy(), fmt.Sprint(node, w.nextReq))
 	if g := w.gateways[node]; g != nil {
 		w.cores[node].Join(g)
 	}
 	w.inbox[node] = nil
-	delete(w.dark, node)
-	delete(w.blind, node)
-	if w.unread[node] = true; !w.outage && !w.cut[node] {
+	delete(w.storeLostAt, node)
+	delete(w.storeLossNoticed, node)
+	if w.awaitingSnapshot[node] = true; !w.outage && !w.withoutStore[node] {
 		w.read(node)
 	}
 	w.grant(node)
@@ -236,7 +236,7 @@
 
 func (w *world) send(node string, c Command) {
 	if s, is := c.(Submit); is {
-		w.handedIn(s.Body)
+		w.recordSubmission(s.Body)
 	}
 	w.inbox[node] = append(w.inbox[node], c)
 }
@@ -247,13 +247,13 @@
 		if done != nil && done() {
 			return true
 		}
-		w.later = slices.DeleteFunc(w.later, func(over func() bool) bool { return over() })
-		for _, f := range w.flying {
+		w.scheduled = slices.DeleteFunc(w.scheduled, func(over func() bool) bool { return over() })
+		for _, f := range w.messagesInFlight {
 			w.send(f.to, PeerMessageReceived{Node: f.from, Message: f.msg})
 		}
-		w.flying = nil
-		w.tendWorkers()
-		w.sendCopies()
+		w.messagesInFlight = nil
+		w.stepWorkers()
+		w.replayPastReports()
 		for _, node := range w.names {
 			w.step(node)
 		}
@@ -267,7 +267,7 @@
 	if c == nil || w.frozen[node] {
 		return
 	}
-	if !w.outage && !w.cut[node] && !w.unread[node] && w.seen[node] < uint64(len(w.events)) && w.now >= w.watchedAt[node]+w.watchLag && (w.slowWatcher == "" || w.slowWatcher != node) {
+	if !w.outage && !w.withoutStore[node] && !w.awaitingSnapshot[node] && w.seen[node] < uint64(len(w.events)) && w.now >= w.watchedAt[node]+w.watchLag && (w.slowWatcher == "" || w.slowWatcher != node) {
 		w.watchedAt[node] = w.now
 		w.send(node, StoreChanged{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
 		w.seen[node] = uint64(len(w.events))
@@ -283,7 +283,7 @@
 // crash ends a controller; expire ends its lease.
 func (w *world) crash(node string) {
 	delete(w.cores, node)
-	w.flying = slices.DeleteFunc(w.flying, func(f flight) bool { return f.from == node })
+	w.messagesInFlight = slices.DeleteFunc(w.messagesInFlight, func(f flight) bool { return f.from == node })
 	for _, other := range w.names {
 		if w.cores[other] != nil {
 			w.send(other, PeerDisconnected{Node: node})
@@ -309,13 +309,13 @@
 }
 
 func (w *world) carryOut(node string, e Effect) {
-	if w.tell != nil {
-		w.tell(node, e)
+	if w.onEffect != nil {
+		w.onEffect(node, e)
 	}
 	switch e := e.(type) {
 	case Log:
 		if e.Text == "term taken" {
-			w.checkTerm(node, e.Attrs[1].(uint64))
+			w.checkToken(node, e.Attrs[1].(uint64))
 		}
 	case Answer:
 		w.answers[e.Req] = e
@@ -326,20 +326,20 @@
 	case StoreReload:
 		w.read(node)
 	case SendPeer:
-		if slices.Contains(w.old, node) {
-			e.Message = asOld(e.Message)
+		if slices.Contains(w.previousRelease, node) {
+			e.Message = asPreviousRelease(e.Message)
 		}
 		for _, to := range e.Nodes {
 			msg := e.Message
-			if slices.Contains(w.old, to) {
-				msg = asOld(msg)
+			if slices.Contains(w.previousRelease, to) {
+				msg = asPreviousRelease(msg)
 			}
 			switch l := (link{node, to}); {
-			case w.cores[to] == nil || w.refused[l]:
-			case w.slow[l]:
-				w.late[l] = append(w.late[l], msg)
+			case w.cores[to] == nil || w.refusedLinks[l]:
+			case w.slowLinks[l]:
+				w.heldMessages[l] = append(w.heldMessages[l], msg)
 			case w.latency:
-				w.flying = append(w.flying, flight{l, msg})
+				w.messagesInFlight = append(w.messagesInFlight, flight{l, msg})
 			default:
 				w.send(to, PeerMessageReceived{Node: node, Message: msg})
 			}
@@ -347,13 +347,13 @@
 	case SendSite:
 		w.sent = append(w.sent, e.Message)
 	case Deliver:
-		if w.loseDo {
-			w.held = append(w.held, e)
+		if w.loseDeliveries {
+			w.heldDeliveries = append(w.heldDeliveries, e)
 			w.send(node, DeliveryResult{Machine: e.Machine, Orders: e.Orders})
 			return
 		}
-		if w.holdDo && w.rng.IntN(4) == 0 {
-			w.holdCall(node, e, time.Duration(1+w.rng.IntN(12))*time.Second)
+		if w.delayDeliveries && w.rng.IntN(4) == 0 {
+			w.delayDelivery(node, e, time.Duration(1+w.rng.IntN(12))*time.Second)
 			return
 		}
 		w.deliver(node, e)
@@ -365,7 +365,7 @@
 	case FetchInventory:
 		w.list(node)
 	case RequestRental:
-		if len(w.workers) >= w.most || w.full(e.Rental.Zone) {
+		if len(w.workers) >= w.maxMachines || w.isZoneFull(e.Rental.Zone) {
 			w.send(node, RentalResult{Rental: e.Rental, Outcome: Refused})
 			return
 		}
@@ -388,8 +388,8 @@
 	}
 }
 
-// asOld is what a controller of the release before makes of a message, or sends.
-func asOld(m PeerMessage) PeerMessage {
+// asPreviousRelease is what a controller of the release before makes of a message, or sends.
+func asPreviousRelease(m PeerMessage) PeerMessage {
 	m.Cancellations, m.Acknowledged = nil, nil
 	if b := m.Heartbeat; b != nil {
 		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, PendingWrites: b.PendingWrites, Records: b.Records, HeardMachines: b.HeardMachines, ReportSeqs: b.ReportSeqs, Unreachable: b.Unreachable}
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// allAway ends all controllers and lets them be back after a while.
-func (w *world) allAway(d time.Duration) {
-	w.forgotten = true
+// stopAllFor ends all controllers and lets them be back after a while.
+func (w *world) stopAllFor(d time.Duration) {
+	w.allRestarted = true
 	for _, n := range w.names {
 		if w.cores[n] != nil {
 			w.crash(n)
@@ -29,49 +29,49 @@
 func (w *world) changeLeaders(team string, times int, every time.Duration) {
 	for i := range times {
 		w.after(time.Duration(i)*every, func() {
-			home := w.homeOf(team)
+			home := w.leaderOf(team)
 			if home == "" || w.cores[home] == nil || w.frozen[home] {
 				return
 			}
 			if i%2 == 0 {
-				w.again(home)
+				w.restartAtOnce(home)
 				w.expireFormer(home)
 				return
 			}
-			w.noStore(home)
+			w.cutStore(home)
 			w.after(every/4, func() {
-				if w.cut[home] && w.cores[home] != nil {
-					w.withStore(home)
+				if w.withoutStore[home] && w.cores[home] != nil {
+					w.restoreStore(home)
 				}
 			})
 		})
 	}
 }
 
-// sound tells whether a controller and at least two more are well, so that it may fail.
-func (w *world) sound(node string) bool {
+// isHealthy tells whether a controller and at least two more are well, so that it may fail.
+func (w *world) isHealthy(node string) bool {
 	n := 0
 	for _, other := range w.names {
-		if w.cores[other] != nil && !w.cut[other] && !w.frozen[other] {
+		if w.cores[other] != nil && !w.withoutStore[other] && !w.frozen[other] {
 			n++
 		}
 	}
-	return n > 2 && w.cores[node] != nil && !w.cut[node] && !w.frozen[node]
+	return n > 2 && w.cores[node] != nil && !w.withoutStore[node] && !w.frozen[node]
 }
 
 // after lets something happen later, unless the day's troubles are over by then.
 func (w *world) after(d time.Duration, f func()) {
-	at, day := w.now+d, w.healed
-	w.later = append(w.later, func() bool {
-		if w.now >= at && w.healed == day {
+	at, day := w.now+d, w.recoveries
+	w.scheduled = append(w.scheduled, func() bool {
+		if w.now >= at && w.recoveries == day {
 			f()
 		}
 		return w.now >= at
 	})
 }
 
-// some visits a part of all machines.
-func (w *world) some(part int, f func(id string)) {
+// eachOfSome visits a part of all machines.
+func (w *world) eachOfSome(part int, f func(id string)) {
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 		if w.rng.IntN(part) == 0 {
 			f(id)
@@ -79,14 +79,14 @@
 	}
 }
 
-func (w *world) alone(node string) {
-	w.noStore(node)
+func (w *world) isolate(node string) {
+	w.cutStore(node)
 	w.refuse(func(f, t string) bool { return f == node || t == node })
 }
 
-// again ends a controller that is back at once; the lease of its former run lives on for
+// restartAtOnce ends a controller that is back at once; the lease of its former run lives on for
 // a while.
-func (w *world) again(node string) {
+func (w *world) restartAtOnce(node string) {
 	if w.cores[node] == nil {
 		return
 	}
@@ -98,11 +98,11 @@
 
 // recover ends all troubles.
 func (w *world) recover() {
-	w.healed++
+	w.recoveries++
 	w.endOutage()
-	w.noCloud, w.holdDo, w.watchLag, w.lateWrite, w.holdReports, w.closed = false, false, 0, nil, false, ""
-	w.joinZone()
+	w.noCloud, w.delayDeliveries, w.watchLag, w.lateWrite, w.holdReports, w.fullZone = false, false, 0, nil, false, ""
+	w.reconnectZone()
 	w.heal()
-	clear(w.unreached)
-	clear(w.former)
+	clear(w.cutWorkers)
+	clear(w.notUpgraded)
 }
--- a/internal/core/simnetwork_test.go
+++ b/internal/core/simnetwork_test.go
@@ -11,7 +11,7 @@
 
 // connect tells a controller that it can send to another, unless it can't.
 func (w *world) connect(from, to string) {
-	if !w.refused[link{from, to}] {
+	if !w.refusedLinks[link{from, to}] {
 		w.send(from, PeerConnected{Node: to})
 	}
 }
@@ -21,8 +21,8 @@
 func (w *world) refuse(is func(from, to string) bool) {
 	for _, from := range w.names {
 		for _, to := range w.names {
-			if from != to && is(from, to) && !w.refused[link{from, to}] {
-				w.refused[link{from, to}] = true
+			if from != to && is(from, to) && !w.refusedLinks[link{from, to}] {
+				w.refusedLinks[link{from, to}] = true
 				w.send(from, PeerDisconnected{Node: to})
 			}
 		}
@@ -30,17 +30,17 @@
 }
 
 func (w *world) restore() {
-	clear(w.slow)
+	clear(w.slowLinks)
 	for _, from := range w.names {
 		for _, to := range w.names {
-			if w.refused[link{from, to}] {
-				delete(w.refused, link{from, to})
+			if w.refusedLinks[link{from, to}] {
+				delete(w.refusedLinks, link{from, to})
 				w.connect(from, to)
 			}
-			for _, m := range w.late[link{from, to}] {
+			for _, m := range w.heldMessages[link{from, to}] {
 				w.send(to, PeerMessageReceived{Node: from, Message: m})
 			}
-			delete(w.late, link{from, to})
+			delete(w.heldMessages, link{from, to})
 		}
 	}
 }
@@ -50,14 +50,14 @@
 	for _, from := range w.names {
 		for _, to := range w.names {
 			if from != to && is(from, to) {
-				w.slow[link{from, to}] = true
+				w.slowLinks[link{from, to}] = true
 			}
 		}
 	}
 }
 
-// place tells a controller where it and the others are.
-func (w *world) place(node string) {
+// assignZone tells a controller where it and the others are.
+func (w *world) assignZone(node string) {
 	if w.zoneOf == nil {
 		return
 	}
@@ -77,23 +77,23 @@
 		}
 	}
 	for _, n := range w.names {
-		w.place(n)
+		w.assignZone(n)
 	}
 }
 
 // cutZone cuts a zone off, with its machines and controllers, which go on hearing each
-// other; joinZone ends that.
+// other; reconnectZone ends that.
 func (w *world) cutZone(zone string) {
 	w.zoneCut = zone
 	w.refuse(func(f, t string) bool { return (w.zoneOf[f] == zone) != (w.zoneOf[t] == zone) })
 	for _, n := range w.names {
 		if w.zoneOf[n] == zone {
-			w.noStore(n)
+			w.cutStore(n)
 		}
 	}
 }
 
-func (w *world) joinZone() {
+func (w *world) reconnectZone() {
 	if w.zoneCut == "" {
 		return
 	}
@@ -101,13 +101,13 @@
 	w.zoneCut = ""
 	w.restore()
 	for _, n := range w.names {
-		if w.zoneOf[n] == zone && w.cut[n] && w.cores[n] != nil {
-			w.withStore(n)
+		if w.zoneOf[n] == zone && w.withoutStore[n] && w.cores[n] != nil {
+			w.restoreStore(n)
 		}
 	}
 }
 
-// across tells whether a cut is between a controller and a machine.
-func (w *world) across(node string, f *fakeWorker) bool {
+// isAcrossZoneCut tells whether a cut is between a controller and a machine.
+func (w *world) isAcrossZoneCut(node string, f *fakeWorker) bool {
 	return w.zoneCut != "" && (w.zoneOf[node] == w.zoneCut) != (f.Zone == w.zoneCut)
 }
--- a/internal/core/simstore_test.go
+++ b/internal/core/simstore_test.go
@@ -12,7 +12,7 @@
 
 // grant gives a controller a lease, which ends at once while it is refused.
 func (w *world) grant(node string) {
-	if w.unleased[node] = w.outage || w.cut[node]; w.unleased[node] {
+	if w.awaitingLease[node] = w.outage || w.withoutStore[node]; w.awaitingLease[node] {
 		return
 	}
 	w.nextReq++
@@ -20,15 +20,15 @@
 	w.send(node, LeaseGranted{Lease: w.nextReq})
 }
 
-// noStore takes the state service from a controller, whose lease then ends;
-// withStore gives it back.
-func (w *world) noStore(node string) {
-	w.cut[node] = true
+// cutStore takes the state service from a controller, whose lease then ends;
+// restoreStore gives it back.
+func (w *world) cutStore(node string) {
+	w.withoutStore[node] = true
 	w.expire(node)
 }
 
-func (w *world) withStore(node string) {
-	delete(w.cut, node)
+func (w *world) restoreStore(node string) {
+	delete(w.withoutStore, node)
 	w.send(node, LeaseExpired{})
 	w.grant(node)
 }
@@ -65,7 +65,7 @@
 
 // read gives a controller the stored state, now or once it is answered again.
 func (w *world) read(node string) {
-	if w.unread[node] = w.outage || w.cut[node]; !w.unread[node] {
+	if w.awaitingSnapshot[node] = w.outage || w.withoutStore[node]; !w.awaitingSnapshot[node] {
 		w.load(node)
 	}
 }
@@ -83,23 +83,23 @@
 
 // noticeStore tells a controller when the state service stops or starts to answer it.
 func (w *world) noticeStore(node string) {
-	switch since, dark := w.dark[node]; {
-	case !w.outage && !w.cut[node]:
-		delete(w.dark, node)
-		if w.unread[node] {
+	switch since, dark := w.storeLostAt[node]; {
+	case !w.outage && !w.withoutStore[node]:
+		delete(w.storeLostAt, node)
+		if w.awaitingSnapshot[node] {
 			w.read(node)
 		}
-		if w.unleased[node] {
+		if w.awaitingLease[node] {
 			w.grant(node)
 		}
-		if w.blind[node] {
-			delete(w.blind, node)
+		if w.storeLossNoticed[node] {
+			delete(w.storeLossNoticed, node)
 			w.send(node, StoreHealth{OK: true})
 		}
 	case !dark:
-		w.dark[node] = w.now
-	case !w.blind[node] && w.now-since > seconds(w.cfg[node].Params.Workers.ReportS):
-		w.blind[node] = true
+		w.storeLostAt[node] = w.now
+	case !w.storeLossNoticed[node] && w.now-since > seconds(w.cfg[node].Params.Workers.ReportS):
+		w.storeLossNoticed[node] = true
 		w.send(node, StoreHealth{})
 	}
 }
@@ -131,11 +131,11 @@
 }
 
 func (w *world) txn(node string, e StoreTxn) {
-	if w.outage || w.cut[node] {
+	if w.outage || w.withoutStore[node] {
 		w.send(node, StoreReply{ID: e.ID, Outcome: Refused})
 		return
 	}
-	if w.former[node] && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Put, keyVersion) }) {
+	if w.notUpgraded[node] && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Put, keyVersion) }) {
 		w.send(node, StoreReply{ID: e.ID, Outcome: Refused})
 		return
 	}
@@ -151,8 +151,8 @@
 	}
 	r := w.decide(e.Txn)
 	r.ID = e.ID
-	if w.unknown > 0 {
-		w.unknown--
+	if w.lostReplies > 0 {
+		w.lostReplies--
 		r = StoreReply{ID: e.ID, Outcome: Unknown}
 	}
 	w.send(node, r)
@@ -170,7 +170,7 @@
 			r.Failed = append(r.Failed, cond.Key)
 		}
 	}
-	if w.terse && len(r.Failed) > 1 {
+	if w.nameOneFailedKey && len(r.Failed) > 1 {
 		r.Failed = r.Failed[:1]
 	}
 	if len(r.Failed) > 0 {
@@ -194,7 +194,7 @@
 	if kv, ok := w.kv[e.Key]; ok {
 		r.Outcome, r.Item = Applied, kv
 	}
-	if w.outage || w.cut[node] {
+	if w.outage || w.withoutStore[node] {
 		r = StoreReply{ID: e.ID, Outcome: Refused}
 	}
 	w.send(node, r)
@@ -220,7 +220,7 @@
 // carryOutLate lets a transaction get no answer and be carried out after d, by then.
 func (w *world) carryOutLate(node string, e StoreTxn, d time.Duration) {
 	sent, run := w.now, w.cores[node]
-	w.later = append(w.later, func() bool {
+	w.scheduled = append(w.scheduled, func() bool {
 		if w.now < sent+d || w.outage {
 			return false
 		}
@@ -229,7 +229,7 @@
 		}
 		return true
 	})
-	w.later = append(w.later, func() bool {
+	w.scheduled = append(w.scheduled, func() bool {
 		if w.now < sent+min(d, time.Second) {
 			return false
 		}
@@ -260,11 +260,11 @@
 	}
 }
 
-// checkTerm checks that each term belongs to one run of one controller.
-func (w *world) checkTerm(node string, term uint64) {
+// checkToken checks that each term belongs to one run of one controller.
+func (w *world) checkToken(node string, term uint64) {
 	run := w.cores[node].incarnation
-	if other, taken := w.terms[term]; taken && other != run {
+	if other, taken := w.tokenOwners[term]; taken && other != run {
 		w.t.Errorf("%v: %s and %s both have the term %d", w.now, other, run, term)
 	}
-	w.terms[term] = run
+	w.tokenOwners[term] = run
 }
--- a/internal/core/simusers_test.go
+++ b/internal/core/simusers_test.go
@@ -13,8 +13,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// ask sends a user's request to a node and plays until it is answered.
-func (w *world) ask(node string, make1 func(req uint64) Command) Answer {
+// request sends a user's request to a node and plays until it is answered.
+func (w *world) request(node string, make1 func(req uint64) Command) Answer {
 	w.t.Helper()
 	w.nextReq++
 	req := w.nextReq
@@ -30,7 +30,7 @@
 	team := strings.TrimPrefix(id, protocol.JobPrefix)
 	team, _, _ = strings.Cut(team, "-")
 	body := submission(id, team, tasks, more)
-	return w.ask(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+	return w.request(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 }
 
 func submission(id, team string, tasks int, more string) string {
@@ -41,14 +41,14 @@
 
 func (w *world) status(node, id string) Answer {
 	w.t.Helper()
-	return w.ask(node, func(req uint64) Command { return Status{Req: req, ID: id} })
+	return w.request(node, func(req uint64) Command { return Status{Req: req, ID: id} })
 }
 
 func (w *world) cancelJob(node, id string) Answer {
 	w.t.Helper()
-	a := w.ask(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
+	a := w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
 	if a.Status == http.StatusOK {
-		w.told[id] = w.now
+		w.cancellationToldAt[id] = w.now
 	}
 	return a
 }
@@ -64,8 +64,8 @@
 	return s, ok
 }
 
-// handedIn notes a job as its user describes it, whatever becomes of it.
-func (w *world) handedIn(body []byte) {
+// recordSubmission notes a job as its user describes it, whatever becomes of it.
+func (w *world) recordSubmission(body []byte) {
 	if s, err := job.Parse(body, protocol.MaxBody); err == nil && w.specs[s.ID] == nil {
 		w.specs[s.ID] = s
 	}
@@ -90,7 +90,7 @@
 // serving names a controller that may answer users, or none.
 func (w *world) serving() string {
 	for _, i := range w.rng.Perm(len(w.names)) {
-		if n := w.names[i]; w.cores[n] != nil && !w.cut[n] && !w.frozen[n] && !w.outage {
+		if n := w.names[i]; w.cores[n] != nil && !w.withoutStore[n] && !w.frozen[n] && !w.outage {
 			return n
 		}
 	}
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -15,35 +15,35 @@
 // fakeWorker follows the worker's side of the protocol.
 type fakeWorker struct {
 	protocol.Report
-	node    int
-	next    time.Duration
-	leased  time.Duration                 // when the last answered report was sent
-	running map[taskAttempt]time.Duration // when it ends
-	dead    bool
-	// alone is since when a gang's task misses one of the others.
-	alone map[taskAttempt]time.Duration
+	node           int
+	next           time.Duration
+	leaseRenewedAt time.Duration                 // when the last answered report was sent
+	running        map[taskAttempt]time.Duration // when it ends
+	dead           bool
+	// missingPeerSince is since when a gang's task misses one of the others.
+	missingPeerSince map[taskAttempt]time.Duration
 }
 
 func (w *world) addWorker(zone string, spot bool) string {
 	w.rented++
 	id := fmt.Sprintf("vm-%06d", w.rented)
-	w.workers[id] = &fakeWorker{running: map[taskAttempt]time.Duration{}, alone: map[taskAttempt]time.Duration{}, node: w.rented,
-		next: w.now + 3*time.Second, leased: w.now + 3*time.Second,
+	w.workers[id] = &fakeWorker{running: map[taskAttempt]time.Duration{}, missingPeerSince: map[taskAttempt]time.Duration{}, node: w.rented,
+		next: w.now + 3*time.Second, leaseRenewedAt: w.now + 3*time.Second,
 		Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: zone, Spot: spot, Session: 1}}
 	return id
 }
 
-// tendWorkers lets tasks end and reports go out.
-func (w *world) tendWorkers() {
+// stepWorkers lets tasks end and reports go out.
+func (w *world) stepWorkers() {
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 		f := w.workers[id]
 		if f == nil || f.dead || w.hangs(id) {
-			if f != nil && w.forgotten {
-				w.tendLease(f) // it may go on within its lease alone
+			if f != nil && w.allRestarted {
+				w.expireWorkerLease(f) // it may go on within its lease alone
 			}
 			continue
 		}
-		changed := w.tendGangs(f)
+		changed := w.checkGangPeers(f)
 		for i, task := range f.Tasks {
 			end, ok := f.running[taskAttempt{task.Task, task.Attempt}]
 			if ok && task.State == protocol.Running && w.now >= end {
@@ -55,7 +55,7 @@
 				changed = true
 			}
 		}
-		w.tendLease(f)
+		w.expireWorkerLease(f)
 		if w.now >= f.next || changed {
 			w.report(f)
 		}
@@ -67,7 +67,7 @@
 	f.next = w.now + 2*time.Second
 	node := w.names[f.node%len(w.names)]
 	c := w.cores[node]
-	if c == nil || w.deaf[node] || w.frozen[node] || w.unreached[f.Machine] || w.mute[f.Machine] || w.across(node, f) {
+	if c == nil || w.unreachableNodes[node] || w.frozen[node] || w.cutWorkers[f.Machine] || w.silentWorkers[f.Machine] || w.isAcrossZoneCut(node, f) {
 		f.node++
 		return
 	}
@@ -75,8 +75,8 @@
 	w.nextReq++
 	req := w.nextReq
 	beat := Heartbeat{Req: req, Report: w.snapshot(f)}
-	if w.copying && w.rng.IntN(4) == 0 {
-		w.past = append(w.past, beat)
+	if w.replayReports && w.rng.IntN(4) == 0 {
+		w.pastReports = append(w.pastReports, beat)
 	}
 	if w.holdReports && w.rng.IntN(4) == 0 {
 		w.holdReport(beat)
@@ -88,7 +88,7 @@
 	for range 4 {
 		w.step(node)
 	}
-	if !w.hears(f, node) {
+	if !w.workerReaches(f, node) {
 		f.node++
 		f.next = w.now + 5*time.Second // a time-out and a pause
 		return
@@ -107,22 +107,22 @@
 		return
 	}
 	if orders.Token >= f.Token {
-		f.Token, f.leased = orders.Token, w.now
+		f.Token, f.leaseRenewedAt = orders.Token, w.now
 		w.execute(f, orders.Commands)
 	}
 }
 
-// hears tells whether what a controller tells a machine reaches it.
-func (w *world) hears(f *fakeWorker, node string) bool {
-	return !w.unhearing[f.Machine] && !w.unheardBy[link{node, f.Machine}]
+// workerReaches tells whether what a controller tells a machine reaches it.
+func (w *world) workerReaches(f *fakeWorker, node string) bool {
+	return !w.unreachableWorkers[f.Machine] && !w.workerCannotReach[link{node, f.Machine}]
 }
 
-// sendCopies lets a copy of a past report arrive, now and then.
-func (w *world) sendCopies() {
-	if !w.copying || len(w.past) == 0 || w.rng.IntN(3) > 0 {
+// replayPastReports lets a copy of a past report arrive, now and then.
+func (w *world) replayPastReports() {
+	if !w.replayReports || len(w.pastReports) == 0 || w.rng.IntN(3) > 0 {
 		return
 	}
-	b := w.past[w.rng.IntN(len(w.past))]
+	b := w.pastReports[w.rng.IntN(len(w.pastReports))]
 	w.nextReq++
 	b.Req = w.nextReq
 	if node := w.names[w.rng.IntN(len(w.names))]; w.cores[node] != nil && !w.frozen[node] {
@@ -140,12 +140,12 @@
 func (w *world) deliver(node string, d Deliver) {
 	f := w.workers[d.Machine]
 	out := DeliveryResult{Machine: d.Machine, Orders: d.Orders}
-	if f != nil && w.hangs(f.Machine) && !w.across(node, f) {
+	if f != nil && w.hangs(f.Machine) && !w.isAcrossZoneCut(node, f) {
 		// It is carried out when the machine goes on, unless its lease is over by then.
-		w.holdCall(node, d, w.hungUntil[f.Machine]-w.now+2*w.tick)
+		w.delayDelivery(node, d, w.hungUntil[f.Machine]-w.now+2*w.tick)
 		return
 	}
-	if f != nil && !f.dead && !w.unreached[f.Machine] && w.hears(f, node) && !w.across(node, f) {
+	if f != nil && !f.dead && !w.cutWorkers[f.Machine] && w.workerReaches(f, node) && !w.isAcrossZoneCut(node, f) {
 		f.Seq++
 		if d.Orders.Token >= f.Token && d.Orders.Session == f.Session {
 			f.Token = d.Orders.Token
@@ -160,12 +160,12 @@
 	}
 }
 
-// holdCall lets a direct call get no answer and be carried out later, as when the machine
+// delayDelivery lets a direct call get no answer and be carried out later, as when the machine
 // hangs for a while.
-func (w *world) holdCall(node string, d Deliver, d2 time.Duration) {
+func (w *world) delayDelivery(node string, d Deliver, d2 time.Duration) {
 	w.send(node, DeliveryResult{Machine: d.Machine, Orders: d.Orders})
 	at := w.now + d2
-	w.later = append(w.later, func() bool {
+	w.scheduled = append(w.scheduled, func() bool {
 		if w.now < at {
 			return false
 		}
@@ -187,7 +187,7 @@
 		})
 		switch cmd.Op {
 		case protocol.OpStart:
-			if why := w.turnsDown(f, cmd.Task); at < 0 && why != "" {
+			if why := w.rejectionOf(f, cmd.Task); at < 0 && why != "" {
 				f.Tasks = append(f.Tasks, protocol.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: protocol.Exited, Why: why})
 			} else if at < 0 {
 				w.checkStart(f, cmd.Task)
@@ -225,12 +225,12 @@
 
 func (w *world) hangs(id string) bool { return w.now < w.hungUntil[id] }
 
-// tendLease ends a worker's session with all its tasks once its lease is over.
-func (w *world) tendLease(f *fakeWorker) {
-	if w.now-f.leased > w.lease() {
-		f.Session, f.Tasks, f.leased = f.Session+1, nil, w.now
+// expireWorkerLease ends a worker's session with all its tasks once its lease is over.
+func (w *world) expireWorkerLease(f *fakeWorker) {
+	if w.now-f.leaseRenewedAt > w.lease() {
+		f.Session, f.Tasks, f.leaseRenewedAt = f.Session+1, nil, w.now
 		clear(f.running)
-		clear(f.alone)
+		clear(f.missingPeerSince)
 	}
 }
 
@@ -239,7 +239,7 @@
 func (w *world) holdReport(b Heartbeat) {
 	at := w.now + time.Duration(2+w.rng.IntN(30))*time.Second
 	node := w.names[w.rng.IntN(len(w.names))]
-	w.later = append(w.later, func() bool {
+	w.scheduled = append(w.scheduled, func() bool {
 		if w.now < at {
 			return false
 		}
@@ -261,15 +261,15 @@
 		return 0
 	case s != nil && s.Kind == job.Service:
 		return 1 << 50
-	case w.uneven && n%2 == 1 && (s == nil || s.Kind != job.Gang):
+	case w.unevenRunTimes && n%2 == 1 && (s == nil || s.Kind != job.Gang):
 		return 3 * w.taskTime
 	}
 	return w.taskTime
 }
 
-// tendGangs has the tasks of gangs on a machine exit that miss one of the others for too
+// checkGangPeers has the tasks of gangs on a machine exit that miss one of the others for too
 // long: gang_peer_s once the gang was whole, gang_wait_s before.
-func (w *world) tendGangs(f *fakeWorker) (changed bool) {
+func (w *world) checkGangPeers(f *fakeWorker) (changed bool) {
 	p := w.cfg[w.names[0]].Params.Workers
 	for i, t := range f.Tasks {
 		id, _, _ := job.SplitTask(t.Task)
@@ -278,20 +278,20 @@
 			continue
 		}
 		there, done := w.ofAttempt(id, t.Attempt)
-		switch since, misses := f.alone[key]; {
+		switch since, misses := f.missingPeerSince[key]; {
 		case done:
 			// They complete together.
 			f.running[key] = min(f.running[key], w.now)
 		case there == s.Tasks:
-			delete(f.alone, key)
+			delete(f.missingPeerSince, key)
 		case !misses:
-			f.alone[key] = w.now
-		case w.now-since > seconds(p.GangPeerS) && w.whole[taskAttempt{id, t.Attempt}] || w.now-since > seconds(p.GangWaitS):
+			f.missingPeerSince[key] = w.now
+		case w.now-since > seconds(p.GangPeerS) && w.completeGangs[taskAttempt{id, t.Attempt}] || w.now-since > seconds(p.GangWaitS):
 			f.Tasks[i].State, f.Tasks[i].Why = protocol.Exited, "mates_gone"
 			changed = true
 		}
 		if there == s.Tasks {
-			w.whole[taskAttempt{id, t.Attempt}] = true
+			w.completeGangs[taskAttempt{id, t.Attempt}] = true
 		}
 	}
 	return changed
@@ -326,9 +326,9 @@
 	return there, done
 }
 
-// turnsDown tells why a worker refuses a start: there is no room, or the task is there with
+// rejectionOf tells why a worker refuses a start: there is no room, or the task is there with
 // another attempt.
-func (w *world) turnsDown(f *fakeWorker, task string) string {
+func (w *world) rejectionOf(f *fakeWorker, task string) string {
 	id, _, _ := job.SplitTask(task)
 	s := w.specs[id]
 	if s == nil {
--- a/internal/core/startdelivery_test.go
+++ b/internal/core/startdelivery_test.go
@@ -12,21 +12,21 @@
 
 func TestStartHeldByTheNetworkIsRefusedAfterTheTaskWentElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
-	w.loseDo = true
+	w.loseDeliveries = true
 	accepted(t, w.submit("a", "req-blue-1", 2, ""))
 	if !w.run(time.Minute, func() bool {
-		return slices.ContainsFunc(w.held, func(d Deliver) bool { return len(d.Orders.Commands) > 0 })
+		return slices.ContainsFunc(w.heldDeliveries, func(d Deliver) bool { return len(d.Orders.Commands) > 0 })
 	}) {
 		t.Fatal("nothing was delivered")
 	}
-	w.loseDo = false
+	w.loseDeliveries = false
 	if !w.run(time.Minute, w.finished("req-blue-1")) {
 		t.Fatal("job does not end after a lost start")
 	}
 	accepted(t, w.submit("b", "req-blue-2", 2, ""))
 	w.run(3*time.Second, nil)
 	before := len(w.starts)
-	for _, d := range w.held {
+	for _, d := range w.heldDeliveries {
 		w.deliver("a", d)
 	}
 	w.run(time.Minute, w.finished("req-blue-2"))
@@ -53,7 +53,7 @@
 	for i, task := range []string{"", "x", "req-1/", "req-1/-4", "req-1/99999999999", "req-unknown/0"} {
 		r := protocol.Report{Machine: "vm-odd", Address: "x", Type: "odd", Session: 1, Seq: uint64(i + 1),
 			Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: "odd"}}}
-		if a := w.ask("a", func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusOK {
+		if a := w.request("a", func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusOK {
 			t.Errorf("report of %q got %d", task, a.Status)
 		}
 	}
--- a/internal/core/storerelay_test.go
+++ b/internal/core/storerelay_test.go
@@ -18,7 +18,7 @@
 func idleWorld(t tester, machines int) *world {
 	t.Helper()
 	w := newWorldOf(t, five)
-	w.most = machines
+	w.maxMachines = machines
 	for i := range machines {
 		w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 	}
@@ -31,7 +31,7 @@
 func partitionedWorld(t *testing.T, machines int, id string) (w *world, home string) {
 	t.Helper()
 	w = idleWorld(t, machines)
-	w.racing, w.taskTime = true, 10*time.Minute
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("a", id, 2*machines, ""))
 	w.started(id, machines)
 	return w, w.cores["a"].teamBy["free"].leader
@@ -40,7 +40,7 @@
 // informed names a controller that has the state service.
 func (w *world) informed() string {
 	for _, n := range w.names {
-		if w.cores[n] != nil && !w.cut[n] && !w.frozen[n] && w.cores[n].storeOK {
+		if w.cores[n] != nil && !w.withoutStore[n] && !w.frozen[n] && w.cores[n].storeOK {
 			return n
 		}
 	}
@@ -66,12 +66,12 @@
 			w.refuse(func(_, t string) bool { return t == r })
 		},
 		"every second link":          func(w *world, _ string) { w.refuse(func(f, t string) bool { return (f[0]+t[0])%2 == 1 }) },
-		"all links, home's store":    func(w *world, home string) { w.refuse(everyLink); w.noStore(home) },
-		"all links, another's store": func(w *world, home string) { w.refuse(everyLink); w.noStore(w.notHome(home)) },
+		"all links, home's store":    func(w *world, home string) { w.refuse(everyLink); w.cutStore(home) },
+		"all links, another's store": func(w *world, home string) { w.refuse(everyLink); w.cutStore(w.notHome(home)) },
 		"all links, store of three": func(w *world, home string) {
 			w.refuse(everyLink)
 			for _, n := range []string{"a", "c", "e"} {
-				w.noStore(n)
+				w.cutStore(n)
 			}
 		},
 		"all links, home crashes": func(w *world, home string) { w.refuse(everyLink); w.crash(home); w.expire(home) },
@@ -95,7 +95,7 @@
 				w.run(time.Duration(part*float64(allowed)), nil)
 				w.heal()
 				w.run(2*allowed, nil)
-				if len(w.told) > 0 {
+				if len(w.cancellationToldAt) > 0 {
 					t.Error("the day ended before the time allowed")
 				}
 			})
@@ -116,18 +116,18 @@
 // heal ends all troubles.
 func (w *world) heal() {
 	w.restore()
-	clear(w.unhearing)
-	clear(w.mute)
-	clear(w.unheardBy)
-	w.copying = false
+	clear(w.unreachableWorkers)
+	clear(w.silentWorkers)
+	clear(w.workerCannotReach)
+	w.replayReports = false
 	for _, n := range w.names {
 		if w.cores[n] == nil {
-			delete(w.cut, n)
+			delete(w.withoutStore, n)
 			delete(w.frozen, n)
 			w.boot(n)
-		} else if w.cut[n] || w.frozen[n] {
+		} else if w.withoutStore[n] || w.frozen[n] {
 			delete(w.frozen, n)
-			w.withStore(n)
+			w.restoreStore(n)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	w, _ := partitionedWorld(t, 20, "req-free-1")
 	w.noCloud = true
 	for _, f := range w.workers {
-		w.unreached[f.Machine] = true
+		w.cutWorkers[f.Machine] = true
 	}
 	w.cancelJob("a", "req-free-1")
 	if w.run(10*time.Second, nil); w.onMachines("req-free-1") == 0 {
@@ -157,15 +157,15 @@
 		t.Run(fmt.Sprint(kb), func(t *testing.T) {
 			t.Parallel()
 			w := newWorldOf(t, five)
-			w.most = 30
+			w.maxMachines = 30
 			for _, cfg := range w.cfg {
 				cfg.Params.State.ValueKB = kb
 			}
-			for i := range w.most {
+			for i := range w.maxMachines {
 				w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
 			w.ready().run(10*time.Second, nil)
-			w.racing, w.taskTime = true, 10*time.Minute
+			w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 			accepted(t, w.submit("a", "req-free-1", 60, ""))
 			w.started("req-free-1", 60)
 			names := slices.Sorted(maps.Keys(w.workers))
@@ -227,7 +227,7 @@
 		t.Fatal("job does not end while links are slow")
 	}
 	held := 0
-	for _, ms := range w.late {
+	for _, ms := range w.heldMessages {
 		for _, m := range ms {
 			if m.Start != nil {
 				held++
@@ -247,18 +247,18 @@
 // read the job's later writes as those of a live one, and call it done.
 func TestDeposedHomeDoesNotCallACancelledJobDone(t *testing.T) {
 	w := newWorldOf(t, five)
-	w.racing, w.taskTime = true, time.Minute
+	w.allowRacingStarts, w.taskTime = true, time.Minute
 	w.ready()
 	home := w.cores["a"].teamBy["free"].leader
 	accepted(t, w.submit(home, "req-free-1", 12, ""))
 	w.started("req-free-1", 3)
-	w.noStore(home)
+	w.cutStore(home)
 	w.run(5*time.Second, nil)
 	w.cancelJob(w.informed(), "req-free-1")
 	if !w.run(time.Minute, func() bool { return w.kv[jobKey("req-free-1")].Version == 0 }) {
 		t.Fatal("the cancelled job does not end")
 	}
-	w.withStore(home)
+	w.restoreStore(home)
 	w.run(10*time.Second, nil)
 	if s := stateOf(t, w.status(home, "req-free-1")); s.State != "cancelled" {
 		t.Errorf("%s says %+v", home, s)
@@ -275,7 +275,7 @@
 			w.send(n, StoreHealth{OK: !strings.Contains(cut, n)})
 		}
 		w.run(5*time.Second, nil)
-		got := w.ask("a", func(req uint64) Command { return Health{Req: req} }).Status == 200
+		got := w.request("a", func(req uint64) Command { return Health{Req: req} }).Status == 200
 		if got != healthy {
 			t.Errorf("with %q cut off a is healthy: %v", cut, got)
 		}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -73,7 +73,7 @@
 					w.taskTime = time.Hour
 				}
 				if state == "not answered" {
-					w.unknown = 1
+					w.lostReplies = 1
 				}
 				if a := w.submit("a", "req-blue-1", 2, ""); (a.Status == http.StatusCreated) == (state == "not answered") {
 					t.Fatalf("got %d", a.Status)
@@ -87,7 +87,7 @@
 					w.cancelJob("b", "req-blue-1")
 				}
 				for _, node := range w.names {
-					a := w.ask(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+					a := w.request(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 					s := stateOf(t, a)
 					if a.Status != http.StatusOK || (state == protocol.Done || state == protocol.Cancelled) && s.State != state {
 						t.Errorf("%s answers %d, %q", node, a.Status, s.State)
@@ -96,7 +96,7 @@
 				// Nobody can tell while the state service is out: neither 400 nor 422.
 				w.outage = true
 				w.run(reports(2), nil)
-				if a := w.ask("c", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
+				if a := w.request("c", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
 					t.Errorf("in an outage the answer is %d", a.Status)
 				}
 			})
@@ -133,7 +133,7 @@
 		}
 	}
 	for name, body := range ordered(bodies) {
-		a := w.ask("b", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+		a := w.request("b", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 		if a.Status != http.StatusBadRequest {
 			t.Errorf("%s: got %d", name, a.Status)
 		}
@@ -163,7 +163,7 @@
 		"service of a zone, spread":         submission("req-x-12", "blue", 3, `,"shape":"service","yard":"z1","spread":true`),
 		"gang on types of one zone, spread": submission("req-x-13", "blue", 2, `,"shape":"group","spread":true,"builds":["local"]`),
 	} {
-		a := w.ask("a", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+		a := w.request("a", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 		if a.Status != http.StatusUnprocessableEntity {
 			t.Errorf("%s: got %d", name, a.Status)
 		}
@@ -219,7 +219,7 @@
 func TestNodeAloneWithoutTheStoreIsUnhealthyButNotInACommonOutage(t *testing.T) {
 	w := newWorld(t).ready()
 	health := func() int {
-		return w.ask("a", func(req uint64) Command { return Health{Req: req} }).Status
+		return w.request("a", func(req uint64) Command { return Health{Req: req} }).Status
 	}
 	w.send("a", StoreHealth{OK: false})
 	w.run(time.Second, nil)
