--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -96,8 +96,8 @@
 		for b.Loop() {
 			c.effects = nil
 			j.Touch(0)
-			c.flush(c.teamBy[j.Team], j)
-			c.handle(StoreReply{ID: c.nextID, Outcome: Applied, Revision: 2})
+			c.flushJob(c.teamBy[j.Team], j)
+			c.handle(StoreReply{ID: c.ids.last, Outcome: Applied, Revision: 2})
 		}
 	})
 }
@@ -124,7 +124,7 @@
 			for b.Loop() {
 				c.now.Steady += time.Nanosecond
 				c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
-				c.writeBudget.at, c.writeBudget.level, c.scheduler.storeAfter = c.now.Steady, 0, 0
+				c.writeBudget.refilledAt, c.writeBudget.level, c.writeBudget.pausedUntil = c.now.Steady, 0, 0
 				c.schedule()
 				c.flushJobs()
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -27,10 +27,11 @@
 	// incarnation tells this run of the process from earlier ones.
 	incarnation string
 
-	now            Now
-	effects        []Effect
-	nextID         uint64
-	pendingReplies map[uint64]pendingReply
+	now     Now
+	effects []Effect
+	// ids numbers requests to the store and names what has to be unique in this run.
+	ids            sequence
+	pendingReplies pendingReplies
 
 	// Replica of the store.
 	loaded   bool
@@ -112,7 +113,7 @@
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, heartbeat, share, observations, short, rebalance, record, election, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
+	last, heartbeat, share, observations, rebalance, record, election, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
 }
 
 // team is the state of one team, whoever is its home.
@@ -141,7 +142,7 @@
 	c := &Core{
 		cfg: cfg, policy: policy, incarnation: inc,
 		limits:         storeLimits{settings: &cfg.Params.State},
-		pendingReplies: map[uint64]pendingReply{}, nodes: map[string]nodeRecord{},
+		pendingReplies: pendingReplies{}, nodes: map[string]nodeRecord{},
 		teamBy: map[string]*team{}, jobs: map[string]*job.Job{},
 		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
@@ -202,11 +203,7 @@
 	case Heartbeat:
 		c.handleHeartbeat(m)
 	case StoreReply:
-		if w, waits := c.pendingReplies[m.ID]; waits {
-			delete(c.pendingReplies, m.ID)
-			c.noteStoreReply(w.since, m)
-			w.done(m)
-		}
+		c.handleStoreReply(m)
 	case SnapshotLoaded:
 		c.applySnapshot(m)
 	case StoreChanged:
@@ -323,28 +320,5 @@
 	c.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
 
-// compareAndSwap runs a transaction and hands its outcome to done.
-func (c *Core) compareAndSwap(t protocol.Txn, urgent bool, done func(StoreReply)) {
-	c.emit(StoreTxn{ID: c.expectReply(done), Txn: t, Urgent: urgent})
-}
-
-// get reads a key and hands it to done.
-func (c *Core) get(key string, done func(StoreReply)) {
-	c.emit(StoreGet{ID: c.expectReply(done), Key: key})
-}
-
-// pendingReply is who waits for a reply of the state service, and since when.
-type pendingReply struct {
-	since time.Duration
-	done  func(StoreReply)
-}
-
-// expectReply numbers a request whose reply done takes.
-func (c *Core) expectReply(done func(StoreReply)) uint64 {
-	c.nextID++
-	c.pendingReplies[c.nextID] = pendingReply{c.now.Steady, done}
-	return c.nextID
-}
-
 // seconds turns a figure of the settings into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/core/job/stored.go
+++ b/internal/core/job/stored.go
@@ -93,6 +93,15 @@
 	return out
 }
 
+// HeadNonce is the nonce of the update that wrote a stored head.
+func HeadNonce(raw json.RawMessage) (string, error) {
+	var head struct {
+		Nonce string `json:"w"`
+	}
+	err := json.Unmarshal(raw, &head)
+	return head.Nonce, err
+}
+
 // LoadHead reads the stored head.
 func (j *Job) LoadHead(raw json.RawMessage) error {
 	var r record
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -122,3 +122,19 @@
 		}
 	}
 }
+
+// A report of hundreds of tasks that nobody knows takes one lookup for each job, and stops
+// nothing before the store has answered.
+func TestReportOfHundredsOfUnknownTasksIsBounded(t *testing.T) {
+	c := busyCore(10)
+	r := benchReport(0, "req-0/0")
+	r.Seq = 2
+	for n := range 300 {
+		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: fmt.Sprintf("req-8%d/%d", n%3, n), Attempt: 1, State: protocol.Running})
+	}
+	c.effects = nil
+	c.handle(Heartbeat{Req: 1, Report: r})
+	if w := c.agents[r.Machine]; len(c.lookups.unknown) != 3 || len(w.queuedCommands) > 0 {
+		t.Errorf("%d lookups for three jobs, %d commands", len(c.lookups.unknown), len(w.queuedCommands))
+	}
+}
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -89,7 +89,7 @@
 	Revision uint64 `json:"v,omitempty"`
 	StoreOK  bool   `json:"s"`
 	// PendingWrites is how many changes of jobs wait to be stored, by rank.
-	PendingWrites ranks `json:"d"`
+	PendingWrites changesByRank `json:"d"`
 	// Records are the usage records of the teams that the sender leads.
 	Records map[string]fairness.Record `json:"r,omitempty"`
 	// HeardMachines names the machines that have reported to the sender since its last
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,7 +15,7 @@
 	storeOK     bool
 	lastContact time.Duration
 	// pendingWrites is how many changes of jobs wait there to be stored.
-	pendingWrites ranks
+	pendingWrites changesByRank
 	// revision is how far its replica has been.
 	revision uint64
 	// lastHeartbeatID is its newest beat here; up to sure it has told all that it knew of.
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -19,10 +19,8 @@
 
 // schedulerState is what placing keeps between steps.
 type schedulerState struct {
-	dirty bool
-	next  time.Duration
-	// storeAfter holds back the storing of jobs after a refusal.
-	storeAfter      time.Duration
+	dirty           bool
+	next            time.Duration
 	deliver         map[string]bool
 	asked           map[string]bool
 	returnRequested map[string]time.Duration
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -137,10 +137,10 @@
 // nextRelayHeartbeat is this node's sign of life for a bulletin; its number makes each unlike
 // the one before.
 func (c *Core) nextRelayHeartbeat() json.RawMessage {
-	c.nextID++
+	number := c.ids.next()
 	b := c.newHeartbeat()
 	b.Records = c.ownRecords()
-	return mustMarshal(relayHeartbeat{Sequence: c.nextID, NodeHeartbeat: b})
+	return mustMarshal(relayHeartbeat{Sequence: number, NodeHeartbeat: b})
 }
 
 type relayHeartbeat struct {
