--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -53,7 +53,7 @@
 	requests int
 	// nameOneFailedKey makes a failed transaction name one failed key only.
 	nameOneFailedKey bool
-	// unreachableNodes nodes cannot be reached by workers; redirected counts how many were
+	// unreachableNodes cannot be reached by workers; redirected counts how many workers were
 	// sent to each node.
 	unreachableNodes map[string]bool
 	redirected       map[string]int
@@ -68,23 +68,23 @@
 	sent     []federation.Message
 	// onEffect, if set, is told of every effect.
 	onEffect func(node string, e Effect)
-	// names are the controllers; most is how many machines the cloud has.
+	// names are the controllers; maxMachines is how many machines the cloud has.
 	names       []string
 	maxMachines int
 	// taskTime is how long a task runs.
 	taskTime time.Duration
 	// types is the cloud's catalogue.
 	types []protocol.MachineType
-	// refusedLinks holds the links between controllers over which nothing passes, frozen
-	// the controllers that stand still, unreached the workers without a network.
+	// refusedLinks holds the links between controllers over which nothing passes.
 	refusedLinks map[link]bool
-	// slowLinks links hold back what is sent over them until they are restored.
+	// slowLinks hold back what is sent over them until they are restored.
 	slowLinks    map[link]bool
 	heldMessages map[link][]PeerMessage
-	frozen       map[string]bool
-	cutWorkers   map[string]bool
+	// frozen holds the controllers that stand still, cutWorkers the workers without a network.
+	frozen     map[string]bool
+	cutWorkers map[string]bool
 	// unreachableWorkers are the machines whose reports arrive while nothing reaches them;
-	// workerCannotReach are the controllers that a machine does not hear.
+	// workerCannotReach holds the links from a controller to a machine that carry nothing.
 	unreachableWorkers map[string]bool
 	workerCannotReach  map[link]bool
 	// silentWorkers are the machines that reach no controller, while direct calls reach them.
@@ -95,7 +95,7 @@
 	// noCloud keeps the cloud from taking machines back.
 	noCloud bool
 	// storeLostAt is since when the state service answers a controller nothing, as it notices
-	// after a report interval; blind holds those that have.
+	// after a report interval; storeLossNoticed holds those that have.
 	storeLostAt      map[string]time.Duration
 	storeLossNoticed map[string]bool
 	// watchLag is the pause between two watches of a controller, watchedAt its last.
@@ -103,8 +103,8 @@
 	watchedAt map[string]time.Duration
 	// slowWatcher is a controller whose watch brings nothing.
 	slowWatcher string
-	// awaitingSnapshot holds the controllers that wait for the stored state, unleased those that wait
-	// for a lease.
+	// awaitingSnapshot holds the controllers that wait for the stored state, awaitingLease those
+	// that wait for a lease.
 	awaitingSnapshot, awaitingLease map[string]bool
 	// scheduled holds what goes on beside, until it says that it is over.
 	scheduled []func() bool
@@ -114,17 +114,17 @@
 	messagesInFlight []flight
 	// previousRelease are controllers of the release before, which know less of messages.
 	previousRelease []string
-	// unevenRunTimes lets every second task of a job run three times as long; healed counts how
-	// often all troubles ended.
+	// unevenRunTimes lets every second task of a job run three times as long; recoveries counts
+	// how often all faults ended.
 	unevenRunTimes bool
 	recoveries     int
-	// tokenOwners tells which run has taken each term.
+	// tokenOwners tells which run has acquired each fencing token.
 	tokenOwners map[uint64]string
 	// completed are the tasks that have ended by themselves.
 	completed map[string]bool
 	// cancellationToldAt is when the user of a job was told that it is cancelled.
 	cancellationToldAt map[string]time.Duration
-	// specs are the jobs that were handed in, as their users described them.
+	// specs are the submitted jobs, as their users described them.
 	specs map[string]*job.Spec
 	// tune changes the settings that every controller is given.
 	tune func(*settings.Settings)
@@ -169,13 +169,50 @@
 
 // newTunedWorld is a world whose controllers are given other settings.
 func newTunedWorld(t tester, names []string, tune func(*settings.Settings)) *world {
-	w := &world{tune: tune, specs: map[string]*job.Spec{}, endedAt: map[string]time.Duration{}, notUpgraded: map[string]bool{}, hungUntil: map[string]time.Duration{}, completeGangs: map[taskAttempt]bool{}, t: t, rng: rand.New(rand.NewPCG(1, 2)), tick: 100 * time.Millisecond,
-		cores: map[string]*Core{}, inbox: map[string][]Command{}, withoutStore: map[string]bool{},
-		kv: map[string]protocol.KeyValue{}, seen: map[string]uint64{}, leases: map[uint64]string{},
-		workers: map[string]*fakeWorker{}, answers: map[uint64]Answer{}, starts: map[string]int{}, broken: map[string]bool{}, faulty: map[string]bool{},
-		unreachableNodes: map[string]bool{}, redirected: map[string]int{},
-		cfg: map[string]*settings.Settings{}, names: names, maxMachines: 40, taskTime: 5 * time.Second,
-		refusedLinks: map[link]bool{}, slowLinks: map[link]bool{}, heldMessages: map[link][]PeerMessage{}, frozen: map[string]bool{}, cutWorkers: map[string]bool{}, unreachableWorkers: map[string]bool{}, silentWorkers: map[string]bool{}, workerCannotReach: map[link]bool{}, storeLostAt: map[string]time.Duration{}, storeLossNoticed: map[string]bool{}, awaitingSnapshot: map[string]bool{}, awaitingLease: map[string]bool{}, watchedAt: map[string]time.Duration{}, cancellationToldAt: map[string]time.Duration{}, completed: map[string]bool{}, tokenOwners: map[uint64]string{}}
+	w := &world{
+		t:                  t,
+		rng:                rand.New(rand.NewPCG(1, 2)),
+		tick:               100 * time.Millisecond,
+		names:              names,
+		tune:               tune,
+		maxMachines:        40,
+		taskTime:           5 * time.Second,
+		specs:              map[string]*job.Spec{},
+		endedAt:            map[string]time.Duration{},
+		notUpgraded:        map[string]bool{},
+		hungUntil:          map[string]time.Duration{},
+		completeGangs:      map[taskAttempt]bool{},
+		cores:              map[string]*Core{},
+		inbox:              map[string][]Command{},
+		withoutStore:       map[string]bool{},
+		kv:                 map[string]protocol.KeyValue{},
+		seen:               map[string]uint64{},
+		leases:             map[uint64]string{},
+		workers:            map[string]*fakeWorker{},
+		answers:            map[uint64]Answer{},
+		starts:             map[string]int{},
+		broken:             map[string]bool{},
+		faulty:             map[string]bool{},
+		unreachableNodes:   map[string]bool{},
+		redirected:         map[string]int{},
+		cfg:                map[string]*settings.Settings{},
+		refusedLinks:       map[link]bool{},
+		slowLinks:          map[link]bool{},
+		heldMessages:       map[link][]PeerMessage{},
+		frozen:             map[string]bool{},
+		cutWorkers:         map[string]bool{},
+		unreachableWorkers: map[string]bool{},
+		silentWorkers:      map[string]bool{},
+		workerCannotReach:  map[link]bool{},
+		storeLostAt:        map[string]time.Duration{},
+		storeLossNoticed:   map[string]bool{},
+		awaitingSnapshot:   map[string]bool{},
+		awaitingLease:      map[string]bool{},
+		watchedAt:          map[string]time.Duration{},
+		cancellationToldAt: map[string]time.Duration{},
+		completed:          map[string]bool{},
+		tokenOwners:        map[uint64]string{},
+	}
 	w.types = []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"z1", "z2"}},
 	}
@@ -267,19 +304,30 @@
 	if c == nil || w.frozen[node] {
 		return
 	}
-	if !w.outage && !w.withoutStore[node] && !w.awaitingSnapshot[node] && w.seen[node] < uint64(len(w.events)) && w.now >= w.watchedAt[node]+w.watchLag && (w.slowWatcher == "" || w.slowWatcher != node) {
-		w.watchedAt[node] = w.now
-		w.send(node, StoreChanged{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
-		w.seen[node] = uint64(len(w.events))
-	}
+	w.sendEvents(node)
 	w.noticeStore(node)
 	batch := w.inbox[node]
 	w.inbox[node] = nil
-	for _, e := range c.Step(Now{Steady: w.now, Wall: w.now.Milliseconds()}, batch) {
+	effects := c.Step(Now{Steady: w.now, Wall: w.now.Milliseconds()}, batch)
+	for token := range c.tokens.acquired {
+		w.checkToken(node, token)
+	}
+	for _, e := range effects {
 		w.carryOut(node, e)
 	}
 }
 
+// sendEvents lets a controller's watch bring what has changed, unless something holds it back.
+func (w *world) sendEvents(node string) {
+	cut := w.outage || w.withoutStore[node] || w.awaitingSnapshot[node] || w.slowWatcher == node
+	if cut || w.seen[node] >= uint64(len(w.events)) || w.now < w.watchedAt[node]+w.watchLag {
+		return
+	}
+	w.watchedAt[node] = w.now
+	w.send(node, StoreChanged{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
+	w.seen[node] = uint64(len(w.events))
+}
+
 // crash ends a controller; expire ends its lease.
 func (w *world) crash(node string) {
 	delete(w.cores, node)
@@ -313,10 +361,6 @@
 		w.onEffect(node, e)
 	}
 	switch e := e.(type) {
-	case Log:
-		if e.Text == "term taken" {
-			w.checkToken(node, e.Attrs[1].(uint64))
-		}
 	case Answer:
 		w.answers[e.Req] = e
 	case StoreTxn:
@@ -326,37 +370,11 @@
 	case StoreReload:
 		w.read(node)
 	case SendPeer:
-		if slices.Contains(w.previousRelease, node) {
-			e.Message = asPreviousRelease(e.Message)
-		}
-		for _, to := range e.Nodes {
-			msg := e.Message
-			if slices.Contains(w.previousRelease, to) {
-				msg = asPreviousRelease(msg)
-			}
-			switch l := (link{node, to}); {
-			case w.cores[to] == nil || w.refusedLinks[l]:
-			case w.slowLinks[l]:
-				w.heldMessages[l] = append(w.heldMessages[l], msg)
-			case w.latency:
-				w.messagesInFlight = append(w.messagesInFlight, flight{l, msg})
-			default:
-				w.send(to, PeerMessageReceived{Node: node, Message: msg})
-			}
-		}
+		w.sendPeer(node, e)
 	case SendSite:
 		w.sent = append(w.sent, e.Message)
 	case Deliver:
-		if w.loseDeliveries {
-			w.heldDeliveries = append(w.heldDeliveries, e)
-			w.send(node, DeliveryResult{Machine: e.Machine, Orders: e.Orders})
-			return
-		}
-		if w.delayDeliveries && w.rng.IntN(4) == 0 {
-			w.delayDelivery(node, e, time.Duration(1+w.rng.IntN(12))*time.Second)
-			return
-		}
-		w.deliver(node, e)
+		w.startDelivery(node, e)
 	case FetchCatalog:
 		w.send(node, CloudHealth{OK: !w.noCloud})
 		if !w.noCloud {
@@ -365,29 +383,75 @@
 	case FetchInventory:
 		w.list(node)
 	case RequestRental:
-		if len(w.workers) >= w.maxMachines || w.isZoneFull(e.Rental.Zone) {
-			w.send(node, RentalResult{Rental: e.Rental, Outcome: Refused})
-			return
-		}
-		var names []string
-		for range e.Rental.Count {
-			id := w.addWorker(e.Rental.Zone, e.Rental.Spot)
-			w.workers[id].Type = e.Rental.Type
-			names = append(names, id)
-		}
-		w.send(node, RentalResult{Rental: e.Rental, Outcome: Applied, Machines: names})
+		w.rent(node, e)
 	case ReleaseMachines:
-		if w.noCloud {
-			w.send(node, ReleaseResult{Machines: e.Machines})
-			return
+		w.release(node, e)
+	}
+}
+
+// sendPeer passes a message on, unless a link refuses or holds it.
+func (w *world) sendPeer(node string, e SendPeer) {
+	if slices.Contains(w.previousRelease, node) {
+		e.Message = asPreviousRelease(e.Message)
+	}
+	for _, to := range e.Nodes {
+		msg := e.Message
+		if slices.Contains(w.previousRelease, to) {
+			msg = asPreviousRelease(msg)
 		}
-		for _, m := range e.Machines {
-			delete(w.workers, m)
+		switch l := (link{node, to}); {
+		case w.cores[to] == nil || w.refusedLinks[l]:
+		case w.slowLinks[l]:
+			w.heldMessages[l] = append(w.heldMessages[l], msg)
+		case w.latency:
+			w.messagesInFlight = append(w.messagesInFlight, flight{l, msg})
+		default:
+			w.send(to, PeerMessageReceived{Node: node, Message: msg})
 		}
-		w.send(node, ReleaseResult{Machines: e.Machines, OK: true})
 	}
 }
 
+// startDelivery carries out a direct call, now, later or never.
+func (w *world) startDelivery(node string, e Deliver) {
+	if w.loseDeliveries {
+		w.heldDeliveries = append(w.heldDeliveries, e)
+		w.send(node, DeliveryResult{Machine: e.Machine, Orders: e.Orders})
+		return
+	}
+	if w.delayDeliveries && w.rng.IntN(4) == 0 {
+		w.delayDelivery(node, e, time.Duration(1+w.rng.IntN(12))*time.Second)
+		return
+	}
+	w.deliver(node, e)
+}
+
+// rent lets the cloud add machines while it has any.
+func (w *world) rent(node string, e RequestRental) {
+	if len(w.workers) >= w.maxMachines || w.isZoneFull(e.Rental.Zone) {
+		w.send(node, RentalResult{Rental: e.Rental, Outcome: Refused})
+		return
+	}
+	var names []string
+	for range e.Rental.Count {
+		id := w.addWorker(e.Rental.Zone, e.Rental.Spot)
+		w.workers[id].Type = e.Rental.Type
+		names = append(names, id)
+	}
+	w.send(node, RentalResult{Rental: e.Rental, Outcome: Applied, Machines: names})
+}
+
+// release lets the cloud take machines back.
+func (w *world) release(node string, e ReleaseMachines) {
+	if w.noCloud {
+		w.send(node, ReleaseResult{Machines: e.Machines})
+		return
+	}
+	for _, m := range e.Machines {
+		delete(w.workers, m)
+	}
+	w.send(node, ReleaseResult{Machines: e.Machines, OK: true})
+}
+
 // asPreviousRelease is what a controller of the release before makes of a message, or sends.
 func asPreviousRelease(m PeerMessage) PeerMessage {
 	m.Cancellations, m.Acknowledged = nil, nil
