--- a/internal/core/agents.go
+++ b/internal/core/agents.go
@@ -129,7 +129,7 @@
 	}
 	w.queuedStarts = nil
 	// Homes must not bind under the old term any more.
-	if m := c.machines[id]; m != nil {
+	if m := c.machines.Get(id); m != nil {
 		c.shareObservation(Observation{Node: c.cfg.Node, Token: w.token, Report: m.Report})
 	}
 	c.deliverTo(id, w)
@@ -154,9 +154,9 @@
 
 // trackAcknowledgement follows whether a machine hears what it is told.
 func (c *Core) trackAcknowledgement(m *worker.Machine, o *Observation) {
-	before := m.Deaf()
-	m.Answered(o.Report.Token, o.Token)
-	if m.Deaf() != before {
+	before := m.IsUnreachable()
+	m.RecordAnswer(o.Report.Token, o.Token)
+	if m.IsUnreachable() != before {
 		c.requestRound()
 		if o.Node == c.cfg.Node {
 			c.log(Info, "machine does not hear its answers, or does again", "machine", m.Machine, "deaf", !before)
@@ -167,8 +167,8 @@
 // isStaleReport tells whether a report is a copy, or older than one that is known: it may
 // come minutes late, to any controller.
 func (c *Core) isStaleReport(r *protocol.Report) bool {
-	m := c.machines[r.Machine]
-	return c.cordons[r.Machine].Terminated || m != nil && m.Outdated(r)
+	m := c.machines.Get(r.Machine)
+	return c.cordons[r.Machine].Terminated || m != nil && m.IsOutdated(r)
 }
 
 // answerStaleReport answers a report that says nothing new. A worker may be waiting for
@@ -208,7 +208,7 @@
 		w = c.admit(r)
 		// Starts that the controller before had not delivered are settled by a
 		// report under this term; the next one may be a report interval away.
-		if w.probeDue = r.Token < w.token && c.ledger.On(r.Machine) != nil; w.probeDue {
+		if w.probeDue = r.Token < w.token && c.machines.Load(r.Machine) != nil; w.probeDue {
 			c.scheduler.deliver[r.Machine] = true
 		}
 	}
@@ -253,16 +253,16 @@
 	for _, t := range r.Tasks {
 		delete(w.pendingStarts, taskAttempt{t.Task, t.Attempt})
 	}
-	m := c.machines[r.Machine]
-	known := m != nil && m.Node == c.cfg.Node && m.Term == w.token && m.Same(&r) && m.Newer(&r) && !m.Missed(r.Token)
-	if known && !(direct && c.reportOverdue(m)) && (m.Exits == 0 || c.now.Steady-w.lastSharedAt < 3*c.reportInterval()) {
+	m := c.machines.Get(r.Machine)
+	known := m != nil && m.Node == c.cfg.Node && m.GrantedToken == w.token && m.HasSameContent(&r) && m.IsNewer(&r) && !m.MissedAnswer(r.Token)
+	if known && !(direct && c.reportOverdue(m)) && (m.ExitedTasks == 0 || c.now.Steady-w.lastSharedAt < 3*c.reportInterval()) {
 		// The others know; this node's beats tell them that the worker lives.
 		// Exited tasks are told again, lest the order to forget them was lost, and
 		// so is the reply of a worker whose reports don't come, of which beats say
 		// nothing.
 		m.Seq = r.Seq
-		m.Answered(r.Token, w.token)
-		c.noteContact(m, direct)
+		m.RecordAnswer(r.Token, w.token)
+		c.machines.RecordContact(m, direct, c.now.Steady)
 		return
 	}
 	w.lastSharedAt = c.now.Steady
@@ -310,7 +310,7 @@
 		return "session has passed"
 	case w.unanswered:
 		return "worker does not answer"
-	case c.machines[s.Machine] != nil && c.reportOverdue(c.machines[s.Machine]):
+	case c.machines.Get(s.Machine) != nil && c.reportOverdue(c.machines.Get(s.Machine)):
 		return "worker does not report"
 	case s.Revision > 0 && s.Revision <= c.revision && !c.shows(s.Machine, taskAttempt{s.Task, s.Attempt}):
 		return "binding has passed"
@@ -343,7 +343,7 @@
 // hasRoomNow checks the room on the machine as its newest report and the starts
 // on their way show it.
 func (c *Core) hasRoomNow(s Start, w *agentSession) bool {
-	m := c.machines[s.Machine]
+	m := c.machines.Get(s.Machine)
 	if m == nil {
 		return false
 	}
@@ -443,7 +443,7 @@
 		c.acquireToken() // it failed before, and the homes that asked may not be heard
 	}
 	for id, w := range ordered(c.agents) {
-		m, quiet := c.machines[id], c.now.Steady-w.lastReportAt
+		m, quiet := c.machines.Get(id), c.now.Steady-w.lastReportAt
 		elsewhere := m != nil && m.Node != c.cfg.Node
 		switch {
 		case elsewhere || quiet > c.leaseTime()+2*c.reportInterval() || c.cordons[id].Terminated:
@@ -461,35 +461,35 @@
 // often than they would report, so that the ends of their tasks are known, and get nothing
 // new: it would be lost with their lease (docs/incidents/mute.md).
 func (c *Core) reportOverdue(m *worker.Machine) bool {
-	return c.now.Steady-m.Reported >= 2*c.reportInterval()+c.reportInterval()/2
+	return c.now.Steady-m.LastReport >= 2*c.reportInterval()+c.reportInterval()/2
 }
 
 // applyObservation takes a report that any controller has passed on.
 func (c *Core) applyObservation(o Observation) {
 	r := o.Report
-	m := c.machines[r.Machine]
+	m := c.machines.Get(r.Machine)
 	if c.cordons[r.Machine].Terminated {
 		return // a late copy: the cloud has taken the machine with all that was on it
 	}
 	if m == nil {
 		c.provisioned(&r)
 		m = c.addMachine(r.Machine)
-	} else if !m.Newer(&r) {
-		if m.Session == r.Session && o.Token > m.Term {
-			m.Node, m.Term = o.Node, o.Token
+	} else if !m.IsNewer(&r) {
+		if m.Session == r.Session && o.Token > m.GrantedToken {
+			m.Node, m.GrantedToken = o.Node, o.Token
 			c.requestRound()
 		}
 		return
 	}
-	if m.Node != o.Node || m.Term != o.Token || len(m.Tasks) != len(r.Tasks) {
+	if m.Node != o.Node || m.GrantedToken != o.Token || len(m.Tasks) != len(r.Tasks) {
 		c.requestRound()
 	}
-	m.Node, m.Term = o.Node, o.Token
+	m.Node, m.GrantedToken = o.Node, o.Token
 	c.trackAcknowledgement(m, &o)
-	c.learnFromReport(m, &r)
+	c.attributeFailures(m, &r)
 	c.arrived(r.Machine, o.Node)
 	m.Update(r, c.now.Steady)
-	c.noteContact(m, o.Direct)
-	c.ledger.Touch(r.Machine)
+	c.machines.RecordContact(m, o.Direct, c.now.Steady)
+	c.machines.InvalidateLoad(r.Machine)
 	c.reconcileMachine(m)
 }
--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -61,7 +61,7 @@
 		return
 	}
 	for machine := range ordered(c.agents) {
-		m := c.machines[machine]
+		m := c.machines.Get(machine)
 		if m == nil || m.Node != c.cfg.Node {
 			continue
 		}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -61,7 +61,7 @@
 func BenchmarkReport(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, machines int) {
 		for n := 0; b.Loop(); n++ {
-			r := c.machines[c.machineNames[n%machines]].Report
+			r := c.machines.Get(c.machines.Names()[n%machines]).Report
 			r.Seq++
 			r.Token = 1 + uint64(n/machines%2)
 			c.agents[r.Machine].token = 2
@@ -112,7 +112,7 @@
 			j.Version = 1
 			c.addJob(t, j)
 			if bound {
-				j.Bind(0, &job.Binding{Machine: c.machineNames[n%len(c.machineNames)], Attempt: 1, Term: 1, Session: 1})
+				j.Bind(0, &job.Binding{Machine: c.machines.Names()[n%len(c.machines.Names())], Attempt: 1, Term: 1, Session: 1})
 				j.Urgent = true
 			}
 		}
@@ -141,8 +141,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c.now.Steady += time.Second
-				for _, m := range c.machines {
-					m.Seen, m.Reported = c.now.Steady, c.now.Steady
+				for _, m := range c.machines.All() {
+					m.LastContact, m.LastReport = c.now.Steady, c.now.Steady
 				}
 				c.scheduler.dirty, c.scheduler.next, c.effects, c.claims = true, 0, nil, nil
 				c.schedule()
@@ -301,7 +301,7 @@
 		c.fleet.leading = true
 		c.autoscaler.reset(0)
 		var l InventoryReceived
-		for _, id := range c.machineNames {
+		for _, id := range c.machines.Names() {
 			l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, Type: "small", Zone: "z1", Spot: true, State: protocol.Running, AgeS: 60})
 		}
 		for b.Loop() {
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -94,20 +94,20 @@
 // where that is proved, nor for as long as a controller that knows of the cancellation,
 // and is heard, reports the machine without it: should a start still come, it is stopped.
 func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
-	m, task := c.machines[b.Machine], j.TaskID(i)
+	m, task := c.machines.Get(b.Machine), j.TaskID(i)
 	switch {
 	case c.cordons[b.Machine].Terminated || c.scheduler.returned[b.Machine]:
 		return false
 	case m == nil:
 		return true
 	}
-	verdict, _ := m.Judge(task, b)
-	if verdict == worker.Open && c.announcements[j.ID] != nil {
+	evidence, _ := m.Evidence(task, b)
+	if evidence == worker.Inconclusive && c.announcements[j.ID] != nil {
 		_, there := m.Find(task, b.Attempt)
-		fresh := c.inDirectContact(m.Node) && c.now.Steady-m.Seen < 2*c.reportInterval()
+		fresh := c.inDirectContact(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
 		return there || !fresh || c.isUnaware(j.ID, b.Machine)
 	}
-	return verdict == worker.Open || verdict == worker.Present
+	return evidence == worker.Inconclusive || evidence == worker.Present
 }
 
 // returnUnstoppedMachine has a machine given back on which a task of a cancelled job does not end, by
@@ -155,7 +155,7 @@
 // isUnaware tells whether a machine's controller is not known to know of a cancellation, so
 // that nobody may be stopping its tasks there.
 func (c *Core) isUnaware(id, machine string) bool {
-	m, w := c.machines[machine], c.announcements[id]
+	m, w := c.machines.Get(machine), c.announcements[id]
 	return w != nil && (m == nil || !c.hasAcknowledged(m.Node, w))
 }
 
@@ -165,7 +165,7 @@
 // hear. It leaves alone those of a live controller that it does not: they may
 // have stopped long ago.
 func (c *Core) isResponsibleFor(j *job.Job, machine string) bool {
-	m := c.machines[machine]
+	m := c.machines.Get(machine)
 	if m == nil {
 		return c.leads(j)
 	}
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -51,15 +51,15 @@
 // claimHolds tells whether a new binding fits on its machine after all that has a
 // better right to the room.
 func (c *Core) claimHolds(j *job.Job, i int, b *job.Binding) bool {
-	m := c.machines[b.Machine]
+	m := c.machines.Get(b.Machine)
 	if m == nil {
 		return true
 	}
-	room := c.catalog.Capacity(m.Type).Plus(c.boundLoad(m), -1)
+	room := c.catalog.Capacity(m.Type).Plus(c.machines.UsedResources(m), -1)
 	if (job.Resources{}).Fits(room) {
 		return true
 	}
-	for ref, other := range c.ledger.On(b.Machine).Tasks {
+	for ref, other := range c.machines.Load(b.Machine).Tasks {
 		if !other.Stored && right(ref, job.Ref{Job: j, Index: i}) > 0 {
 			room = room.Plus(ref.Job.Need, 1)
 		}
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -22,9 +22,9 @@
 // claimant is a job with a new binding of two CPUs on the machine in use.
 func claimant(c *Core, id string) *job.Job {
 	j := job.New(job.Spec{ID: id, Tasks: 1, Need: job.Resources{CPUs: 2}}, 16, 0)
-	c.ledger.Add(j)
-	for _, m := range c.machineNames {
-		if c.hasBindings(m) {
+	c.machines.TrackBindings(j)
+	for _, m := range c.machines.Names() {
+		if c.machines.HasBindings(m) {
 			j.Bind(0, &job.Binding{Machine: m, Attempt: 1})
 			break
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -73,18 +73,11 @@
 
 	// Machines.
 	catalog  catalog.Catalog
-	machines map[string]*worker.Machine
-	// machineNames names the machines in order; ledger holds what is bound to them.
-	machineNames []string
-	// longestName is the length of the longest name of a machine that was ever known.
-	longestName int
-	ledger      *job.Ledger
-	agents      map[string]*agentSession
+	machines *worker.Registry
+	agents   map[string]*agentSession
 	// startLedgers holds what was decided on starts, by machine.
 	startLedgers map[string]*startLedger
 	tokens       tokenState
-	// zoneSeen is when any machine of a zone last gave a sign of life.
-	zoneSeen map[string]time.Duration
 	// pendingObservations waits for being passed on to the other controllers.
 	pendingObservations []Observation
 	// heartbeatAt is when this node last gave a sign of life.
@@ -146,7 +139,7 @@
 		teamBy: map[string]*team{}, jobs: map[string]*job.Job{},
 		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
-		machines: map[string]*worker.Machine{}, ledger: job.NewLedger(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{}, zoneSeen: map[string]time.Duration{},
+		machines: worker.NewRegistry(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{},
 		peers: map[string]*peerState{}, storeOK: true,
 		handoffs: newSiteRecords(), scheduler: newSchedState(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
 	}
--- a/internal/core/dark_test.go
+++ b/internal/core/dark_test.go
@@ -47,12 +47,12 @@
 		delete(c.nodes, "b") // what is not heard has lost its lease
 		delete(c.nodes, "c")
 		for _, i := range k.alive {
-			c.noteContact(c.machines[fmt.Sprintf("vm-9%03d", i)], false)
+			c.machines.RecordContact(c.machines.Get(fmt.Sprintf("vm-9%03d", i)), false, c.now.Steady)
 		}
 		c.reconcileInventory()
 		given := map[string]int{}
 		for id := range c.autoscaler.returnReasons {
-			given[c.machines[id].Zone]++
+			given[c.machines.Get(id).Zone]++
 		}
 		if given["z2"] != k.givenB || given["z1"] != 10 {
 			t.Errorf("%s: given up %v", name, given)
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -50,7 +50,7 @@
 	w.run(12*time.Second, nil)
 	for _, id := range deaf {
 		for _, node := range w.names {
-			if w.cores[node].machines[id].Deaf() {
+			if w.cores[node].machines.Get(id).IsUnreachable() {
 				t.Errorf("%s takes %s for deaf although it hears", node, id)
 			}
 		}
@@ -76,7 +76,7 @@
 	w, _ := partitionedWorld(t, 10, "req-free-1")
 	f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
 	w.run(5*time.Second, nil) // beats have told of all reports
-	node := w.cores["a"].machines[f.Machine].Node
+	node := w.cores["a"].machines.Get(f.Machine).Node
 	old := w.snapshot(f)
 	old.Tasks = nil // as it was before anything was started
 	copies := map[string]protocol.Report{"the same again": w.snapshot(f), "older": old, "older session": old}
@@ -89,7 +89,7 @@
 	}
 	for name, r := range copies {
 		for _, to := range w.names {
-			before := *w.cores[to].machines[f.Machine]
+			before := *w.cores[to].machines.Get(f.Machine)
 			a := w.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} })
 			switch orders, _ := a.Body.(protocol.Orders); {
 			case to != node && a.Status != http.StatusServiceUnavailable:
@@ -97,8 +97,8 @@
 			case to == node && (len(orders.Commands) > 0 || a.Status == http.StatusMisdirectedRequest):
 				t.Errorf("%s: its controller answers %d with %d commands", name, a.Status, len(orders.Commands))
 			}
-			m := w.cores[to].machines[f.Machine]
-			if m.Node != before.Node || m.Term != before.Term || m.Session != before.Session || len(m.Tasks) != len(before.Tasks) {
+			m := w.cores[to].machines.Get(f.Machine)
+			if m.Node != before.Node || m.GrantedToken != before.GrantedToken || m.Session != before.Session || len(m.Tasks) != len(before.Tasks) {
 				t.Errorf("%s: %s takes the machine for %s, session %d, %d tasks", name, to, m.Node, m.Session, len(m.Tasks))
 			}
 		}
@@ -128,7 +128,7 @@
 	}
 	for _, to := range w.names {
 		w.cores[to].applyObservation(Observation{Node: "a", Token: 99, Report: r}) // another was taken in by it
-		if w.cores[to].machines[id] != nil {
+		if w.cores[to].machines.Get(id) != nil {
 			t.Errorf("%s knows it again", to)
 		}
 	}
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -21,8 +21,8 @@
 	cordonThreshold    = 3
 )
 
-// learnFromReport takes the ends that a report tells of for the first time.
-func (c *Core) learnFromReport(m *worker.Machine, r *protocol.Report) {
+// attributeFailures takes the ends that a report tells of for the first time.
+func (c *Core) attributeFailures(m *worker.Machine, r *protocol.Report) {
 	for _, t := range r.Tasks {
 		if t.State != protocol.Exited || t.Why != protocol.WhyDone && t.Why != protocol.WhyError {
 			continue
@@ -32,25 +32,25 @@
 		}
 		id, _, ok := job.SplitTask(t.Task)
 		if j := c.jobs[id]; ok && j != nil {
-			c.attributeFailure(j, m, r.Machine, t)
+			c.attributeExit(j, m, r.Machine, t)
 		}
 	}
 }
 
-// attributeFailure sets one end against the job or the machine.
-func (c *Core) attributeFailure(j *job.Job, m *worker.Machine, machine string, t protocol.TaskReport) {
+// attributeExit sets one end against the job or the machine.
+func (c *Core) attributeExit(j *job.Job, m *worker.Machine, machine string, t protocol.TaskReport) {
 	if t.Why == protocol.WhyDone {
-		m.Failures = nil
+		m.FailuresByJob = nil
 		if j.Suspected && c.leads(j) {
 			c.log(Info, "job is no longer suspected of a mistake", "job", j.ID)
 		}
 		j.Succeeded()
 		return
 	}
-	if m.Failures == nil {
-		m.Failures = map[string]int{}
+	if m.FailuresByJob == nil {
+		m.FailuresByJob = map[string]int{}
 	}
-	m.Failures[j.ID]++
+	m.FailuresByJob[j.ID]++
 	if !slices.Contains(j.FailedOn, machine) && len(j.FailedOn) < maxFailedOn {
 		j.FailedOn = append(j.FailedOn, machine)
 	}
@@ -68,12 +68,12 @@
 // maxFailedOn bounds how many machines are remembered that a job failed on.
 const maxFailedOn = 16
 
-// suspicion counts what speaks against a machine: each failure of a job that
+// failureScore counts what speaks against a machine: each failure of a job that
 // succeeds elsewhere, one of a job that has not succeeded yet, and none of a job
 // that is suspected itself or has ended.
-func (c *Core) suspicion(m *worker.Machine) int {
+func (c *Core) failureScore(m *worker.Machine) int {
 	n := 0
-	for id, failures := range m.Failures {
+	for id, failures := range m.FailuresByJob {
 		switch j := c.jobs[id]; {
 		case j == nil || j.Suspected:
 		case j.Proven || j.Done.Len() > 0:
@@ -85,8 +85,8 @@
 	return n
 }
 
-// mayStartCanary delays the next try of a suspected job, longer each time.
-func (c *Core) mayStartCanary(j *job.Job) {
+// delayCanary delays the next try of a suspected job, longer each time.
+func (c *Core) delayCanary(j *job.Job) {
 	if j.Suspected && len(j.Bound) <= 1 {
 		j.NotBefore = c.now.Steady + c.reportInterval()<<min(j.Probes, 5)
 		j.Probes++
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -44,7 +44,7 @@
 			c.scheduler.cheap = map[bool][]*placement.Host{}
 		}
 		c.scheduler.cheap[short] = slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
-			return !h.Spot && c.catalog.HasSpotDiscount(h.Type) && !(short && c.hasTasks(h.ID, func(j *job.Job) bool { return !lowest(j) }))
+			return !h.Spot && c.catalog.HasSpotDiscount(h.Type) && !(short && c.machines.HasBindingsOf(h.ID, func(j *job.Job) bool { return !lowest(j) }))
 		})
 	}
 	return c.scheduler.cheap[short]
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -46,7 +46,7 @@
 		if why := c.autoscaler.returnReasons[id]; why != "" {
 			t.Errorf("%s is given up: %s", id, why)
 		}
-		if m := c.machines[id]; m == nil || !c.isSchedulable(m) {
+		if m := c.machines.Get(id); m == nil || !c.isSchedulable(m) {
 			t.Errorf("%s is not used", id)
 		}
 	}
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -397,7 +397,7 @@
 				held.Tasks = held.Tasks[:len(held.Tasks)/2] // as if one had not begun
 				meanwhile(w, f)
 				w.run(20*time.Second, nil)
-				if m := w.cores[w.serving()].machines[f.Machine]; m != nil && max(m.Seq, m.HeardSeq) <= held.Seq && m.Session == held.Session {
+				if m := w.cores[w.serving()].machines.Get(f.Machine); m != nil && max(m.Seq, m.AnnouncedSeq) <= held.Seq && m.Session == held.Session {
 					t.Fatal("nothing newer is known")
 				}
 				w.nextReq++
@@ -406,7 +406,7 @@
 				w.recover()
 				w.run(w.allowed(), nil) // the world checks starts, limits and what is cancelled
 				for _, node := range w.names {
-					if m := w.cores[node].machines[f.Machine]; m != nil && (m.Session < f.Session || w.workers[f.Machine] == nil) {
+					if m := w.cores[node].machines.Get(f.Machine); m != nil && (m.Session < f.Session || w.workers[f.Machine] == nil) {
 						t.Errorf("%s has the machine in session %d", node, m.Session)
 					}
 				}
--- a/internal/core/mute_test.go
+++ b/internal/core/mute_test.go
@@ -252,7 +252,7 @@
 			w.run(3*time.Second, nil)
 			ids := slices.Sorted(maps.Keys(w.workers))
 			f := w.workers[ids[3]]
-			node := w.cores["a"].machines[f.Machine].Node
+			node := w.cores["a"].machines.Get(f.Machine).Node
 			r := w.snapshot(f)
 			orders := protocol.Orders{Token: f.Token, Session: f.Session}
 			w.send(node, DeliveryResult{Machine: f.Machine, Orders: orders, Executed: true, Report: change(&r, w.workers[ids[4]])})
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -84,7 +84,7 @@
 	c.peers[node].connected = true
 	var all []Observation
 	for id, w := range ordered(c.agents) {
-		if m := c.machines[id]; m != nil && m.Node == c.cfg.Node {
+		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node {
 			all = append(all, Observation{Node: c.cfg.Node, Token: w.token, Report: m.Report, Direct: c.reportOverdue(m)})
 		}
 	}
@@ -196,7 +196,7 @@
 		b.Records = c.ownRecords()
 	}
 	for id := range ordered(c.agents) {
-		if m := c.machines[id]; m != nil && m.Node == c.cfg.Node && m.Reported > c.heartbeatAt {
+		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node && m.LastReport > c.heartbeatAt {
 			b.HeardMachines, b.ReportSeqs = append(b.HeardMachines, id), append(b.ReportSeqs, m.Seq)
 		}
 	}
@@ -245,11 +245,11 @@
 		}
 	}
 	for i, id := range b.HeardMachines {
-		if m := c.machines[id]; m != nil {
+		if m := c.machines.Get(id); m != nil {
 			if m.Node == node && i < len(b.ReportSeqs) {
-				m.HeardSeq = max(m.HeardSeq, b.ReportSeqs[i])
+				m.AnnouncedSeq = max(m.AnnouncedSeq, b.ReportSeqs[i])
 			}
-			c.noteContact(m, false)
+			c.machines.RecordContact(m, false, c.now.Steady)
 		}
 	}
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -69,7 +69,7 @@
 
 // isPreemptible lists the hosts that stay and have work on them that may be stopped.
 func (c *Core) isPreemptible(hosts []*placement.Host, may func(*job.Job) bool) []*placement.Host {
-	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.RemainingS >= 0 || !c.hasTasks(h.ID, may) })
+	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.RemainingS >= 0 || !c.machines.HasBindingsOf(h.ID, may) })
 }
 
 // preemptibleLoad lists the machines with work for idle time, with the room there would
@@ -77,9 +77,9 @@
 // it would stand idle when they come.
 func (c *Core) preemptibleLoad() []*placement.Host {
 	var out []*placement.Host
-	for id, m := range ordered(c.machines) {
-		on := c.ledger.On(id)
-		if on == nil || m.NoticeAt > 0 || !c.isSchedulable(m) {
+	for id, m := range c.machines.All() {
+		on := c.machines.Load(id)
+		if on == nil || m.ReclaimAt > 0 || !c.isSchedulable(m) {
 			continue
 		}
 		idle, least, perCPU := job.Resources{}, math.Inf(1), math.Inf(1)
@@ -93,7 +93,7 @@
 		if idle.CPUs > 0 {
 			size := c.catalog.Capacity(m.Type)
 			out = append(out, &placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: size, RemainingS: -1,
-				Free: size.Plus(c.boundLoad(m), -1).Plus(idle, 1), PreemptionLoss: least, PreemptionLossPerCPU: perCPU})
+				Free: size.Plus(c.machines.UsedResources(m), -1).Plus(idle, 1), PreemptionLoss: least, PreemptionLossPerCPU: perCPU})
 		}
 	}
 	return out
@@ -120,7 +120,7 @@
 		if of[h.Zone] >= weighed {
 			continue
 		}
-		if m := c.machines[h.ID]; m != nil && j.Allows(h.Type, h.Zone, h.Spot) && j.Need.Fits(h.Capacity) && !h.Excludes(&j.Spec) {
+		if m := c.machines.Get(h.ID); m != nil && j.Allows(h.Type, h.Zone, h.Spot) && j.Need.Fits(h.Capacity) && !h.Excludes(&j.Spec) {
 			if out, loss := c.victims(j, h, m); out != nil && loss < most {
 				all = append(all, opening{h, out, loss})
 				of[h.Zone]++
@@ -175,7 +175,7 @@
 	if j.CheckpointS > 0 {
 		return j.Need.CPUs * j.SaveS
 	}
-	return j.Need.CPUs * m.Ran(task, attempt, c.now.Steady).Seconds()
+	return j.Need.CPUs * m.RunningTime(task, attempt, c.now.Steady).Seconds()
 }
 
 // mayStop is the users' rule on preemption, within what the operator allows.
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -58,10 +58,10 @@
 		l, listed := c.autoscaler.listed[id]
 		age := c.now.Steady - at
 		switch took, up := b.took[id]; {
-		case up && c.machines[id] != nil:
-			typ := c.machines[id].Type
+		case up && c.machines.Get(id) != nil:
+			typ := c.machines.Get(id).Type
 			seen[typ] = append(seen[typ], rental{at, took})
-		case !up && listed && l.State == protocol.Booting && c.machines[id] == nil && age > c.nominalProvisioningTime(l.Type):
+		case !up && listed && l.State == protocol.Booting && c.machines.Get(id) == nil && age > c.nominalProvisioningTime(l.Type):
 			seen[l.Type] = append(seen[l.Type], rental{at, age})
 		}
 	}
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -44,7 +44,7 @@
 // surplus is sent on at a time: others send theirs too.
 func (c *Core) lessLoadedPeer(r *protocol.Report) string {
 	w := c.agents[r.Machine]
-	if c.machines[r.Machine].Deaf() || c.now.Steady < c.timers.rebalance || len(w.queuedStarts)+len(w.queuedCommands)+len(w.pendingStarts) > 0 || w.delivering {
+	if c.machines.Get(r.Machine).IsUnreachable() || c.now.Steady < c.timers.rebalance || len(w.queuedStarts)+len(w.queuedCommands)+len(w.pendingStarts) > 0 || w.delivering {
 		return ""
 	}
 	c.countHeard()
@@ -119,8 +119,8 @@
 	}
 	s := &c.rebalancing
 	s.until, s.heard, s.near = c.now.Steady+c.reportInterval()/3, map[string]int{}, map[nodeZone]bool{}
-	for _, m := range c.machines {
-		if c.now.Steady-m.Seen < 2*c.reportInterval() {
+	for _, m := range c.machines.All() {
+		if c.now.Steady-m.LastContact < 2*c.reportInterval() {
 			s.heard[m.Node]++
 			s.near[nodeZone{m.Node, m.Zone}] = true
 		}
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -82,7 +82,7 @@
 	a := w.cores["a"]
 	w.run(a.reportInterval()+time.Second, nil)
 	for _, id := range lost {
-		if m := a.machines[id]; m != nil && a.isSchedulable(m) {
+		if m := a.machines.Get(id); m != nil && a.isSchedulable(m) {
 			t.Errorf("%s takes tasks though its controller is silent", id)
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -27,8 +27,8 @@
 			continue
 		}
 		b.Sent, b.Since = true, c.now.Steady
-		m := c.machines[b.Machine]
-		if m == nil || m.Term != b.Term || m.Session != b.Session {
+		m := c.machines.Get(b.Machine)
+		if m == nil || m.GrantedToken != b.Term || m.Session != b.Session {
 			// It would be refused, but the controller that had the machine may start
 			// it by its own watch meanwhile: only evidence settles it.
 			if m != nil {
@@ -51,7 +51,7 @@
 	}
 	if b := j.Bound[i]; b != nil && b.Stored && b.Attempt == r.Attempt && b.Machine == r.Machine {
 		c.log(Debug, "start was refused", "task", r.Task, "machine", r.Machine)
-		if m := c.machines[r.Machine]; m != nil {
+		if m := c.machines.Get(r.Machine); m != nil {
 			m.FullAt = c.now.Steady // not again before something has changed
 		}
 		c.unbind(j, i)
@@ -71,7 +71,7 @@
 			c.handleOrphanTask(m, t, id)
 			continue
 		}
-		c.noteImage(m, j, t)
+		c.recordImage(m, j, t)
 		if t.State == protocol.Running && !j.Begun {
 			j.Begun = true
 			c.stats.Start(j.ID)
@@ -88,11 +88,11 @@
 		}
 	}
 	changed := func(ref job.Ref, b *job.Binding) bool {
-		verdict, t := m.Judge(ref.Job.TaskID(ref.Index), b)
-		if verdict == worker.Present {
+		evidence, t := m.Evidence(ref.Job.TaskID(ref.Index), b)
+		if evidence == worker.Present {
 			b.State = t.State
 		}
-		return verdict != worker.Present
+		return evidence != worker.Present
 	}
 	c.eachLedBinding(m.Machine, changed, func(j *job.Job, i int, b *job.Binding) { c.reconcileBinding(j, i, b, m) })
 }
@@ -105,7 +105,7 @@
 
 // eachBindingOn visits the stored bindings on a machine that concern f, in order.
 func (c *Core) eachBindingOn(machine string, concerns func(job.Ref, *job.Binding) bool, f func(*job.Job, int, *job.Binding)) {
-	load := c.ledger.On(machine)
+	load := c.machines.Load(machine)
 	if load == nil {
 		return
 	}
@@ -123,14 +123,14 @@
 
 // reconcileBinding applies what the newest report proves about one binding.
 func (c *Core) reconcileBinding(j *job.Job, i int, b *job.Binding, m *worker.Machine) {
-	verdict, t := m.Judge(j.TaskID(i), b)
-	switch verdict {
+	evidence, t := m.Evidence(j.TaskID(i), b)
+	switch evidence {
 	case worker.Present:
 		b.State = t.State
 	case worker.Absent:
 		c.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "was", b.State)
 		c.unbind(j, i)
-	case worker.Ended:
+	case worker.Exited:
 		c.taskEnded(j, i, b, m, t)
 	}
 }
@@ -146,7 +146,7 @@
 		c.requestRound()
 		return
 	case protocol.WhyError:
-		c.mayStartCanary(j)
+		c.delayCanary(j)
 		c.log(Debug, "task failed", "task", t.Task, "machine", m.Machine)
 	case protocol.WhyUnknown:
 		j.NotBefore = c.now.Steady + c.reportInterval()
@@ -173,7 +173,7 @@
 // forgetEndedTasks has exited tasks forgotten whose end a store write has recorded.
 func (c *Core) forgetEndedTasks(j *job.Job, exits []job.Exit) {
 	for _, e := range exits {
-		m := c.machines[e.Machine]
+		m := c.machines.Get(e.Machine)
 		if m == nil {
 			continue
 		}
@@ -261,7 +261,7 @@
 			if j.Cancelled {
 				c.stopCancelled(j)
 			} else {
-				c.evictEndangered(j)
+				c.evictBeforeReclaim(j)
 			}
 		}
 	}
@@ -276,7 +276,7 @@
 	if j.Cancelled && !b.Sent {
 		b.Sent, b.Since = true, c.now.Steady // by the watch of its machine's controller, perhaps
 	}
-	m := c.machines[b.Machine]
+	m := c.machines.Get(b.Machine)
 	if c.isSilent(m, b) {
 		c.requestReturn(b.Machine, reasonSilent)
 	}
@@ -307,7 +307,7 @@
 	if m == nil {
 		return c.now.Steady-b.Since > c.silenceLimit()
 	}
-	return c.now.Steady-max(m.Seen, b.Since) > 2*c.silenceLimit() && c.everyoneReached()
+	return c.now.Steady-max(m.LastContact, b.Since) > 2*c.silenceLimit() && c.everyoneReached()
 }
 
 // silenceLimit is how long a machine may say nothing before it is given up: a
@@ -330,50 +330,50 @@
 
 // sendStop sends one order to stop a task, whoever is the home of its team.
 func (c *Core) sendStop(j *job.Job, i int, b *job.Binding, grace float64) {
-	if m := c.machines[b.Machine]; m != nil {
+	if m := c.machines.Get(b.Machine); m != nil {
 		cmd := protocol.Command{Op: protocol.OpStop, Task: j.TaskID(i), Attempt: b.Attempt, GraceS: &grace}
 		c.sendTo(m.Node, PeerMessage{Command: &TaskCommand{Machine: b.Machine, Command: cmd}})
 	}
 }
 
-// evictEndangered stops tasks that can save before their machine is taken away, and the
+// evictBeforeReclaim stops tasks that can save before their machine is taken away, and the
 // rest of a gang that has lost a task: it starts again whole. A gang is stopped
 // as one, so that its progress is saved.
-func (c *Core) evictEndangered(j *job.Job) {
+func (c *Core) evictBeforeReclaim(j *job.Job) {
 	whole := j.Kind == job.Gang && j.Waiting() > 0 && j.Done.Len() == 0
 	if j.Kind == job.Gang {
 		for _, b := range j.Bound {
-			whole = whole || c.leaving(j, b)
+			whole = whole || c.mustSaveNow(j, b)
 		}
 	}
 	for i, b := range ordered(j.Bound) {
-		if b.Sent && (whole || c.leaving(j, b) || c.hopeless(j, i, b)) {
+		if b.Sent && (whole || c.mustSaveNow(j, b) || c.finishesTooLate(j, i, b)) {
 			c.stopTask(j, i, b, j.SaveS)
 		}
 	}
 }
 
-// hopeless tells whether a task that can't save will hardly end before its
+// finishesTooLate tells whether a task that can't save will hardly end before its
 // machine is taken away, so that it had better start elsewhere at once. Owners'
 // estimates are often wrong by half.
-func (c *Core) hopeless(j *job.Job, i int, b *job.Binding) bool {
-	m := c.machines[b.Machine]
-	if m == nil || m.NoticeAt == 0 || j.CheckpointS > 0 || j.Kind != job.Array {
+func (c *Core) finishesTooLate(j *job.Job, i int, b *job.Binding) bool {
+	m := c.machines.Get(b.Machine)
+	if m == nil || m.ReclaimAt == 0 || j.CheckpointS > 0 || j.Kind != job.Array {
 		return false
 	}
-	ran := m.Ran(j.TaskID(i), b.Attempt, c.now.Steady)
-	return seconds(j.EstimateS)-ran > 2*(m.NoticeAt-c.now.Steady)
+	ran := m.RunningTime(j.TaskID(i), b.Attempt, c.now.Steady)
+	return seconds(j.EstimateS)-ran > 2*(m.ReclaimAt-c.now.Steady)
 }
 
-// leaving tells whether a task's machine is about to be taken away, with just
+// mustSaveNow tells whether a task's machine is about to be taken away, with just
 // enough time left to save.
-func (c *Core) leaving(j *job.Job, b *job.Binding) bool {
-	m := c.machines[b.Machine]
-	return m != nil && m.NoticeAt > 0 && j.CheckpointS > 0 &&
-		m.NoticeAt-c.now.Steady < seconds(j.SaveS)+2*c.reportInterval()
+func (c *Core) mustSaveNow(j *job.Job, b *job.Binding) bool {
+	m := c.machines.Get(b.Machine)
+	return m != nil && m.ReclaimAt > 0 && j.CheckpointS > 0 &&
+		m.ReclaimAt-c.now.Steady < seconds(j.SaveS)+2*c.reportInterval()
 }
 
-// noteImage remembers that a machine has an image.
-func (c *Core) noteImage(m *worker.Machine, j *job.Job, t protocol.TaskReport) {
+// recordImage remembers that a machine has an image.
+func (c *Core) recordImage(m *worker.Machine, j *job.Job, t protocol.TaskReport) {
 	m.UseImage(j.Image, j.ImageGB, c.catalog.CacheGB(m.Type), c.now.Steady)
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -251,13 +251,13 @@
 	c.jobs[j.ID] = j
 	t.jobs[j.ID] = j
 	c.stats.Accept(j.ID, j.Class, j.Team, j.Tasks, c.now.Steady)
-	c.ledger.Add(j)
+	c.machines.TrackBindings(j)
 	c.requestRound()
 }
 
 func (c *Core) forgetJob(j *job.Job) {
 	delete(c.jobs, j.ID)
-	c.ledger.Remove(j)
+	c.machines.UntrackBindings(j)
 	c.dependencies.graph.Forget(j.ID)
 	if t := c.teamBy[j.Team]; t != nil {
 		delete(t.jobs, j.ID)
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -142,7 +142,7 @@
 func (c *Core) misplaced(class string, hosts []*placement.Host) int {
 	n := 0
 	for _, h := range hosts {
-		if load := c.ledger.On(h.ID); h.GPUOnly && load != nil {
+		if load := c.machines.Load(h.ID); h.GPUOnly && load != nil {
 			for ref := range load.Tasks {
 				if ref.Job.Class == class {
 					n++
@@ -169,7 +169,7 @@
 			continue
 		}
 		r := room{host: h, slots: placement.FitCount(s.Need, h.Free)}
-		if load := c.ledger.On(h.ID); r.slots == 0 && load != nil {
+		if load := c.machines.Load(h.ID); r.slots == 0 && load != nil {
 			free := h.Free
 			for ref := range load.Tasks {
 				if ref.Job.Kind == job.Array {
@@ -248,9 +248,9 @@
 
 // movable tells whether a task is a replica that has run for a while.
 func (c *Core) movable(ref job.Ref, b *job.Binding) bool {
-	m := c.machines[b.Machine]
+	m := c.machines.Get(b.Machine)
 	return ref.Job.Kind == job.Service && ref.Job.Need.GPUs == 0 && m != nil &&
-		m.Ran(ref.Job.TaskID(ref.Index), b.Attempt, c.now.Steady) > seconds(c.policy.TimeoutS)
+		m.RunningTime(ref.Job.TaskID(ref.Index), b.Attempt, c.now.Steady) > seconds(c.policy.TimeoutS)
 }
 
 // reserveForGangs lets gangs whose patience is over, the longest first, gather hosts: what
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -17,7 +17,7 @@
 func (c *Core) forgetTerminated() {
 	txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
 	for id, k := range ordered(c.cordons) {
-		if !k.Terminated || c.hasBindings(id) || c.now.Steady-k.since < keepGone*seconds(c.cfg.Params.Workers.LeaseS) {
+		if !k.Terminated || c.machines.HasBindings(id) || c.now.Steady-k.since < keepGone*seconds(c.cfg.Params.Workers.LeaseS) {
 			continue
 		}
 		if txn.Then = append(txn.Then, protocol.Change{Delete: keyCordon + id}); len(txn.Then) == c.limits.maxChanges() {
@@ -51,7 +51,7 @@
 		switch {
 		case l.State == protocol.Failed:
 			c.returnMachine(id, "failed")
-		case c.machines[id] != nil || !settled || dark[l.Zone]:
+		case c.machines.Get(id) != nil || !settled || dark[l.Zone]:
 		case l.State == protocol.Booting && age > limit:
 			if c.returnMachine(id, "does not come up") {
 				c.failedProvisioning(l)
@@ -63,16 +63,16 @@
 	if !settled {
 		return
 	}
-	for id, m := range ordered(c.machines) {
-		switch quiet := c.now.Steady - m.Seen; {
-		case m.NoticeAt > 0 && c.now.Steady > m.NoticeAt+c.reportInterval()/4:
+	for id, m := range c.machines.All() {
+		switch quiet := c.now.Steady - m.LastContact; {
+		case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 			c.returnMachine(id, "taken back")
 		case quiet > c.silenceLimit() && c.everyoneReached() && !(dark[m.Zone] && quiet < darkPatience*seconds(c.cfg.Params.Workers.LeaseS)):
 			c.returnMachine(id, "silent")
 		case quiet > 2*c.reportInterval() && c.unlisted(id):
 			c.returnMachine(id, "no longer listed")
 		}
-		if c.suspicion(m) >= cordonThreshold {
+		if c.failureScore(m) >= cordonThreshold {
 			c.returnMachine(id, "tasks fail on it")
 		}
 	}
@@ -119,7 +119,7 @@
 			return false
 		}
 	}
-	return controllers > 0 && zone != c.cfg.Zone && c.now.Steady-c.zoneSeen[zone] > 2*c.reportInterval()
+	return controllers > 0 && zone != c.cfg.Zone && c.now.Steady-c.machines.LastZoneContact(zone) > 2*c.reportInterval()
 }
 
 // returnMachine has a machine released with all that is on it, and tells whether that is
@@ -153,7 +153,7 @@
 // the machines in it, and had them all given up with the work on them.
 func (c *Core) mayReturn(id string) bool {
 	l, listed := c.autoscaler.listed[id]
-	return c.machines[id] != nil || listed && c.isZoneOutage(l.Zone)
+	return c.machines.Get(id) != nil || listed && c.isZoneOutage(l.Zone)
 }
 
 // reasonSilent is why a home condemns a machine of which it has only the bindings.
@@ -161,8 +161,8 @@
 
 // scaleInIdle closes machines that have had nothing to do for a while.
 func (c *Core) scaleInIdle() {
-	for id, m := range ordered(c.machines) {
-		if !c.boundLoad(m).Fits(job.Resources{}) {
+	for id, m := range c.machines.All() {
+		if !c.machines.UsedResources(m).Fits(job.Resources{}) {
 			m.IdleSince = c.now.Steady
 		} else if c.now.Steady-m.IdleSince > c.idleTime(m) && !c.scheduler.reserved.hosts[id] {
 			c.closeMachine(id, "idle")
@@ -207,7 +207,7 @@
 		due[id] = c.cordons[id]
 	}
 	for _, id := range slices.Sorted(maps.Keys(due)) {
-		if c.cordons[id].Terminated || c.hasBindings(id) && c.autoscaler.returnReasons[id] == "" && c.cordons[id].Reason == "idle" {
+		if c.cordons[id].Terminated || c.machines.HasBindings(id) && c.autoscaler.returnReasons[id] == "" && c.cordons[id].Reason == "idle" {
 			continue
 		}
 		if at, ok := c.autoscaler.releasing[id]; ok && c.now.Steady-at < c.silenceLimit() {
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -103,7 +103,7 @@
 	for _, id := range i.Machines {
 		_, listed := c.autoscaler.listed[id]
 		_, gone := c.cordons[id]
-		if !listed && !gone && c.machines[id] == nil {
+		if !listed && !gone && c.machines.Get(id) == nil {
 			return false
 		}
 	}
@@ -142,7 +142,7 @@
 	add := func(id, typ, zone string, spot bool) {
 		t, known := c.catalog.Lookup(typ)
 		_, closing := c.cordons[id]
-		if !known || closing || seen[id] || c.machines[id] != nil {
+		if !known || closing || seen[id] || c.machines.Get(id) != nil {
 			return
 		}
 		seen[id] = true
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -91,8 +91,8 @@
 
 func (c *Core) totalCapacity() fairness.Vector {
 	var sum job.Resources
-	for _, id := range c.machineNames {
-		sum = sum.Plus(c.catalog.Capacity(c.machines[id].Type), 1)
+	for _, id := range c.machines.Names() {
+		sum = sum.Plus(c.catalog.Capacity(c.machines.Get(id).Type), 1)
 	}
 	return vector(sum)
 }
@@ -117,19 +117,19 @@
 // from the same replica, so their plans differ little.
 func (c *Core) hosts() []*placement.Host {
 	kinds := c.catalog.Kinds()
-	c.scheduler.hosts = slices.Grow(c.scheduler.hosts[:0], len(c.machineNames))
-	out := make([]*placement.Host, 0, len(c.machineNames))
-	for _, id := range c.machineNames {
-		m := c.machines[id]
+	c.scheduler.hosts = slices.Grow(c.scheduler.hosts[:0], len(c.machines.Names()))
+	out := make([]*placement.Host, 0, len(c.machines.Names()))
+	for _, id := range c.machines.Names() {
+		m := c.machines.Get(id)
 		k, known := kinds[catalog.Kind{Type: m.Type, Spot: m.Spot}]
 		if !known || !c.isSchedulable(m) {
 			continue
 		}
 		h := placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: k.Capacity,
-			Free: k.Capacity.Plus(c.boundLoad(m), -1), Images: m, Empty: !c.hasBindings(id), RemainingS: -1,
-			PriorReservation: c.scheduler.reservedFor[id], Penalty: float64(c.suspicion(m)), ReportBytes: c.reportBytes(m), RelativeSize: k.RelativeSize, PricePremium: k.PricePremium, GPUShare: k.GPUShare}
-		if m.NoticeAt > 0 {
-			h.RemainingS = (m.NoticeAt - c.now.Steady).Seconds()
+			Free: k.Capacity.Plus(c.machines.UsedResources(m), -1), Images: m, Empty: !c.machines.HasBindings(id), RemainingS: -1,
+			PriorReservation: c.scheduler.reservedFor[id], Penalty: float64(c.failureScore(m)), ReportBytes: c.machines.EstimateReportBytes(m), RelativeSize: k.RelativeSize, PricePremium: k.PricePremium, GPUShare: k.GPUShare}
+		if m.ReclaimAt > 0 {
+			h.RemainingS = (m.ReclaimAt - c.now.Steady).Seconds()
 		}
 		c.scheduler.hosts = append(c.scheduler.hosts, h)
 		out = append(out, &c.scheduler.hosts[len(c.scheduler.hosts)-1])
@@ -140,13 +140,13 @@
 // isSchedulable tells whether new tasks may go to a machine: it is heard and hears, does not
 // close, and its controller can be told.
 func (c *Core) isSchedulable(m *worker.Machine) bool {
-	if _, closing := c.cordons[m.Machine]; closing || m.Term == 0 {
+	if _, closing := c.cordons[m.Machine]; closing || m.GrantedToken == 0 {
 		return false
 	}
 	if _, closing := c.autoscaler.cordoned[m.Machine]; closing {
 		return false
 	}
-	return !m.Deaf() && c.hasContact(m.Node) && !c.reportOverdue(m) && c.suspicion(m) < cordonThreshold &&
+	return !m.IsUnreachable() && c.hasContact(m.Node) && !c.reportOverdue(m) && c.failureScore(m) < cordonThreshold &&
 		(m.FullAt == 0 || c.now.Steady-m.FullAt > c.reportInterval()/2)
 }
 
@@ -187,7 +187,7 @@
 func (c *Core) zonesOf(j *job.Job) placement.Zones {
 	out := placement.Zones{}
 	for _, b := range j.Bound {
-		if m := c.machines[b.Machine]; m != nil {
+		if m := c.machines.Get(b.Machine); m != nil {
 			out[m.Zone]++
 		} else {
 			out[placement.UnknownZone]++
@@ -502,8 +502,8 @@
 	i := -1
 	for _, h := range chosen {
 		i = j.NextWaiting(i + 1)
-		m := c.machines[h.ID]
-		j.Bind(i, &job.Binding{Machine: h.ID, Attempt: j.Attempt, Term: m.Term, Session: m.Session, Since: c.now.Steady})
+		m := c.machines.Get(h.ID)
+		j.Bind(i, &job.Binding{Machine: h.ID, Attempt: j.Attempt, Term: m.GrantedToken, Session: m.Session, Since: c.now.Steady})
 		c.claims = append(c.claims, Claim{Machine: h.ID, Task: j.TaskID(i), Attempt: j.Attempt})
 		p.unstored[h.ID] = true
 		m.IdleSince = c.now.Steady
--- a/internal/core/startledger.go
+++ b/internal/core/startledger.go
@@ -57,8 +57,8 @@
 	d := c.startLedgers[s.Machine]
 	if !c.tokens.acquired[s.Token] || d != nil && d.term > s.Token {
 		b := job.Binding{Machine: s.Machine, Attempt: s.Attempt, Term: s.Token, Session: s.Epoch}
-		if m := c.machines[s.Machine]; m != nil {
-			if verdict, _ := m.Judge(s.Task, &b); verdict == worker.Absent {
+		if m := c.machines.Get(s.Machine); m != nil {
+			if evidence, _ := m.Evidence(s.Task, &b); evidence == worker.Absent {
 				why = "term has passed"
 			}
 		}
@@ -105,7 +105,7 @@
 				delete(d.made, k)
 			}
 		}
-		if len(d.made) == 0 && c.agents[machine] == nil && c.machines[machine] == nil {
+		if len(d.made) == 0 && c.agents[machine] == nil && c.machines.Get(machine) == nil {
 			delete(c.startLedgers, machine)
 		}
 	}
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -118,7 +118,7 @@
 	split := c.partitioned()
 	if split && c.every(&c.relay.startsCheckedAt, c.reportInterval()/30) {
 		for id, w := range ordered(c.agents) {
-			if m := c.machines[id]; m != nil && m.Node == c.cfg.Node {
+			if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node {
 				c.startForUnreachableLeaders(id, w, m)
 				c.forgetForUnreachableLeaders(m)
 			}
@@ -160,8 +160,8 @@
 		if b.Term != w.token || b.Session != w.epoch || j.Cancelled || j.Kind == job.Gang && len(j.Bound) < j.Tasks || !c.partitionedFromLeader(j) {
 			return false
 		}
-		verdict, _ := m.Judge(j.TaskID(ref.Index), b)
-		return verdict == worker.Open
+		evidence, _ := m.Evidence(j.TaskID(ref.Index), b)
+		return evidence == worker.Inconclusive
 	}
 	c.eachBindingOn(id, due, func(j *job.Job, i int, b *job.Binding) {
 		if made, decided := c.decisionOn(id, b.Term, taskAttempt{j.TaskID(i), b.Attempt}); decided {
@@ -180,7 +180,7 @@
 
 // forgetForUnreachableLeaders has exited tasks forgotten whose end their home has stored.
 func (c *Core) forgetForUnreachableLeaders(m *worker.Machine) {
-	if m.Exits == 0 {
+	if m.ExitedTasks == 0 {
 		return
 	}
 	for _, t := range m.Tasks {
@@ -203,11 +203,11 @@
 func (c *Core) relayEntries() []relay.Entry {
 	var out []relay.Entry
 	for id := range c.agents {
-		m := c.machines[id]
+		m := c.machines.Get(id)
 		if m == nil || m.Node != c.cfg.Node {
 			continue
 		}
-		load := c.ledger.On(id)
+		load := c.machines.Load(id)
 		if load == nil {
 			continue
 		}
@@ -216,9 +216,9 @@
 				continue
 			}
 			task := ref.Job.TaskID(ref.Index)
-			verdict, t := m.Judge(task, b)
+			evidence, t := m.Evidence(task, b)
 			made, decided := c.decisionOn(id, b.Term, taskAttempt{task, b.Attempt})
-			if verdict == worker.Ended || verdict == worker.Absent || decided && made.refused {
+			if evidence == worker.Exited || evidence == worker.Absent || decided && made.refused {
 				out = append(out, relay.Entry{Job: ref.Job.ID, Index: ref.Index, Attempt: b.Attempt, Machine: id, Reason: t.Why})
 			}
 		}
@@ -230,13 +230,13 @@
 func (c *Core) machinesHeardHere() map[relay.MachineKind][]string {
 	out := map[relay.MachineKind][]string{}
 	for id, w := range ordered(c.agents) {
-		m := c.machines[id]
-		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.Seen > 2*c.reportInterval() {
+		m := c.machines.Get(id)
+		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.LastContact > 2*c.reportInterval() {
 			continue
 		}
 		k := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: w.token, Epoch: m.Session}
-		if m.NoticeAt > 0 {
-			k.NoticeS = max(1, int((m.NoticeAt-c.now.Steady).Seconds()/noticeStepSeconds)*noticeStepSeconds)
+		if m.ReclaimAt > 0 {
+			k.NoticeS = max(1, int((m.ReclaimAt-c.now.Steady).Seconds()/noticeStepSeconds)*noticeStepSeconds)
 		}
 		out[k] = append(out[k], id)
 	}
@@ -329,27 +329,27 @@
 }
 
 func (c *Core) applyRelayMachine(node, id string, k relay.MachineKind) {
-	m := c.machines[id]
+	m := c.machines.Get(id)
 	switch {
 	case m == nil:
 		c.provisioned(&protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot})
 		m = c.addMachine(id)
-	case k.Token < m.Term || k.Epoch < m.Session:
+	case k.Token < m.GrantedToken || k.Epoch < m.Session:
 		return // a newer controller has it
 	}
 	if m.Session < k.Epoch {
 		// A new session has none of the tasks of the one before.
 		m.Update(protocol.Report{Machine: id, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Session: k.Epoch}, c.now.Steady)
-		c.ledger.Touch(id)
+		c.machines.InvalidateLoad(id)
 	}
-	if m.Node != node || m.Term != k.Token {
-		m.Node, m.Term = node, k.Token
+	if m.Node != node || m.GrantedToken != k.Token {
+		m.Node, m.GrantedToken = node, k.Token
 		c.requestRound()
 	}
-	if k.NoticeS > 0 && m.NoticeAt == 0 {
-		m.NoticeAt = c.now.Steady + seconds(float64(k.NoticeS))
+	if k.NoticeS > 0 && m.ReclaimAt == 0 {
+		m.ReclaimAt = c.now.Steady + seconds(float64(k.NoticeS))
 	}
-	c.noteContact(m, false)
+	c.machines.RecordContact(m, false, c.now.Steady)
 }
 
 // applyRelayEntries ends the bindings of this node's teams of which another controller says
@@ -365,7 +365,7 @@
 		if b == nil || !b.Stored || b.Attempt != f.Attempt || b.Machine != f.Machine {
 			continue
 		}
-		m := c.machines[f.Machine]
+		m := c.machines.Get(f.Machine)
 		if m == nil {
 			m = &worker.Machine{Report: protocol.Report{Machine: f.Machine}}
 		}
@@ -377,7 +377,7 @@
 		}
 		t := protocol.TaskReport{Task: j.TaskID(f.Index), Attempt: f.Attempt, State: protocol.Exited, Why: f.Reason}
 		if f.Reason == protocol.WhyDone || f.Reason == protocol.WhyError {
-			c.attributeFailure(j, m, f.Machine, t)
+			c.attributeExit(j, m, f.Machine, t)
 		}
 		c.taskEnded(j, f.Index, b, m, t)
 	}
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -83,7 +83,7 @@
 func (c *Core) newJob(spec job.Spec) *job.Job {
 	size := c.limits.defaultChunkSize()
 	if c.storesTightChunks() {
-		tight := c.limits.tightChunkSize(spec.StoredBytes(), c.longestName)
+		tight := c.limits.tightChunkSize(spec.StoredBytes(), c.machines.LongestName())
 		if tight < size {
 			return job.NewSized(spec, tight, c.now.Steady)
 		}
@@ -97,7 +97,7 @@
 	if !c.storesTightChunks() {
 		return
 	}
-	size := c.limits.tightChunkSize(j.SpecBytes(), c.longestName)
+	size := c.limits.tightChunkSize(j.SpecBytes(), c.machines.LongestName())
 	if j.ChunkSize <= size {
 		return
 	}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -238,7 +238,7 @@
 	}
 	n := 0
 	for i, b := range j.Bound {
-		if m := c.machines[b.Machine]; m != nil {
+		if m := c.machines.Get(b.Machine); m != nil {
 			if t, ok := m.Find(j.TaskID(i), b.Attempt); ok && t.State == protocol.Running {
 				n++
 			}
--- a/internal/core/worker/hearing_test.go
+++ b/internal/core/worker/acknowledgements_test.go
@@ -19,10 +19,10 @@
 	} {
 		m := &Machine{}
 		for _, r := range c.reports {
-			m.Answered(r.token, r.with)
+			m.RecordAnswer(r.token, r.with)
 		}
-		if m.Deaf() != c.deaf {
-			t.Errorf("%s: deaf %v", name, m.Deaf())
+		if m.IsUnreachable() != c.deaf {
+			t.Errorf("%s: deaf %v", name, m.IsUnreachable())
 		}
 	}
 }
--- a/internal/core/worker/machine_test.go
+++ b/internal/core/worker/machine_test.go
@@ -15,21 +15,21 @@
 	}
 	for name, c := range map[string]struct {
 		report protocol.Report
-		want   Verdict
+		want   Evidence
 	}{
 		"running":                         {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Running)}, Present},
-		"exited":                          {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Exited)}, Ended},
-		"absent under the same term":      {protocol.Report{Session: 2, Token: 5}, Open},
-		"absent under an older term":      {protocol.Report{Session: 2, Token: 4}, Open},
+		"exited":                          {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Exited)}, Exited},
+		"absent under the same term":      {protocol.Report{Session: 2, Token: 5}, Inconclusive},
+		"absent under an older term":      {protocol.Report{Session: 2, Token: 4}, Inconclusive},
 		"absent under a newer term":       {protocol.Report{Session: 2, Token: 6}, Absent},
 		"a later session":                 {protocol.Report{Session: 3, Token: 5}, Absent},
-		"an earlier session, newer token": {protocol.Report{Session: 1, Token: 9}, Open},
-		"another attempt is no sign":      {protocol.Report{Session: 2, Token: 5, Tasks: task(2, protocol.Exited)}, Open},
+		"an earlier session, newer token": {protocol.Report{Session: 1, Token: 9}, Inconclusive},
+		"another attempt is no sign":      {protocol.Report{Session: 2, Token: 5, Tasks: task(2, protocol.Exited)}, Inconclusive},
 		"seen though the term has passed": {protocol.Report{Session: 2, Token: 9, Tasks: task(3, protocol.Running)}, Present},
 	} {
 		m := &Machine{}
 		m.Update(c.report, 0)
-		if got, _ := m.Judge("req-1/0", b); got != c.want {
+		if got, _ := m.Evidence("req-1/0", b); got != c.want {
 			t.Errorf("%s: got %d, want %d", name, got, c.want)
 		}
 	}
@@ -42,7 +42,7 @@
 		session, seq uint64
 		want         bool
 	}{{2, 10, false}, {2, 9, false}, {2, 11, true}, {1, 99, false}, {3, 1, true}} {
-		if got := m.Newer(&protocol.Report{Session: c.session, Seq: c.seq}); got != c.want {
+		if got := m.IsNewer(&protocol.Report{Session: c.session, Seq: c.seq}); got != c.want {
 			t.Errorf("session %d, sequence %d: got %v", c.session, c.seq, got)
 		}
 	}
