--- a/client/client.go
+++ b/client/client.go
@@ -51,6 +51,7 @@
 	Reason string
 }
 
+// Error tells the status and the site's reason.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused (%d): %s", e.Status, e.Reason) }
 
 // UnreachableError is a request without a clear answer after all tries. Whether a
@@ -60,10 +61,12 @@
 	Last  error
 }
 
+// Error tells how many tries were made, and the last one's error.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("no clear answer in %d tries: %v", e.Tries, e.Last)
 }
 
+// Unwrap gives the error of the last try.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
 // ErrNotFound means that no such job was ever accepted.
--- a/internal/federation/machine.go
+++ b/internal/federation/machine.go
@@ -31,11 +31,11 @@
 	reloadAt time.Duration
 }
 
-// Input and Effect are what goes in and comes out.
-type (
-	Input  any
-	Effect any
-)
+// Input is something that happened: a message, a reply of the store, a change of a job.
+type Input any
+
+// Effect is something to be done: a message to be sent, a record to be written.
+type Effect any
 
 type pending struct {
 	write   Write
