--- a/internal/core/agents.go
+++ b/internal/core/agents.go
@@ -77,7 +77,7 @@
 }
 
 func (c *Core) writeToken(term, version uint64) {
-	next := tokenCounter{Token: term, Node: c.cfg.Node, Incarnation: c.incarnation}
+	next := tokenCounter{Token: term, Node: c.cfg.Node, Incarnation: c.members.incarnation}
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{{Key: keyToken, Version: version}},
 		Then: []protocol.Change{putJSON(keyToken, next)},
--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -148,7 +148,7 @@
 func (c *Core) acknowledgedByAnother(w *cancelAnnouncement) bool {
 	alone := true
 	for node, p := range c.peers {
-		_, live := c.nodes[node]
+		live := c.members.isLive(node)
 		if c.hasAcknowledged(node, w) || c.inDirectContact(node) && p.lastHeartbeatID == "" {
 			return true
 		}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -169,7 +169,7 @@
 	if m == nil {
 		return c.leads(j)
 	}
-	_, live := c.nodes[m.Node]
+	live := c.members.isLive(m.Node)
 	return m.Node == c.cfg.Node && c.agents[machine] != nil || c.leads(j) && (c.hasContact(m.Node) || !live)
 }
 
@@ -182,8 +182,8 @@
 // releaseDelay keeps controllers from all giving the same machine back at once: each waits
 // for its turn, a sixteenth of the time allowed in all, and the cloud has few requests.
 func (c *Core) releaseDelay() time.Duration {
-	turn := slices.Index(c.roster, c.cfg.Node)
-	return c.cancelDeadline() / 16 * time.Duration(turn) / time.Duration(len(c.roster))
+	turn := c.members.position()
+	return c.cancelDeadline() / 16 * time.Duration(turn) / time.Duration(c.members.size())
 }
 
 // releaseWithoutLeader gives a machine back without a renter.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -4,14 +4,11 @@
 
 import (
 	"fmt"
-	"maps"
 	"net/http"
-	"slices"
 	"time"
 
 	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/dependency"
-	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/jobstats"
 	"pepperlever/internal/core/worker"
@@ -24,8 +21,6 @@
 type Core struct {
 	cfg    *settings.Settings
 	policy settings.Policy
-	// incarnation tells this run of the process from earlier ones.
-	incarnation string
 
 	now     Now
 	effects []Effect
@@ -34,21 +29,12 @@
 	pendingReplies pendingReplies
 
 	// Replica of the store.
-	loaded   bool
-	revision uint64
-	lease    uint64
-	// registering is set while this node's own key is being written, registeredAt is when it
-	// last was.
-	registering  bool
-	registeredAt uint64
-	// tokenLease is the lease under which this node last took a term to begin with.
-	tokenLease uint64
-	// roster lists all controllers, alike on every node.
-	roster        []string
-	nodes         map[string]nodeRecord
+	loaded        bool
+	revision      uint64
+	members       membership
 	teams         []*team
 	teamBy        map[string]*team
-	fleet         *team
+	fleet         *shard
 	jobs          map[string]*job.Job
 	pendingChunks map[string]map[job.ChunkKey]protocol.KeyValue
 	cordons       map[string]cordonRecord
@@ -106,37 +92,17 @@
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, heartbeat, share, observations, rebalance, record, election, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
+	last, heartbeat, share, observations, rebalance, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
 }
 
-// team is the state of one team, whoever is its home.
-type team struct {
-	settings.Team
-	// key is the store key of its home; version 0 means that it has none.
-	key               string
-	leader            string
-	leaderIncarnation string
-	version           uint64
-	leading           bool
-	electing          bool
-	// record is the newest known record; ranked is the one last exchanged,
-	// by which all controllers rank alike.
-	record, ranked fairness.Record
-	jobs           map[string]*job.Job
-}
-
-// leaderCondition is the condition that a team's home is the one this node knows of.
-func (t *team) leaderCondition() protocol.Condition {
-	return protocol.Condition{Key: t.key, Version: t.version}
-}
-
-// New makes a core. inc must differ between runs of the process.
-func New(cfg *settings.Settings, policy settings.Policy, inc string) *Core {
+// New makes a core. The incarnation must differ between runs of the process.
+func New(cfg *settings.Settings, policy settings.Policy, incarnation string) *Core {
 	c := &Core{
-		cfg: cfg, policy: policy, incarnation: inc,
+		cfg: cfg, policy: policy,
+		members:        newMembership(cfg.Node, incarnation, cfg.Peers),
 		limits:         storeLimits{settings: &cfg.Params.State},
-		pendingReplies: pendingReplies{}, nodes: map[string]nodeRecord{},
-		teamBy: map[string]*team{}, jobs: map[string]*job.Job{},
+		pendingReplies: pendingReplies{},
+		teamBy:         map[string]*team{}, jobs: map[string]*job.Job{},
 		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
 		machines: worker.NewRegistry(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{},
@@ -144,25 +110,17 @@
 		handoffs: newSiteRecords(), scheduler: newSchedState(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
-		c.addTeam(&team{Team: t, key: keyLeader + teamPart(t.Name), jobs: map[string]*job.Job{}})
+		c.addTeam(newTeam(t))
 	}
-	c.fleet = &team{key: keyFleet, jobs: map[string]*job.Job{}}
-	c.fleet.Name = fleetName
+	c.fleet = &shard{name: fleetName, key: keyFleet}
 	for _, p := range cfg.Peers {
 		c.peers[p.Node] = &peerState{}
 	}
-	c.roster = append(slices.Collect(maps.Keys(c.peers)), cfg.Node)
-	slices.Sort(c.roster)
 	c.dependencies = dependencyState{graph: dependency.New(), asking: map[string]bool{}}
-	c.upgrade = newUpgradeTracker(c.roster)
+	c.upgrade = newUpgradeTracker(c.members.roster)
 	return c
 }
 
-func (c *Core) addTeam(t *team) {
-	c.teams = append(c.teams, t)
-	c.teamBy[t.Name] = t
-}
-
 // Step works through a batch of commands and returns the effects in order.
 func (c *Core) Step(now Now, commands []Command) []Effect {
 	c.now = now
@@ -263,7 +221,7 @@
 	if len(c.pendingObservations) > 0 && c.every(&c.timers.observations, report/30) {
 		c.flushObservations()
 	}
-	if c.loaded && c.every(&c.timers.election, report/6) {
+	if c.loaded && c.every(&c.members.nextElection, report/6) {
 		c.electLeaders()
 	}
 	if c.loaded && c.every(&c.timers.reconcile, report/3) {
--- a/internal/core/dark_test.go
+++ b/internal/core/dark_test.go
@@ -44,8 +44,8 @@
 		for _, n := range k.heard {
 			c.peers[n].lastContact = c.now.Steady
 		}
-		delete(c.nodes, "b") // what is not heard has lost its lease
-		delete(c.nodes, "c")
+		delete(c.members.live, "b") // what is not heard has lost its lease
+		delete(c.members.live, "c")
 		for _, i := range k.alive {
 			c.machines.RecordContact(c.machines.Get(fmt.Sprintf("vm-9%03d", i)), false, c.now.Steady)
 		}
@@ -84,15 +84,15 @@
 	w := newWorld(t).ready()
 	w.run(5*time.Second, nil)
 	for _, c := range w.cores {
-		c.timers.election = w.now + time.Hour // they have just looked
+		c.members.nextElection = w.now + time.Hour // they have just looked
 	}
 	w.crash("b")
 	w.expire("b")
 	w.run(3*w.tick, nil) // the watch, the write, and the watch again
 	for _, n := range []string{"a", "c"} {
-		for _, k := range w.cores[n].allTeams() {
+		for _, k := range w.cores[n].allShards() {
 			if k.leader != "a" && k.leader != "c" {
-				t.Errorf("%s takes %s to be at %q", n, k.Name, k.leader)
+				t.Errorf("%s takes %s to be at %q", n, k.name, k.leader)
 			}
 		}
 	}
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -18,7 +18,7 @@
 // time: the home of the gateway's own pseudo team.
 type federationAdapter struct {
 	cfg     *federation.Config
-	team    *team
+	shard   *shard
 	machine *federation.Machine
 	inputs  []federation.Input
 	// inFlight holds the machine's writes that are not answered; foreign the
@@ -43,9 +43,8 @@
 
 // Join switches the gateway on. It is called before the first Step.
 func (c *Core) Join(cfg *federation.Config) {
-	c.federation = &federationAdapter{cfg: cfg, team: &team{key: keyFederation, jobs: map[string]*job.Job{}},
+	c.federation = &federationAdapter{cfg: cfg, shard: &shard{name: "gateway", key: keyFederation},
 		inFlight: map[uint64]bool{}, foreign: map[uint64]bool{}, asking: map[string]bool{}, asked: map[uint64]operator{}}
-	c.federation.team.Name = "gateway"
 	c.federation.limit(c)
 }
 
@@ -56,8 +55,8 @@
 // that an earlier one has stored.
 func (g *federationAdapter) open(c *Core) {
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(c.incarnation)) // never fails
-	g.machine = federation.New(g.cfg, seed.Sum64()+g.team.version)
+	_, _ = seed.Write([]byte(c.members.incarnation)) // never fails
+	g.machine = federation.New(g.cfg, seed.Sum64()+g.shard.version)
 	clear(g.inFlight)
 	clear(g.foreign)
 	clear(g.asking)
@@ -131,8 +130,8 @@
 		return
 	}
 	if g.machine == nil {
-		if g.team.leader != "" && g.team.leader != c.cfg.Node {
-			c.route(g.team.leader, PeerMessage{Federation: &FederationNote{Message: &m}})
+		if g.shard.leader != "" && g.shard.leader != c.cfg.Node {
+			c.route(g.shard.leader, PeerMessage{Federation: &FederationNote{Message: &m}})
 		}
 		return
 	}
@@ -202,7 +201,7 @@
 	slices.SortFunc(jobs, func(a, b *job.Job) int {
 		return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(a.LatestStart(), b.LatestStart()), cmp.Compare(a.ID, b.ID))
 	})
-	if c.everyNodeKnows() {
+	if c.members.allKnowFederation() {
 		for _, j := range jobs {
 			if len(w.Jobs) == mostOffered {
 				break
@@ -236,17 +235,6 @@
 	return j.Attempt == 0 && len(j.Bound) == 0 && !j.Cancelled && !j.InFlight && j.Version > 0 && len(j.Awaits) == 0 && !c.isOutgoing(j.ID)
 }
 
-// everyNodeKnows tells whether all live controllers keep away from jobs that are
-// away.
-func (c *Core) everyNodeKnows() bool {
-	for _, n := range c.nodes {
-		if !n.Federation {
-			return false
-		}
-	}
-	return true
-}
-
 func (c *Core) offerable(j *job.Job, waited time.Duration, never bool) federation.Job {
 	out := federation.Job{ID: j.ID, Class: j.Class, Waited: waited, Zone: j.Zone, Types: j.Types, Elsewhere: never}
 	if h, ok := federation.ParseLocal(j.ID); ok {
@@ -271,11 +259,11 @@
 func (c *Core) forwardToFederation(n FederationNote) {
 	g := c.federation
 	switch {
-	case g == nil || g.team.leader == "":
+	case g == nil || g.shard.leader == "":
 	case g.machine != nil:
 		c.handleFederationNote(c.cfg.Node, n)
 	default:
-		c.route(g.team.leader, PeerMessage{Federation: &n})
+		c.route(g.shard.leader, PeerMessage{Federation: &n})
 	}
 }
 
@@ -311,10 +299,10 @@
 		c.reply(m.Req, http.StatusOK, federation.HandOffs(&c.handoffs.Records))
 	case g.machine != nil:
 		c.siteOperate(operator{c.cfg.Node, m.Req}, m)
-	case g.team.leader == "":
+	case g.shard.leader == "":
 		c.replyUnavailable(m.Req)
 	default:
-		c.route(g.team.leader, PeerMessage{Federation: &FederationNote{Request: &m}})
+		c.route(g.shard.leader, PeerMessage{Federation: &FederationNote{Request: &m}})
 	}
 }
 
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -18,7 +18,7 @@
 		g.inputs = append(g.inputs, federation.Stored{ID: s.ID, Outcome: federation.Conflict})
 		return
 	}
-	txn.If = append(txn.If, g.team.leaderCondition())
+	txn.If = append(txn.If, g.shard.leaderCondition())
 	g.inFlight[s.ID] = true
 	c.compareAndSwap(txn, true, func(r StoreReply) {
 		if g.machine != machine {
@@ -112,7 +112,7 @@
 // bound; a binding that comes later finds the record.
 func (c *Core) makeAway(w federation.MakeAway) (protocol.Txn, bool) {
 	j := c.jobs[w.Job]
-	if j == nil || !c.untouched(j) || !c.everyNodeKnows() || w.Away.Epoch != c.handoffs.Last[w.Away.To]+1 {
+	if j == nil || !c.untouched(j) || !c.members.allKnowFederation() || w.Away.Epoch != c.handoffs.Last[w.Away.To]+1 {
 		return protocol.Txn{}, false
 	}
 	a := w.Away
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -68,7 +68,7 @@
 func (c *Core) nextHeartbeatID() string {
 	p := &c.freshness
 	p.n++
-	s := fmt.Sprintf("%s.%d", c.incarnation, p.n)
+	s := fmt.Sprintf("%s.%d", c.members.incarnation, p.n)
 	p.sent[p.n%heartbeatsKept] = sentHeartbeat{s, c.now.Steady}
 	return s
 }
@@ -76,7 +76,7 @@
 // acknowledgements answers the beats of the others, and owed names those of them that this node
 // has cancellations for.
 func (c *Core) acknowledgements() (out []Acknowledgement, owed []string) {
-	for _, node := range c.roster {
+	for _, node := range c.members.roster {
 		if p := c.peers[node]; p != nil && p.lastHeartbeatID != "" {
 			out = append(out, Acknowledgement{node, p.lastHeartbeatID})
 		}
--- a/internal/core/jobupdate.go
+++ b/internal/core/jobupdate.go
@@ -35,7 +35,7 @@
 	update := &jobUpdate{
 		team:    t,
 		job:     j,
-		nonce:   fmt.Sprintf("%s.%d", c.incarnation, c.ids.next()),
+		nonce:   fmt.Sprintf("%s.%d", c.members.incarnation, c.ids.next()),
 		attempt: j.Attempt,
 	}
 	j.Nonce = update.nonce
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -136,7 +136,7 @@
 		return
 	}
 	c.log(Info, "leadership superseded", "shard", u.team.Name, "job", u.job.ID)
-	c.lostLeadership(u.team)
+	c.lostLeadership(&u.team.shard)
 }
 
 // readFinalState finds out whether the end of a job that is no longer stored is the one that the
@@ -151,7 +151,7 @@
 			c.updateApplied(u, r.Item.Version)
 			return
 		}
-		c.lostLeadership(u.team)
+		c.lostLeadership(&u.team.shard)
 	})
 }
 
--- a/internal/core/late_test.go
+++ b/internal/core/late_test.go
@@ -33,7 +33,7 @@
 		w.endLeases(former)
 		w.run(20*time.Second, nil)
 		var n nodeRecord
-		if err := json.Unmarshal(w.kv[keyNode+"a"].Value, &n); err != nil || n.Incarnation != w.cores["a"].incarnation {
+		if err := json.Unmarshal(w.kv[keyNode+"a"].Value, &n); err != nil || n.Incarnation != w.cores["a"].members.incarnation {
 			t.Errorf("%v late: the key of a is %s", late, w.kv[keyNode+"a"].Value)
 		}
 		if home := w.cores["b"].teamBy["red"].leader; home != "a" {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -3,166 +3,167 @@
 import (
 	"github.com/segmentio/encoding/json"
 
+	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
 )
 
-// leaseGranted starts over under a fresh lease.
-func (c *Core) leaseGranted(lease uint64) {
-	c.lease = lease
-	c.register()
+// shard is a part of the work that has one leader at a time: a team, the fleet of machines, or
+// the federation with other sites.
+type shard struct {
+	name string
+	// key is the store key that names the leader.
+	key string
+	// version is the revision of the key, 0 while the shard has no leader.
+	version           uint64
+	leader            string
+	leaderIncarnation string
+	// leading is set while this run of this node is the leader.
+	leading bool
+	// electing is set while a write of the leader is not answered.
+	electing bool
 }
 
-// leaseExpired gives up every home: others may hold them by now.
-func (c *Core) leaseExpired() {
-	c.lease = 0
-	for _, t := range c.allTeams() {
-		if t.leading {
-			c.lostLeadership(t)
-		}
-	}
+// leaderCondition is the condition that the shard's leader is the one that this node knows of.
+func (s *shard) leaderCondition() protocol.Condition {
+	return protocol.Condition{Key: s.key, Version: s.version}
 }
 
-// registered tells whether the store shows this run's own key under its lease.
-func (c *Core) registered() bool {
-	me, there := c.nodes[c.cfg.Node]
-	return there && me.Incarnation == c.incarnation && me.Lease == c.lease
+// hasLeader tells whether the shard's leader is live.
+func (s *shard) hasLeader(members *membership) bool {
+	leader := leaderRecord{Node: s.leader, Incarnation: s.leaderIncarnation}
+	return s.version > 0 && members.isCurrent(leader)
 }
 
-// register writes this node's own key while it has a lease and the stored state, and the
-// store does not show it, on the condition that it is as the replica has it: a former run
-// may have written it under a lease that lives, and late.
-func (c *Core) register() {
-	if !c.loaded || c.lease == 0 || c.registered() || c.registering || c.revision < c.registeredAt {
-		return
+// allShards lists the shards in the order by which leaders are assigned to them.
+func (c *Core) allShards() []*shard {
+	var all []*shard
+	for _, t := range c.teams {
+		all = append(all, &t.shard)
 	}
-	c.registering = true
-	key := keyNode + c.cfg.Node
-	own := protocol.Change{Put: key, Value: mustMarshal(nodeRecord{Incarnation: c.incarnation, Lease: c.lease, Federation: c.federation != nil}), Lease: c.lease}
-	c.compareAndSwap(protocol.Txn{
-		If:   []protocol.Condition{{Key: key, Version: c.nodes[c.cfg.Node].version}},
-		Then: []protocol.Change{own},
-	}, true, func(r StoreReply) {
-		c.registering = false // electLeaders tries again, unless the watch shows it
-		if r.Outcome == Applied {
-			c.registeredAt = r.Revision
-		}
-	})
-	if c.tokenLease != c.lease {
-		c.tokenLease = c.lease
-		c.acquireToken()
+	all = append(all, c.fleet)
+	if c.federation != nil {
+		all = append(all, c.federation.shard)
 	}
+	return all
 }
 
-// electLeaders takes teams that have no home, or whose home is an earlier run of
-// this node, and hands surplus teams to nodes that have too few.
+// electLeaders takes the lead of shards that have no leader, or that an earlier run of this node
+// led, and hands surplus ones to the controllers that should lead them.
 func (c *Core) electLeaders() {
 	c.register()
-	if c.lease == 0 || !c.registered() || c.hidesOutgoing() {
+	members := &c.members
+	if members.lease == 0 || !members.registered() || c.hidesOutgoing() {
 		return
 	}
 	c.stateVersion()
-	for i, t := range c.allTeams() {
-		preferred := c.preferredLeader(i)
-		home, homeLives := c.nodes[t.leader]
-		orphan := t.version == 0 || !homeLives || home.Incarnation != t.leaderIncarnation
-		reached := c.peers[preferred] != nil && c.peers[preferred].connected
+	for i, s := range c.allShards() {
+		preferred := members.preferredLeader(i, len(c.handoffs.versions) > 0)
+		prefersSelf := preferred == members.self
+		connected := c.peers[preferred] != nil && c.peers[preferred].connected
 		switch {
-		case t.electing:
-		case orphan && (preferred == c.cfg.Node || t.leader == c.cfg.Node):
-			c.assignLeader(t, c.cfg.Node)
-		case t.leading && preferred != c.cfg.Node && reached:
-			c.assignLeader(t, preferred)
+		case s.electing:
+		case !s.hasLeader(members) && (prefersSelf || s.leader == members.self):
+			c.assignLeader(s, members.self)
+		case s.leading && !prefersSelf && connected:
+			c.assignLeader(s, preferred)
 		}
 	}
 }
 
-// preferredLeader is the controller that should be the home of team i: the same one
-// for as long as it lives, so that an end elsewhere moves only the teams of
-// that node. One that does not keep away from jobs that are away is left out.
-func (c *Core) preferredLeader(i int) string {
-	for n := range c.roster {
-		node := c.roster[(i+n)%len(c.roster)]
-		if n, live := c.nodes[node]; live && (n.Federation || len(c.handoffs.versions) == 0) {
-			return node
-		}
-	}
-	return c.cfg.Node
-}
-
-// assignLeader writes a team's home, on the condition that nobody else has.
-func (c *Core) assignLeader(t *team, node string) {
-	n := c.nodes[node]
-	t.electing = true
+// assignLeader writes a shard's leader, on the condition that nobody else has. The watch tells
+// what came of it.
+func (c *Core) assignLeader(s *shard, name string) {
+	node := c.members.live[name]
+	leader := leaderRecord{Node: name, Incarnation: node.Incarnation}
+	s.electing = true
 	c.compareAndSwap(protocol.Txn{
-		If: []protocol.Condition{t.leaderCondition()},
-		Then: []protocol.Change{{
-			Put: t.key, Value: mustMarshal(leaderRecord{Node: node, Incarnation: n.Incarnation}), Lease: n.Lease,
-		}},
-	}, true, func(r StoreReply) {
-		// The watch tells what came of it.
-		t.electing = false
-	})
+		If:   []protocol.Condition{s.leaderCondition()},
+		Then: []protocol.Change{{Put: s.key, Value: mustMarshal(leader), Lease: node.Lease}},
+	}, true, func(StoreReply) { s.electing = false })
 }
 
-// onLeaderPut notes a team's new home. Events arrive in order, so all that an
-// earlier home has stored is in the replica by now.
+// onLeaderPut notes a shard's new leader. Events arrive in order, so all that an earlier leader
+// has stored is in the replica by now.
 func (c *Core) onLeaderPut(item protocol.KeyValue) error {
-	var h leaderRecord
-	if err := json.Unmarshal(item.Value, &h); err != nil {
+	var leader leaderRecord
+	if err := json.Unmarshal(item.Value, &leader); err != nil {
 		return err
 	}
-	for _, t := range c.allTeams() {
-		if t.key != item.Key || t.version >= item.Version {
+	for _, s := range c.allShards() {
+		if s.key != item.Key || s.version >= item.Version {
 			continue
 		}
-		if t.leading {
-			c.lostLeadership(t)
+		if s.leading {
+			c.lostLeadership(s)
 		}
-		t.leader, t.leaderIncarnation, t.version = h.Node, h.Incarnation, item.Version
-		if h.Node == c.cfg.Node && h.Incarnation == c.incarnation {
-			c.becameLeader(t)
+		s.leader, s.leaderIncarnation, s.version = leader.Node, leader.Incarnation, item.Version
+		if c.members.isSelf(leader) {
+			c.becameLeader(s)
+		}
+	}
+	return nil
+}
+
+// onLeaderDelete notes that a shard has no leader.
+func (c *Core) onLeaderDelete(key string, revision uint64) {
+	for _, s := range c.allShards() {
+		if s.key == key && s.version < revision {
+			c.lostLeadership(s)
 		}
 	}
+}
+
+// jobsOf lists the jobs of a shard, which are none unless it is a team.
+func (c *Core) jobsOf(s *shard) map[string]*job.Job {
+	if t := c.teamBy[s.name]; t != nil && s == &t.shard {
+		return t.jobs
+	}
 	return nil
 }
 
-func (c *Core) becameLeader(t *team) {
-	t.leading = true
-	c.log(Info, "home taken", "team", t.Name, "jobs", len(t.jobs))
-	for _, j := range ordered(t.jobs) {
+// becameLeader begins this node's work as the leader of a shard.
+func (c *Core) becameLeader(s *shard) {
+	s.leading = true
+	jobs := c.jobsOf(s)
+	c.log(Info, "leadership acquired", "shard", s.name, "jobs", len(jobs))
+	c.recoverJobs(jobs)
+	if s == c.fleet {
+		c.autoscaler.reset(c.now.Steady)
+	}
+	if c.federation != nil && s == c.federation.shard {
+		c.federation.open(c)
+	}
+	c.requestRound()
+}
+
+// recoverJobs begins to lead jobs. The leader before may or may not have sent the start of a
+// binding, so none is sent again: only evidence tells what became of it.
+func (c *Core) recoverJobs(jobs map[string]*job.Job) {
+	for _, j := range ordered(jobs) {
 		j.InFlight = false
 		j.DropClaims()
 		for _, b := range j.Bound {
-			// An earlier home may or may not have sent the start, so it is
-			// never sent again: only evidence settles it.
 			b.Since, b.Sent, b.Stored = c.now.Steady, true, true
 		}
 		if j.Complete() || j.Cancelled {
 			j.Touch(0)
 		}
 	}
-	if t == c.fleet {
-		c.autoscaler.reset(c.now.Steady)
-	}
-	if c.federation != nil && t == c.federation.team {
-		c.federation.open(c)
-	}
-	c.requestRound()
 }
 
-// lostLeadership ends this node's part as home. What it had not stored is void, so
-// the jobs are read again.
-func (c *Core) lostLeadership(t *team) {
-	was := t.leading
-	t.leading, t.leader, t.leaderIncarnation, t.version = false, "", "", 0
-	if c.federation != nil && t == c.federation.team {
+// lostLeadership ends this node's work as the leader of a shard. What it had not stored is void,
+// so the jobs are read again.
+func (c *Core) lostLeadership(s *shard) {
+	led := s.leading
+	s.leading, s.leader, s.leaderIncarnation, s.version = false, "", "", 0
+	if c.federation != nil && s == c.federation.shard {
 		c.federation.machine = nil
 	}
-	if !was {
+	if !led {
 		return
 	}
-	c.log(Info, "home lost", "team", t.Name)
-	for _, j := range t.jobs {
+	c.log(Info, "leadership lost", "shard", s.name)
+	for _, j := range c.jobsOf(s) {
 		c.forgetJob(j)
 	}
 	c.dependencies.reloading = true
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -101,7 +101,7 @@
 
 // lookupRate is this node's number of checks a second.
 func (c *Core) lookupRate() float64 {
-	return max(1, lookupShare*c.limits.requestRate()/float64(len(c.roster)))
+	return max(1, lookupShare*c.limits.requestRate()/float64(c.members.size()))
 }
 
 // sendLookups sends the checks that are due, the longest waiting questions first.
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -314,7 +314,7 @@
 // report may be late or lost, and a worker needs a time-out and a pause for
 // each node that it tries in vain.
 func (c *Core) silenceLimit() time.Duration {
-	missing := max(0, len(c.roster)-len(c.nodes))
+	missing := c.members.missing()
 	return 2*c.reportInterval() + time.Duration(1+missing)*(protocol.ReportTimeout+protocol.ReportPause)
 }
 
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -38,10 +38,10 @@
 // knownKeys lists the keys that the replica stands for.
 func (c *Core) knownKeys() map[string]bool {
 	out := map[string]bool{}
-	for node := range c.nodes {
+	for node := range c.members.live {
 		out[keyNode+node] = true
 	}
-	for _, t := range c.allTeams() {
+	for _, t := range c.allShards() {
 		if t.version > 0 {
 			out[t.key] = true
 		}
@@ -74,14 +74,6 @@
 	return out
 }
 
-func (c *Core) allTeams() []*team {
-	all := append(c.teams[:len(c.teams):len(c.teams)], c.fleet)
-	if c.federation != nil {
-		all = append(all, c.federation.team)
-	}
-	return all
-}
-
 func (c *Core) applyEvents(m StoreChanged) {
 	for _, e := range m.Events {
 		if e.Delete != "" {
@@ -110,11 +102,7 @@
 	case strings.HasPrefix(key, keyFederation):
 		err = c.onFederationPut(item)
 	case strings.HasPrefix(key, keyNode):
-		n := nodeRecord{version: item.Version}
-		if err = json.Unmarshal(item.Value, &n); err == nil {
-			c.nodes[strings.TrimPrefix(key, keyNode)] = n
-			c.timers.election = 0 // teams may be waiting for it
-		}
+		err = c.onNodePut(item)
 	case strings.HasPrefix(key, keyCordon):
 		m := cordonRecord{version: item.Version}
 		if err = json.Unmarshal(item.Value, &m); err == nil {
@@ -155,15 +143,9 @@
 	case strings.HasPrefix(key, keyFederation) && key != keyFederation:
 		c.onFederationDelete(key, revision)
 	case key == keyFleet, key == keyFederation, strings.HasPrefix(key, keyLeader):
-		for _, t := range c.allTeams() {
-			if t.key == key && t.version < revision {
-				c.lostLeadership(t)
-			}
-		}
+		c.onLeaderDelete(key, revision)
 	case strings.HasPrefix(key, keyNode):
-		c.log(Info, "controller is gone", "node", strings.TrimPrefix(key, keyNode))
-		delete(c.nodes, strings.TrimPrefix(key, keyNode))
-		c.timers.election = 0
+		c.onNodeDelete(key)
 	case strings.HasPrefix(key, keyRelay):
 		c.onRelayPageDelete(key, revision)
 	case strings.HasPrefix(key, keyCordon):
@@ -173,12 +155,6 @@
 	}
 }
 
-// leads tells whether this node is the home of the job's team.
-func (c *Core) leads(j *job.Job) bool {
-	t := c.teamBy[j.Team]
-	return t != nil && t.leading
-}
-
 // onJobPut takes over what another controller, or an earlier home, stored of
 // a job.
 func (c *Core) onJobPut(item protocol.KeyValue) error {
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -81,7 +81,7 @@
 // everyoneReached tells whether this node knows of every live controller which machines
 // it hears; only then is a machine's silence the machine's own.
 func (c *Core) everyoneReached() bool {
-	for node := range c.nodes {
+	for node := range c.members.live {
 		if !c.knowsMachinesOf(node) {
 			return false
 		}
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -273,7 +273,7 @@
 // startRental stores the rental before it asks the cloud, so that a later renter can
 // repeat it under the same name.
 func (c *Core) startRental(o scaling.Order) {
-	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.incarnation, c.ids.next())
+	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.members.incarnation, c.ids.next())
 	i := &rentalIntent{Rental: protocol.Rental{Request: name, Type: o.Offer.Type.Name, Zone: o.Offer.Zone,
 		Spot: o.Offer.Spot, Count: o.Count}, pending: true}
 	c.intents[name] = i
--- a/internal/core/simstore_test.go
+++ b/internal/core/simstore_test.go
@@ -262,7 +262,7 @@
 
 // checkToken checks that each term belongs to one run of one controller.
 func (w *world) checkToken(node string, term uint64) {
-	run := w.cores[node].incarnation
+	run := w.cores[node].members.incarnation
 	if other, taken := w.tokenOwners[term]; taken && other != run {
 		w.t.Errorf("%v: %s and %s both have the term %d", w.now, other, run, term)
 	}
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -39,19 +39,19 @@
 // relayInterval is the pause between two changes of a bulletin, about two pages
 // each time.
 func (c *Core) relayInterval() time.Duration {
-	return max(c.reportInterval()/5, seconds(2*float64(len(c.roster))/(relayWriteShare*c.limits.writeRate())))
+	return max(c.reportInterval()/5, seconds(2*float64(c.members.size())/(relayWriteShare*c.limits.writeRate())))
 }
 
 // isUnreachable tells whether a controller lives, by the store, and is not heard here.
 func (c *Core) isUnreachable(node string) bool {
-	_, live := c.nodes[node]
+	live := c.members.isLive(node)
 	return live && !c.inDirectContact(node)
 }
 
 // unreachablePeers lists the controllers that this node misses.
 func (c *Core) unreachablePeers() []string {
 	var out []string
-	for _, node := range c.roster {
+	for _, node := range c.members.roster {
 		if c.isUnreachable(node) {
 			out = append(out, node)
 		}
@@ -63,13 +63,13 @@
 // lost, one way or both.
 func (c *Core) partitionedFrom(node string) bool {
 	p := c.peers[node]
-	_, live := c.nodes[node]
+	live := c.members.isLive(node)
 	return p != nil && live && (slices.Contains(p.unreachable, c.cfg.Node) || !c.inDirectContact(node))
 }
 
 // partitioned tells whether that is so of any controller.
 func (c *Core) partitioned() bool {
-	for node := range c.nodes {
+	for node := range c.members.live {
 		if c.partitionedFrom(node) {
 			return true
 		}
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	if !c.every(&c.relay.next, c.relayInterval()) || c.relay.busy || c.lease == 0 {
+	if !c.every(&c.relay.next, c.relayInterval()) || c.relay.busy || c.members.lease == 0 {
 		return
 	}
 	var want map[string]json.RawMessage
@@ -260,7 +260,7 @@
 		if ch.Value == nil {
 			txn.Then = append(txn.Then, protocol.Change{Delete: key})
 		} else {
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: ch.Value, Lease: c.lease})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: ch.Value, Lease: c.members.lease})
 		}
 	}
 	c.relay.busy = true
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	return own.share(all, c.limits.writeRate()*jobsShare, len(c.roster))
+	return own.share(all, c.limits.writeRate()*jobsShare, c.members.size())
 }
 
 // writeRank orders what waits to be stored: ends that users are told of, then starts by
