--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -144,7 +144,7 @@
 				for _, m := range c.machines.All() {
 					m.LastContact, m.LastReport = c.now.Steady, c.now.Steady
 				}
-				c.scheduler.dirty, c.scheduler.next, c.effects, c.claims = true, 0, nil, nil
+				c.scheduler.dirty, c.scheduler.next, c.effects, c.scheduler.claims = true, 0, nil, nil
 				c.schedule()
 			}
 		})
@@ -239,7 +239,7 @@
 			j.Version = 1
 			c.addJob(c.teams[0], j)
 			c.now.Steady += time.Nanosecond
-			c.scheduler.dirty, c.scheduler.next, c.effects, c.claims = true, 0, nil, nil
+			c.scheduler.dirty, c.scheduler.next, c.effects, c.scheduler.claims = true, 0, nil, nil
 			b.StartTimer()
 			c.schedule()
 			b.StopTimer()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -68,8 +68,6 @@
 	pendingObservations []Observation
 	// heartbeatAt is when this node last gave a sign of life.
 	heartbeatAt time.Duration
-	// claims are the bindings that this step has made.
-	claims      []Claim
 	rebalancing rebalancing
 	writeBudget writeBudget
 	lookups     lookupQueue
@@ -85,7 +83,7 @@
 	// federation is this site's gateway to others, nil without one.
 	federation *federationAdapter
 
-	scheduler  schedulerState
+	scheduler  scheduler
 	autoscaler autoscalerState
 	timers     timers
 }
@@ -107,7 +105,7 @@
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
 		machines: worker.NewRegistry(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{},
 		peers: map[string]*peerState{}, storeOK: true,
-		handoffs: newSiteRecords(), scheduler: newSchedState(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
+		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
@@ -212,7 +210,7 @@
 
 func (c *Core) periodic() {
 	report := c.reportInterval()
-	c.integrate()
+	c.updateUsageRecords()
 	c.answerAnnounced()
 	c.answerPendingStatus()
 	if c.every(&c.timers.heartbeat, report/3) {
@@ -249,8 +247,8 @@
 	if c.fleet.leading && c.every(&c.timers.statistics, tellEvery*report) {
 		c.logJobStatistics()
 	}
-	if c.loaded && c.every(&c.timers.record, 15*recordInterval) {
-		c.storeRecords()
+	if c.loaded && c.every(&c.timers.record, 15*usageRecordInterval) {
+		c.storeUsageRecords()
 	}
 }
 
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -25,14 +25,14 @@
 		if !t.leading {
 			continue
 		}
-		used := c.used(t)
+		used := t.usage()
 		for _, j := range ordered(t.jobs) {
 			if j.Awaiting && !j.Cancelled {
 				w.Awaits += j.Tasks
 				continue
 			}
 			waits := c.startAllowance(j)
-			fit := c.fitsLimit(t, used, j, waits)
+			fit := fitsLimit(t, used, j, waits)
 			used = used.Plus(j.Need, float64(fit))
 			w.Room += fit
 			w.Limit += waits - fit
@@ -42,7 +42,7 @@
 }
 
 // fitsLimit is how many of n tasks of a job its team's limit leaves room for.
-func (c *Core) fitsLimit(t *team, used job.Resources, j *job.Job, n int) (fit int) {
+func fitsLimit(t *team, used job.Resources, j *job.Job, n int) (fit int) {
 	for fit < n && withinLimit(t, used.Plus(j.Need, float64(fit+1))) {
 		fit++
 	}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -183,7 +183,7 @@
 	for _, node := range w.names {
 		c := w.cores[node]
 		j, last := c.jobs["req-free-1"], c.jobs["req-blue-1"]
-		if j.Rank() != 0 || lowest(j) || !j.AboveNormal() || j.Effective().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
+		if j.Rank() != 0 || isBestEffort(j) || !j.AboveNormal() || j.Effective().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
 			t.Errorf("%s takes it for one of rank %d, its own is %d", node, j.Rank(), j.Priority)
 		}
 		if want := last.OwnLatestStart() - j.Runs(); j.LatestStart() != want || last.OwnLatestStart() == dependency.NoDeadline {
@@ -192,7 +192,7 @@
 	}
 	w.cancelJob("b", "req-blue-1")
 	w.run(3*time.Second, nil)
-	if j := w.cores["a"].jobs["req-free-1"]; j.Rank() != j.Priority || !lowest(j) {
+	if j := w.cores["a"].jobs["req-free-1"]; j.Rank() != j.Priority || !isBestEffort(j) {
 		t.Errorf("nothing needs it any more, and its rank is %d", j.Rank())
 	}
 }
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -192,7 +192,7 @@
 			if !c.untouched(j) {
 				continue
 			}
-			if waited := c.now.Steady - j.WaitingSince; !j.Suspected && !lowest(j) {
+			if waited := c.now.Steady - j.WaitingSince; !j.Suspected && !isBestEffort(j) {
 				w.WaitS = max(w.WaitS, waited.Seconds())
 			}
 			jobs = append(jobs, j)
--- /dev/null
+++ b/internal/core/gangreservations.go
@@ -0,0 +1,65 @@
+package core
+
+import (
+	"cmp"
+	"slices"
+
+	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/placement"
+)
+
+// A gang of four waits for about one time-out before hosts are reserved for it, one of eight
+// or more for maxGangTimeouts.
+const (
+	gangSizeDivisor = 16
+	maxGangTimeouts = 3
+)
+
+// reserveForGangs reserves hosts for gangs that have waited for long enough, the longest
+// first: what comes free in the zone where most hosts are free already is reserved until the
+// gang fits. Otherwise gangs of one task would take every host as it comes free, and a large
+// one would never find as many as it needs.
+func (r *round) reserveForGangs() {
+	var waiting []*job.Job
+	for _, u := range r.candidates {
+		for _, j := range u.jobs {
+			if r.mayReserveForGang(u, j) {
+				waiting = append(waiting, j)
+			}
+		}
+	}
+	timeoutS := r.core.policy.TimeoutS
+	slices.SortFunc(waiting, func(a, b *job.Job) int {
+		return cmp.Or(
+			cmp.Compare(a.Rank(), b.Rank()),
+			cmp.Compare(gangReservationTime(a, timeoutS), gangReservationTime(b, timeoutS)),
+			cmp.Compare(a.ID, b.ID),
+		)
+	})
+	for _, j := range waiting {
+		placement.ReserveForGang(&j.Spec, j.Waiting(), r.hosts)
+	}
+}
+
+// mayReserveForGang tells whether hosts may be reserved for a job now. A gang that its team's
+// limit has no room for may not: it would hold all that comes free, and other teams would wait
+// beside empty machines.
+func (r *round) mayReserveForGang(u *candidate, j *job.Job) bool {
+	if j.Kind != job.Gang || len(j.Bound) > 0 || isBestEffort(j) {
+		return false
+	}
+	if r.core.now.Wall < gangReservationTime(j, r.core.policy.TimeoutS) {
+		return false
+	}
+	whole := job.Resources{}.Plus(j.Need, float64(j.Waiting()))
+	return withinLimit(u.team, u.usage.Plus(whole, 1))
+}
+
+// gangReservationTime is the time of day, in milliseconds, from which hosts are reserved for a
+// gang. While a large one gathers them several small ones wait that could have run, so it waits
+// for longer than they do: as the square of its size, up to maxGangTimeouts.
+func gangReservationTime(j *job.Job, timeoutS float64) int64 {
+	n := float64(j.Tasks)
+	timeouts := min((n*n-1)/gangSizeDivisor, maxGangTimeouts)
+	return j.Since() + int64(timeoutS*1000*timeouts)
+}
--- /dev/null
+++ b/internal/core/hosts.go
@@ -0,0 +1,117 @@
+package core
+
+import (
+	"slices"
+
+	"pepperlever/internal/core/catalog"
+	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/placement"
+	"pepperlever/internal/core/worker"
+)
+
+// schedulableHosts lists the machines that can take tasks. Every controller makes the same
+// list from the same replica, so their plans differ little. The list is valid until the next
+// call.
+func (c *Core) schedulableHosts() []*placement.Host {
+	kinds := c.catalog.Kinds()
+	names := c.machines.Names()
+	buffer := slices.Grow(c.scheduler.hostBuffer[:0], len(names))
+	hosts := make([]*placement.Host, 0, len(names))
+	for _, name := range names {
+		m := c.machines.Get(name)
+		traits, known := kinds[catalog.Kind{Type: m.Type, Spot: m.Spot}]
+		if !known || !c.isSchedulable(m) {
+			continue
+		}
+		buffer = append(buffer, c.hostOf(name, m, traits))
+		hosts = append(hosts, &buffer[len(buffer)-1])
+	}
+	c.scheduler.hostBuffer = buffer
+	return hosts
+}
+
+// hostOf describes a machine for placing.
+func (c *Core) hostOf(name string, m *worker.Machine, traits catalog.KindTraits) placement.Host {
+	host := placement.Host{
+		ID:               name,
+		Type:             m.Type,
+		Zone:             m.Zone,
+		Spot:             m.Spot,
+		Capacity:         traits.Capacity,
+		Free:             traits.Capacity.Plus(c.machines.UsedResources(m), -1),
+		Images:           m,
+		Empty:            !c.machines.HasBindings(name),
+		RemainingS:       -1,
+		PriorReservation: c.scheduler.reservedFor[name],
+		Penalty:          float64(c.failureScore(m)),
+		ReportBytes:      c.machines.EstimateReportBytes(m),
+		RelativeSize:     traits.RelativeSize,
+		PricePremium:     traits.PricePremium,
+		GPUShare:         traits.GPUShare,
+	}
+	if m.ReclaimAt > 0 {
+		host.RemainingS = (m.ReclaimAt - c.now.Steady).Seconds()
+	}
+	return host
+}
+
+// isSchedulable tells whether new tasks may go to a machine: it is in contact both ways, is
+// not cordoned, its controller can be reached, and it has not refused tasks lately.
+func (c *Core) isSchedulable(m *worker.Machine) bool {
+	if _, cordoned := c.cordons[m.Machine]; cordoned || m.GrantedToken == 0 {
+		return false
+	}
+	if c.autoscaler.isCordoning(m.Machine) {
+		return false
+	}
+	if m.IsUnreachable() || !c.hasContact(m.Node) || c.reportOverdue(m) {
+		return false
+	}
+	if c.failureScore(m) >= cordonThreshold {
+		return false
+	}
+	return m.FullAt == 0 || c.now.Steady-m.FullAt > c.reportInterval()/2
+}
+
+// zonesOf counts the bound tasks of a job by zone.
+func (c *Core) zonesOf(j *job.Job) placement.Zones {
+	zones := placement.Zones{}
+	for _, b := range j.Bound {
+		if m := c.machines.Get(b.Machine); m != nil {
+			zones[m.Zone]++
+		} else {
+			zones[placement.UnknownZone]++
+		}
+	}
+	return zones
+}
+
+// constrainedZones is zonesOf for a job whose next tasks depend on it, nil for others.
+func (c *Core) constrainedZones(j *job.Job) placement.Zones {
+	if !j.OneZone && !j.Spread {
+		return nil
+	}
+	return c.zonesOf(j)
+}
+
+// withoutFailed leaves out the hosts that a job has failed on since it last succeeded, unless
+// there is no other.
+func withoutFailed(j *job.Job, hosts []*placement.Host) []*placement.Host {
+	if len(j.FailedOn) == 0 {
+		return hosts
+	}
+	others := slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
+		return slices.Contains(j.FailedOn, h.ID)
+	})
+	if !anyCanHold(&j.Spec, others) {
+		return hosts
+	}
+	return others
+}
+
+// anyCanHold tells whether any host could hold a task, were it empty.
+func anyCanHold(s *job.Spec, hosts []*placement.Host) bool {
+	return slices.ContainsFunc(hosts, func(h *placement.Host) bool {
+		return s.Allows(h.Type, h.Zone, h.Spot) && s.Need.Fits(h.Capacity)
+	})
+}
--- a/internal/core/jobflush.go
+++ b/internal/core/jobflush.go
@@ -84,7 +84,7 @@
 		return true
 	}
 	if j.Urgent {
-		return c.now.Steady >= max(j.StoredAt+c.reportInterval()/30, j.ClaimedAt+c.claimTime())
+		return c.now.Steady >= max(j.StoredAt+c.reportInterval()/30, j.ClaimedAt+c.claimWindow())
 	}
 	wait := max(c.reportInterval(), c.gatherTime())
 	if c.writeBudget.low() {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -128,8 +128,8 @@
 	return id, chunk, ok
 }
 
-// recordTxn stores a team's record while this node is its home.
-func recordTxn(t *team) protocol.Txn {
+// usageRecordTxn stores a team's record while this node is its home.
+func usageRecordTxn(t *team) protocol.Txn {
 	return protocol.Txn{
 		If:   []protocol.Condition{t.leaderCondition()},
 		Then: []protocol.Change{putJSON(keyRecord+teamPart(t.Name), usageRecord{t.record})},
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -165,7 +165,7 @@
 		c.onPut(*m.Accepted)
 	case m.Claims != nil:
 		for _, k := range m.Claims {
-			c.claimed(k)
+			c.noteRemoteClaim(k)
 		}
 	case m.Start != nil:
 		c.forwardStart(from, *m.Start)
@@ -192,7 +192,7 @@
 // record interval.
 func (c *Core) sendHeartbeat() {
 	b := c.newHeartbeat()
-	if c.every(&c.timers.share, recordInterval) {
+	if c.every(&c.timers.share, usageRecordInterval) {
 		b.Records = c.ownRecords()
 	}
 	for id := range ordered(c.agents) {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -12,180 +12,253 @@
 	"pepperlever/internal/protocol"
 )
 
-// victim is a running task that may be stopped, and the work that this loses.
-type victim struct {
+// hostsPerService is how many hosts of a zone are weighed for each replica that waits.
+const hostsPerService = 4
+
+// minCPUs keeps the loss per CPU of tasks that ask for next to nothing finite.
+const minCPUs = 1e-3
+
+// preemptionVictim is a running task that may be stopped, and the work that this loses, in
+// CPU seconds.
+type preemptionVictim struct {
 	job     *job.Job
 	index   int
 	binding *job.Binding
 	loss    float64
 }
 
-// preempt makes room for jobs that found none, where the users' rules allow it.
-// Work of the lowest priority always yields: it is for idle time, and its long
-// tasks would hold the large machines that others wait for. So do arrays to services of
-// higher priority, which wait for nothing else and stay. Any other is stopped
-// only where the operator asks for it. No more work is lost than room is made for.
-func (c *Core) preempt(hosts []*placement.Host) {
-	idle := c.isPreemptible(hosts, func(v *job.Job) bool { return c.policy.Preemption || lowest(v) })
-	var arrays []*placement.Host // for services
-	if slices.ContainsFunc(c.scheduler.starved, func(j *job.Job) bool { return j.Kind == job.Service }) {
-		arrays = c.isPreemptible(hosts, func(v *job.Job) bool { return v.Kind == job.Array && !v.AboveNormal() })
+// preemptionOption is a host on which room can be made for one task, and what that takes.
+type preemptionOption struct {
+	host    *placement.Host
+	victims []preemptionVictim
+	loss    float64
+}
+
+// preempt makes room for jobs that found none, where the users' rules allow it. Best-effort
+// work always makes way: its long tasks would hold the large machines that others wait for. So
+// do arrays for services of higher priority, which wait for nothing else and stay. Any other
+// work is stopped only where the operator asks for it. No more work is lost than room is made
+// for.
+func (r *round) preempt() {
+	hosts := r.core.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
+		return r.core.policy.Preemption || isBestEffort(victim)
+	})
+	var hostsForServices []*placement.Host
+	if slices.ContainsFunc(r.starved, func(j *job.Job) bool { return j.Kind == job.Service }) {
+		hostsForServices = r.core.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
+			return victim.Kind == job.Array && !victim.AboveNormal()
+		})
 	}
-	for _, j := range c.scheduler.starved {
-		from := &idle
-		if j.Kind == job.Service {
-			from = &arrays
-		}
-		waits := j.Kind != job.Service && c.now.Steady-j.WaitingSince < c.patience(j)
-		if j.Kind == job.Gang || waits || j.PreemptedAt > 0 && c.now.Steady-j.PreemptedAt < c.patience(j) {
+	for _, j := range r.starved {
+		if !r.mayPreemptNow(j) {
 			continue
 		}
-		taken := map[*placement.Host]bool{}
-		for _, o := range c.cheapest(j, *from) {
-			taken[o.host] = true
-			for _, v := range o.victims {
-				c.log(Debug, "task stopped to make room", "task", v.job.TaskID(v.index), "machine", v.binding.Machine, "for", j.ID)
-				v.binding.StopSent = c.now.Steady
-				c.sendStop(v.job, v.index, v.binding, v.job.SaveS)
-			}
-		}
-		if len(taken) > 0 || j.Kind == job.Service {
-			j.PreemptedAt = c.now.Steady
+		usable := hosts
+		if j.Kind == job.Service {
+			usable = hostsForServices
 		}
-		gone := func(h *placement.Host) bool { return taken[h] }
-		idle, arrays = slices.DeleteFunc(idle, gone), slices.DeleteFunc(arrays, gone)
+		taken := r.preemptFor(j, usable)
+		isTaken := func(h *placement.Host) bool { return taken[h] }
+		hosts = slices.DeleteFunc(hosts, isTaken)
+		hostsForServices = slices.DeleteFunc(hostsForServices, isTaken)
 	}
 }
 
-// patience is how long a job waits before room is made for it, or more of it: urgent
-// ones as long as it takes to hear what has ended meanwhile. For services the first is
-// made at once.
-func (c *Core) patience(j *job.Job) time.Duration {
+// mayPreemptNow tells whether a job has waited for long enough for room to be made for it.
+func (r *round) mayPreemptNow(j *job.Job) bool {
+	if j.Kind == job.Gang {
+		return false
+	}
+	now, delay := r.core.now.Steady, r.core.preemptionDelay(j)
+	if j.Kind != job.Service && now-j.WaitingSince < delay {
+		return false
+	}
+	return j.PreemptedAt == 0 || now-j.PreemptedAt >= delay
+}
+
+// preemptionDelay is how long a job waits before room is made for it, or more of it: urgent
+// ones as long as it takes to hear what has ended meanwhile. For services the first is made at
+// once.
+func (c *Core) preemptionDelay(j *job.Job) time.Duration {
 	if j.AboveNormal() {
 		return c.reportInterval() / 6
 	}
 	return c.reportInterval()
 }
 
-// isPreemptible lists the hosts that stay and have work on them that may be stopped.
-func (c *Core) isPreemptible(hosts []*placement.Host, may func(*job.Job) bool) []*placement.Host {
-	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.RemainingS >= 0 || !c.machines.HasBindingsOf(h.ID, may) })
-}
-
-// preemptibleLoad lists the machines with work for idle time, with the room there would
-// be without it and what stopping it loses. Other work takes that room; machines rented for
-// it would stand idle when they come.
-func (c *Core) preemptibleLoad() []*placement.Host {
-	var out []*placement.Host
-	for id, m := range c.machines.All() {
-		on := c.machines.Load(id)
-		if on == nil || m.ReclaimAt > 0 || !c.isSchedulable(m) {
-			continue
-		}
-		idle, least, perCPU := job.Resources{}, math.Inf(1), math.Inf(1)
-		for ref, b := range on.Tasks {
-			if lowest(ref.Job) {
-				idle = idle.Plus(ref.Job.Need, 1)
-				loss := c.loss(ref.Job, m, ref.Job.TaskID(ref.Index), b.Attempt)
-				least, perCPU = min(least, loss), min(perCPU, loss/max(ref.Job.Need.CPUs, 1e-3))
-			}
-		}
-		if idle.CPUs > 0 {
-			size := c.catalog.Capacity(m.Type)
-			out = append(out, &placement.Host{ID: id, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: size, RemainingS: -1,
-				Free: size.Plus(c.machines.UsedResources(m), -1).Plus(idle, 1), PreemptionLoss: least, PreemptionLossPerCPU: perCPU})
+// preemptFor stops tasks on hosts to make room for a job, and returns the hosts concerned.
+func (r *round) preemptFor(j *job.Job, hosts []*placement.Host) map[*placement.Host]bool {
+	c := r.core
+	taken := map[*placement.Host]bool{}
+	for _, option := range r.cheapestOptions(j, hosts) {
+		taken[option.host] = true
+		for _, v := range option.victims {
+			c.log(Debug, "task preempted", "task", v.job.TaskID(v.index), "machine", v.binding.Machine, "for", j.ID)
+			v.binding.StopSent = c.now.Steady
+			c.sendStop(v.job, v.index, v.binding, v.job.SaveS)
 		}
 	}
-	return out
+	if len(taken) > 0 || j.Kind == job.Service {
+		j.PreemptedAt = c.now.Steady
+	}
+	return taken
 }
 
-// opening is a host on which room can be made for one task, and what that takes.
-type opening struct {
-	host    *placement.Host
-	victims []victim
-	loss    float64
+// preemptibleHosts lists the hosts that stay and have work on them that may be stopped.
+func (c *Core) preemptibleHosts(hosts []*placement.Host, isVictim func(*job.Job) bool) []*placement.Host {
+	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
+		return h.RemainingS >= 0 || !c.machines.HasBindingsOf(h.ID, isVictim)
+	})
 }
 
-// cheapest finds the hosts where room for the waiting tasks of j costs the least work,
-// no more of them in a zone than may be there. For services a few times as many hosts of
-// each zone are weighed as are needed, not all of a large fleet for each of many jobs.
-func (c *Core) cheapest(j *job.Job, hosts []*placement.Host) []opening {
-	most, weighed := j.Need.CPUs*j.EstimateS, math.MaxInt
+// cheapestOptions finds the hosts where room for the waiting tasks of a job costs the least
+// work, no more of them in a zone than may be there.
+func (r *round) cheapestOptions(j *job.Job, hosts []*placement.Host) []preemptionOption {
+	options := r.preemptionOptions(j, hosts)
+	slices.SortStableFunc(options, func(a, b preemptionOption) int { return cmp.Compare(a.loss, b.loss) })
+	var chosen []preemptionOption
+	zones, tasks := r.core.zonesOf(j), r.core.startAllowance(j)
+	for _, option := range options {
+		if len(chosen) < tasks && placement.ZoneAllowed(&j.Spec, option.host.Zone, zones) {
+			zones[option.host.Zone]++
+			chosen = append(chosen, option)
+		}
+	}
+	return chosen
+}
+
+// preemptionOptions lists the hosts where room for a task of a job can be made. No more work
+// may be lost than the task has, but for services, which run on. For these a few times as many
+// hosts of each zone are weighed as are needed, not all of a large fleet for each of many jobs.
+func (r *round) preemptionOptions(j *job.Job, hosts []*placement.Host) []preemptionOption {
+	c := r.core
+	maxLoss, maxPerZone := j.Need.CPUs*j.EstimateS, math.MaxInt
 	if j.Kind == job.Service {
-		most, weighed = math.Inf(1), weighedPerTask*c.startAllowance(j)
+		maxLoss, maxPerZone = math.Inf(1), hostsPerService*c.startAllowance(j)
 	}
-	var all []opening
-	of := map[string]int{}
+	var options []preemptionOption
+	perZone := map[string]int{}
 	for _, h := range hosts {
-		if of[h.Zone] >= weighed {
+		m := c.machines.Get(h.ID)
+		if m == nil || perZone[h.Zone] >= maxPerZone || !canEverHold(&j.Spec, h) {
 			continue
 		}
-		if m := c.machines.Get(h.ID); m != nil && j.Allows(h.Type, h.Zone, h.Spot) && j.Need.Fits(h.Capacity) && !h.Excludes(&j.Spec) {
-			if out, loss := c.victims(j, h, m); out != nil && loss < most {
-				all = append(all, opening{h, out, loss})
-				of[h.Zone]++
-			}
+		if victims, loss := c.victimsFor(j, h, m); victims != nil && loss < maxLoss {
+			options = append(options, preemptionOption{h, victims, loss})
+			perZone[h.Zone]++
 		}
 	}
-	slices.SortStableFunc(all, func(a, b opening) int { return cmp.Compare(a.loss, b.loss) })
-	var out []opening
-	zones, left := c.zonesOf(j), c.startAllowance(j)
-	for _, o := range all {
-		if left > 0 && placement.ZoneAllowed(&j.Spec, o.host.Zone, zones) {
-			zones[o.host.Zone]++
-			left--
-			out = append(out, o)
+	return options
+}
+
+// canEverHold tells whether a host could hold a task, were it empty.
+func canEverHold(s *job.Spec, h *placement.Host) bool {
+	return s.Allows(h.Type, h.Zone, h.Spot) && s.Need.Fits(h.Capacity) && !h.Excludes(s)
+}
+
+// victimsFor lists the tasks on a machine that would have to be stopped for one task of a job,
+// those with the least loss first, with the loss of all of them, or nil when stopping all is
+// not enough.
+func (c *Core) victimsFor(j *job.Job, h *placement.Host, m *worker.Machine) ([]preemptionVictim, float64) {
+	candidates := c.victimsOn(m, j)
+	slices.SortFunc(candidates, func(a, b preemptionVictim) int { return cmp.Compare(a.loss, b.loss) })
+	free, loss := h.Free, 0.0
+	for i, v := range candidates {
+		free, loss = free.Plus(v.job.Need, 1), loss+v.loss
+		if j.Need.Fits(free) {
+			return candidates[:i+1], loss
 		}
 	}
-	return out
+	return nil, 0
 }
 
-// weighedPerTask is how many hosts of a zone are weighed for each service that waits.
-const weighedPerTask = 4
-
-// victims lists the tasks on a machine that would have to be stopped for one
-// task of j, those with the least loss first, or nil when that is not enough.
-func (c *Core) victims(j *job.Job, h *placement.Host, m *worker.Machine) ([]victim, float64) {
-	var all []victim
+// victimsOn lists the tasks on a machine that may be stopped for a job.
+func (c *Core) victimsOn(m *worker.Machine, j *job.Job) []preemptionVictim {
+	var victims []preemptionVictim
 	for _, t := range m.Tasks {
-		id, i, _ := job.SplitTask(t.Task)
-		v := c.jobs[id]
-		if v == nil || t.State != protocol.Running || v.Kind != job.Array || !c.mayStop(j, v) {
+		id, index, _ := job.SplitTask(t.Task)
+		victim := c.jobs[id]
+		if victim == nil || t.State != protocol.Running || victim.Kind != job.Array || !c.mayPreempt(j, victim) {
 			continue
 		}
-		b := v.Bound[i]
-		if b == nil || b.Attempt != t.Attempt || b.Stopping || b.StopSent > 0 && c.now.Steady-b.StopSent < c.reportInterval() {
+		b := victim.Bound[index]
+		if b == nil || b.Attempt != t.Attempt || b.Stopping {
 			continue
 		}
-		all = append(all, victim{v, i, b, c.loss(v, m, t.Task, t.Attempt)})
-	}
-	slices.SortFunc(all, func(a, b victim) int { return cmp.Compare(a.loss, b.loss) })
-	room, sum := h.Free, 0.0
-	for n, v := range all {
-		room, sum = room.Plus(v.job.Need, 1), sum+v.loss
-		if j.Need.Fits(room) {
-			return all[:n+1], sum
+		if b.StopSent > 0 && c.now.Steady-b.StopSent < c.reportInterval() {
+			continue
 		}
+		loss := c.preemptionLoss(victim, m, t.Task, t.Attempt)
+		victims = append(victims, preemptionVictim{victim, index, b, loss})
 	}
-	return nil, 0
+	return victims
 }
 
-// loss is the work that is lost where a task is stopped, in CPU seconds.
-func (c *Core) loss(j *job.Job, m *worker.Machine, task string, attempt uint64) float64 {
+// preemptionLoss is the work that is lost where a task is stopped, in CPU seconds.
+func (c *Core) preemptionLoss(j *job.Job, m *worker.Machine, task string, attempt uint64) float64 {
 	if j.CheckpointS > 0 {
 		return j.Need.CPUs * j.SaveS
 	}
 	return j.Need.CPUs * m.RunningTime(task, attempt, c.now.Steady).Seconds()
 }
 
-// mayStop is the users' rule on preemption, within what the operator allows.
-func (c *Core) mayStop(j, v *job.Job) bool {
-	switch {
-	case v.Rank() > j.Rank():
-		return c.policy.Preemption || lowest(v) || j.Kind == job.Service && !v.AboveNormal()
-	case !c.policy.Preemption:
+// mayPreempt is the users' rule on stopping tasks of victim for those of j, within what the
+// operator allows.
+func (c *Core) mayPreempt(j, victim *job.Job) bool {
+	if victim.Rank() > j.Rank() {
+		return c.policy.Preemption || isBestEffort(victim) || j.Kind == job.Service && !victim.AboveNormal()
+	}
+	if !c.policy.Preemption {
 		return false
 	}
-	mine, theirs := c.teamBy[j.Team], c.teamBy[v.Team]
-	return mine != theirs && c.used(mine).CPUs+j.Need.CPUs <= mine.CPUs && c.used(theirs).CPUs > theirs.CPUs
+	preemptor, preempted := c.teamBy[j.Team], c.teamBy[victim.Team]
+	return preemptor != preempted &&
+		preemptor.usage().CPUs+j.Need.CPUs <= preemptor.CPUs &&
+		preempted.usage().CPUs > preempted.CPUs
+}
+
+// bestEffortHosts lists the machines with best-effort work, with the room there would be
+// without it and what stopping it loses. Other work takes that room; machines rented for it
+// would stand idle when they come.
+func (c *Core) bestEffortHosts() []*placement.Host {
+	var hosts []*placement.Host
+	for name, m := range c.machines.All() {
+		load := c.machines.Load(name)
+		if load == nil || m.ReclaimAt > 0 || !c.isSchedulable(m) {
+			continue
+		}
+		preemptible, loss, lossPerCPU := c.bestEffortLoad(m, load)
+		if preemptible.CPUs == 0 {
+			continue
+		}
+		capacity := c.catalog.Capacity(m.Type)
+		hosts = append(hosts, &placement.Host{
+			ID:                   name,
+			Type:                 m.Type,
+			Zone:                 m.Zone,
+			Spot:                 m.Spot,
+			Capacity:             capacity,
+			RemainingS:           -1,
+			Free:                 capacity.Plus(c.machines.UsedResources(m), -1).Plus(preemptible, 1),
+			PreemptionLoss:       loss,
+			PreemptionLossPerCPU: lossPerCPU,
+		})
+	}
+	return hosts
+}
+
+// bestEffortLoad is what best-effort tasks take on a machine, and the least work that is lost
+// where one of them is stopped, in all and for each CPU.
+func (c *Core) bestEffortLoad(m *worker.Machine, load *job.Load) (preemptible job.Resources, loss, lossPerCPU float64) {
+	loss, lossPerCPU = math.Inf(1), math.Inf(1)
+	for ref, b := range load.Tasks {
+		if !isBestEffort(ref.Job) {
+			continue
+		}
+		preemptible = preemptible.Plus(ref.Job.Need, 1)
+		taskLoss := c.preemptionLoss(ref.Job, m, ref.Job.TaskID(ref.Index), b.Attempt)
+		loss = min(loss, taskLoss)
+		lossPerCPU = min(lossPerCPU, taskLoss/max(ref.Job.Need.CPUs, minCPUs))
+	}
+	return preemptible, loss, lossPerCPU
 }
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -15,6 +15,13 @@
 	return n
 }
 
+// preemptFor has a round make room for a job that found none.
+func preemptFor(c *Core, j *job.Job) {
+	r := newRound(c)
+	r.hosts, r.starved = c.schedulableHosts(), []*job.Job{j}
+	r.preempt()
+}
+
 // A guest's long tasks for idle time used to hold the large machines while builds
 // waited for minutes; four builds in ten were in time.
 func TestWorkForIdleTimeYieldsToWorkThatFindsNoRoom(t *testing.T) {
@@ -33,12 +40,11 @@
 		j.Version = 1
 		c.addJob(c.teams[1], j)
 		c.now.Steady += 2 * c.reportInterval()
-		c.scheduler.starved = []*job.Job{j}
-		c.preempt(c.hosts())
+		preemptFor(c, j)
 		if got := stops(c); got != k.want {
 			t.Errorf("%s: %d tasks are stopped, want %d", name, got, k.want)
 		}
-		c.preempt(c.hosts())
+		preemptFor(c, j)
 		if got := stops(c); got != k.want {
 			t.Errorf("%s: %d tasks are stopped after a second round", name, got)
 		}
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -2,293 +2,275 @@
 
 import (
 	"cmp"
+	"iter"
 	"maps"
 	"math"
 	"slices"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/headroom"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/placement"
 	"pepperlever/internal/core/scaling"
+	"pepperlever/internal/core/worker"
 )
 
-// aside is the room that is set aside: machines with accelerators for the work that
-// asks for them, and some room for the next services, which neither wait for a boot
-// nor give their room back soon. All controllers set the same room aside, since they
-// mirror the same jobs and machines.
+// peakLeases is the window of the peak of accelerator work, in leases of a worker.
+const peakLeases = 10
+
+// reservations is the room that is reserved: machines with accelerators for the work that
+// asks for them, and some room for the next services, which neither wait for a machine to boot
+// nor give their room back soon. All controllers reserve the same room, since they replicate
+// the same jobs and machines.
 type reservations struct {
-	// wanted is how many machines of a type the work that asks for accelerators uses at
-	// its peak, spot whether it may use spot ones; peaks are by type.
-	wanted map[string]int
-	spot   map[string]bool
-	peaks  map[string]*headroom.Peak
-	// services are the classes of services, by name; images are those they use.
-	services map[string]*headroom.Class
-	images   map[string]map[string]bool
-	// hosts are the machines that were set aside in the newest round.
+	// gpuMachines is how many machines of a type the work that asks for accelerators uses at
+	// its peak, gpuSpot whether it may use spot ones; gpuPeaks are by type.
+	gpuMachines map[string]int
+	gpuSpot     map[string]bool
+	gpuPeaks    map[string]*headroom.Peak
+	// services are the classes of services by name.
+	services map[string]*serviceClass
+	// hosts are the machines that were reserved in the newest round.
 	hosts map[string]bool
-	// short is set while accelerator work finds no room.
-	short bool
 }
 
-// peakLeases is the window of the peak of accelerator work, in leases of a worker.
-const peakLeases = 10
+// serviceClass sums up the services of one class.
+type serviceClass struct {
+	headroom.Class
+	// images are those that the services use.
+	images map[string]bool
+}
+
+func newReservations() reservations {
+	return reservations{gpuPeaks: map[string]*headroom.Peak{}}
+}
 
-// weighReservations sums up the jobs that room is set aside for, and tells whether any is.
-func (c *Core) weighReservations() bool {
-	a := &c.scheduler.reserved
-	need := map[string]float64{}
-	a.spot, a.services, a.images = map[string]bool{}, map[string]*headroom.Class{}, map[string]map[string]bool{}
-	for _, j := range c.jobs {
-		if j.Need.GPUs == 0 && j.Kind != job.Service || j.Cancelled || j.Suspected || c.isOutgoing(j.ID) {
+// updateReservations sums up the jobs that room is reserved for, and tells whether there are
+// any.
+func (c *Core) updateReservations() bool {
+	window := peakLeases * seconds(c.cfg.Params.Workers.LeaseS)
+	jobs := func(yield func(*job.Job) bool) {
+		for _, j := range c.jobs {
+			if needsReservation(j) && !c.isOutgoing(j.ID) && !yield(j) {
+				return
+			}
+		}
+	}
+	return c.scheduler.reservations.update(jobs, c.catalog, int64(c.now.Steady/window))
+}
+
+// needsReservation tells whether a job is of a kind that room is reserved for.
+func needsReservation(j *job.Job) bool {
+	return (j.Need.GPUs > 0 || j.Kind == job.Service) && !j.Cancelled && !j.Suspected
+}
+
+// update sums up jobs in a numbered window of the peak, and tells whether there are any to
+// reserve room for.
+func (r *reservations) update(jobs iter.Seq[*job.Job], types catalog.Catalog, window int64) bool {
+	gpuNeed := map[string]float64{}
+	r.gpuSpot, r.services = map[string]bool{}, map[string]*serviceClass{}
+	for j := range jobs {
+		if j.Need.GPUs == 0 {
+			r.addService(j)
 			continue
 		}
-		switch {
-		case j.Need.GPUs > 0:
-			if t := c.catalog.CheapestFor(&j.Spec); t != "" {
-				need[t] += float64(j.Tasks-j.Done.Len()) / float64(placement.FitCount(j.Need, c.catalog.Capacity(t)))
-				a.spot[t] = a.spot[t] || j.Spot
-			}
-		default:
-			s := a.services[j.Class]
-			if s == nil {
-				s = &headroom.Class{}
-				a.services[j.Class], a.images[j.Class] = s, map[string]bool{}
-			}
-			s.Add(&j.Spec)
-			a.images[j.Class][j.Image] = true
+		if name := types.CheapestFor(&j.Spec); name != "" {
+			perMachine := placement.FitCount(j.Need, types.Capacity(name))
+			gpuNeed[name] += float64(j.Tasks-j.Done.Len()) / float64(perMachine)
+			r.gpuSpot[name] = r.gpuSpot[name] || j.Spot
 		}
 	}
-	if a.peaks == nil {
-		a.peaks = map[string]*headroom.Peak{}
+	r.updatePeaks(gpuNeed, types, window)
+	return len(r.gpuMachines)+len(r.services) > 0
+}
+
+// addService adds a service to its class.
+func (r *reservations) addService(j *job.Job) {
+	class := r.services[j.Class]
+	if class == nil {
+		class = &serviceClass{images: map[string]bool{}}
+		r.services[j.Class] = class
 	}
-	window := int64(c.now.Steady / (peakLeases * seconds(c.cfg.Params.Workers.LeaseS)))
-	a.wanted = map[string]int{}
-	for t := range c.catalog.All() {
-		p := a.peaks[t]
-		if p == nil {
-			p = &headroom.Peak{}
-			a.peaks[t] = p
+	class.Add(&j.Spec)
+	class.images[j.Image] = true
+}
+
+// needTolerance keeps sums of whole numbers whole, whatever the order of the sum.
+const needTolerance = 1e-6
+
+// updatePeaks notes how many machines of each type accelerator work needs now.
+func (r *reservations) updatePeaks(need map[string]float64, types catalog.Catalog, window int64) {
+	r.gpuMachines = map[string]int{}
+	for name := range types.All() {
+		peak := r.gpuPeaks[name]
+		if peak == nil {
+			peak = &headroom.Peak{}
+			r.gpuPeaks[name] = peak
 		}
-		p.Observe(window, int(math.Ceil(need[t]-1e-6))) // whatever the order of the sum
-		if p.Max() > 0 {
-			a.wanted[t] = p.Max()
+		peak.Observe(window, int(math.Ceil(need[name]-needTolerance)))
+		if peak.Max() > 0 {
+			r.gpuMachines[name] = peak.Max()
 		}
 	}
-	return len(a.wanted)+len(a.services) > 0
 }
 
-// reserve marks the hosts that are set aside in this round.
-func (c *Core) reserve(hosts []*placement.Host) {
-	a := &c.scheduler.reserved
-	a.hosts, a.short = map[string]bool{}, false
-	for t, n := range ordered(a.wanted) {
-		c.reserveForGPUs(t, n, hosts)
+// includes tells whether a machine was reserved in the newest round.
+func (r *reservations) includes(machine string) bool { return r.hosts[machine] }
+
+// apply marks the hosts that are reserved in this round, and returns the demand of services
+// that room could not be reserved for.
+func (r *reservations) apply(hosts []*placement.Host, machines *worker.Registry) []scaling.Demand {
+	r.hosts = map[string]bool{}
+	for name, machines := range ordered(r.gpuMachines) {
+		r.reserveForGPUs(name, machines, hosts)
 	}
-	for class, s := range ordered(a.services) {
-		c.reserveForServices(s, a.images[class], hosts)
+	var demand []scaling.Demand
+	for _, class := range ordered(r.services) {
+		if missing := r.reserveForServices(class, hosts, machines); missing > 0 {
+			spec := *class.Spec
+			spec.Spread = false // the tasks are of more than one job
+			demand = append(demand, scaling.Demand{Spec: &spec, Tasks: missing, Entitlement: scaling.Guaranteed})
+		}
 	}
+	return demand
 }
 
-// reserveForGPUs keeps the n hosts of a type that other work uses least free of it. Tasks
-// that need no accelerators but run for long used to settle on the only machines that
-// gangs fit on: every third replica was there, and half of the gangs never started.
-func (c *Core) reserveForGPUs(typ string, n int, hosts []*placement.Host) {
-	var of []*placement.Host
+// reserveForGPUs keeps the hosts of a type that other work uses least free of it. Tasks that
+// need no accelerators but run for long would hold the only machines that gangs fit on.
+func (r *reservations) reserveForGPUs(typ string, machines int, hosts []*placement.Host) {
+	var usable []*placement.Host
 	for _, h := range hosts {
-		if h.Type == typ && (!h.Spot || c.scheduler.reserved.spot[typ]) {
-			of = append(of, h)
+		if h.Type == typ && (!h.Spot || r.gpuSpot[typ]) {
+			usable = append(usable, h)
 		}
 	}
-	others := func(h *placement.Host) float64 {
-		if h.Free.GPUs < h.Capacity.GPUs {
-			return -1
-		}
-		return h.Capacity.CPUs - h.Free.CPUs
-	}
-	slices.SortStableFunc(of, func(a, b *placement.Host) int { return cmp.Compare(others(a), others(b)) })
-	for _, h := range of[:min(n, len(of))] {
+	slices.SortStableFunc(usable, func(a, b *placement.Host) int {
+		return cmp.Compare(otherWork(a), otherWork(b))
+	})
+	for _, h := range usable[:min(machines, len(usable))] {
 		h.GPUOnly = true
-		c.scheduler.reserved.hosts[h.ID] = true
+		r.hosts[h.ID] = true
 	}
 }
 
-// reserveForServices keeps room for the next replicas of a class: for two of its largest
-// jobs, and for one of each image where that image is, since a replica has no time to
-// fetch one. Only where there is too little are arrays left to end for it, and machines
-// asked for.
-func (c *Core) reserveForServices(s *headroom.Class, images map[string]bool, hosts []*placement.Host) {
-	spare := s.Headroom() + c.misplaced(s.Spec.Class, hosts)
-	able := c.rooms(s.Spec, hosts)
-	now := slices.DeleteFunc(slices.Clone(able), func(r room) bool { return r.ending > 0 })
-	perImage := func(rooms []room) {
-		for _, image := range slices.Sorted(maps.Keys(images)) {
-			c.keepRoom(min(s.Largest, spare), slices.DeleteFunc(slices.Clone(rooms), func(r room) bool { return !r.host.Images.HasImage(image) }))
-		}
+// otherWork is how many CPUs of a host are in use by work without accelerators, less than
+// nothing where accelerators are in use.
+func otherWork(h *placement.Host) float64 {
+	if h.Free.GPUs < h.Capacity.GPUs {
+		return -1
 	}
-	perImage(now)
-	left := c.keepRoom(spare, now)
-	perImage(able)
-	if left > 0 {
-		c.keepRoom(spare, able)
-		several := *s.Spec
-		several.Spread = false // they are of more than one job
-		c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, scaling.Demand{Spec: &several, Tasks: left, Entitlement: scaling.Guaranteed})
+	return h.Capacity.CPUs - h.Free.CPUs
+}
+
+// reserveForServices reserves room for the next replicas of a class: for two of its largest
+// jobs, and for one of each image where that image is, since a replica has no time to fetch
+// one. Only where there is too little are arrays left to end for it. It tells for how many
+// replicas there is no room now.
+func (r *reservations) reserveForServices(class *serviceClass, hosts []*placement.Host, machines *worker.Registry) int {
+	wanted := class.Headroom() + misplacedReplicas(class.Spec.Class, hosts, machines)
+	usable := serviceHosts(class.Spec, hosts, machines)
+	freeNow := slices.DeleteFunc(slices.Clone(usable), func(h serviceHost) bool { return h.arrayMilliCPUs > 0 })
+	r.reserveByImage(class, wanted, freeNow)
+	missing := r.reserveSlots(wanted, freeNow)
+	r.reserveByImage(class, wanted, usable)
+	if missing > 0 {
+		r.reserveSlots(wanted, usable)
 	}
+	return missing
 }
 
-// misplaced counts the replicas of a class on hosts that are set aside for accelerator
+// reserveByImage reserves room for the largest job of a class with each of its images.
+func (r *reservations) reserveByImage(class *serviceClass, wanted int, hosts []serviceHost) {
+	for _, image := range slices.Sorted(maps.Keys(class.images)) {
+		withImage := slices.DeleteFunc(slices.Clone(hosts), func(h serviceHost) bool {
+			return !h.Images.HasImage(image)
+		})
+		r.reserveSlots(min(class.Largest, wanted), withImage)
+	}
+}
+
+// misplacedReplicas counts the replicas of a class on hosts that are reserved for accelerator
 // work: they need room elsewhere before they can be moved.
-func (c *Core) misplaced(class string, hosts []*placement.Host) int {
-	n := 0
+func misplacedReplicas(class string, hosts []*placement.Host, machines *worker.Registry) int {
+	replicas := 0
 	for _, h := range hosts {
-		if load := c.machines.Load(h.ID); h.GPUOnly && load != nil {
-			for ref := range load.Tasks {
-				if ref.Job.Class == class {
-					n++
-				}
+		load := machines.Load(h.ID)
+		if !h.GPUOnly || load == nil {
+			continue
+		}
+		for ref := range load.Tasks {
+			if ref.Job.Class == class {
+				replicas++
 			}
 		}
 	}
-	return n
+	return replicas
 }
 
-// room is a host with room for some services, now or once the arrays on it have ended,
-// which take ending thousandths of CPUs: whole numbers add up alike in any order.
-type room struct {
-	host   *placement.Host
-	slots  int
-	ending int
+// serviceHost is a host with room for some replicas, now or once the arrays on it have ended.
+type serviceHost struct {
+	*placement.Host
+	slots int
+	// arrayMilliCPUs is what the arrays that have to end take, in thousandths of CPUs: whole
+	// numbers add up alike in any order.
+	arrayMilliCPUs int
 }
 
-// rooms lists the hosts that services may be kept room on, those that have it now first.
-func (c *Core) rooms(s *job.Spec, hosts []*placement.Host) []room {
-	var out []room
+// serviceHosts lists the hosts that room for services may be reserved on, those that have it
+// now first.
+func serviceHosts(s *job.Spec, hosts []*placement.Host, machines *worker.Registry) []serviceHost {
+	var out []serviceHost
 	for _, h := range hosts {
 		if h.GPUOnly || h.RemainingS >= 0 || !s.Allows(h.Type, h.Zone, h.Spot) {
 			continue
 		}
-		r := room{host: h, slots: placement.FitCount(s.Need, h.Free)}
-		if load := c.machines.Load(h.ID); r.slots == 0 && load != nil {
-			free := h.Free
-			for ref := range load.Tasks {
-				if ref.Job.Kind == job.Array {
-					free = free.Plus(ref.Job.Need, 1)
-					r.ending += int(1000 * ref.Job.Need.CPUs)
-				}
-			}
-			r.slots = placement.FitCount(s.Need, free)
-		}
-		if r.slots > 0 {
-			out = append(out, r)
+		if candidate := serviceHostOf(s, h, machines.Load(h.ID)); candidate.slots > 0 {
+			out = append(out, candidate)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b room) int { return cmp.Compare(a.ending, b.ending) })
+	slices.SortStableFunc(out, func(a, b serviceHost) int { return cmp.Compare(a.arrayMilliCPUs, b.arrayMilliCPUs) })
 	return out
 }
 
-// keepRoom sets hosts aside for n services, from every zone in turn, and tells for how
-// many there are none. Hosts that are set aside already count. Arrays on a host are left
-// to end, and none comes in their place: each gap that they leave is too narrow for a
-// replica, so that waiting for a wide one kept nothing.
-func (c *Core) keepRoom(n int, rooms []room) int {
-	zones := map[string][]room{}
-	for _, r := range rooms {
-		if r.host.ServicesOnly {
-			n -= r.slots
-		} else {
-			zones[r.host.Zone] = append(zones[r.host.Zone], r)
-		}
+// serviceHostOf works out the room for services on a host.
+func serviceHostOf(s *job.Spec, h *placement.Host, load *job.Load) serviceHost {
+	out := serviceHost{Host: h, slots: placement.FitCount(s.Need, h.Free)}
+	if out.slots > 0 || load == nil {
+		return out
 	}
-	for i, found := 0, true; found && n > 0; i++ {
-		found = false
-		for _, of := range ordered(zones) {
-			if i < len(of) && n > 0 {
-				found = true
-				of[i].host.ServicesOnly = true
-				c.scheduler.reserved.hosts[of[i].host.ID] = true
-				n -= of[i].slots
-			}
+	free := h.Free
+	for ref := range load.Tasks {
+		if ref.Job.Kind == job.Array {
+			free = free.Plus(ref.Job.Need, 1)
+			out.arrayMilliCPUs += int(1000 * ref.Job.Need.CPUs)
 		}
 	}
-	return n
+	out.slots = placement.FitCount(s.Need, free)
+	return out
 }
 
-// evacuate moves the replicas of one host at a time off the hosts that are set aside for
-// accelerator work, while such work waits and there is room for them elsewhere. They
-// had settled there before anything that needs the accelerators was known.
-func (c *Core) evacuate(hosts []*placement.Host) {
-	if !c.scheduler.reserved.short || !c.every(&c.timers.vacate, c.reportInterval()) {
-		return
-	}
+// reserveSlots reserves hosts for a number of replicas, from every zone in turn, and tells for
+// how many there are none. Hosts that are reserved already count. Arrays on a host are left to
+// end, and none comes in their place: each gap that they leave is too narrow for a replica.
+func (r *reservations) reserveSlots(wanted int, hosts []serviceHost) int {
+	byZone := map[string][]serviceHost{}
 	for _, h := range hosts {
-		if !h.GPUOnly || h.Free.GPUs < h.Capacity.GPUs {
-			continue
-		}
-		zones := map[string]placement.Zones{}
-		moved := false
-		c.eachLedBinding(h.ID, func(ref job.Ref, b *job.Binding) bool { return c.movable(ref, b) }, func(j *job.Job, i int, b *job.Binding) {
-			if zones[j.ID] == nil {
-				zones[j.ID] = c.zonesOf(j)
-			}
-			zones[j.ID][h.Zone]--
-			if to := placement.Choose(&j.Spec, hosts, zones[j.ID]); to != nil {
-				to.Take(&j.Spec)
-				zones[j.ID][to.Zone]++
-				c.log(Debug, "replica moved off accelerators", "task", j.TaskID(i), "machine", h.ID)
-				c.stopTask(j, i, b, 0)
-				moved = true
-			}
-		})
-		if moved {
-			return
+		if h.ServicesOnly {
+			wanted -= h.slots
+		} else {
+			byZone[h.Zone] = append(byZone[h.Zone], h)
 		}
 	}
-}
-
-// movable tells whether a task is a replica that has run for a while.
-func (c *Core) movable(ref job.Ref, b *job.Binding) bool {
-	m := c.machines.Get(b.Machine)
-	return ref.Job.Kind == job.Service && ref.Job.Need.GPUs == 0 && m != nil &&
-		m.RunningTime(ref.Job.TaskID(ref.Index), b.Attempt, c.now.Steady) > seconds(c.policy.TimeoutS)
-}
-
-// reserveForGangs lets gangs whose patience is over, the longest first, gather hosts: what
-// comes free in the zone where most of them are free already is held until the gang fits.
-// Gangs of one task took every host as it came free, and one of eight never found as many.
-func (c *Core) reserveForGangs(turns []*candidate, hosts []*placement.Host) {
-	var old []*job.Job
-	for _, u := range turns {
-		for _, j := range u.jobs {
-			// One whose team has no room for it under its limit gathers nothing: it held all
-			// that came free, and other teams waited beside empty machines.
-			whole := job.Resources{}.Plus(j.Need, float64(j.Waiting()))
-			if j.Kind == job.Gang && len(j.Bound) == 0 && !lowest(j) && c.now.Wall >= c.gangReservationTime(j) && withinLimit(u.team, u.used.Plus(whole, 1)) {
-				old = append(old, j)
+	for i, found := 0, true; found && wanted > 0; i++ {
+		found = false
+		for _, inZone := range ordered(byZone) {
+			if i < len(inZone) && wanted > 0 {
+				found = true
+				inZone[i].ServicesOnly = true
+				r.hosts[inZone[i].ID] = true
+				wanted -= inZone[i].slots
 			}
 		}
 	}
-	slices.SortFunc(old, func(a, b *job.Job) int {
-		return cmp.Or(cmp.Compare(a.Rank(), b.Rank()), cmp.Compare(c.gangReservationTime(a), c.gangReservationTime(b)), cmp.Compare(a.ID, b.ID))
-	})
-	for _, j := range old {
-		placement.ReserveForGang(&j.Spec, j.Waiting(), hosts)
-	}
+	return wanted
 }
-
-// gangReservationTime is the time of day, in milliseconds, from which a gang gathers hosts. While
-// one of eight gathers them several small ones wait that could have run, so it waits for
-// longer than they do: as the square of its size, up to holdMost time-outs. Where there was
-// more work than room for minutes four were too many: less than half of the largest gangs
-// began within four minutes. By age alone all waited longer.
-func (c *Core) gangReservationTime(j *job.Job) int64 {
-	n := float64(j.Tasks)
-	return j.Since() + int64(c.policy.TimeoutS*1000*min((n*n-1)/holdSquare, holdMost))
-}
-
-// A gang of four waits for about one time-out, one of eight or more for holdMost.
-const (
-	holdSquare = 16
-	holdMost   = 3
-	holdAfter  = 4
-)
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -270,7 +270,7 @@
 	c := newWorld(t).cores["a"]
 	for tasks, timeouts := range map[int]float64{1: 0, 2: 3.0 / 16, 4: 15.0 / 16, 8: 3, 100: 3} {
 		j := job.New(job.Spec{Tasks: tasks, Kind: job.Gang, Accepted: 1000}, 64, 0)
-		if got, want := c.gangReservationTime(j)-1000, int64(timeouts*c.policy.TimeoutS*1000); got != want {
+		if got, want := gangReservationTime(j, c.policy.TimeoutS)-1000, int64(timeouts*c.policy.TimeoutS*1000); got != want {
 			t.Errorf("%d tasks: after %d ms, want %d", tasks, got, want)
 		}
 	}
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -164,7 +164,7 @@
 	for id, m := range c.machines.All() {
 		if !c.machines.UsedResources(m).Fits(job.Resources{}) {
 			m.IdleSince = c.now.Steady
-		} else if c.now.Steady-m.IdleSince > c.idleTime(m) && !c.scheduler.reserved.hosts[id] {
+		} else if c.now.Steady-m.IdleSince > c.idleTime(m) && !c.scheduler.reservations.includes(id) {
 			c.closeMachine(id, "idle")
 		}
 	}
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -44,6 +44,12 @@
 		backoffs: map[offerKey]backoff{}, returnReasons: map[string]string{}, provisioning: newBoots()}
 }
 
+// isCordoning tells whether a machine is being cordoned or returned.
+func (s *autoscalerState) isCordoning(machine string) bool {
+	_, cordoning := s.cordoned[machine]
+	return cordoning
+}
+
 // reset starts the renter's part over.
 func (s *autoscalerState) reset(now time.Duration) {
 	*s = newRentState()
@@ -191,7 +197,7 @@
 	// bounded by one request an offer, a large demand went on to dear offers while
 	// there were cheap machines left.
 	requests := int(max(1, c.cfg.Params.Cloud.RPS))
-	for _, o := range scaling.Plan(c.scheduler.pendingDemand, coming, c.preemptibleLoad(), c.offers(c.backlog(coming)), requests*protocol.MaxRental) {
+	for _, o := range scaling.Plan(c.scheduler.pendingDemand, coming, c.bestEffortHosts(), c.offers(c.backlog(coming)), requests*protocol.MaxRental) {
 		for ; o.Count > 0 && requests > 0; requests-- {
 			part := o
 			part.Count = min(o.Count, protocol.MaxRental)
--- a/internal/core/unschedulable_test.go
+++ b/internal/core/unschedulable_test.go
@@ -10,7 +10,7 @@
 	base := job.Spec{Need: job.Resources{CPUs: 2, MemoryGB: 4}, Spot: true, EstimateS: 10}
 	var s unschedulableSet
 	s.add(&job.Job{Spec: base}, false)
-	if (unschedulableSet{{&base, true}}).holds(&job.Job{Spec: base}, false, nil) {
+	if (unschedulableSet{{&base, true}}).covers(&job.Job{Spec: base}, false, nil) {
 		t.Error("dear machines were not tried, but count as full")
 	}
 	for name, k := range map[string]struct {
@@ -32,7 +32,7 @@
 	} {
 		j := &job.Job{Spec: base}
 		k.change(j)
-		if got := s.holds(j, false, k.kept); got != k.want {
+		if got := s.covers(j, false, k.kept); got != k.want {
 			t.Errorf("%s: got %v", name, got)
 		}
 	}
--- /dev/null
+++ b/internal/core/usagerecords.go
@@ -0,0 +1,82 @@
+package core
+
+import (
+	"time"
+
+	"pepperlever/internal/core/fairness"
+	"pepperlever/internal/core/job"
+)
+
+// usageRecordInterval is how often usage records are exchanged, as the design says.
+const usageRecordInterval = 2 * time.Second
+
+// updateUsageRecords adds the time since the last step to the records of the teams that this
+// node leads.
+func (c *Core) updateUsageRecords() {
+	elapsed := c.now.Steady - c.timers.last
+	if elapsed < usageRecordInterval/8 {
+		return
+	}
+	c.timers.last = c.now.Steady
+	shares := fairness.Shares(c.totalCapacity(), teamWeights(c.teams))
+	window := c.now.Wall / int64(c.policy.WindowS*1000)
+	for i, t := range c.teams {
+		if !t.leading {
+			continue
+		}
+		usage := t.usage()
+		demand := usage.Plus(c.waitingNeed(t), 1)
+		counted := min(elapsed, usageRecordInterval).Seconds()
+		t.record.Advance(window, counted, vector(usage), vector(demand), shares[i])
+	}
+}
+
+// storeUsageRecords stores the records of led teams, so that a crash does not lose them.
+func (c *Core) storeUsageRecords() {
+	for _, t := range c.teams {
+		if t.leading && c.storeOK {
+			c.compareAndSwap(usageRecordTxn(t), false, func(StoreReply) {})
+		}
+	}
+}
+
+// vector is an amount of resources as the ranking of the teams counts it.
+func vector(r job.Resources) fairness.Vector {
+	return fairness.Vector{r.CPUs, r.GPUs, r.MemoryGB}
+}
+
+// teamWeights are the guarantees of the teams, in CPUs.
+func teamWeights(teams []*team) []float64 {
+	weights := make([]float64, len(teams))
+	for i, t := range teams {
+		weights[i] = t.CPUs
+	}
+	return weights
+}
+
+// totalCapacity is what all known machines have together.
+func (c *Core) totalCapacity() fairness.Vector {
+	var sum job.Resources
+	for _, name := range c.machines.Names() {
+		sum = sum.Plus(c.catalog.Capacity(c.machines.Get(name).Type), 1)
+	}
+	return vector(sum)
+}
+
+// usage is what the bound tasks of a team take.
+func (t *team) usage() job.Resources {
+	var sum job.Resources
+	for _, j := range t.jobs {
+		sum = sum.Plus(j.Need, float64(len(j.Bound)))
+	}
+	return sum
+}
+
+// waitingNeed is what the tasks of a team that may be placed now ask for.
+func (c *Core) waitingNeed(t *team) job.Resources {
+	var sum job.Resources
+	for _, j := range t.jobs {
+		sum = sum.Plus(j.Need, float64(c.startAllowance(j)))
+	}
+	return sum
+}
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -105,7 +105,7 @@
 	}
 	ends := j.Complete() || j.Cancelled
 	switch {
-	case ends && !lowest(j):
+	case ends && !isBestEffort(j):
 		return rankEnds
 	case ends || j.Urgent:
 		return rankStarts + j.Rank()
