--- a/cmd/pepperlever/lab.go
+++ b/cmd/pepperlever/lab.go
@@ -109,7 +109,7 @@
 			return pair.Measure(ctx, cmd.OutOrStdout(), f.inFlight)
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "sites are at %s and %s; hand a job in that goes over with: pepperlever submit --to %[1]s --team %[3]s --class %[4]s --estimate-s 5 --wait\n",
-			pair.Sites[0].Front(), pair.Sites[1].Front(), cfg.Teams[0].Name, emulator.Goes)
+			pair.Sites[0].Front(), pair.Sites[1].Front(), cfg.Teams[0].Name, emulator.RemoteClass)
 		<-ctx.Done()
 		return nil
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -37,11 +37,11 @@
 	tick  time.Duration
 	start time.Time
 
-	api   *api.API
-	store *store.Store
-	cloud *cloud.Cloud
-	agent *workerclient.Agent
-	peers *peer.Peers
+	api     *api.API
+	store   *store.Store
+	cloud   *cloud.Cloud
+	workers *workerclient.Agent
+	peers   *peer.Peers
 	// sites are the streams to other sites, nil without a gateway.
 	sites *transport.Links
 }
@@ -57,7 +57,7 @@
 	d.api = api.New(cfg, d.offer)
 	d.store = store.New(cfg, core.Root, emit)
 	d.cloud = cloud.New(cfg, emit)
-	d.agent = workerclient.New(cfg, emit)
+	d.workers = workerclient.New(cfg, emit)
 	d.peers = peer.New(cfg, emit)
 	if gatewayFile != "" {
 		links, gate, err := transport.New(gatewayFile, emit)
@@ -118,12 +118,12 @@
 		}
 		now := core.Now{Steady: time.Since(d.start), Wall: time.Now().UnixMilli()}
 		for _, e := range d.core.Step(now, batch) {
-			d.carryOut(e)
+			d.execute(e)
 		}
 	}
 }
 
-func (d *Daemon) carryOut(e core.Effect) {
+func (d *Daemon) execute(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answer:
 		d.api.Answer(e)
@@ -138,7 +138,7 @@
 	case core.SendSite:
 		d.sites.Send(e.Message)
 	case core.Deliver:
-		d.agent.Deliver(e)
+		d.workers.Deliver(e)
 	case core.FetchCatalog:
 		d.cloud.Catalog()
 	case core.FetchInventory:
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -12,22 +12,22 @@
 
 // Cloud rents machines, without input or output: callers pass the time.
 type Cloud struct {
-	cfg    *Config
-	rng    *rand.Rand
-	rented map[string]protocol.MachineNames
-	all    []*hired
-	// named is how many machines were ever named.
-	named int
-	calls bucket
+	cfg       *Config
+	rng       *rand.Rand
+	rentals   map[string]protocol.MachineNames
+	instances []*instance
+	// namesIssued is how many machines were ever named.
+	namesIssued int
+	requests    tokenBucket
 }
 
-// hired is one machine from its rental to its end.
-type hired struct {
+// instance is one machine from its rental to its end.
+type instance struct {
 	protocol.ListedMachine
-	typ            *Type
-	asked, up, end time.Duration // never: no such time yet
-	taken          time.Duration // when a spot machine is taken back
-	told, gone     bool          // whether its notice and its end were passed on
+	machineType                *MachineType
+	requestedAt, upAt, endedAt time.Duration // never: no such time yet
+	reclaimedAt                time.Duration // when a spot machine is taken back
+	noticeSent, removed        bool          // whether its notice and its end were passed on
 }
 
 const never = time.Duration(1<<63 - 1)
@@ -35,8 +35,8 @@
 // NewCloud makes a cloud from which nothing is rented, and that has named some
 // machines before.
 func NewCloud(cfg *Config, named int) *Cloud {
-	return &Cloud{cfg: cfg, named: named, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), rented: map[string]protocol.MachineNames{},
-		calls: newBucket(cfg.Cloud.RPS, 2*cfg.Cloud.RPS)}
+	return &Cloud{cfg: cfg, namesIssued: named, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), rentals: map[string]protocol.MachineNames{},
+		requests: newTokenBucket(cfg.Cloud.RPS, 2*cfg.Cloud.RPS)}
 }
 
 // Catalogue lists the machine types.
@@ -52,10 +52,10 @@
 // Rent rents up to as many machines as asked for. The same request gets the same
 // answer and rents nothing. ok is false when there is none.
 func (c *Cloud) Rent(now time.Duration, r protocol.Rental) (names protocol.MachineNames, ok bool) {
-	if names, again := c.rented[r.Request]; again {
+	if names, again := c.rentals[r.Request]; again {
 		return names, true
 	}
-	i := slices.IndexFunc(c.cfg.Types, func(t Type) bool { return t.Name == r.Type })
+	i := slices.IndexFunc(c.cfg.Types, func(t MachineType) bool { return t.Name == r.Type })
 	if i < 0 || !slices.Contains(c.cfg.Zones, r.Zone) {
 		return names, false
 	}
@@ -64,8 +64,8 @@
 	if r.Spot {
 		left = t.Spot
 	}
-	for _, h := range c.all {
-		if h.Type == r.Type && h.Zone == r.Zone && h.Spot == r.Spot && h.end == never {
+	for _, h := range c.instances {
+		if h.Type == r.Type && h.Zone == r.Zone && h.Spot == r.Spot && h.endedAt == never {
 			left--
 		}
 	}
@@ -73,39 +73,39 @@
 		return names, false
 	}
 	for range min(left, r.Count) {
-		names.Machines = append(names.Machines, c.hire(now, t, r.Zone, r.Spot))
+		names.Machines = append(names.Machines, c.provision(now, t, r.Zone, r.Spot))
 	}
-	c.rented[r.Request] = names
+	c.rentals[r.Request] = names
 	return names, true
 }
 
-func (c *Cloud) hire(now time.Duration, t *Type, zone string, spot bool) string {
-	c.named++
-	h := &hired{typ: t, asked: now, end: never, taken: never, up: never}
-	h.ListedMachine = protocol.ListedMachine{ID: fmt.Sprintf("vm-%06d", c.named), Type: t.Name, Zone: zone, Spot: spot, State: protocol.Booting}
+func (c *Cloud) provision(now time.Duration, t *MachineType, zone string, spot bool) string {
+	c.namesIssued++
+	h := &instance{machineType: t, requestedAt: now, endedAt: never, reclaimedAt: never, upAt: never}
+	h.ListedMachine = protocol.ListedMachine{ID: fmt.Sprintf("vm-%06d", c.namesIssued), Type: t.Name, Zone: zone, Spot: spot, State: protocol.Booting}
 	if c.rng.Float64() >= c.cfg.Cloud.BootFail {
-		h.up = now + c.cfg.scaled(t.BootS*(0.6+0.9*c.rng.Float64()))
+		h.upAt = now + c.cfg.scaled(t.BootS*(0.6+0.9*c.rng.Float64()))
 	}
 	if rate := c.cfg.Cloud.SpotPerHour; spot && rate > 0 {
-		h.taken = now + seconds(c.rng.ExpFloat64()/rate*3600)
+		h.reclaimedAt = now + seconds(c.rng.ExpFloat64()/rate*3600)
 	}
-	c.all = append(c.all, h)
+	c.instances = append(c.instances, h)
 	return h.ID
 }
 
 // Release ends machines at once.
 func (c *Cloud) Release(now time.Duration, names []string) {
-	for _, h := range c.all {
-		if h.end == never && slices.Contains(names, h.ID) {
-			h.end = now
+	for _, h := range c.instances {
+		if h.endedAt == never && slices.Contains(names, h.ID) {
+			h.endedAt = now
 		}
 	}
 }
 
-// Change is what a step of time does to a machine.
-type Change struct {
+// MachineChange is what a step of time does to a machine.
+type MachineChange struct {
 	Machine string
-	Type    *Type
+	Type    *MachineType
 	Zone    string
 	Spot    bool
 	// Up tells that it came up, Gone that it is no more; NoticeS is set when it
@@ -115,22 +115,22 @@
 }
 
 // Advance lets the time pass and lists what happened since the last call.
-func (c *Cloud) Advance(now time.Duration) []Change {
-	var out []Change
-	for _, h := range c.all {
-		ch := Change{Machine: h.ID, Type: h.typ, Zone: h.Zone, Spot: h.Spot}
+func (c *Cloud) Advance(now time.Duration) []MachineChange {
+	var out []MachineChange
+	for _, h := range c.instances {
+		ch := MachineChange{Machine: h.ID, Type: h.machineType, Zone: h.Zone, Spot: h.Spot}
 		notice := c.cfg.scaled(c.cfg.Cloud.NoticeS)
 		switch {
-		case h.gone:
-		case h.end <= now || h.taken <= now:
-			h.end = min(h.end, now)
-			h.gone, ch.Gone = true, true
+		case h.removed:
+		case h.endedAt <= now || h.reclaimedAt <= now:
+			h.endedAt = min(h.endedAt, now)
+			h.removed, ch.Gone = true, true
 			out = append(out, ch)
-		case h.up <= now && h.State == protocol.Booting:
+		case h.upAt <= now && h.State == protocol.Booting:
 			h.State, ch.Up = protocol.Running, true
 			out = append(out, ch)
-		case h.taken != never && h.taken-notice <= now && !h.told:
-			h.told, ch.Notice = true, h.taken-now
+		case h.reclaimedAt != never && h.reclaimedAt-notice <= now && !h.noticeSent:
+			h.noticeSent, ch.Notice = true, h.reclaimedAt-now
 			out = append(out, ch)
 		}
 	}
@@ -146,8 +146,8 @@
 	}
 	then := max(0, now-lag)
 	out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-	for _, h := range c.all {
-		if h.ID <= after || h.asked > then || h.end <= then {
+	for _, h := range c.instances {
+		if h.ID <= after || h.requestedAt > then || h.endedAt <= then {
 			continue
 		}
 		if len(out.Machines) == limit {
@@ -155,8 +155,8 @@
 			break
 		}
 		l := h.ListedMachine
-		l.AgeS = (then - h.asked).Seconds()
-		if h.up > then {
+		l.AgeS = (then - h.requestedAt).Seconds()
+		if h.upAt > then {
 			l.State = protocol.Booting
 		}
 		out.Machines = append(out.Machines, l)
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -24,14 +24,14 @@
 	Speed   float64         `toml:"speed" comment:"divides the times that tasks, image fetches and boots take"`
 	Seed    uint64          `toml:"seed" comment:"of the boots, of the spot machines that are taken back, and of stale lists"`
 	Teams   []settings.Team `toml:"teams" comment:"cpus and gpus are guaranteed; a limit (max) of 0 means none"`
-	Types   []Type          `toml:"machine_types" comment:"count and spot are what the cloud has in each zone"`
-	Workers Workers         `toml:"workers" comment:"seconds, not divided by speed"`
+	Types   []MachineType   `toml:"machine_types" comment:"count and spot are what the cloud has in each zone"`
+	Workers WorkerConfig    `toml:"workers" comment:"seconds, not divided by speed"`
 	State   StateLimits     `toml:"state" comment:"requests and changes a second, KiB, changes a transaction"`
 	Cloud   CloudLimits     `toml:"cloud" comment:"calls a second; list_lag_s is how old a list is, sometimes twice that"`
 }
 
-// Type is a machine type, with how many machines of it the cloud has in each zone.
-type Type struct {
+// MachineType is a machine type, with how many machines of it the cloud has in each zone.
+type MachineType struct {
 	Name      string  `toml:"name"`
 	CPUs      float64 `toml:"cpus"`
 	GPUs      float64 `toml:"gpus"`
@@ -45,8 +45,8 @@
 	Spot      int     `toml:"spot"`
 }
 
-// Workers is how workers behave.
-type Workers struct {
+// WorkerConfig is how workers behave.
+type WorkerConfig struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
 	GangWaitS float64 `toml:"gang_wait_s"`
@@ -70,11 +70,11 @@
 	return Config{
 		Front: "127.0.0.1:8700", Controllers: 3, Zones: []string{"north", "south"}, Speed: 1, Seed: 1,
 		Teams: []settings.Team{{Name: "builders", CPUs: 16, CPUsMax: 64}, {Name: "guests", CPUs: 8, CPUsMax: 32}},
-		Types: []Type{
+		Types: []MachineType{
 			{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 2, Price: 0.2, SpotPrice: 0.07, BootS: 1, Count: 8, Spot: 8},
 			{Name: "large", CPUs: 16, MemoryGB: 64, CacheGB: 40, FetchGBPS: 4, Price: 0.9, SpotPrice: 0.3, BootS: 2, Count: 4, Spot: 4},
 		},
-		Workers: Workers{ReportS: 1, LeaseS: 8, GangWaitS: 15, GangPeerS: 2, CancelS: 15},
+		Workers: WorkerConfig{ReportS: 1, LeaseS: 8, GangWaitS: 15, GangPeerS: 2, CancelS: 15},
 		State:   StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 8, TxnOps: 16},
 		Cloud:   CloudLimits{RPS: 10, ListLagS: 2, NoticeS: 10},
 	}
@@ -99,7 +99,7 @@
 		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB <= 0 || t.FetchGBPS <= 0 || t.Count < 0 || t.Spot < 0 {
 			return fmt.Errorf("machine type %d (%q): name, cpus, memory_gb and fetch_gb_per_s must be given, counts not negative", i+1, t.Name)
 		}
-		if slices.ContainsFunc(c.Types[:i], func(o Type) bool { return o.Name == t.Name }) {
+		if slices.ContainsFunc(c.Types[:i], func(o MachineType) bool { return o.Name == t.Name }) {
 			return fmt.Errorf("machine type %q is named twice", t.Name)
 		}
 	}
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -17,24 +17,24 @@
 
 // controller is one controller of the site.
 type controller struct {
-	node, zone, listen, peer, file string
-	// gateway is the file that joins it to other sites, and gate where it takes
+	node, zone, listen, peer, settingsFile string
+	// federationFile is the file that joins it to other sites, and gate where it takes
 	// their streams; both are empty without.
-	gateway, gate string
-	healthy       atomic.Bool
+	federationFile, federationAddress string
+	healthy                           atomic.Bool
 	// kill ends the running process.
 	kill atomic.Pointer[context.CancelFunc]
 }
 
-// place picks the controllers' addresses and writes their settings files.
-func (s *Site) place() error {
+// placeControllers picks the controllers' addresses and writes their settings files.
+func (s *Site) placeControllers() error {
 	dir, err := os.MkdirTemp("", "pepperlever-lab-")
 	if err != nil {
 		return err
 	}
 	for i := range s.cfg.Controllers {
 		c := &controller{node: fmt.Sprintf("hand-%d", i), zone: s.cfg.Zones[i%len(s.cfg.Zones)]}
-		c.file = filepath.Join(dir, c.node+".toml")
+		c.settingsFile = filepath.Join(dir, c.node+".toml")
 		for _, addr := range []*string{&c.listen, &c.peer} {
 			if *addr, err = freeAddress(); err != nil {
 				return err
@@ -47,7 +47,7 @@
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(c.file, raw, 0o600); err != nil {
+		if err := os.WriteFile(c.settingsFile, raw, 0o600); err != nil {
 			return err
 		}
 	}
@@ -71,7 +71,7 @@
 			out.Peers = append(out.Peers, settings.Peer{Node: o.node, Zone: o.zone, Address: o.peer})
 		}
 	}
-	out.Services.Cloud, out.Services.State = s.cloudLn.Addr().String(), s.stateLn.Addr().String()
+	out.Services.Cloud, out.Services.State = s.cloudListener.Addr().String(), s.stateListener.Addr().String()
 	p := &out.Params
 	p.Nodes, p.Zones, p.Teams = s.cfg.Controllers, s.cfg.Zones, s.cfg.Teams
 	w := s.cfg.Workers
@@ -97,18 +97,18 @@
 	}
 }
 
-// keep starts a controller again whenever it ends.
-func (s *Site) keep(ctx context.Context, c *controller, launch Launch) error {
-	defer os.Remove(c.file)
+// superviseController starts a controller again whenever it ends.
+func (s *Site) superviseController(ctx context.Context, c *controller, launch Launch) error {
+	defer os.Remove(c.settingsFile)
 	for ctx.Err() == nil {
 		run, kill := context.WithCancel(ctx)
 		c.kill.Store(&kill)
-		err := launch(run, c.file, c.gateway)
+		err := launch(run, c.settingsFile, c.federationFile)
 		kill()
 		if ctx.Err() != nil {
 			return nil
 		}
-		slog.Error("lab: controller ended, it is started again", "node", c.node, "error", err)
+		slog.Error("controller ended and is restarted", "node", c.node, "error", err)
 		sleep(ctx, time.Second)
 	}
 	return nil
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -15,13 +15,13 @@
 	cfg      *Config
 	machines map[string]*machine
 	jobs     map[string]*protocol.Submission
-	// saved holds the progress of tasks in seconds; results the tasks that
+	// progressS holds the progress of tasks in seconds; results the tasks that
 	// completed.
-	saved   map[string]float64
-	results map[string]bool
-	runner  Runner
-	// lookup finds the description of a job that no user has handed in here.
-	lookup func(id string) *protocol.Submission
+	progressS map[string]float64
+	results   map[string]bool
+	runner    Runner
+	// lookUpJob finds the description of a job that no user has submitted here.
+	lookUpJob func(id string) *protocol.Submission
 	// completed counts the runs that came to their end.
 	completed int
 }
@@ -36,50 +36,50 @@
 // machine is one worker.
 type machine struct {
 	protocol.Report
-	typ    *Type
-	tasks  []*task
-	images map[string]time.Duration // when each is there
-	// began is when the session did, sent when the last answered report was sent.
-	began, sent time.Duration
-	changed     bool
+	machineType   *MachineType
+	tasks         []*task
+	imagesReadyAt map[string]time.Duration // when each is there
+	// epochStartedAt is when the session did, sent when the last answered report was sent.
+	epochStartedAt, leaseRenewedAt time.Duration
+	changed                        bool
 }
 
 // task is one attempt on a worker.
 type task struct {
 	protocol.TaskReport
 	job *protocol.Submission
-	// at is when the present state began, ends when it will end; 0 for never.
-	at, ends time.Duration
-	// told is when a gang's task was told to stop.
-	told time.Duration
-	stop func()
+	// stateSince is when the present state began, ends when it will end; 0 for never.
+	stateSince, stateEndsAt time.Duration
+	// peerLossNoticedAt is when a gang's task was told to stop.
+	peerLossNoticedAt time.Duration
+	stop              func()
 }
 
 // States of a task on the wire that only workers tell apart.
 const (
-	pulling = "pulling"
-	waiting = "waiting"
-	saving  = "saving"
-	alone   = "alone"
-	matesGo = "mates_gone"
+	pulling           = "pulling"
+	waiting           = "waiting"
+	saving            = "saving"
+	whyGangIncomplete = "alone"
+	whyGangPeerLost   = "mates_gone"
 )
 
 // NewFleet makes a fleet without machines. runner may be nil.
 func NewFleet(cfg *Config, runner Runner) *Fleet {
 	return &Fleet{cfg: cfg, machines: map[string]*machine{}, jobs: map[string]*protocol.Submission{},
-		saved: map[string]float64{}, results: map[string]bool{}, runner: runner}
+		progressS: map[string]float64{}, results: map[string]bool{}, runner: runner}
 }
 
-// Upload notes the description of a job, which workers fetch when they start it.
-func (f *Fleet) Upload(s *protocol.Submission) {
+// AddJob notes the description of a job, which workers fetch when they start it.
+func (f *Fleet) AddJob(s *protocol.Submission) {
 	if s != nil && s.ID != nil && f.jobs[*s.ID] == nil {
 		f.jobs[*s.ID] = s
 	}
 }
 
 // Add lets a machine come up.
-func (f *Fleet) Add(now time.Duration, id, address string, typ *Type, zone string, spot bool) {
-	f.machines[id] = &machine{typ: typ, images: map[string]time.Duration{}, began: now,
+func (f *Fleet) Add(now time.Duration, id, address string, typ *MachineType, zone string, spot bool) {
+	f.machines[id] = &machine{machineType: typ, imagesReadyAt: map[string]time.Duration{}, epochStartedAt: now,
 		Report: protocol.Report{Machine: id, Address: address, Type: typ.Name, Zone: zone, Spot: spot, Session: 1}}
 }
 
@@ -136,27 +136,27 @@
 	return m != nil && m.changed
 }
 
-// Answered takes the answer to a report that was sent at some time.
-func (f *Fleet) Answered(now, sent time.Duration, id string, session uint64, o protocol.Orders) {
+// HandleReply takes the answer to a report that was sent at some time.
+func (f *Fleet) HandleReply(now, sent time.Duration, id string, session uint64, o protocol.Orders) {
 	m := f.machines[id]
 	if m == nil || m.Session != session || o.Token < m.Token || o.Token == 0 {
 		return
 	}
-	m.sent = max(m.sent, sent)
-	f.obey(now, m, o)
+	m.leaseRenewedAt = max(m.leaseRenewedAt, sent)
+	f.executeCommands(now, m, o)
 }
 
-// Do takes a direct call; executed tells whether its commands were carried out.
-func (f *Fleet) Do(now time.Duration, id string, o protocol.Orders) (executed bool) {
+// Execute takes a direct call; executed tells whether its commands were carried out.
+func (f *Fleet) Execute(now time.Duration, id string, o protocol.Orders) (executed bool) {
 	m := f.machines[id]
 	if m == nil || o.Token < m.Token || o.Session != m.Session {
 		return false
 	}
-	f.obey(now, m, o)
+	f.executeCommands(now, m, o)
 	return true
 }
 
-func (f *Fleet) obey(now time.Duration, m *machine, o protocol.Orders) {
+func (f *Fleet) executeCommands(now time.Duration, m *machine, o protocol.Orders) {
 	if o.Token > m.Token {
 		m.Token, m.changed = o.Token, true
 	}
@@ -164,48 +164,48 @@
 		at := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
 		switch {
 		case c.Op == protocol.OpStart && at < 0:
-			f.start(now, m, c)
+			f.startTask(now, m, c)
 		case c.Op == protocol.OpStop && at >= 0:
 			grace := 0.0
 			if c.GraceS != nil {
 				grace = *c.GraceS
 			}
-			f.halt(now, m, m.tasks[at], grace)
+			f.stopTask(now, m, m.tasks[at], grace)
 		case c.Op == protocol.OpForget && at >= 0 && m.tasks[at].State == protocol.Exited:
 			m.tasks = slices.Delete(m.tasks, at, at+1)
 		}
 	}
 }
 
-// start takes a task on, or notes why not.
-func (f *Fleet) start(now time.Duration, m *machine, c protocol.Command) {
+// startTask takes a task on, or notes why not.
+func (f *Fleet) startTask(now time.Duration, m *machine, c protocol.Command) {
 	id, index, _ := strings.Cut(c.Task, "/")
-	if f.jobs[id] == nil && f.lookup != nil {
-		f.Upload(f.lookup(id))
+	if f.jobs[id] == nil && f.lookUpJob != nil {
+		f.AddJob(f.lookUpJob(id))
 	}
 	j := f.jobs[id]
-	t := &task{TaskReport: protocol.TaskReport{Task: c.Task, Attempt: c.Attempt, State: pulling}, job: j, at: now}
+	t := &task{TaskReport: protocol.TaskReport{Task: c.Task, Attempt: c.Attempt, State: pulling}, job: j, stateSince: now}
 	m.tasks = append(m.tasks, t)
 	m.changed = true
 	n, err := strconv.ParseInt(index, 10, 64)
 	switch {
 	case j == nil || err != nil || n >= *j.Tasks:
-		f.exit(t, protocol.WhyUnknown)
+		f.exitTask(t, protocol.WhyUnknown)
 	case slices.ContainsFunc(m.tasks, func(o *task) bool { return o != t && o.Task == t.Task && o.State != protocol.Exited }):
-		f.exit(t, protocol.WhyBusy)
+		f.exitTask(t, protocol.WhyBusy)
 	case !m.fits():
-		f.exit(t, protocol.WhyNoRoom)
+		f.exitTask(t, protocol.WhyNoRoom)
 	default:
-		if _, there := m.images[*j.Image]; !there {
-			m.images[*j.Image] = now + f.cfg.scaled(*j.ImageGB/m.typ.FetchGBPS)
+		if _, there := m.imagesReadyAt[*j.Image]; !there {
+			m.imagesReadyAt[*j.Image] = now + f.cfg.scaled(*j.ImageGB/m.machineType.FetchGBPS)
 		}
-		t.ends = max(1, now, m.images[*j.Image]) // 0 is never
+		t.stateEndsAt = max(1, now, m.imagesReadyAt[*j.Image]) // 0 is never
 	}
 }
 
 // fits tells whether all that is on a machine has room.
 func (m *machine) fits() bool {
-	cpus, gpus, memory := m.typ.CPUs, m.typ.GPUs, m.typ.MemoryGB
+	cpus, gpus, memory := m.machineType.CPUs, m.machineType.GPUs, m.machineType.MemoryGB
 	for _, t := range m.tasks {
 		if t.State != protocol.Exited && t.job != nil {
 			cpus, gpus, memory = cpus-*t.job.CPUs, gpus-*t.job.GPUs, memory-*t.job.MemoryGB
@@ -215,16 +215,16 @@
 	return cpus >= -slack && gpus >= -slack && memory >= -slack
 }
 
-func (f *Fleet) exit(t *task, why string) {
+func (f *Fleet) exitTask(t *task, why string) {
 	t.kill()
-	t.State, t.Why, t.ends = protocol.Exited, why, 0
+	t.State, t.Why, t.stateEndsAt = protocol.Exited, why, 0
 	if why == protocol.WhyDone {
 		f.results[t.Task] = true
 	}
 }
 
-// halt stops a task, which saves when it can and has the time to.
-func (f *Fleet) halt(now time.Duration, m *machine, t *task, grace float64) {
+// stopTask stops a task, which saves when it can and has the time to.
+func (f *Fleet) stopTask(now time.Duration, m *machine, t *task, grace float64) {
 	if t.State == protocol.Exited {
 		return
 	}
@@ -233,14 +233,14 @@
 	switch {
 	case t.State == saving && grace > 0:
 	case t.State == protocol.Running && saves:
-		f.save(t, now)
-		t.State, t.at, t.told, t.ends = saving, now, now, now+f.cfg.scaled(*t.job.SaveS)
+		f.saveProgress(t, now)
+		t.State, t.stateSince, t.peerLossNoticedAt, t.stateEndsAt = saving, now, now, now+f.cfg.scaled(*t.job.SaveS)
 	default:
-		f.exit(t, protocol.WhyStopped)
+		f.exitTask(t, protocol.WhyStopped)
 	}
 }
 
-// save notes how far a running task has come.
-func (f *Fleet) save(t *task, now time.Duration) {
-	f.saved[t.Task] += (now - t.at).Seconds() * f.cfg.Speed
+// saveProgress notes how far a running task has come.
+func (f *Fleet) saveProgress(t *task, now time.Duration) {
+	f.progressS[t.Task] += (now - t.stateSince).Seconds() * f.cfg.Speed
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -26,12 +26,12 @@
 
 func (r *rig) upload(id, kind string, tasks int64, cpus, checkpoint float64) {
 	zero, one, ten, image := 0.0, 1.0, 10.0, "i"
-	r.f.Upload(&protocol.Submission{ID: &id, Kind: &kind, Tasks: &tasks, CPUs: &cpus, GPUs: &zero, MemoryGB: &one, Image: &image,
+	r.f.AddJob(&protocol.Submission{ID: &id, Kind: &kind, Tasks: &tasks, CPUs: &cpus, GPUs: &zero, MemoryGB: &one, Image: &image,
 		ImageGB: &zero, EstimateS: &ten, CheckpointS: &checkpoint, SaveS: &one})
 }
 
 func (r *rig) do(machine string, token uint64, op, task string, attempt uint64, grace float64) bool {
-	return r.f.Do(r.now, machine, protocol.Orders{Token: token, Session: 1,
+	return r.f.Execute(r.now, machine, protocol.Orders{Token: token, Session: 1,
 		Commands: []protocol.Command{{Op: op, Task: task, Attempt: attempt, GraceS: &grace}}})
 }
 
@@ -40,7 +40,7 @@
 	for end := r.now + d; r.now < end; {
 		r.now += 100 * time.Millisecond
 		for id, m := range r.f.machines {
-			r.f.Answered(r.now, r.now, id, m.Session, protocol.Orders{Token: max(m.Token, 1)})
+			r.f.HandleReply(r.now, r.now, id, m.Session, protocol.Orders{Token: max(m.Token, 1)})
 		}
 		r.f.Advance(r.now)
 	}
--- a/internal/emulator/measure.go
+++ b/internal/emulator/handoffbench.go
@@ -21,10 +21,10 @@
 	if err != nil {
 		return err
 	}
-	if err := p.handsOff(ctx, c); err != nil {
+	if err := p.waitForHandoff(ctx, c); err != nil {
 		return err
 	}
-	for _, class := range []string{"stays", Goes} {
+	for _, class := range []string{"stays", RemoteClass} {
 		if err := p.latency(ctx, out, c, class, 60); err != nil {
 			return err
 		}
@@ -40,21 +40,21 @@
 // latency runs n jobs one after the other.
 func (p *Pair) latency(ctx context.Context, out io.Writer, c *client.Client, class string, n int) error {
 	h := hdrhistogram.New(1, 60_000, 3) // milliseconds
-	before := p.changes()
+	before := p.changeCounts()
 	for range n {
 		start := time.Now()
 		id, err := p.submit(ctx, c, class, 0.01)
 		if err != nil {
 			return err
 		}
-		if err := p.await(ctx, c, id); err != nil {
+		if err := p.waitForEnd(ctx, c, id); err != nil {
 			return err
 		}
 		if err := h.RecordValue(time.Since(start).Milliseconds()); err != nil {
 			return err
 		}
 	}
-	after := p.changes()
+	after := p.changeCounts()
 	fmt.Fprintf(out, "class %-6s %d jobs one by one: p50 %d ms, p99 %d ms; changes of the state a job: %.1f at %s, %.1f at %s\n", class, n,
 		h.ValueAtQuantile(50), h.ValueAtQuantile(99),
 		float64(after[0]-before[0])/float64(n), pairNames[0], float64(after[1]-before[1])/float64(n), pairNames[1])
@@ -71,19 +71,19 @@
 	if err != nil {
 		return err
 	}
-	if err := p.until(ctx, func() bool { return p.Sites[0].State.count("j/ga/") >= n || time.Since(start).Seconds() > runs }); err != nil {
+	if err := p.poll(ctx, func() bool { return p.Sites[0].State.countKeys("j/ga/") >= n || time.Since(start).Seconds() > runs }); err != nil {
 		return err
 	}
-	away := p.Sites[0].State.count("j/ga/")
+	away := p.Sites[0].State.countKeys("j/ga/")
 	fmt.Fprintf(out, "%5d jobs handed in at once: %d away after %.1f s\n", n, away, time.Since(start).Seconds())
-	if err := p.until(ctx, func() bool { return p.Sites[1].State.count("j/gt/") >= away || time.Since(start).Seconds() > runs }); err != nil {
+	if err := p.poll(ctx, func() bool { return p.Sites[1].State.countKeys("j/gt/") >= away || time.Since(start).Seconds() > runs }); err != nil {
 		return err
 	}
 	for _, l := range p.Links {
 		l.Set(Hang)
 	}
 	cut := time.Now()
-	if err := p.until(ctx, func() bool { return p.Sites[1].Completed() >= before+away || time.Since(cut) > 2*caseTime }); err != nil {
+	if err := p.poll(ctx, func() bool { return p.Sites[1].Completed() >= before+away || time.Since(cut) > 2*caseTimeout }); err != nil {
 		return err
 	}
 	sleep(ctx, 5*time.Second)
@@ -92,7 +92,7 @@
 	}
 	back := time.Now()
 	for _, id := range ids {
-		if err := p.await(ctx, c, id); err != nil {
+		if err := p.waitForEnd(ctx, c, id); err != nil {
 			return err
 		}
 	}
@@ -102,8 +102,8 @@
 
 func (p *Pair) submit(ctx context.Context, c *client.Client, class string, runs float64) (string, error) {
 	j := client.Job{Team: p.Sites[0].cfg.Teams[0].Name, Class: class, EstimateS: runs, CPUs: 0.01, MemoryGB: 0.01}
-	if class == Goes {
-		j.Zone = Abroad
+	if class == RemoteClass {
+		j.Zone = RemoteZone
 	}
 	if err := j.Fill(); err != nil {
 		return "", err
@@ -119,7 +119,7 @@
 	g.SetLimit(32)
 	for range n {
 		g.Go(func() error {
-			id, err := p.submit(ctx, c, Goes, runs)
+			id, err := p.submit(ctx, c, RemoteClass, runs)
 			mu.Lock()
 			defer mu.Unlock()
 			ids = append(ids, id)
@@ -129,10 +129,10 @@
 	return ids, g.Wait()
 }
 
-// await asks for a job's end often: the figure is to be the site's, not the asker's.
-func (p *Pair) await(ctx context.Context, c *client.Client, id string) error {
+// waitForEnd asks for a job's end often: the figure is to be the site's, not the asker's.
+func (p *Pair) waitForEnd(ctx context.Context, c *client.Client, id string) error {
 	var err error
-	waited := p.until(ctx, func() bool {
+	waited := p.poll(ctx, func() bool {
 		var s client.State
 		s, err = c.Status(ctx, id)
 		return err != nil || s.Final()
@@ -143,8 +143,8 @@
 	return err
 }
 
-// until looks every so often whether something holds.
-func (p *Pair) until(ctx context.Context, holds func() bool) error {
+// poll looks every so often whether something holds.
+func (p *Pair) poll(ctx context.Context, holds func() bool) error {
 	for !holds() {
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -154,10 +154,10 @@
 	return nil
 }
 
-// changes are how many changes each state service has made.
-func (p *Pair) changes() (out [2]int) {
+// changeCounts are how many changes each state service has made.
+func (p *Pair) changeCounts() (out [2]int) {
 	for i, s := range p.Sites {
-		out[i] = s.State.made()
+		out[i] = s.State.changeCount()
 	}
 	return out
 }
--- a/internal/emulator/kv.go
+++ b/internal/emulator/keyvaluestore.go
@@ -1,6 +1,3 @@
-// Package emulator holds stand-ins for what a site needs round its controllers: the
-// state service, the cloud, workers and the users' front door, as docs/lab.md
-// describes them. They follow the protocol, not any product.
 package emulator
 
 import (
@@ -13,35 +10,35 @@
 	"pepperlever/internal/protocol"
 )
 
-// eventsKept is how many changes the state service remembers for watches.
-const eventsKept = 10_000
+// retainedEvents is how many changes the state service remembers for watches.
+const retainedEvents = 10_000
 
-// KV is the state service without input or output: callers pass the time.
-type KV struct {
+// KeyValueStore is the state service without input or output: callers pass the time.
+type KeyValueStore struct {
 	items    map[string]protocol.KeyValue
 	revision uint64
 	events   []protocol.Event
-	// floor is the newest revision whose changes are forgotten.
-	floor  uint64
-	leases map[uint64]*lease
-	lastID uint64
-	// made counts changes.
-	made int
-	// touched names the keys that have changed since they were last saved.
-	touched map[string]bool
+	// compactedRevision is the newest revision whose changes are forgotten.
+	compactedRevision uint64
+	leases            map[uint64]*lease
+	lastLease         uint64
+	// changeCount counts changes.
+	changeCount int
+	// unsavedKeys names the keys that have changed since they were last saved.
+	unsavedKeys map[string]bool
 }
 
 type lease struct {
 	ttl, ends time.Duration
 }
 
-// NewKV makes an empty store.
-func NewKV() *KV {
-	return &KV{items: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, touched: map[string]bool{}}
+// NewKeyValueStore makes an empty store.
+func NewKeyValueStore() *KeyValueStore {
+	return &KeyValueStore{items: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, unsavedKeys: map[string]bool{}}
 }
 
 // Get reads one key.
-func (s *KV) Get(key string) (protocol.KeyValue, bool) {
+func (s *KeyValueStore) Get(key string) (protocol.KeyValue, bool) {
 	kv, ok := s.items[key]
 	return kv, ok
 }
@@ -53,7 +50,7 @@
 )
 
 // List reads a page of the keys with a prefix, beginning after a key.
-func (s *KV) List(prefix, after string, limit int) protocol.KeyList {
+func (s *KeyValueStore) List(prefix, after string, limit int) protocol.KeyList {
 	out := protocol.KeyList{Items: []protocol.KeyValue{}, Revision: s.revision}
 	size := 0
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
@@ -73,7 +70,7 @@
 
 // Apply carries out a transaction, whole or not at all. ok is false when a
 // condition failed; noLease tells of a write under a lease that has ended.
-func (s *KV) Apply(t protocol.Txn) (out protocol.TxnResult, ok, noLease bool) {
+func (s *KeyValueStore) Apply(t protocol.Txn) (out protocol.TxnResult, ok, noLease bool) {
 	for _, ch := range t.Then {
 		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
 			return out, false, true
@@ -87,15 +84,15 @@
 	if len(out.Failed) == 0 && len(t.Then) > 0 {
 		s.revision++
 		for _, ch := range t.Then {
-			s.change(ch)
+			s.applyChange(ch)
 		}
 	}
 	out.Revision = s.revision
 	return out, len(out.Failed) == 0, false
 }
 
-// change applies one change at the current revision.
-func (s *KV) change(ch protocol.Change) {
+// applyChange applies one change at the current revision.
+func (s *KeyValueStore) applyChange(ch protocol.Change) {
 	e := protocol.Event{Version: s.revision}
 	if ch.Delete != "" {
 		if _, there := s.items[ch.Delete]; !there {
@@ -107,19 +104,19 @@
 		s.items[ch.Put] = protocol.KeyValue{Key: ch.Put, Value: ch.Value, Version: s.revision, Lease: ch.Lease}
 		e.Put, e.Value = ch.Put, ch.Value
 	}
-	s.made++
-	s.touched[e.Put+e.Delete] = true
-	if s.events = append(s.events, e); len(s.events) > 2*eventsKept {
-		old := s.events[:len(s.events)-eventsKept]
-		s.floor = old[len(old)-1].Version
+	s.changeCount++
+	s.unsavedKeys[e.Put+e.Delete] = true
+	if s.events = append(s.events, e); len(s.events) > 2*retainedEvents {
+		old := s.events[:len(s.events)-retainedEvents]
+		s.compactedRevision = old[len(old)-1].Version
 		s.events = slices.Clone(s.events[len(old):])
 	}
 }
 
 // Changes lists what has changed below a prefix after a revision; gone tells that
 // so old a revision is no longer remembered.
-func (s *KV) Changes(prefix string, since uint64) (out protocol.Changes, gone bool) {
-	if since < s.floor {
+func (s *KeyValueStore) Changes(prefix string, since uint64) (out protocol.Changes, gone bool) {
+	if since < s.compactedRevision {
 		return out, true
 	}
 	out.Revision, out.Events = s.revision, []protocol.Event{}
@@ -134,14 +131,14 @@
 
 // Grant gives a lease, Renew extends it and Revoke ends it. Renew and Revoke tell
 // whether there was one.
-func (s *KV) Grant(now, ttl time.Duration) uint64 {
-	s.lastID++
-	s.leases[s.lastID] = &lease{ttl, now + ttl}
-	return s.lastID
+func (s *KeyValueStore) Grant(now, ttl time.Duration) uint64 {
+	s.lastLease++
+	s.leases[s.lastLease] = &lease{ttl, now + ttl}
+	return s.lastLease
 }
 
 // Renew extends a lease.
-func (s *KV) Renew(now time.Duration, id uint64) bool {
+func (s *KeyValueStore) Renew(now time.Duration, id uint64) bool {
 	l := s.leases[id]
 	if l != nil {
 		l.ends = now + l.ttl
@@ -150,7 +147,7 @@
 }
 
 // Revoke ends a lease and deletes its keys.
-func (s *KV) Revoke(id uint64) bool {
+func (s *KeyValueStore) Revoke(id uint64) bool {
 	if s.leases[id] == nil {
 		return false
 	}
@@ -166,13 +163,13 @@
 	}
 	slices.Sort(bound)
 	for _, key := range bound {
-		s.change(protocol.Change{Delete: key})
+		s.applyChange(protocol.Change{Delete: key})
 	}
 	return true
 }
 
 // Expire ends the leases whose time is over.
-func (s *KV) Expire(now time.Duration) {
+func (s *KeyValueStore) Expire(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if s.leases[id].ends <= now {
 			s.Revoke(id)
@@ -180,8 +177,8 @@
 	}
 }
 
-// Extend gives every lease its full time again, as after an outage.
-func (s *KV) Extend(now time.Duration) {
+// ExtendLeases gives every lease its full time again, as after an outage.
+func (s *KeyValueStore) ExtendLeases(now time.Duration) {
 	for id := range s.leases {
 		s.Renew(now, id)
 	}
--- a/internal/emulator/kv_test.go
+++ b/internal/emulator/keyvaluestore_test.go
@@ -23,7 +23,7 @@
 	at    uint64
 }
 
-func (r *replay) list(s *KV) {
+func (r *replay) list(s *KeyValueStore) {
 	*r = replay{items: map[string]protocol.KeyValue{}}
 	for after := ""; ; {
 		page := s.List("", after, 3)
@@ -38,7 +38,7 @@
 	}
 }
 
-func (r *replay) follow(s *KV) bool {
+func (r *replay) follow(s *KeyValueStore) bool {
 	ch, gone := s.Changes("", r.at)
 	if gone {
 		return false
@@ -58,7 +58,7 @@
 // transaction is applied whole or not at all, and a key goes with its lease.
 func TestStoreKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewKV()
+		s := NewKeyValueStore()
 		var leases []uint64
 		now := time.Duration(0)
 		var w replay
@@ -131,10 +131,10 @@
 }
 
 func TestWatcherThatIsTooFarBehindIsTold(t *testing.T) {
-	s := NewKV()
+	s := NewKeyValueStore()
 	var w replay
 	w.list(s)
-	for range 3 * eventsKept {
+	for range 3 * retainedEvents {
 		s.Apply(protocol.Txn{Then: []protocol.Change{{Put: "a", Value: json.RawMessage("1")}}})
 	}
 	if w.follow(s) {
@@ -149,8 +149,8 @@
 // The file holds what memory held, and no revision or lease is given twice.
 func TestStateOutlivesTheStandIn(t *testing.T) {
 	dir := t.TempDir()
-	open := func() *State {
-		s, err := NewState(Default().State, dir)
+	open := func() *StateService {
+		s, err := NewStateService(Default().State, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,9 +166,9 @@
 	})
 	s.mutate(func() { s.kv.Grant(0, time.Minute) })
 	id := "req-1"
-	s.disk.keepJob(id, &protocol.Submission{ID: &id})
-	s.disk.keepMachines(7)
-	items, revision, last := s.kv.items, s.kv.revision, s.kv.lastID
+	s.file.saveJob(id, &protocol.Submission{ID: &id})
+	s.file.saveMachineCount(7)
+	items, revision, last := s.kv.items, s.kv.revision, s.kv.lastLease
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -177,15 +177,15 @@
 	if d := cmp.Diff(items, s.kv.items); d != "" {
 		t.Error(d)
 	}
-	if s.kv.revision != revision || s.kv.lastID != last {
-		t.Errorf("revision %d, newest lease %d; were %d, %d", s.kv.revision, s.kv.lastID, revision, last)
+	if s.kv.revision != revision || s.kv.lastLease != last {
+		t.Errorf("revision %d, newest lease %d; were %d, %d", s.kv.revision, s.kv.lastLease, revision, last)
 	}
 	if _, gone := s.kv.Changes("", revision-1); !gone {
 		t.Error("changes from before are passed over")
 	}
 	// Machines' names and jobs' descriptions were once lost, and accepted jobs
 	// never ran again.
-	if jobs, machines, err := s.disk.kept(); err != nil || machines != 7 || len(jobs) != 1 || *jobs[0].ID != id {
+	if jobs, machines, err := s.file.load(); err != nil || machines != 7 || len(jobs) != 1 || *jobs[0].ID != id {
 		t.Errorf("kept %d machines and jobs %v, %v", machines, jobs, err)
 	}
 	if s.kv.leases[1] == nil || s.kv.leases[1].ends < time.Minute {
--- a/internal/emulator/cut.go
+++ b/internal/emulator/link.go
@@ -10,18 +10,18 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Mode is what a link does with what comes.
-type Mode string
+// LinkMode is what a link does with what comes.
+type LinkMode string
 
 // Modes of a link.
 const (
-	Pass Mode = "passing"
+	Pass LinkMode = "passing"
 	// Refuse ends connections and takes no new ones.
-	Refuse Mode = "refusing"
+	Refuse LinkMode = "refusing"
 	// Hang takes everything and passes nothing on; it is lost.
-	Hang Mode = "hanging"
+	Hang LinkMode = "hanging"
 	// Hold keeps what comes, and passes it on later.
-	Hold Mode = "holding"
+	Hold LinkMode = "holding"
 )
 
 // Link carries the streams that one site opens to the controllers of another. It
@@ -30,13 +30,13 @@
 	delay time.Duration
 
 	mu   sync.Mutex
-	mode Mode
+	mode LinkMode
 	// changed is closed at each change of the mode.
 	changed chan struct{}
 	conns   map[net.Conn]bool
 	// count is how many messages have passed; at is called at the after-th next.
-	after int
-	at    func()
+	messagesUntilTrigger int
+	trigger              func()
 }
 
 // NewLink makes a link on which every byte takes delay.
@@ -45,7 +45,7 @@
 }
 
 // Set changes the mode. What hung is lost with its connection.
-func (l *Link) Set(m Mode) {
+func (l *Link) Set(m LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m == Refuse || l.mode == Hang && m != Hang {
@@ -58,23 +58,23 @@
 	l.changed = make(chan struct{})
 }
 
-// At has f called when the n-th message from now is about to pass.
-func (l *Link) At(n int, f func()) {
+// OnMessage has f called when the n-th message from now is about to pass.
+func (l *Link) OnMessage(n int, f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.after, l.at = n, f
+	l.messagesUntilTrigger, l.trigger = n, f
 }
 
-// messageBytes tells messages from what keeps a stream alive.
-const messageBytes = 100
+// minMessageBytes tells messages from what keeps a stream alive.
+const minMessageBytes = 100
 
-// pass waits until a piece may go on; it is lost if not.
-func (l *Link) pass(ctx context.Context, n int, forth bool) bool {
+// admit waits until a piece may go on; it is lost if not.
+func (l *Link) admit(ctx context.Context, n int, forth bool) bool {
 	l.mu.Lock()
-	if forth && n >= messageBytes && l.at != nil {
-		if l.after--; l.after < 0 {
-			f := l.at
-			l.at = nil
+	if forth && n >= minMessageBytes && l.trigger != nil {
+		if l.messagesUntilTrigger--; l.messagesUntilTrigger < 0 {
+			f := l.trigger
+			l.trigger = nil
 			l.mu.Unlock()
 			f()
 			l.mu.Lock()
@@ -109,11 +109,11 @@
 			in.Close()
 			continue
 		}
-		go l.carry(ctx, in, target)
+		go l.proxy(ctx, in, target)
 	}
 }
 
-func (l *Link) carry(ctx context.Context, in net.Conn, target string) {
+func (l *Link) proxy(ctx context.Context, in net.Conn, target string) {
 	defer in.Close()
 	out, err := net.Dial("tcp4", target)
 	if err != nil {
@@ -134,14 +134,14 @@
 	l.mu.Unlock()
 }
 
-// piece is what was read, and when it arrives.
-type piece struct {
+// delayedChunk is what was read, and when it arrives.
+type delayedChunk struct {
 	data []byte
 	due  time.Time
 }
 
 func (l *Link) copy(ctx context.Context, to io.Writer, from io.Reader, forth bool) error {
-	pieces := make(chan piece, 4096)
+	pieces := make(chan delayedChunk, 4096)
 	var g errgroup.Group
 	g.Go(func() error {
 		defer close(pieces)
@@ -149,7 +149,7 @@
 			buf := make([]byte, 32<<10)
 			n, err := from.Read(buf)
 			if n > 0 {
-				pieces <- piece{buf[:n], time.Now().Add(l.delay)}
+				pieces <- delayedChunk{buf[:n], time.Now().Add(l.delay)}
 			}
 			if err != nil {
 				return err
@@ -159,7 +159,7 @@
 	var failed error
 	for p := range pieces {
 		time.Sleep(time.Until(p.due))
-		if failed == nil && l.pass(ctx, len(p.data), forth) {
+		if failed == nil && l.admit(ctx, len(p.data), forth) {
 			_, failed = to.Write(p.data)
 		}
 	}
--- a/internal/emulator/pair.go
+++ b/internal/emulator/pair.go
@@ -20,17 +20,17 @@
 // Goes is the class whose jobs may be handed to the second site. Those that can run
 // at the first one at once do; Abroad is a zone that only the second has.
 const (
-	Goes   = "goes"
-	Abroad = "abroad"
+	RemoteClass = "goes"
+	RemoteZone  = "abroad"
 )
 
 // Pair is two sites, with a link for what each sends to the other.
 type Pair struct {
 	Sites [2]*Site
 	// Links carry what a site sends.
-	Links [2]*Link
-	dir   string
-	serve []func(ctx context.Context) error
+	Links       [2]*Link
+	dir         string
+	linkServers []func(ctx context.Context) error
 }
 
 // pairNames are what the two sites are called.
@@ -52,7 +52,7 @@
 		c.Seed += uint64(i)
 		if i > 0 {
 			c.Front = loopback
-			c.Zones = append(slices.Clone(cfg.Zones), Abroad)
+			c.Zones = append(slices.Clone(cfg.Zones), RemoteZone)
 		}
 		if dir != "" {
 			c.Front, dir = cfg.Front, filepath.Join(dir, string(pairNames[i]))
@@ -60,28 +60,28 @@
 		if p.Sites[i], err = Open(&c, dir, images); err != nil {
 			return nil, err
 		}
-		p.Sites[i].fleet.lookup = p.Sites[i].stored
-		if err := p.Sites[i].place(); err != nil {
+		p.Sites[i].fleet.lookUpJob = p.Sites[i].storedJob
+		if err := p.Sites[i].placeControllers(); err != nil {
 			return nil, err
 		}
 		p.Links[i] = NewLink(delay)
 		for _, k := range p.Sites[i].controllers {
-			if k.gate, err = freeAddress(); err != nil {
+			if k.federationAddress, err = freeAddress(); err != nil {
 				return nil, err
 			}
 		}
 	}
 	for i := range p.Sites {
-		if err := p.join(i); err != nil {
+		if err := p.writeFederationFiles(i); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-// stored reads a job's description where its controllers keep it: nobody has handed
+// storedJob reads a job's description where its controllers keep it: nobody has handed
 // one that came from another site in here.
-func (s *Site) stored(id string) *protocol.Submission {
+func (s *Site) storedJob(id string) *protocol.Submission {
 	s.State.mu.Lock()
 	kv, there := s.State.kv.Get("j/a/" + id)
 	s.State.mu.Unlock()
@@ -96,8 +96,8 @@
 	return &out
 }
 
-// join writes the gateway's files of site i, whose streams go through its link.
-func (p *Pair) join(i int) error {
+// writeFederationFiles writes the gateway's files of site i, whose streams go through its link.
+func (p *Pair) writeFederationFiles(i int) error {
 	other := p.Sites[1-i]
 	peer := federation.Peer{Site: pairNames[1-i], AtOnce: federation.MostAway, Takes: federation.MostAway, Zones: other.cfg.Zones}
 	for _, k := range other.controllers {
@@ -106,26 +106,26 @@
 			return err
 		}
 		peer.Addresses = append(peer.Addresses, ln.Addr().String())
-		p.serve = append(p.serve, func(ctx context.Context) error { return p.Links[i].serve(ctx, ln, k.gate) })
+		p.linkServers = append(p.linkServers, func(ctx context.Context) error { return p.Links[i].serve(ctx, ln, k.federationAddress) })
 	}
 	in := func(name string) string { return filepath.Join(p.dir, name) }
 	cfg := federation.Default()
 	cfg.Site, cfg.Peers = pairNames[i], []federation.Peer{peer}
 	cfg.RetryS, cfg.RetryMaxS = 1, 4
-	cfg.Class = []federation.Class{{Name: Goes, Accept: []federation.Site{peer.Site}, Repeat: true}}
+	cfg.Class = []federation.Class{{Name: RemoteClass, Accept: []federation.Site{peer.Site}, Repeat: true}}
 	if i == 0 {
 		cfg.Class[0].To = []federation.Site{peer.Site}
 	}
 	cfg.Authority, cfg.TicketKeys = in("authority.pem"), in("tickets.toml")
 	cfg.Certificate, cfg.Key = in(string(cfg.Site)+".pem"), in(string(cfg.Site)+"-key.pem")
 	for _, k := range p.Sites[i].controllers {
-		cfg.Listen = k.gate
+		cfg.Listen = k.federationAddress
 		raw, err := toml.Marshal(cfg)
 		if err != nil {
 			return err
 		}
-		k.gateway = in(string(cfg.Site) + "-" + k.node + ".toml")
-		if err := os.WriteFile(k.gateway, raw, 0o600); err != nil {
+		k.federationFile = in(string(cfg.Site) + "-" + k.node + ".toml")
+		if err := os.WriteFile(k.federationFile, raw, 0o600); err != nil {
 			return err
 		}
 	}
@@ -136,7 +136,7 @@
 func (p *Pair) Run(ctx context.Context, launch Launch) error {
 	defer os.RemoveAll(p.dir)
 	g, ctx := errgroup.WithContext(ctx)
-	for _, f := range p.serve {
+	for _, f := range p.linkServers {
 		g.Go(func() error { return f(ctx) })
 	}
 	for _, s := range p.Sites {
--- a/internal/emulator/programs.go
+++ b/internal/emulator/programs.go
@@ -11,8 +11,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// programs runs tasks as programs: an image is a folder with an executable "run".
-type programs struct {
+// programRunner runs tasks as programs: an image is a folder with an executable "run".
+type programRunner struct {
 	site   *Site
 	images string
 }
@@ -26,21 +26,21 @@
 }
 
 // Outputs is where the output of a job's tasks is kept.
-func (s *Site) Outputs(job string) string { return filepath.Join(s.out, job) }
+func (s *Site) Outputs(job string) string { return filepath.Join(s.outputDir, job) }
 
-func (p *programs) path(image string) string {
+func (p *programRunner) path(image string) string {
 	return filepath.Join(p.images, filepath.Base(image), "run")
 }
 
 // Has tells whether an image is a program.
-func (p *programs) Has(image string) bool {
+func (p *programRunner) Has(image string) bool {
 	info, err := os.Stat(p.path(image))
 	return err == nil && info.Mode()&0o111 != 0
 }
 
 // Start runs a task's program with its output in a file, and kills it when the
 // task is stopped.
-func (p *programs) Start(machine string, job *protocol.Submission, task string, attempt uint64, done func(ok bool)) func() {
+func (p *programRunner) Start(machine string, job *protocol.Submission, task string, attempt uint64, done func(ok bool)) func() {
 	id, index, _ := strings.Cut(task, "/")
 	end := func(ok bool) {
 		go func() { // the caller holds the site
@@ -52,13 +52,13 @@
 	dir := p.site.Outputs(id)
 	name := filepath.Join(dir, fmt.Sprintf("%s-%d.log", index, attempt))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		slog.Error("lab: no place for output", "task", task, "error", err)
+		slog.Error("task output cannot be stored", "task", task, "error", err)
 		end(false)
 		return func() {}
 	}
 	out, err := os.Create(name)
 	if err != nil {
-		slog.Error("lab: no place for output", "task", task, "error", err)
+		slog.Error("task output cannot be stored", "task", task, "error", err)
 		end(false)
 		return func() {}
 	}
@@ -71,7 +71,7 @@
 	cmd.Env = append(os.Environ(), "PEPPERLEVER_JOB="+id, "PEPPERLEVER_TASK="+index, "PEPPERLEVER_MACHINE="+machine,
 		fmt.Sprintf("PEPPERLEVER_ATTEMPT=%d", attempt), fmt.Sprintf("PEPPERLEVER_TASKS=%d", *job.Tasks))
 	if err := cmd.Start(); err != nil {
-		slog.Error("lab: program does not start", "task", task, "error", err)
+		slog.Error("task program cannot be started", "task", task, "error", err)
 		out.Close()
 		end(false)
 		return func() {}
@@ -83,7 +83,7 @@
 	}()
 	return func() {
 		if err := cmd.Process.Kill(); err != nil {
-			slog.Debug("lab: program had ended", "task", task, "error", err)
+			slog.Debug("task program had already ended", "task", task, "error", err)
 		}
 	}
 }
--- a/internal/emulator/site.go
+++ b/internal/emulator/site.go
@@ -13,17 +13,17 @@
 // the users' front door, all on loopback.
 type Site struct {
 	cfg   *Config
-	State *State
+	State *StateService
 	start time.Time
-	// out is the folder of the tasks' output.
-	out string
+	// outputDir is the folder of the tasks' output.
+	outputDir string
 
 	mu    sync.Mutex
 	cloud *Cloud
 	fleet *Fleet
 
-	front, cloudLn, stateLn net.Listener
-	controllers             []*controller
+	frontListener, cloudListener, stateListener net.Listener
+	controllers                                 []*controller
 	// workers ends each worker's loop when its machine is gone.
 	workers map[string]context.CancelFunc
 	group   *errgroup.Group
@@ -35,28 +35,28 @@
 // Open makes a site and its listeners. dir keeps its state between runs, images
 // holds programs that tasks run; either may be empty.
 func Open(cfg *Config, dir, images string) (*Site, error) {
-	s := &Site{cfg: cfg, start: time.Now(), workers: map[string]context.CancelFunc{}, out: outputs(dir)}
+	s := &Site{cfg: cfg, start: time.Now(), workers: map[string]context.CancelFunc{}, outputDir: outputs(dir)}
 	var runner Runner
 	if images != "" {
-		runner = &programs{site: s, images: images}
+		runner = &programRunner{site: s, images: images}
 	}
 	s.fleet = NewFleet(cfg, runner)
 	var err error
-	if s.State, err = NewState(cfg.State, dir); err != nil {
+	if s.State, err = NewStateService(cfg.State, dir); err != nil {
 		return nil, err
 	}
-	jobs, machines, err := s.State.disk.kept()
+	jobs, machines, err := s.State.file.load()
 	if err != nil {
 		return nil, err
 	}
 	s.cloud = NewCloud(cfg, machines)
 	for _, j := range jobs {
-		s.fleet.Upload(j)
+		s.fleet.AddJob(j)
 	}
 	for _, l := range []struct {
 		ln   *net.Listener
 		addr string
-	}{{&s.front, cfg.Front}, {&s.cloudLn, loopback}, {&s.stateLn, loopback}} {
+	}{{&s.frontListener, cfg.Front}, {&s.cloudListener, loopback}, {&s.stateListener, loopback}} {
 		if *l.ln, err = net.Listen("tcp4", l.addr); err != nil {
 			return nil, err
 		}
@@ -67,23 +67,23 @@
 const loopback = "127.0.0.1:0"
 
 // Front is the users' address.
-func (s *Site) Front() string { return s.front.Addr().String() }
+func (s *Site) Front() string { return s.frontListener.Addr().String() }
 
 // Run serves until ctx ends or a part of the site fails.
 func (s *Site) Run(ctx context.Context, launch Launch) error {
 	if s.controllers == nil {
-		if err := s.place(); err != nil {
+		if err := s.placeControllers(); err != nil {
 			return err
 		}
 	}
 	s.group, ctx = errgroup.WithContext(ctx)
-	s.group.Go(func() error { return s.State.Run(ctx, s.stateLn) })
-	s.group.Go(func() error { return serve(ctx, s.cloudLn, s.handleCloud) })
-	s.group.Go(func() error { return serve(ctx, s.front, s.handleFront) })
+	s.group.Go(func() error { return s.State.Run(ctx, s.stateListener) })
+	s.group.Go(func() error { return serve(ctx, s.cloudListener, s.handleCloud) })
+	s.group.Go(func() error { return serve(ctx, s.frontListener, s.handleFront) })
 	s.group.Go(func() error { return every(ctx, tick, func() { s.advance(ctx) }) })
-	s.group.Go(func() error { return every(ctx, probeEvery, s.probe) })
+	s.group.Go(func() error { return every(ctx, probeInterval, s.probe) })
 	for _, c := range s.controllers {
-		s.group.Go(func() error { return s.keep(ctx, c, launch) })
+		s.group.Go(func() error { return s.superviseController(ctx, c, launch) })
 	}
 	err := s.group.Wait()
 	if ctx.Err() != nil && err == nil {
@@ -121,7 +121,7 @@
 				delete(s.workers, ch.Machine)
 			}
 		case ch.Up:
-			s.hire(ctx, now, ch)
+			s.startWorker(ctx, now, ch)
 		case ch.Notice > 0:
 			s.fleet.Notice(ch.Machine, ch.Notice)
 		}
--- a/internal/emulator/disk.go
+++ b/internal/emulator/statefile.go
@@ -13,9 +13,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// disk keeps the state in a file, so that it outlives the stand-in. A save may be
+// stateFile keeps the state in a file, so that it outlives the stand-in. A save may be
 // lost when the machine fails, not when the process does: it is a stand-in.
-type disk struct{ db *bbolt.DB }
+type stateFile struct{ db *bbolt.DB }
 
 var (
 	bucketKeys  = []byte("keys")
@@ -33,8 +33,8 @@
 	LastID   uint64 `json:"last_id"`
 }
 
-// openDisk opens the file in dir and reads it into kv.
-func openDisk(dir string, kv *KV) (*disk, error) {
+// openStateFile opens the file in dir and reads it into kv.
+func openStateFile(dir string, kv *KeyValueStore) (*stateFile, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -42,14 +42,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("state file in %s, perhaps in use: %w", dir, err)
 	}
-	if err := db.Update(func(tx *bbolt.Tx) error { return read(tx, kv) }); err != nil {
+	if err := db.Update(func(tx *bbolt.Tx) error { return readStateFile(tx, kv) }); err != nil {
 		db.Close()
 		return nil, err
 	}
-	return &disk{db}, nil
+	return &stateFile{db}, nil
 }
 
-func read(tx *bbolt.Tx, kv *KV) error {
+func readStateFile(tx *bbolt.Tx, kv *KeyValueStore) error {
 	keys, err := tx.CreateBucketIfNotExists(bucketKeys)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	kv.revision, kv.floor, kv.lastID = n.Revision, n.Revision, n.LastID
+	kv.revision, kv.compactedRevision, kv.lastLease = n.Revision, n.Revision, n.LastID
 	for id, ttl := range ttls {
 		kv.leases[id] = &lease{ttl: ttl}
 	}
@@ -83,10 +83,10 @@
 }
 
 // save writes the touched keys, the counters and the leases.
-func (d *disk) save(kv *KV) {
+func (d *stateFile) save(kv *KeyValueStore) {
 	err := d.db.Update(func(tx *bbolt.Tx) error {
 		keys, meta := tx.Bucket(bucketKeys), tx.Bucket(bucketMeta)
-		for key := range kv.touched {
+		for key := range kv.unsavedKeys {
 			item, there := kv.items[key]
 			if !there {
 				if err := keys.Delete([]byte(key)); err != nil {
@@ -105,29 +105,29 @@
 		if err := putJSON(meta, keyLeases, ttls); err != nil {
 			return err
 		}
-		return putJSON(meta, keyCounters, counters{kv.revision, kv.lastID})
+		return putJSON(meta, keyCounters, counters{kv.revision, kv.lastLease})
 	})
 	if err != nil {
-		slog.Error("lab: state is not kept", "error", err)
+		slog.Error("emulated state cannot be saved", "error", err)
 	}
 }
 
-// keepJob keeps a job's description, keepMachines how many machines were ever
+// saveJob keeps a job's description, saveMachineCount how many machines were ever
 // rented: a name must never be used again.
-func (d *disk) keepJob(id string, j *protocol.Submission) { d.put(bucketJobs, []byte(id), j) }
-func (d *disk) keepMachines(n int)                        { d.put(bucketMeta, keyMachines, n) }
+func (d *stateFile) saveJob(id string, j *protocol.Submission) { d.put(bucketJobs, []byte(id), j) }
+func (d *stateFile) saveMachineCount(n int)                    { d.put(bucketMeta, keyMachines, n) }
 
-func (d *disk) put(bucket, key []byte, v any) {
+func (d *stateFile) put(bucket, key []byte, v any) {
 	if d == nil {
 		return
 	}
 	if err := d.db.Update(func(tx *bbolt.Tx) error { return putJSON(tx.Bucket(bucket), key, v) }); err != nil {
-		slog.Error("lab: not kept", "key", string(key), "error", err)
+		slog.Error("emulated record cannot be saved", "key", string(key), "error", err)
 	}
 }
 
-// kept reads what keepJob and keepMachines have kept.
-func (d *disk) kept() (jobs []*protocol.Submission, machines int, err error) {
+// load reads what saveJob and saveMachineCount have kept.
+func (d *stateFile) load() (jobs []*protocol.Submission, machines int, err error) {
 	if d == nil {
 		return nil, 0, nil
 	}
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/stateservice_test.go
@@ -11,7 +11,7 @@
 )
 
 // call sends one request to the state service.
-func call(s *State, method, path, body string) (int, string) {
+func call(s *StateService, method, path, body string) (int, string) {
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.Header.SetMethod(method)
 	ctx.Request.SetRequestURI(path)
@@ -43,7 +43,7 @@
 		"watch of the past":   {"GET", protocol.PathWatch + "?starts=a&since=0", "", 200},
 		"no such path":        {"GET", "/", "", 404},
 	} {
-		s, err := NewState(limits, "")
+		s, err := NewStateService(limits, "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 			t.Errorf("%s: got %d %s", name, status, body)
 		}
 	}
-	s, err := NewState(limits, "")
+	s, err := NewStateService(limits, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 }
 
 func TestOutageRefusesAndGivesLeasesTheirFullTimeAfterIt(t *testing.T) {
-	s, err := NewState(Default().State, "")
+	s, err := NewStateService(Default().State, "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/advance.go
+++ b/internal/emulator/tasks.go
@@ -14,59 +14,59 @@
 	lease := seconds(f.cfg.Workers.LeaseS)
 	for _, id := range slices.Sorted(maps.Keys(f.machines)) {
 		m := f.machines[id]
-		if now-max(m.sent, m.began) > lease {
+		if now-max(m.leaseRenewedAt, m.epochStartedAt) > lease {
 			m.killAll()
 			m.Session++
-			m.began, m.changed = now, true
+			m.epochStartedAt, m.changed = now, true
 		}
 		for _, t := range m.tasks {
-			if t.ends > 0 && now >= t.ends {
-				f.next(m, t)
+			if t.stateEndsAt > 0 && now >= t.stateEndsAt {
+				f.nextState(m, t)
 			}
 		}
 	}
-	f.gangs(now)
+	f.advanceGangs(now)
 }
 
-// next moves a task whose present state is over.
-func (f *Fleet) next(m *machine, t *task) {
+// nextState moves a task whose present state is over.
+func (f *Fleet) nextState(m *machine, t *task) {
 	m.changed = true
-	at := t.ends
+	at := t.stateEndsAt
 	switch t.State {
 	case pulling:
 		switch {
 		case f.results[t.Task]:
-			f.exit(t, protocol.WhyDone)
+			f.exitTask(t, protocol.WhyDone)
 		case *t.job.Kind == protocol.KindGang:
-			t.State, t.at, t.ends = waiting, at, at+seconds(f.cfg.Workers.GangWaitS)
+			t.State, t.stateSince, t.stateEndsAt = waiting, at, at+seconds(f.cfg.Workers.GangWaitS)
 		default:
-			f.run(m, t, at)
+			f.runTask(m, t, at)
 		}
 	case waiting:
-		f.exit(t, alone)
+		f.exitTask(t, whyGangIncomplete)
 	case protocol.Running:
 		f.completed++
-		f.exit(t, protocol.WhyDone)
+		f.exitTask(t, protocol.WhyDone)
 	case saving:
-		f.exit(t, protocol.WhyStopped)
+		f.exitTask(t, protocol.WhyStopped)
 		t.Saved = true
 	}
 }
 
-// run lets a task run, for as long as its owner has guessed, or as a program.
-func (f *Fleet) run(m *machine, t *task, at time.Duration) {
-	t.State, t.at, t.ends = protocol.Running, at, 0
+// runTask lets a task run, for as long as its owner has guessed, or as a program.
+func (f *Fleet) runTask(m *machine, t *task, at time.Duration) {
+	t.State, t.stateSince, t.stateEndsAt = protocol.Running, at, 0
 	if f.runner != nil && f.runner.Has(*t.job.Image) {
-		t.stop = f.runner.Start(m.Machine, t.job, t.Task, t.Attempt, func(ok bool) { f.ended(m, t, ok) })
+		t.stop = f.runner.Start(m.Machine, t.job, t.Task, t.Attempt, func(ok bool) { f.programEnded(m, t, ok) })
 		return
 	}
 	if *t.job.Kind != protocol.KindService {
-		t.ends = at + max(1, f.cfg.scaled(*t.job.EstimateS-f.progress(t)))
+		t.stateEndsAt = at + max(1, f.cfg.scaled(*t.job.EstimateS-f.resumableProgress(t)))
 	}
 }
 
-// ended takes the end of a task's program.
-func (f *Fleet) ended(m *machine, t *task, ok bool) {
+// programEnded takes the end of a task's program.
+func (f *Fleet) programEnded(m *machine, t *task, ok bool) {
 	if t.State != protocol.Running {
 		return
 	}
@@ -74,25 +74,25 @@
 	t.stop = nil
 	if ok {
 		f.completed++
-		f.exit(t, protocol.WhyDone)
+		f.exitTask(t, protocol.WhyDone)
 	} else {
-		f.exit(t, protocol.WhyError)
+		f.exitTask(t, protocol.WhyError)
 	}
 }
 
-// progress is what a task need not do again: what it saved when it was stopped,
+// resumableProgress is what a task need not do again: what it saved when it was stopped,
 // and whole checkpoints.
-func (f *Fleet) progress(t *task) float64 {
-	p := f.saved[t.Task]
+func (f *Fleet) resumableProgress(t *task) float64 {
+	p := f.progressS[t.Task]
 	if *t.job.CheckpointS <= 0 {
 		return 0
 	}
 	return min(p, *t.job.EstimateS)
 }
 
-// gangs lets the gangs whose tasks are all there begin, and those that have lost
+// advanceGangs lets the gangs whose tasks are all there begin, and those that have lost
 // one end.
-func (f *Fleet) gangs(now time.Duration) {
+func (f *Fleet) advanceGangs(now time.Duration) {
 	type key struct {
 		job     string
 		attempt uint64
@@ -117,37 +117,37 @@
 		switch {
 		case whole && in(waiting) == len(tasks):
 			for _, t := range tasks {
-				f.run(owner[t], t, now)
+				f.runTask(owner[t], t, now)
 				owner[t].changed = true
 			}
 		case done:
-			f.endAll(tasks, owner, protocol.WhyDone)
+			f.endRunning(tasks, owner, protocol.WhyDone)
 		case in(protocol.Running) > 0 && (!whole || in(protocol.Running)+in(saving) < len(tasks)):
-			f.lost(now, tasks, owner)
+			f.endBrokenGang(now, tasks, owner)
 		}
 	}
 }
 
-// endAll ends the running tasks of a gang.
-func (f *Fleet) endAll(tasks []*task, owner map[*task]*machine, why string) {
+// endRunning ends the running tasks of a gang.
+func (f *Fleet) endRunning(tasks []*task, owner map[*task]*machine, why string) {
 	for _, t := range tasks {
 		if t.State == protocol.Running {
 			owner[t].changed = true
-			f.exit(t, why)
+			f.exitTask(t, why)
 		}
 	}
 }
 
-// lost ends what is left of a gang once its tasks have noticed. Its progress falls
+// endBrokenGang ends what is left of a gang once its tasks have noticed. Its progress falls
 // back to the last checkpoint.
-func (f *Fleet) lost(now time.Duration, tasks []*task, owner map[*task]*machine) {
+func (f *Fleet) endBrokenGang(now time.Duration, tasks []*task, owner map[*task]*machine) {
 	first := time.Duration(math.MaxInt64)
 	for _, t := range tasks {
 		if t.State == protocol.Running {
-			if t.told == 0 {
-				t.told = now // it has noticed
+			if t.peerLossNoticedAt == 0 {
+				t.peerLossNoticedAt = now // it has noticed
 			}
-			first = min(first, t.told)
+			first = min(first, t.peerLossNoticedAt)
 		}
 	}
 	if now-first < seconds(f.cfg.Workers.GangPeerS) {
@@ -155,10 +155,10 @@
 	}
 	for _, t := range tasks {
 		if every := *t.job.CheckpointS; every > 0 {
-			f.saved[t.Task] = math.Floor(f.saved[t.Task]/every) * every
+			f.progressS[t.Task] = math.Floor(f.progressS[t.Task]/every) * every
 		}
 	}
-	f.endAll(tasks, owner, matesGo)
+	f.endRunning(tasks, owner, whyGangPeerLost)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/emulator/agent.go
+++ b/internal/emulator/workeragent.go
@@ -15,31 +15,31 @@
 	"pepperlever/internal/protocol"
 )
 
-// hire starts the worker of a machine that has come up.
-func (s *Site) hire(ctx context.Context, now time.Duration, ch Change) {
+// startWorker starts the worker of a machine that has come up.
+func (s *Site) startWorker(ctx context.Context, now time.Duration, ch MachineChange) {
 	ln, err := net.Listen("tcp4", loopback)
 	if err != nil {
-		slog.Error("lab: worker cannot listen", "machine", ch.Machine, "error", err)
+		slog.Error("emulated worker cannot listen", "machine", ch.Machine, "error", err)
 		return
 	}
 	s.fleet.Add(now, ch.Machine, ln.Addr().String(), ch.Type, ch.Zone, ch.Spot)
 	ctx, s.workers[ch.Machine] = context.WithCancel(ctx)
-	w := &agent{site: s, machine: ch.Machine, http: httpclient.New(protocol.ReportTimeout, 2)}
+	w := &workerAgent{site: s, machine: ch.Machine, http: httpclient.New(protocol.ReportTimeout, 2)}
 	s.group.Go(func() error { return serve(ctx, ln, w.handle) })
 	s.group.Go(func() error { return w.loop(ctx) })
 }
 
-// agent is the network side of one worker.
-type agent struct {
+// workerAgent is the network side of one worker.
+type workerAgent struct {
 	site    *Site
 	machine string
 	http    *httpclient.Client
-	// at is the controller that it reports to.
-	at int
+	// controller is the controller that it reports to.
+	controller int
 }
 
 // handle answers direct calls.
-func (w *agent) handle(ctx *fasthttp.RequestCtx) {
+func (w *workerAgent) handle(ctx *fasthttp.RequestCtx) {
 	s := w.site
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,26 +47,26 @@
 	if string(ctx.Path()) == protocol.PathCommands {
 		var o protocol.Orders
 		if err := json.Unmarshal(ctx.PostBody(), &o); err != nil || o.Token == 0 || o.Session == 0 {
-			problem(ctx, fasthttp.StatusBadRequest, "token or session is missing")
+			writeProblem(ctx, fasthttp.StatusBadRequest, "token or session is missing")
 			return
 		}
-		if !s.fleet.Do(s.now(), w.machine, o) {
+		if !s.fleet.Execute(s.now(), w.machine, o) {
 			status = fasthttp.StatusConflict
 		}
 	}
 	r, there := s.fleet.Snapshot(s.now(), w.machine)
 	if !there {
-		problem(ctx, fasthttp.StatusServiceUnavailable, "machine is gone")
+		writeProblem(ctx, fasthttp.StatusServiceUnavailable, "machine is gone")
 		return
 	}
-	answer(ctx, status, r)
+	writeJSON(ctx, status, r)
 }
 
 // loop reports every interval, give or take a quarter, and sooner when something
 // has changed.
-func (w *agent) loop(ctx context.Context) error {
+func (w *workerAgent) loop(ctx context.Context) error {
 	interval := seconds(w.site.cfg.Workers.ReportS)
-	for w.at = rand.IntN(len(w.site.controllers)); ctx.Err() == nil; {
+	for w.controller = rand.IntN(len(w.site.controllers)); ctx.Err() == nil; {
 		if pause := w.report(); pause > 0 {
 			sleep(ctx, pause)
 		} else {
@@ -77,7 +77,7 @@
 }
 
 // untilNext waits for a change, at most for most.
-func (w *agent) untilNext(ctx context.Context, most time.Duration) {
+func (w *workerAgent) untilNext(ctx context.Context, most time.Duration) {
 	const least = 500 * time.Millisecond
 	sleep(ctx, min(least, most))
 	for waited := least; waited < most && ctx.Err() == nil; waited += tick {
@@ -93,7 +93,7 @@
 
 // report sends one report and carries the answer out. It returns the pause before
 // the next try when the answer does not tell to stay.
-func (w *agent) report() time.Duration {
+func (w *workerAgent) report() time.Duration {
 	s := w.site
 	s.mu.Lock()
 	sent := s.now()
@@ -106,22 +106,22 @@
 		protocol.Orders
 		protocol.Redirect
 	}
-	status, err := w.http.Call(fasthttp.MethodPost, s.controllers[w.at].listen, protocol.PathReport, r, &out)
+	status, err := w.http.Call(fasthttp.MethodPost, s.controllers[w.controller].listen, protocol.PathReport, r, &out)
 	if err == nil && status == http.StatusOK {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.fleet.Answered(s.now(), sent, w.machine, r.Session, out.Orders)
+		s.fleet.HandleReply(s.now(), sent, w.machine, r.Session, out.Orders)
 		return 0
 	}
 	if err == nil && status == http.StatusMisdirectedRequest {
 		for i, c := range s.controllers {
-			if c.node == out.ReportTo && i != w.at {
-				w.at = i
+			if c.node == out.ReportTo && i != w.controller {
+				w.controller = i
 				return rand.N(500*time.Millisecond) + 1
 			}
 		}
 	}
-	w.at = (w.at + 1) % len(s.controllers)
+	w.controller = (w.controller + 1) % len(s.controllers)
 	return protocol.ReportPause
 }
 
