--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -93,7 +93,7 @@
 	case path == protocol.PathMetrics:
 		a.only(ctx, method, fasthttp.MethodGet, func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/plain; charset=utf-8")
-			ctx.SetBody(slices.Concat(a.metrics.text(), a.servedMetrics(), a.gatewayMetrics()))
+			ctx.SetBody(slices.Concat(a.metrics.text(), a.jobMetrics(), a.gatewayMetrics()))
 		})
 	case path == protocol.PathList:
 		a.only(ctx, method, fasthttp.MethodGet, func(ctx *fasthttp.RequestCtx) {
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -54,8 +54,8 @@
 	case core.Health:
 		return &core.Answer{Req: c.Req, Status: 200}
 	case core.JobStatistics:
-		return &core.Answer{Req: c.Req, Status: 200, Body: core.ServedRows{Unanswered: 8 * time.Second, Owed: 3, Unsure: 7 * time.Second,
-			Waiting: core.Waiting{Awaits: 5, Limit: 6}, Counts: core.Counts{Cascades: 4, Oversized: 2},
+		return &core.Answer{Req: c.Req, Status: 200, Body: core.StatisticsReport{LongestUnanswered: 8 * time.Second, Unacknowledged: 3, Staleness: 7 * time.Second,
+			Pending: core.PendingTasks{Dependencies: 5, TeamLimit: 6}, Counters: core.Counters{CascadedCancellations: 4, OversizedTransactions: 2},
 			Rows: []jobstats.Row{{Kind: "class", Name: "train", Accepted: 3, LargestStarted: 1, Oldest: 7 * time.Second}}}}
 	case core.Heartbeat:
 		return &core.Answer{Req: c.Req, Status: 200, Body: c.Report.Machine}
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -77,10 +77,10 @@
 	return []byte(b.String())
 }
 
-// servedMetrics tells what has become of jobs since this controller began.
-func (a *API) servedMetrics() []byte {
+// jobMetrics tells what has become of jobs since this controller began.
+func (a *API) jobMetrics() []byte {
 	ans := a.await(func(req uint64) core.Command { return core.JobStatistics{Req: req} })
-	s, ok := ans.Body.(core.ServedRows)
+	s, ok := ans.Body.(core.StatisticsReport)
 	if !ok {
 		return nil
 	}
@@ -95,17 +95,17 @@
 		}
 		fmt.Fprintf(&b, "pepperlever_oldest_waiting_seconds{%s=%q} %.0f\n", r.Kind, r.Name, r.Oldest.Seconds())
 	}
-	fmt.Fprintf(&b, "pepperlever_longest_unanswered_seconds %.0f\n", s.Unanswered.Seconds())
-	fmt.Fprintf(&b, "pepperlever_cancellations_owed %d\n", s.Owed)
-	fmt.Fprintf(&b, "pepperlever_unsure_seconds %.0f\n", s.Unsure.Seconds())
+	fmt.Fprintf(&b, "pepperlever_longest_unanswered_seconds %.0f\n", s.LongestUnanswered.Seconds())
+	fmt.Fprintf(&b, "pepperlever_cancellations_owed %d\n", s.Unacknowledged)
+	fmt.Fprintf(&b, "pepperlever_unsure_seconds %.0f\n", s.Staleness.Seconds())
 	for _, w := range []struct {
 		reason string
 		tasks  int
-	}{{"awaits", s.Awaits}, {"limit", s.Limit}, {"room", s.Room}} {
+	}{{"awaits", s.Pending.Dependencies}, {"limit", s.Pending.TeamLimit}, {"room", s.Pending.Capacity}} {
 		fmt.Fprintf(&b, "pepperlever_waiting_tasks{reason=%q} %d\n", w.reason, w.tasks)
 	}
-	fmt.Fprintf(&b, "pepperlever_cascaded_cancellations_total %d\n", s.Cascades)
-	fmt.Fprintf(&b, "pepperlever_split_jobs_total %d\n", s.Splits)
-	fmt.Fprintf(&b, "pepperlever_oversized_transactions_total %d\n", s.Oversized)
+	fmt.Fprintf(&b, "pepperlever_cascaded_cancellations_total %d\n", s.Counters.CascadedCancellations)
+	fmt.Fprintf(&b, "pepperlever_split_jobs_total %d\n", s.Counters.SplitJobs)
+	fmt.Fprintf(&b, "pepperlever_oversized_transactions_total %d\n", s.Counters.OversizedTransactions)
 	return []byte(b.String())
 }
--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/protocol"
 )
 
@@ -15,7 +16,7 @@
 	// it in the stored state before it answers a worker.
 	acknowledgedBy map[string]bool
 	// waiting are the questions whose answer waits for another controller to know.
-	waiting []pendingLookup
+	waiting []lookup.Request
 }
 
 const (
@@ -126,15 +127,15 @@
 // it away before its user has gone.
 func (c *Core) answerAnnounced() {
 	for id, w := range ordered(c.unannounced) {
-		f := lookupUnavailable
+		outcome := lookup.Unavailable
 		if c.acknowledgedByAnother(w) {
-			f = lookupFinal
+			outcome = lookup.Final
 			delete(c.unannounced, id)
 		}
 		rest := w.waiting[:0]
 		for _, q := range w.waiting {
-			if f == lookupFinal || c.now.Steady-q.since > protocol.PollTimeout/2 {
-				q.resolve(f, protocol.JobState{ID: id, State: protocol.Cancelled})
+			if outcome == lookup.Final || lookup.Expired(q, c.now.Steady) {
+				q.Resolve(lookup.Result{Outcome: outcome, State: protocol.JobState{ID: id, State: protocol.Cancelled}})
 			} else {
 				rest = append(rest, q)
 			}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"pepperlever/internal/core/catalog"
-	"pepperlever/internal/core/dependency"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/jobstats"
+	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
@@ -53,7 +53,7 @@
 	upgrade      upgradeTracker
 	// limits are those of the store on what this controller writes.
 	limits       storeLimits
-	dependencies dependencyState
+	dependencies dependencies
 	// handoffs mirrors the hand-offs to and from other sites.
 	handoffs handoffRecords
 
@@ -70,15 +70,15 @@
 	heartbeatAt time.Duration
 	rebalancing rebalancing
 	writeBudget writeBudget
-	lookups     lookupQueue
+	lookups     lookup.Queue
 
 	peers     map[string]*peerState
 	storeOK   bool
 	freshness freshness
 	relay     storeRelay
 	isolation isolation
-	stats     *jobstats.Tally
-	counts    Counts
+	stats     *jobstats.Collector
+	counts    Counters
 
 	// federation is this site's gateway to others, nil without one.
 	federation *federationAdapter
@@ -114,7 +114,7 @@
 	for _, p := range cfg.Peers {
 		c.peers[p.Node] = &peerState{}
 	}
-	c.dependencies = dependencyState{graph: dependency.New(), asking: map[string]bool{}}
+	c.dependencies = newDependencies()
 	c.upgrade = newUpgradeTracker(c.members.roster)
 	return c
 }
@@ -148,7 +148,7 @@
 	case Health:
 		c.health(m)
 	case JobStatistics:
-		c.reply(m.Req, http.StatusOK, c.jobStatistics())
+		c.reply(m.Req, http.StatusOK, c.statisticsReport())
 	case Heartbeat:
 		c.handleHeartbeat(m)
 	case StoreReply:
@@ -212,7 +212,7 @@
 	report := c.reportInterval()
 	c.updateUsageRecords()
 	c.answerAnnounced()
-	c.answerPendingStatus()
+	c.answerDeferredStatus()
 	if c.every(&c.timers.heartbeat, report/3) {
 		c.sendHeartbeat()
 	}
@@ -244,8 +244,8 @@
 	if c.fleet.leading && c.every(&c.timers.inventory, c.listInterval()) {
 		c.emit(FetchInventory{})
 	}
-	if c.fleet.leading && c.every(&c.timers.statistics, tellEvery*report) {
-		c.logJobStatistics()
+	if c.fleet.leading && c.every(&c.timers.statistics, statisticsInterval*report) {
+		c.logStatistics()
 	}
 	if c.loaded && c.every(&c.timers.record, 15*usageRecordInterval) {
 		c.storeUsageRecords()
--- a/internal/core/dependency/graph.go
+++ b/internal/core/dependency/graph.go
@@ -1,5 +1,5 @@
-// Package dependency follows which jobs wait for which others. It knows names alone: what has
-// become of a job is told to it, and what follows from that is its answer.
+// Package dependency holds the graph of jobs that wait for others. It knows job IDs alone: its
+// caller reports what has become of a job and learns which jobs that concerns.
 package dependency
 
 import (
@@ -7,22 +7,24 @@
 	"slices"
 )
 
-// names is a set of jobs.
-type names map[string]bool
+// jobSet is a set of job IDs.
+type jobSet map[string]bool
 
-func (n names) sorted() []string { return slices.Sorted(maps.Keys(n)) }
+func (s jobSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
 // Graph holds the jobs that wait, and for which. A job waits until each job that it awaits
 // is known to be done. Since a job only awaits jobs that were accepted before it, there are
 // no cycles.
 type Graph struct {
 	// awaited holds, by waiting job, what it still waits for; followers is the inverse.
-	awaited, followers map[string]names
+	awaited, followers map[string]jobSet
 	changed            bool
 }
 
 // New makes an empty Graph.
-func New() *Graph { return &Graph{awaited: map[string]names{}, followers: map[string]names{}} }
+func New() *Graph {
+	return &Graph{awaited: map[string]jobSet{}, followers: map[string]jobSet{}}
+}
 
 // Wait notes that a job waits for others, instead of what it waited for before.
 func (g *Graph) Wait(job string, awaited []string) {
@@ -31,24 +33,25 @@
 		return
 	}
 	g.changed = true
-	g.awaited[job] = names{}
-	for _, a := range awaited {
-		g.awaited[job][a] = true
-		if g.followers[a] == nil {
-			g.followers[a] = names{}
+	g.awaited[job] = jobSet{}
+	for _, upstream := range awaited {
+		g.awaited[job][upstream] = true
+		if g.followers[upstream] == nil {
+			g.followers[upstream] = jobSet{}
 		}
-		g.followers[a][job] = true
+		g.followers[upstream][job] = true
 	}
 }
 
 // Forget drops a waiting job. Jobs that wait for it go on waiting.
 func (g *Graph) Forget(job string) {
-	for a := range g.awaited[job] {
-		g.unlink(job, a)
+	for upstream := range g.awaited[job] {
+		g.unlink(job, upstream)
 	}
 	delete(g.awaited, job)
 }
 
+// unlink removes a job from the followers of one that it awaits.
 func (g *Graph) unlink(job, awaited string) {
 	g.changed = true
 	delete(g.followers[awaited], job)
@@ -59,12 +62,12 @@
 
 // Done notes that a job is done, and returns those that wait for nothing any more.
 func (g *Graph) Done(job string) (ready []string) {
-	for _, f := range g.followers[job].sorted() {
-		delete(g.awaited[f], job)
-		g.unlink(f, job)
-		if len(g.awaited[f]) == 0 {
-			delete(g.awaited, f)
-			ready = append(ready, f)
+	for _, follower := range g.followers[job].sorted() {
+		delete(g.awaited[follower], job)
+		g.unlink(follower, job)
+		if len(g.awaited[follower]) == 0 {
+			delete(g.awaited, follower)
+			ready = append(ready, follower)
 		}
 	}
 	return ready
@@ -84,19 +87,19 @@
 
 // Upstream lists all that a job waits for, directly or through others.
 func (g *Graph) Upstream(job string) []string {
-	seen := names{}
-	next := []string{job}
-	for len(next) > 0 {
-		last := next[len(next)-1]
-		next = next[:len(next)-1]
-		for a := range g.awaited[last] {
-			if !seen[a] {
-				seen[a] = true
-				next = append(next, a)
+	upstream := jobSet{}
+	unvisited := []string{job}
+	for len(unvisited) > 0 {
+		last := unvisited[len(unvisited)-1]
+		unvisited = unvisited[:len(unvisited)-1]
+		for awaited := range g.awaited[last] {
+			if !upstream[awaited] {
+				upstream[awaited] = true
+				unvisited = append(unvisited, awaited)
 			}
 		}
 	}
-	return seen.sorted()
+	return upstream.sorted()
 }
 
 // AwaitedJobs lists the jobs that others wait for.
--- a/internal/core/dependency/graph_test.go
+++ b/internal/core/dependency/graph_test.go
@@ -71,10 +71,7 @@
 // all that runs in between.
 func TestUrgencyGoesBackAlongTheChain(t *testing.T) {
 	const priority, late = 3, 90_000
-	jobs := map[string]struct {
-		urgency Urgency
-		runs    int64
-	}{
+	jobs := map[string]Estimate{
 		"fetch":   {Urgency{priority, NoDeadline}, 10_000},
 		"resolve": {Urgency{priority, NoDeadline}, 20_000},
 		"docs":    {Urgency{priority, NoDeadline}, 70_000},
@@ -84,9 +81,9 @@
 	g.Wait("resolve", []string{"fetch", "gone"})
 	g.Wait("docs", []string{"fetch"})
 	g.Wait("sign", []string{"resolve", "docs"})
-	got := g.Inherit(func(job string) (Urgency, int64, bool) {
-		j, known := jobs[job]
-		return j.urgency, j.runs, known
+	got := g.Inherit(func(job string) (Estimate, bool) {
+		estimate, known := jobs[job]
+		return estimate, known
 	})
 	for job, want := range map[string]Urgency{
 		"resolve": {1, late - 20_000}, "docs": {1, late - 70_000}, "fetch": {1, late - 70_000 - 10_000},
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -10,6 +10,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 )
@@ -173,12 +174,15 @@
 	if len(s.Awaits) > 0 {
 		return "job awaits jobs of its own site"
 	}
-	return c.rejectionReason(c.teamBy[s.Team], s)
+	if r := c.submissionCheck().reject(c.teamBy[s.Team], s); r != nil {
+		return r.reason
+	}
+	return ""
 }
 
-// elsewhere tells whether a job that can never run here may go to a site that has
+// canRunElsewhere tells whether a job that can never run here may go to a site that has
 // what it asks for.
-func (c *Core) elsewhere(s *job.Spec) bool {
+func (c *Core) canRunElsewhere(s *job.Spec) bool {
 	return c.federation != nil && len(s.Awaits) == 0 && c.federation.cfg.Elsewhere(s.Class, s.Zone, s.Types)
 }
 
@@ -206,7 +210,7 @@
 			if len(w.Jobs) == mostOffered {
 				break
 			}
-			never := c.catalog.Loaded() && c.rejectionReason(c.teamBy[j.Team], &j.Spec) != ""
+			never := c.catalog.Loaded() && c.submissionCheck().reject(c.teamBy[j.Team], &j.Spec) != nil
 			if waited := c.now.Steady - j.WaitingSince; never || g.cfg.Goes(j.Class, waited) {
 				w.Jobs = append(w.Jobs, c.offerable(j, waited, never))
 			}
@@ -216,10 +220,10 @@
 	for _, k := range orderedBy(c.handoffs.Taken, federation.CompareHolds) {
 		if k.Accepted && k.State == "" && !g.asking[k.Local] && (c.jobs[k.Local] == nil || c.jobs[k.Local].Cancelled) {
 			g.asking[k.Local] = true
-			c.lookUp(k.Local, func(f lookupResult, s protocol.JobState) {
+			c.lookUp(k.Local, func(result lookup.Result) {
 				delete(g.asking, k.Local)
-				if f == lookupFinal && g.machine != nil {
-					g.inputs = append(g.inputs, federation.EndedHere{Local: k.Local, State: s.State})
+				if result.Outcome == lookup.Final && g.machine != nil {
+					g.inputs = append(g.inputs, federation.EndedHere{Local: k.Local, State: result.State.State})
 				}
 			})
 		}
@@ -248,9 +252,9 @@
 	return out
 }
 
-// cancelAway has the far site asked for the end of a job. The user is told when it
+// cancelOutgoing has the far site asked for the end of a job. The user is told when it
 // has one.
-func (c *Core) cancelAway(m Cancel) {
+func (c *Core) cancelOutgoing(m Cancel) {
 	c.replyUnavailable(m.Req)
 	c.forwardToFederation(FederationNote{Cancel: m.ID})
 }
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -61,7 +61,7 @@
 		return
 	}
 	if j := c.jobs[d.Taken.Local]; j != nil {
-		c.announce(protocol.KeyValue{Key: jobKey(j.ID), Value: j.Head(), Version: revision})
+		c.broadcastAccepted(protocol.KeyValue{Key: jobKey(j.ID), Value: j.Head(), Version: revision})
 	}
 }
 
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -44,7 +44,7 @@
 // request was sent.
 func (c *Core) noteStoreReply(at time.Duration, r StoreReply) {
 	if r.Oversized {
-		c.counts.Oversized++
+		c.counts.OversizedTransactions++
 	}
 	if r.Revision == 0 || r.Outcome != Applied && r.Outcome != Conflict && r.Outcome != Missing {
 		return
--- a/internal/core/jobstats/jobstats.go
+++ b/internal/core/jobstats/jobstats.go
@@ -21,122 +21,152 @@
 	Oldest time.Duration
 }
 
-// Tally counts jobs.
-type Tally struct {
-	rows map[[2]string]*Row
-	open map[string]*entry
-	// silent is since when no question about a job was answered, longest the longest such
-	// time, up to a further question.
-	silent  map[string]time.Duration
-	longest time.Duration
+// Kinds of rows.
+const (
+	kindClass = "class"
+	kindTeam  = "team"
+)
+
+// rowKey names a row.
+type rowKey struct{ kind, name string }
+
+// Collector counts jobs.
+type Collector struct {
+	rows map[rowKey]*Row
+	// active holds the jobs that have not ended.
+	active map[string]*activeJob
+	// unansweredSince is since when no request for the state of a job was answered.
+	unansweredSince map[string]time.Duration
+	// longestUnanswered is the longest such time, up to a further request.
+	longestUnanswered time.Duration
 }
 
-type entry struct {
-	rows    [2]*Row
-	tasks   int
-	at      time.Duration
-	started bool
+// activeJob is a job that has not ended.
+type activeJob struct {
+	// rows are that of its class and that of its team.
+	rows       [2]*Row
+	tasks      int
+	acceptedAt time.Duration
+	started    bool
 }
 
-// silentKept bounds the jobs whose questions are followed.
-const silentKept = 8192
+// maxUnanswered bounds the jobs whose unanswered requests are followed.
+const maxUnanswered = 8192
 
-// New makes an empty tally.
-func New() *Tally {
-	return &Tally{rows: map[[2]string]*Row{}, open: map[string]*entry{}, silent: map[string]time.Duration{}}
+// New makes an empty Collector.
+func New() *Collector {
+	return &Collector{
+		rows:            map[rowKey]*Row{},
+		active:          map[string]*activeJob{},
+		unansweredSince: map[string]time.Duration{},
+	}
 }
 
 // Accept counts a job, once until it ends.
-func (t *Tally) Accept(id, class, team string, tasks int, now time.Duration) {
-	if t.open[id] != nil {
+func (c *Collector) Accept(id, class, team string, tasks int, now time.Duration) {
+	if c.active[id] != nil {
 		return
 	}
-	e := &entry{rows: [2]*Row{t.row("class", class), t.row("team", team)}, tasks: tasks, at: now}
-	t.open[id] = e
-	for _, r := range e.rows {
-		r.Accepted++
-		if tasks > r.Largest {
-			r.Largest, r.LargestAccepted, r.LargestStarted = tasks, 0, 0
-		}
-		if tasks == r.Largest {
-			r.LargestAccepted++
-		}
+	rows := [2]*Row{c.row(kindClass, class), c.row(kindTeam, team)}
+	c.active[id] = &activeJob{rows: rows, tasks: tasks, acceptedAt: now}
+	for _, row := range rows {
+		row.accept(tasks)
 	}
 }
 
-func (t *Tally) row(kind, name string) *Row {
-	key := [2]string{kind, name}
-	if t.rows[key] == nil {
-		t.rows[key] = &Row{Kind: kind, Name: name}
+// accept counts a job of that many tasks.
+func (r *Row) accept(tasks int) {
+	r.Accepted++
+	if tasks > r.Largest {
+		r.Largest, r.LargestAccepted, r.LargestStarted = tasks, 0, 0
+	}
+	if tasks == r.Largest {
+		r.LargestAccepted++
 	}
-	return t.rows[key]
+}
+
+func (c *Collector) row(kind, name string) *Row {
+	key := rowKey{kind, name}
+	if c.rows[key] == nil {
+		c.rows[key] = &Row{Kind: kind, Name: name}
+	}
+	return c.rows[key]
 }
 
 // Start notes that a task of a job runs.
-func (t *Tally) Start(id string) {
-	e := t.open[id]
-	if e == nil || e.started {
+func (c *Collector) Start(id string) {
+	job := c.active[id]
+	if job == nil || job.started {
 		return
 	}
-	e.started = true
-	for _, r := range e.rows {
-		r.Started++
-		if e.tasks == r.Largest {
-			r.LargestStarted++
+	job.started = true
+	for _, row := range job.rows {
+		row.Started++
+		if job.tasks == row.Largest {
+			row.LargestStarted++
 		}
 	}
 }
 
 // End notes that a job is done, or cancelled.
-func (t *Tally) End(id string, cancelled bool) {
-	e := t.open[id]
-	if e == nil {
+func (c *Collector) End(id string, cancelled bool) {
+	job := c.active[id]
+	if job == nil {
 		return
 	}
-	delete(t.open, id)
-	for _, r := range e.rows {
+	delete(c.active, id)
+	for _, row := range job.rows {
 		if cancelled {
-			r.Cancelled++
+			row.Cancelled++
 		} else {
-			r.Done++
+			row.Done++
 		}
 	}
 }
 
-// Asked notes a question about a job.
-func (t *Tally) Asked(id string, answered bool, now time.Duration) {
-	since, silent := t.silent[id]
-	if silent {
-		t.longest = max(t.longest, now-since)
+// NoteQuery notes a request for the state of a job.
+func (c *Collector) NoteQuery(id string, answered bool, now time.Duration) {
+	since, unanswered := c.unansweredSince[id]
+	if unanswered {
+		c.longestUnanswered = max(c.longestUnanswered, now-since)
 	}
 	switch {
 	case answered:
-		delete(t.silent, id)
-	case !silent && len(t.silent) < silentKept:
-		t.silent[id] = now
+		delete(c.unansweredSince, id)
+	case !unanswered && len(c.unansweredSince) < maxUnanswered:
+		c.unansweredSince[id] = now
 	}
 }
 
-// Longest is the longest time for which no question about some job was answered here.
-// Another controller may have answered meanwhile.
-func (t *Tally) Longest() time.Duration { return t.longest }
+// LongestUnanswered is the longest time for which no request for the state of some job was
+// answered here. Another controller may have answered meanwhile.
+func (c *Collector) LongestUnanswered() time.Duration { return c.longestUnanswered }
 
 // Rows lists the counts, classes first, by name.
-func (t *Tally) Rows(now time.Duration) []Row {
+func (c *Collector) Rows(now time.Duration) []Row {
+	oldest := c.oldestPending(now)
+	rows := make([]Row, 0, len(c.rows))
+	for _, row := range c.rows {
+		counts := *row
+		counts.Oldest = oldest[row]
+		rows = append(rows, counts)
+	}
+	slices.SortFunc(rows, func(a, b Row) int {
+		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
+	})
+	return rows
+}
+
+// oldestPending is, by row, for how long the oldest job that has not started has waited.
+func (c *Collector) oldestPending(now time.Duration) map[*Row]time.Duration {
 	oldest := map[*Row]time.Duration{}
-	for _, e := range t.open {
-		if !e.started {
-			for _, r := range e.rows {
-				oldest[r] = max(oldest[r], now-e.at)
-			}
+	for _, job := range c.active {
+		if job.started {
+			continue
+		}
+		for _, row := range job.rows {
+			oldest[row] = max(oldest[row], now-job.acceptedAt)
 		}
 	}
-	out := make([]Row, 0, len(t.rows))
-	for _, r := range t.rows {
-		row := *r
-		row.Oldest = oldest[r]
-		out = append(out, row)
-	}
-	slices.SortFunc(out, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name)) })
-	return out
+	return oldest
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -166,6 +166,6 @@
 	for _, j := range c.jobsOf(s) {
 		c.forgetJob(j)
 	}
-	c.dependencies.reloading = true
+	c.dependencies.beginReload()
 	c.emit(StoreReload{})
 }
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -84,7 +84,7 @@
 func TestFloodOfPollsIsTurnedAwayAtOnceBeyondWhatCanBeAnswered(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
-	limit := int(c.lookupRate()) * c.limits.maxConditions()
+	limit := int(c.lookupLimits().Rate) * c.limits.maxConditions()
 	w.answers = map[uint64]Answer{}
 	for i := range 6 * limit {
 		w.send("a", Status{Req: 1<<32 + uint64(i), ID: fmt.Sprintf("req-nobody-%d", i)})
@@ -100,8 +100,8 @@
 		t.Errorf("%d of %d were turned away at once", turned, 6*limit)
 	}
 	w.run(10*time.Second, nil)
-	if n := len(c.lookups.known) + len(c.lookups.unknown); n > 0 {
-		t.Errorf("%d questions are left", n)
+	if accepted, unknown := c.lookups.Len(); accepted+unknown > 0 {
+		t.Errorf("%d lookups are left", accepted+unknown)
 	}
 }
 
@@ -134,7 +134,8 @@
 	}
 	c.effects = nil
 	c.handle(Heartbeat{Req: 1, Report: r})
-	if w := c.agents[r.Machine]; len(c.lookups.unknown) != 3 || len(w.queuedCommands) > 0 {
-		t.Errorf("%d lookups for three jobs, %d commands", len(c.lookups.unknown), len(w.queuedCommands))
+	_, unknown := c.lookups.Len()
+	if w := c.agents[r.Machine]; unknown != 3 || len(w.queuedCommands) > 0 {
+		t.Errorf("%d lookups for three jobs, %d commands", unknown, len(w.queuedCommands))
 	}
 }
--- /dev/null
+++ b/internal/core/pendingtasks.go
@@ -0,0 +1,43 @@
+package core
+
+import "pepperlever/internal/core/job"
+
+// PendingTasks counts the tasks that wait, by what they wait for.
+type PendingTasks struct {
+	// Dependencies are those of jobs that await others.
+	Dependencies int
+	// TeamLimit are those that their team's limit holds back.
+	TeamLimit int
+	// Capacity are those that could be placed if there were room.
+	Capacity int
+}
+
+// pendingTasks counts the waiting tasks of the teams that this node leads.
+func (c *Core) pendingTasks() (pending PendingTasks) {
+	for _, t := range c.teams {
+		if !t.leading {
+			continue
+		}
+		used := t.usage()
+		for _, j := range ordered(t.jobs) {
+			if j.Awaiting && !j.Cancelled {
+				pending.Dependencies += j.Tasks
+				continue
+			}
+			tasks := c.startAllowance(j)
+			allowed := tasksWithinLimit(t, used, j.Need, tasks)
+			used = used.Plus(j.Need, float64(allowed))
+			pending.Capacity += allowed
+			pending.TeamLimit += tasks - allowed
+		}
+	}
+	return pending
+}
+
+// tasksWithinLimit is how many of n tasks a team's limit leaves room for.
+func tasksWithinLimit(t *team, used, need job.Resources, n int) (allowed int) {
+	for allowed < n && withinLimit(t, used.Plus(need, float64(allowed+1))) {
+		allowed++
+	}
+	return allowed
+}
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -212,7 +212,7 @@
 	if entitlement == scaling.BestEffort {
 		tasks = bestEffortTasks(j, tasks, c.catalog.LongestBootS())
 	}
-	fit := fitsLimit(u.team, u.usage, j, tasks)
+	fit := tasksWithinLimit(u.team, u.usage, j.Need, tasks)
 	if fit == 0 {
 		return
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/protocol"
 )
@@ -204,7 +205,7 @@
 			return
 		}
 		c.scheduler.asked[id] = true
-		c.lookUp(id, func(lookupResult, protocol.JobState) { delete(c.scheduler.asked, id) })
+		c.lookUp(id, func(lookup.Result) { delete(c.scheduler.asked, id) })
 		return
 	}
 	c.stopOrForgetTask(m, t)
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -25,7 +25,7 @@
 		c.onPut(item)
 	}
 	c.revision = max(c.revision, m.Revision)
-	c.dependencies.reloading = false
+	c.dependencies.endReload()
 	c.replicaAdvanced()
 	if !c.loaded {
 		c.checkLease()
@@ -234,7 +234,7 @@
 func (c *Core) forgetJob(j *job.Job) {
 	delete(c.jobs, j.ID)
 	c.machines.UntrackBindings(j)
-	c.dependencies.graph.Forget(j.ID)
+	c.dependencies.forget(j.ID)
 	if t := c.teamBy[j.Team]; t != nil {
 		delete(t.jobs, j.ID)
 	}
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -6,36 +6,64 @@
 	"pepperlever/internal/core/jobstats"
 )
 
-// ServedRows is the answer to Served.
-type ServedRows struct {
+// StatisticsReport answers JobStatistics.
+type StatisticsReport struct {
 	Rows []jobstats.Row
-	// Unanswered is the longest time for which no question about some job was answered
-	// by this controller.
-	Unanswered time.Duration
-	// Owed is how many cancellations some controller is not known to know, Unsure for how
-	// long one may have been confirmed that this controller does not know of.
-	Owed   int
-	Unsure time.Duration
-	Waiting
-	Counts
+	// LongestUnanswered is the longest time for which no request for the state of some job
+	// was answered by this controller.
+	LongestUnanswered time.Duration
+	// Unacknowledged is how many cancellations some controller is not known to know.
+	Unacknowledged int
+	// Staleness is for how long a cancellation may have been confirmed that this controller
+	// does not know of.
+	Staleness time.Duration
+	Pending   PendingTasks
+	Counters  Counters
 }
 
-func (c *Core) jobStatistics() ServedRows {
-	return ServedRows{Rows: c.stats.Rows(c.now.Steady), Unanswered: c.stats.Longest(), Owed: c.unacknowledged(),
-		Unsure: c.now.Steady - c.freshUntil(), Waiting: c.waiting(), Counts: c.counts}
+// Counters are what this controller has done since it started.
+type Counters struct {
+	// CascadedCancellations is how many jobs were cancelled with one that they await.
+	CascadedCancellations int
+	// SplitJobs is how many stored jobs were divided into smaller chunks.
+	SplitJobs int
+	// OversizedTransactions is how many transactions the store called malformed or too large.
+	OversizedTransactions int
 }
 
-// tellEvery is the pause, in report intervals, between two accounts in the log.
-const tellEvery = 15
+func (c *Core) statisticsReport() StatisticsReport {
+	return StatisticsReport{
+		Rows:              c.stats.Rows(c.now.Steady),
+		LongestUnanswered: c.stats.LongestUnanswered(),
+		Unacknowledged:    c.unacknowledged(),
+		Staleness:         c.now.Steady - c.freshUntil(),
+		Pending:           c.pendingTasks(),
+		Counters:          c.counts,
+	}
+}
+
+// statisticsInterval is the pause, in report intervals, between two reports in the log.
+const statisticsInterval = 15
 
-// logJobStatistics tells the operator what has become of jobs. One controller does, the
-// renter, which mirrors them all.
-func (c *Core) logJobStatistics() {
-	s := c.jobStatistics()
-	c.log(Info, "tasks wait", "for others", s.Awaits, "for their team's limit", s.Limit, "for room", s.Room)
-	for _, r := range s.Rows {
-		c.log(Info, "served", r.Kind, r.Name, "accepted", r.Accepted, "started", r.Started, "done", r.Done, "cancelled", r.Cancelled,
-			"largest", r.Largest, "of these accepted", r.LargestAccepted, "started of these", r.LargestStarted, "oldest waits", r.Oldest.Round(time.Second),
-			"longest without an answer", s.Unanswered.Round(time.Second))
+// logStatistics reports to the operator what has become of jobs. Only the leader of the fleet
+// does, whose replica holds them all.
+func (c *Core) logStatistics() {
+	report := c.statisticsReport()
+	c.log(Info, "pending tasks",
+		"dependencies", report.Pending.Dependencies,
+		"team_limit", report.Pending.TeamLimit,
+		"capacity", report.Pending.Capacity)
+	for _, row := range report.Rows {
+		c.log(Info, "job statistics",
+			row.Kind, row.Name,
+			"accepted", row.Accepted,
+			"started", row.Started,
+			"done", row.Done,
+			"cancelled", row.Cancelled,
+			"largest", row.Largest,
+			"largest_accepted", row.LargestAccepted,
+			"largest_started", row.LargestStarted,
+			"oldest_pending", row.Oldest.Round(time.Second),
+			"longest_unanswered", report.LongestUnanswered.Round(time.Second))
 	}
 }
--- /dev/null
+++ b/internal/core/status.go
@@ -0,0 +1,55 @@
+package core
+
+import (
+	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/lookup"
+	"pepperlever/internal/protocol"
+)
+
+// status tells the state of a job as of now: only a final one may come from
+// memory, since it never changes.
+func (c *Core) status(m Status) {
+	if !job.ValidID(m.ID) {
+		c.replyRejected(m.Req, errUnknownJob)
+		return
+	}
+	c.lookUp(m.ID, func(result lookup.Result) {
+		c.stats.NoteQuery(m.ID, result.Outcome != lookup.Unavailable, c.now.Steady)
+		c.replyLookup(m.Req, result)
+	})
+}
+
+// jobProgress is what the user of a job that is not final is told of its progress.
+func (c *Core) jobProgress(id string) protocol.JobState {
+	state := protocol.JobState{ID: id, State: protocol.Queued, Awaits: c.dependencies.awaited(id)}
+	if c.isOutgoing(id) {
+		progress := c.handoffs.progress[id]
+		state.Done, state.Running = progress.Done, progress.Running
+	} else if j := c.jobs[id]; j != nil {
+		state.Done, state.Running = min(j.Done.Len(), j.Tasks-1), c.runningTasks(j)
+	}
+	if state.Running > 0 {
+		state.State = protocol.Running
+	}
+	return state
+}
+
+// runningTasks counts the running tasks of a job, or returns a recent count: users ask often,
+// and the count is for display.
+func (c *Core) runningTasks(j *job.Job) int {
+	if j.CountedAt > 0 && c.now.Steady-j.CountedAt < c.reportInterval()/6 {
+		return j.Running
+	}
+	running := 0
+	for i, b := range j.Bound {
+		m := c.machines.Get(b.Machine)
+		if m == nil {
+			continue
+		}
+		if t, found := m.Find(j.TaskID(i), b.Attempt); found && t.State == protocol.Running {
+			running++
+		}
+	}
+	j.Running, j.CountedAt = running, c.now.Steady
+	return running
+}
--- /dev/null
+++ b/internal/core/submissioncheck.go
@@ -0,0 +1,79 @@
+package core
+
+import (
+	"net/http"
+	"slices"
+
+	"pepperlever/internal/core/catalog"
+	"pepperlever/internal/core/job"
+)
+
+// Rejections of jobs that can never run here.
+var (
+	errUnknownTeam   = &rejection{http.StatusUnprocessableEntity, "team is unknown"}
+	errOverTeamLimit = &rejection{http.StatusUnprocessableEntity, "job needs more than the limit of its team"}
+	errUnknownZone   = &rejection{http.StatusUnprocessableEntity, "zone is unknown"}
+	errNoMachineType = &rejection{http.StatusUnprocessableEntity, "no allowed machine type can hold a task"}
+	errOneZoneOnly   = &rejection{http.StatusUnprocessableEntity, "its tasks would all be in one zone, over which they are to be spread"}
+)
+
+// limitTolerance absorbs the rounding of sums of resources.
+const limitTolerance = 1e-6
+
+// submissionCheck decides whether a job can ever run here. What only has to wait, for other
+// tasks to end or for machines to be rented, can.
+type submissionCheck struct {
+	zones   []string
+	catalog catalog.Catalog
+}
+
+// submissionCheck is the check by the present settings and catalog.
+func (c *Core) submissionCheck() submissionCheck {
+	return submissionCheck{zones: c.cfg.Params.Zones, catalog: c.catalog}
+}
+
+// reject returns why a job of a team can never run, or nil. The team is nil if it is unknown.
+func (s submissionCheck) reject(t *team, spec *job.Spec) *rejection {
+	if t == nil {
+		return errUnknownTeam
+	}
+	if !withinLimit(t, job.Resources{}.Plus(spec.Need, float64(spec.AtOnce()))) {
+		return errOverTeamLimit
+	}
+	if spec.Zone != "" && !slices.Contains(s.zones, spec.Zone) {
+		return errUnknownZone
+	}
+	zones := s.feasibleZones(spec)
+	if zones == 0 {
+		return errNoMachineType
+	}
+	spreads := spec.Spread && spec.AtOnce() > 1
+	if spreads && (spec.OneZone || zones == 1) {
+		return errOneZoneOnly
+	}
+	return nil
+}
+
+// feasibleZones counts the zones in which the cloud has a machine type that the job allows
+// and that holds a task. A type that is listed in no zone can't be rented.
+func (s submissionCheck) feasibleZones(spec *job.Spec) int {
+	zones := map[string]bool{}
+	for _, machineType := range s.catalog.All() {
+		if !spec.Need.Fits(catalog.Capacity(machineType)) {
+			continue
+		}
+		for _, zone := range machineType.Zones {
+			if spec.Allows(machineType.Name, zone, spec.Spot) {
+				zones[zone] = true
+			}
+		}
+	}
+	return len(zones)
+}
+
+// withinLimit tells whether a team may use that much; a limit of 0 means none.
+func withinLimit(t *team, r job.Resources) bool {
+	cpus := t.CPUsMax <= 0 || r.CPUs <= t.CPUsMax+limitTolerance
+	gpus := t.GPUsMax <= 0 || r.GPUs <= t.GPUsMax+limitTolerance
+	return cpus && gpus
+}
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -102,7 +102,7 @@
 		return
 	}
 	if j.Split(size, c.limits.chunksPerTxn(headChanges)) {
-		c.counts.Splits++
+		c.counts.SplitJobs++
 		c.log(Debug, "job chunks split", "job", j.ID, "chunk_size", j.ChunkSize)
 	}
 }
