--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -216,7 +216,7 @@
 	switch _, marked := c.cordons[machine]; {
 	case c.fleet.leader != "" && c.inDirectContact(c.fleet.leader):
 		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: why}})
-	case why != reasonSilent && !marked:
+	case why != reasonUnknownMachine && !marked:
 		c.log(Info, "machine is marked to be given back", "machine", machine, "why", why)
 		c.compareAndSwap(protocol.Txn{
 			If:   []protocol.Condition{{Key: keyCordon + machine}},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -84,7 +84,7 @@
 	federation *federationAdapter
 
 	scheduler  scheduler
-	autoscaler autoscalerState
+	autoscaler autoscaler
 	timers     timers
 }
 
@@ -105,7 +105,7 @@
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
 		machines: worker.NewRegistry(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{},
 		peers: map[string]*peerState{}, storeOK: true,
-		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newRentState(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
+		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newAutoscaler(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
--- a/internal/core/dark_test.go
+++ b/internal/core/dark_test.go
@@ -34,7 +34,7 @@
 		givenB int // machines given up in z2
 	}{
 		"zone is dark":                         {heard: []string{"b"}, quiet: quiet, givenB: 0},
-		"dark for too long":                    {heard: []string{"b"}, quiet: (darkPatience + 1) * lease, givenB: 10},
+		"dark for too long":                    {heard: []string{"b"}, quiet: (zoneOutageLeases + 1) * lease, givenB: 10},
 		"its controller is heard":              {heard: []string{"b", "c"}, quiet: quiet, givenB: 10},
 		"one of its machines is heard by us":   {heard: []string{"b"}, alive: []int{15}, quiet: quiet, givenB: 9},
 		"machines of the renter's own zone go": {heard: []string{"c"}, quiet: quiet, givenB: 10},
@@ -67,12 +67,12 @@
 	c.now.Steady += 32 * time.Second
 	c.handleInventory(InventoryReceived{Machines: []protocol.ListedMachine{{ID: "vm-listed", Zone: "z2", State: protocol.Running}}})
 	for id, given := range map[string]bool{"vm-9015": false, "vm-listed": false, "vm-nobody-knows": true} {
-		c.returnRequested(ReturnRequest{Machine: id, Reason: reasonSilent})
+		c.handleReturnRequest(ReturnRequest{Machine: id, Reason: reasonUnknownMachine})
 		if got := c.autoscaler.returnReasons[id] != ""; got != given {
 			t.Errorf("%s: given up %v", id, got)
 		}
 	}
-	c.returnRequested(ReturnRequest{Machine: "vm-9015", Reason: "cancelled task does not end"})
+	c.handleReturnRequest(ReturnRequest{Machine: "vm-9015", Reason: "cancelled task does not end"})
 	if c.autoscaler.returnReasons["vm-9015"] == "" {
 		t.Error("a cancelled task is left on a machine of a dark zone")
 	}
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -18,7 +18,7 @@
 	const fleet = 2000
 	rng := rand.New(rand.NewPCG(3, 4))
 	c := renter(t, fleet, time.Minute)
-	all := slices.SortedFunc(maps.Values(c.autoscaler.listed), func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	all := slices.SortedFunc(maps.Values(c.autoscaler.inventory), func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
 	report := c.reportInterval()
 	for round := range uint64(40) {
 		for i := range fleet {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -176,7 +176,7 @@
 	case m.Fence != nil:
 		c.fence(*m.Fence)
 	case m.ReturnRequest != nil:
-		c.returnRequested(*m.ReturnRequest)
+		c.handleReturnRequest(*m.ReturnRequest)
 	case m.Heartbeat != nil:
 		c.handleNodeHeartbeat(from, *m.Heartbeat)
 	case m.Federation != nil:
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -65,7 +65,7 @@
 // Machines that never come used to outnumber the few boot times remembered, and
 // stayed rented for good.
 func TestMachinesThatNeverComeAreGivenUpHoweverManyTheyAre(t *testing.T) {
-	c := renter(t, 40, 2*(slowest+1)*2*5*time.Second)
+	c := renter(t, 40, 2*(maxProvisioningFactor+1)*2*5*time.Second)
 	c.now.Steady += c.silenceLimit() + time.Second
 	c.reconcileInventory()
 	if n := len(c.autoscaler.returnReasons); n != 40 {
@@ -77,7 +77,7 @@
 	c := renter(t, 0, 0)
 	l := protocol.ListedMachine{Type: "small", Zone: "z1", Spot: true}
 	before := len(c.offers(0))
-	for range dudsAllowed {
+	for range maxProvisioningFailures {
 		c.failedProvisioning(l)
 	}
 	if n := len(c.offers(0)); n != before-1 {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -279,7 +279,7 @@
 	}
 	m := c.machines.Get(b.Machine)
 	if c.isSilent(m, b) {
-		c.requestReturn(b.Machine, reasonSilent)
+		c.requestReturn(b.Machine, reasonUnknownMachine)
 	}
 	if m == nil {
 		return
@@ -308,7 +308,7 @@
 	if m == nil {
 		return c.now.Steady-b.Since > c.silenceLimit()
 	}
-	return c.now.Steady-max(m.LastContact, b.Since) > 2*c.silenceLimit() && c.everyoneReached()
+	return c.now.Steady-max(m.LastContact, b.Since) > 2*c.silenceLimit() && c.knowsAllMachines()
 }
 
 // silenceLimit is how long a machine may say nothing before it is given up: a
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -17,7 +17,7 @@
 func (c *Core) forgetTerminated() {
 	txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
 	for id, k := range ordered(c.cordons) {
-		if !k.Terminated || c.machines.HasBindings(id) || c.now.Steady-k.since < keepGone*seconds(c.cfg.Params.Workers.LeaseS) {
+		if !k.Terminated || c.machines.HasBindings(id) || c.now.Steady-k.since < terminatedLeases*seconds(c.cfg.Params.Workers.LeaseS) {
 			continue
 		}
 		if txn.Then = append(txn.Then, protocol.Change{Delete: keyCordon + id}); len(txn.Then) == c.limits.maxChanges() {
@@ -29,25 +29,25 @@
 	}
 }
 
-// keepGone is for how many leases the mark of a machine that is gone is kept.
-const keepGone = 100
+// terminatedLeases is for how many leases the mark of a machine that is gone is kept.
+const terminatedLeases = 100
 
 // reconcileInventory gives up machines that failed, never come up, or fell silent. A new
 // renter waits before it judges: workers may still be on their way to a node
 // that answers them, and after an end of all controllers every machine is new
 // to it.
 func (c *Core) reconcileInventory() {
-	settled := c.now.Steady-c.autoscaler.since > c.silenceLimit()
+	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceLimit()
 	for id := range c.autoscaler.firstSeen {
-		if _, listed := c.autoscaler.listed[id]; !listed && c.cordons[id].Terminated {
+		if _, listed := c.autoscaler.inventory[id]; !listed && c.cordons[id].Terminated {
 			delete(c.autoscaler.firstSeen, id)
-			delete(c.autoscaler.provisioning.took, id)
+			delete(c.autoscaler.provisioning.observed, id)
 		}
 	}
 	dark := c.zoneOutages()
-	for id, l := range ordered(c.autoscaler.listed) {
+	for id, l := range ordered(c.autoscaler.inventory) {
 		age := c.now.Steady - c.autoscaler.firstSeen[id]
-		limit := c.givenUp(l.Type)
+		limit := c.provisioningTimeout(l.Type)
 		switch {
 		case l.State == protocol.Failed:
 			c.returnMachine(id, "failed")
@@ -56,7 +56,7 @@
 			if c.returnMachine(id, "does not come up") {
 				c.failedProvisioning(l)
 			}
-		case l.State != protocol.Booting && c.now.Steady-c.autoscaler.since > limit && age > limit:
+		case l.State != protocol.Booting && c.now.Steady-c.autoscaler.leaderSince > limit && age > limit:
 			c.returnMachine(id, "never heard")
 		}
 	}
@@ -67,9 +67,9 @@
 		switch quiet := c.now.Steady - m.LastContact; {
 		case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 			c.returnMachine(id, "taken back")
-		case quiet > c.silenceLimit() && c.everyoneReached() && !(dark[m.Zone] && quiet < darkPatience*seconds(c.cfg.Params.Workers.LeaseS)):
+		case quiet > c.silenceLimit() && c.knowsAllMachines() && !(dark[m.Zone] && quiet < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)):
 			c.returnMachine(id, "silent")
-		case quiet > 2*c.reportInterval() && c.unlisted(id):
+		case quiet > 2*c.reportInterval() && c.isUnlisted(id):
 			c.returnMachine(id, "no longer listed")
 		}
 		if c.failureScore(m) >= cordonThreshold {
@@ -78,9 +78,9 @@
 	}
 }
 
-// everyoneReached tells whether this node knows of every live controller which machines
+// knowsAllMachines tells whether this node knows of every live controller which machines
 // it hears; only then is a machine's silence the machine's own.
-func (c *Core) everyoneReached() bool {
+func (c *Core) knowsAllMachines() bool {
 	for node := range c.members.live {
 		if !c.knowsMachinesOf(node) {
 			return false
@@ -89,8 +89,8 @@
 	return true
 }
 
-// darkPatience is for how many leases machines behind a cut are left alone.
-const darkPatience = 3
+// zoneOutageLeases is for how many leases machines behind a cut are left alone.
+const zoneOutageLeases = 3
 
 // zoneOutages lists the zones that are probably cut off, and tells the operator when
 // one goes or comes back.
@@ -129,69 +129,69 @@
 		return false
 	}
 	c.log(Info, "machine given up", "machine", id, "why", why)
-	c.autoscaler.returnReasons[id], c.autoscaler.cordoned[id] = why, c.now.Steady
+	c.autoscaler.returnReasons[id], c.autoscaler.cordoning[id] = why, c.now.Steady
 	return true
 }
 
-// unlisted tells whether the cloud has taken a machine back: a list may be late
+// isUnlisted tells whether the cloud has taken a machine back: a list may be late
 // or older than the one before, but what has been listed stays so until it is
 // gone.
-func (c *Core) unlisted(id string) bool {
-	_, listed := c.autoscaler.listed[id]
-	return !listed && c.autoscaler.listAt-c.cameAt(id) > 3*seconds(c.cfg.Params.Cloud.ListLagS)
+func (c *Core) isUnlisted(id string) bool {
+	_, listed := c.autoscaler.inventory[id]
+	return !listed && c.autoscaler.inventoryAt-c.firstSeenAt(id) > 3*seconds(c.cfg.Params.Cloud.ListLagS)
 }
 
-func (c *Core) returnRequested(m ReturnRequest) {
-	if c.fleet.leading && (m.Reason != reasonSilent || !c.mayReturn(m.Machine)) {
+func (c *Core) handleReturnRequest(m ReturnRequest) {
+	if c.fleet.leading && (m.Reason != reasonUnknownMachine || !c.judgesMachine(m.Machine)) {
 		c.returnMachine(m.Machine, m.Reason)
 	}
 }
 
-// mayReturn tells whether a machine that another controller has never heard of
+// judgesMachine tells whether a machine that another controller has never heard of
 // is the renter's to judge: one that the renter knows, or that the cloud lists in
 // a dark zone. A controller that starts while a zone is cut off hears nothing of
 // the machines in it, and had them all given up with the work on them.
-func (c *Core) mayReturn(id string) bool {
-	l, listed := c.autoscaler.listed[id]
+func (c *Core) judgesMachine(id string) bool {
+	l, listed := c.autoscaler.inventory[id]
 	return c.machines.Get(id) != nil || listed && c.isZoneOutage(l.Zone)
 }
 
-// reasonSilent is why a home condemns a machine of which it has only the bindings.
-const reasonSilent = "unknown"
+// reasonUnknownMachine is why a home condemns a machine of which it has only the bindings.
+const reasonUnknownMachine = "unknown"
 
 // scaleInIdle closes machines that have had nothing to do for a while.
 func (c *Core) scaleInIdle() {
 	for id, m := range c.machines.All() {
 		if !c.machines.UsedResources(m).Fits(job.Resources{}) {
 			m.IdleSince = c.now.Steady
-		} else if c.now.Steady-m.IdleSince > c.idleTime(m) && !c.scheduler.reservations.includes(id) {
-			c.closeMachine(id, "idle")
+		} else if c.now.Steady-m.IdleSince > c.idleTimeout(m) && !c.scheduler.reservations.includes(id) {
+			c.cordonMachine(id, "idle")
 		}
 	}
 }
 
-// idleTime is how long a machine is kept without work: a part of what a new
+// idleTimeout is how long a machine is kept without work: a part of what a new
 // one would take to come.
-func (c *Core) idleTime(m *worker.Machine) time.Duration {
+func (c *Core) idleTimeout(m *worker.Machine) time.Duration {
 	return max(c.catalog.BootTime(m.Type)/4, 2*c.reportInterval())
 }
 
-// closeMachine writes the mark that no binding can pass. Once the replica shows
+// cordonMachine writes the mark that no binding can pass. Once the replica shows
 // it, the replica also shows every binding that came before it.
-func (c *Core) closeMachine(id, why string) {
+func (c *Core) cordonMachine(id, why string) {
 	if _, marked := c.cordons[id]; marked {
 		return
 	}
-	if at, ok := c.autoscaler.cordoned[id]; ok && c.now.Steady-at < c.silenceLimit() {
+	if at, ok := c.autoscaler.cordoning[id]; ok && c.now.Steady-at < c.silenceLimit() {
 		return
 	}
-	c.autoscaler.cordoned[id] = c.now.Steady
+	c.autoscaler.cordoning[id] = c.now.Steady
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{c.fleet.leaderCondition(), {Key: keyCordon + id}},
 		Then: []protocol.Change{putJSON(keyCordon+id, cordonRecord{Reason: why})},
 	}, false, func(r StoreReply) {
 		if r.Outcome == Refused || r.Outcome == NoLease {
-			delete(c.autoscaler.cordoned, id)
+			delete(c.autoscaler.cordoning, id)
 		}
 	})
 }
@@ -253,7 +253,7 @@
 				}
 				c.log(Info, "machine returned", "machine", id, "why", cmp.Or(c.autoscaler.returnReasons[id], c.cordons[id].Reason))
 				c.onCordonPut(id, cordonRecord{Terminated: true, version: r.Revision})
-				delete(c.autoscaler.cordoned, id)
+				delete(c.autoscaler.cordoning, id)
 				delete(c.autoscaler.returnReasons, id)
 			}
 		})
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -10,27 +10,27 @@
 	"pepperlever/internal/protocol"
 )
 
-// autoscalerState is what the renter keeps. One controller rents at a time: the home
+// autoscaler is what the renter keeps. One controller rents at a time: the home
 // of the pseudo team of the fleet.
-type autoscalerState struct {
-	// cordoned holds machines that are being closed for return.
-	cordoned map[string]time.Duration
+type autoscaler struct {
+	// cordoning holds machines that are being closed for return.
+	cordoning map[string]time.Duration
 	// releasing holds machines whose release is on its way to the cloud.
 	releasing map[string]time.Duration
-	// listed is the cloud's newest list; came is when a machine was first
+	// inventory is the cloud's newest list; came is when a machine was first
 	// listed or rented.
-	listed    map[string]protocol.ListedMachine
+	inventory map[string]protocol.ListedMachine
 	firstSeen map[string]time.Duration
-	// listAt is when that list came.
-	listAt time.Duration
+	// inventoryAt is when that list came.
+	inventoryAt time.Duration
 	// backoffs remembers refusals per type, zone and kind.
 	backoffs      map[offerKey]backoff
 	returnReasons map[string]string
 	provisioning  provisioningTimes
 	// zoneOutages holds the zones that were cut off when they were last judged.
 	zoneOutages map[string]bool
-	// since is when this node became the renter.
-	since time.Duration
+	// leaderSince is when this node became the renter.
+	leaderSince time.Duration
 }
 
 type offerKey struct {
@@ -38,22 +38,22 @@
 	spot      bool
 }
 
-func newRentState() autoscalerState {
-	return autoscalerState{cordoned: map[string]time.Duration{}, releasing: map[string]time.Duration{},
-		listed: map[string]protocol.ListedMachine{}, firstSeen: map[string]time.Duration{},
-		backoffs: map[offerKey]backoff{}, returnReasons: map[string]string{}, provisioning: newBoots()}
+func newAutoscaler() autoscaler {
+	return autoscaler{cordoning: map[string]time.Duration{}, releasing: map[string]time.Duration{},
+		inventory: map[string]protocol.ListedMachine{}, firstSeen: map[string]time.Duration{},
+		backoffs: map[offerKey]backoff{}, returnReasons: map[string]string{}, provisioning: newProvisioningTimes()}
 }
 
 // isCordoning tells whether a machine is being cordoned or returned.
-func (s *autoscalerState) isCordoning(machine string) bool {
-	_, cordoning := s.cordoned[machine]
+func (s *autoscaler) isCordoning(machine string) bool {
+	_, cordoning := s.cordoning[machine]
 	return cordoning
 }
 
 // reset starts the renter's part over.
-func (s *autoscalerState) reset(now time.Duration) {
-	*s = newRentState()
-	s.since = now
+func (s *autoscaler) reset(now time.Duration) {
+	*s = newAutoscaler()
+	s.leaderSince = now
 }
 
 func (c *Core) handleCatalog(m CatalogReceived) {
@@ -65,10 +65,10 @@
 }
 
 func (c *Core) handleInventory(m InventoryReceived) {
-	c.autoscaler.listAt = c.now.Steady
-	c.autoscaler.listed = make(map[string]protocol.ListedMachine, len(m.Machines))
+	c.autoscaler.inventoryAt = c.now.Steady
+	c.autoscaler.inventory = make(map[string]protocol.ListedMachine, len(m.Machines))
 	for _, l := range m.Machines {
-		c.autoscaler.listed[l.ID] = l
+		c.autoscaler.inventory[l.ID] = l
 		if _, known := c.autoscaler.firstSeen[l.ID]; !known {
 			c.autoscaler.firstSeen[l.ID] = c.now.Steady - seconds(l.AgeS)
 		}
@@ -98,16 +98,16 @@
 		case i.Machines == nil:
 			i.pending = true
 			c.emit(RequestRental{Rental: i.Rental})
-		case c.allShown(i):
+		case c.allRegistered(i):
 			i.pending = true
 			c.dropIntent(name, i)
 		}
 	}
 }
 
-func (c *Core) allShown(i *rentalIntent) bool {
+func (c *Core) allRegistered(i *rentalIntent) bool {
 	for _, id := range i.Machines {
-		_, listed := c.autoscaler.listed[id]
+		_, listed := c.autoscaler.inventory[id]
 		_, gone := c.cordons[id]
 		if !listed && !gone && c.machines.Get(id) == nil {
 			return false
@@ -155,7 +155,7 @@
 		size := catalog.Capacity(t)
 		out = append(out, &placement.Host{ID: id, Type: typ, Zone: zone, Spot: spot, Free: size, Capacity: size, RemainingS: -1})
 	}
-	for _, l := range ordered(c.autoscaler.listed) {
+	for _, l := range ordered(c.autoscaler.inventory) {
 		if l.State == protocol.Booting && c.now.Steady-c.autoscaler.firstSeen[l.ID] < c.provisioningDeadline(l.Type) {
 			add(l.ID, l.Type, l.Zone, l.Spot)
 		}
@@ -167,7 +167,7 @@
 			}
 		}
 		for _, id := range i.Machines {
-			if c.now.Steady-c.cameAt(id) < c.provisioningDeadline(i.Rental.Type) {
+			if c.now.Steady-c.firstSeenAt(id) < c.provisioningDeadline(i.Rental.Type) {
 				add(id, i.Rental.Type, i.Rental.Zone, i.Rental.Spot)
 			}
 		}
@@ -175,7 +175,7 @@
 	return out
 }
 
-func (c *Core) cameAt(id string) time.Duration {
+func (c *Core) firstSeenAt(id string) time.Duration {
 	if _, ok := c.autoscaler.firstSeen[id]; !ok {
 		c.autoscaler.firstSeen[id] = c.now.Steady
 	}
@@ -221,7 +221,7 @@
 		cpus += h.Capacity.CPUs
 	}
 	switch {
-	case cpus == 0 && c.spotOpen():
+	case cpus == 0 && c.mayHaveSpot():
 		return 0 // spot machines first: the next round knows how many come
 	case cpus == 0:
 		return 1 << 62
@@ -229,8 +229,8 @@
 	return seconds(work / cpus)
 }
 
-// spotOpen tells whether the cloud may have any spot machine.
-func (c *Core) spotOpen() bool {
+// mayHaveSpot tells whether the cloud may have any spot machine.
+func (c *Core) mayHaveSpot() bool {
 	for name, t := range c.catalog.All() {
 		for _, zone := range t.Zones {
 			if c.policy.Spot && c.now.Steady >= c.autoscaler.backoffs[offerKey{name, zone, true}].until {
@@ -252,7 +252,7 @@
 			for _, spot := range []bool{true, false} {
 				dear := scaling.BestEffort
 				if !spot && t.SpotPrice < t.Price && c.policy.Spot {
-					dear = dearness(backlog, seconds(t.BootS))
+					dear = minEntitlement(backlog, seconds(t.BootS))
 				}
 				if spot && !c.policy.Spot || c.now.Steady < c.autoscaler.backoffs[offerKey{name, zone, spot}].until {
 					continue
@@ -264,9 +264,9 @@
 	return out
 }
 
-// dearness is the right that work needs to have ordinary machines rented, by
+// minEntitlement is the right that work needs to have ordinary machines rented, by
 // the backlog in boots of such a machine.
-func dearness(backlog, boot time.Duration) scaling.Entitlement {
+func minEntitlement(backlog, boot time.Duration) scaling.Entitlement {
 	switch {
 	case backlog >= 5*boot:
 		return scaling.Standard
