--- a/client/client.go
+++ b/client/client.go
@@ -109,23 +109,23 @@
 // current one when the site knows it already. Errors are *RefusedError,
 // *UnreachableError or that of ctx.
 func (c *Client) Submit(ctx context.Context, j Job) (State, error) {
-	body, err := json.Marshal(j.wire())
+	body, err := json.Marshal(j.submission())
 	if err != nil {
 		return State{}, err
 	}
-	return c.job(ctx, retry.Change, http.MethodPost, protocol.PathJobs, body)
+	return c.requestJob(ctx, retry.Change, http.MethodPost, protocol.PathJobs, body)
 }
 
 // Status asks for a job's state. Errors are ErrNotFound, *UnreachableError or that
 // of ctx.
 func (c *Client) Status(ctx context.Context, id string) (State, error) {
-	return c.job(ctx, retry.Poll, http.MethodGet, protocol.PathJobs+"/"+url.PathEscape(id), nil)
+	return c.requestJob(ctx, retry.Poll, http.MethodGet, protocol.PathJobs+"/"+url.PathEscape(id), nil)
 }
 
 // Cancel withdraws a job. The state that it returns is cancelled, or done when the
 // job was done before. Errors are those of Status.
 func (c *Client) Cancel(ctx context.Context, id string) (State, error) {
-	return c.job(ctx, retry.Change, http.MethodPost, protocol.PathJobs+"/"+url.PathEscape(id)+"/"+protocol.PathCancel, nil)
+	return c.requestJob(ctx, retry.Change, http.MethodPost, protocol.PathJobs+"/"+url.PathEscape(id)+"/"+protocol.PathCancel, nil)
 }
 
 // Row is a job in a list.
@@ -147,7 +147,7 @@
 func (c *Client) Jobs(ctx context.Context) ([]Row, error) {
 	out := []Row{}
 	for after := ""; ; {
-		answer, err := c.ask(ctx, retry.Poll, http.MethodGet, protocol.PathList+"?"+url.Values{protocol.ArgAfter: {after}}.Encode(), nil)
+		answer, err := c.request(ctx, retry.Poll, http.MethodGet, protocol.PathList+"?"+url.Values{protocol.ArgAfter: {after}}.Encode(), nil)
 		if err != nil {
 			return nil, err
 		}
@@ -165,8 +165,8 @@
 	}
 }
 
-// pollEvery is how often Wait asks for a job's state.
-const pollEvery = 2 * time.Second
+// pollInterval is how often Wait asks for a job's state.
+const pollInterval = 2 * time.Second
 
 // Wait follows a job to its end. told, if not nil, takes each state on the way.
 // While no controller answers it goes on asking until ctx ends.
@@ -186,31 +186,31 @@
 				return s, nil
 			}
 		}
-		if err := c.sleep(ctx, pollEvery); err != nil {
+		if err := c.sleep(ctx, pollInterval); err != nil {
 			return s, err
 		}
 	}
 }
 
-// ask repeats a request until its answer is clear.
-func (c *Client) ask(ctx context.Context, rules retry.Rules, method, path string, body []byte) ([]byte, error) {
+// request repeats a request until its answer is clear.
+func (c *Client) request(ctx context.Context, rules retry.Rules, method, path string, body []byte) ([]byte, error) {
 	started := c.now()
 	for tries := 1; ; tries++ {
 		c.mu.Lock()
 		target := c.targets.Pick(c.now())
 		c.mu.Unlock()
-		out, answer, err := c.try(ctx, rules.Answer, method, "http://"+target+path, body)
+		out, answer, err := c.try(ctx, rules.AnswerTimeout, method, "http://"+target+path, body)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		now := c.now()
 		c.mu.Lock()
-		c.targets.Note(now, target, out)
+		c.targets.Record(now, target, out)
 		c.mu.Unlock()
 		verdict, pause := rules.Next(started, now, out)
 		switch verdict {
 		case retry.Answered:
-			return answer, refusal(out.Status, answer)
+			return answer, answerError(out.Status, answer)
 		case retry.GiveUp:
 			return nil, &UnreachableError{Tries: tries, Last: err}
 		}
@@ -220,8 +220,8 @@
 	}
 }
 
-// refusal is the error of an answer that settles the request for ill, or nil.
-func refusal(status int, answer []byte) error {
+// answerError is the error of an answer that settles the request for ill, or nil.
+func answerError(status int, answer []byte) error {
 	switch {
 	case status == http.StatusNotFound:
 		return ErrNotFound
@@ -235,9 +235,9 @@
 	return nil
 }
 
-// job asks for something whose answer is the state of a job.
-func (c *Client) job(ctx context.Context, rules retry.Rules, method, path string, body []byte) (State, error) {
-	answer, err := c.ask(ctx, rules, method, path, body)
+// requestJob asks for something whose answer is the state of a job.
+func (c *Client) requestJob(ctx context.Context, rules retry.Rules, method, path string, body []byte) (State, error) {
+	answer, err := c.request(ctx, rules, method, path, body)
 	if err != nil {
 		return State{}, err
 	}
--- a/client/job.go
+++ b/client/job.go
@@ -118,8 +118,8 @@
 // kinds are the names of kinds on the wire.
 var kinds = map[string]string{Array: protocol.KindArray, Gang: protocol.KindGang, Service: protocol.KindService}
 
-// wire is the submission. A kind that is unknown goes as it is, and is refused.
-func (j *Job) wire() protocol.Submission {
+// submission is the submission. A kind that is unknown goes as it is, and is refused.
+func (j *Job) submission() protocol.Submission {
 	kind, known := kinds[j.Kind]
 	if !known {
 		kind = j.Kind
--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -25,11 +25,11 @@
 func gatewayCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "gateway", Short: "Hand-offs between sites: how they stand, and an operator's word on them"}
 	cmd.AddCommand(keysCommand(),
-		gatewayAsk("status", "Tell how hand-offs with each site stand", showStatus),
-		gatewayAsk("handoffs", "List the open hand-offs", showHandOffs),
-		gatewayWord(core.ActionGiveUp, "give-up JOB", "Take a job back without the far site's word: it may have run there"),
-		gatewayWord(core.ActionDrain, "drain SITE", "Have no new hand-offs with a site, or have them again (--off)"),
-		gatewayWord(core.ActionRenew, "renew SITE", "Go on with a site after this site's state was restored from an old copy"))
+		operatorQuery("status", "Tell how hand-offs with each site stand", printGatewayStatus),
+		operatorQuery("handoffs", "List the open hand-offs", printHandOffs),
+		operatorAction(core.ActionGiveUp, "give-up JOB", "Take a job back without the far site's word: it may have run there"),
+		operatorAction(core.ActionDrain, "drain SITE", "Have no new hand-offs with a site, or have them again (--off)"),
+		operatorAction(core.ActionRenew, "renew SITE", "Go on with a site after this site's state was restored from an old copy"))
 	return cmd
 }
 
@@ -58,11 +58,11 @@
 	return cmd
 }
 
-// gatewayAsk makes a command that asks a controller something.
-func gatewayAsk(name, short string, show func(w io.Writer, raw []byte) error) *cobra.Command {
+// operatorQuery makes a command that asks a controller something.
+func operatorQuery(name, short string, show func(w io.Writer, raw []byte) error) *cobra.Command {
 	var f jobFlags
 	return f.add(&cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		raw, err := f.gateway(cmd, http.MethodGet, core.OperatorAction(name), nil)
+		raw, err := f.callGateway(cmd, http.MethodGet, core.OperatorAction(name), nil)
 		if err != nil {
 			return err
 		}
@@ -74,8 +74,8 @@
 	}})
 }
 
-// gatewayWord makes a command that is an operator's word on a job or a site.
-func gatewayWord(op core.OperatorAction, use, short string) *cobra.Command {
+// operatorAction makes a command that is an operator's word on a job or a site.
+func operatorAction(op core.OperatorAction, use, short string) *cobra.Command {
 	var f jobFlags
 	var off bool
 	m := core.OperatorRequest{}
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		raw, err := f.gateway(cmd, http.MethodPost, op, body)
+		raw, err := f.callGateway(cmd, http.MethodPost, op, body)
 		if err != nil {
 			return err
 		}
@@ -108,8 +108,8 @@
 	return cmd
 }
 
-// gateway asks one controller after the other until one answers.
-func (f *jobFlags) gateway(cmd *cobra.Command, method string, op core.OperatorAction, body []byte) ([]byte, error) {
+// callGateway asks one controller after the other until one answers.
+func (f *jobFlags) callGateway(cmd *cobra.Command, method string, op core.OperatorAction, body []byte) ([]byte, error) {
 	var last error
 	for _, to := range f.to {
 		req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+to+protocol.PathGateway+"/"+string(op), bytes.NewReader(body))
@@ -135,7 +135,7 @@
 	return nil, last
 }
 
-func showStatus(w io.Writer, raw []byte) error {
+func printGatewayStatus(w io.Writer, raw []byte) error {
 	var s core.SiteStatus
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return err
@@ -155,12 +155,12 @@
 		case p.Met:
 			state = "open"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.0f s\t%s\t%s\t%s\n", p.Site, state, p.Breaker, p.Retries, p.WaitS, counts(p.Away), counts(p.Taken), age(p.OldestAt))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.0f s\t%s\t%s\t%s\n", p.Site, state, p.Breaker, p.Retries, p.WaitS, formatCounts(p.Away), formatCounts(p.Taken), formatAge(p.OldestAt))
 	}
 	return t.Flush()
 }
 
-func counts(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	var out []string
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		out = append(out, fmt.Sprintf("%d %s", m[k], k))
@@ -171,14 +171,14 @@
 	return strings.Join(out, ", ")
 }
 
-func age(at int64) string {
+func formatAge(at int64) string {
 	if at == 0 {
 		return "-"
 	}
 	return time.Since(time.UnixMilli(at)).Round(time.Second).String()
 }
 
-func showHandOffs(w io.Writer, raw []byte) error {
+func printHandOffs(w io.Writer, raw []byte) error {
 	var list []federation.HandOff
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return err
@@ -186,7 +186,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "JOB\tCLASS\tPEER\tEPOCH\tSTAGE\tAGE")
 	for _, h := range list {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\n", h.Job, h.Class, h.Peer, h.Epoch, h.Stage, age(h.At))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\n", h.Job, h.Class, h.Peer, h.Epoch, h.Stage, formatAge(h.At))
 	}
 	return t.Flush()
 }
--- a/cmd/pepperlever/jobs.go
+++ b/cmd/pepperlever/jobs.go
@@ -61,16 +61,16 @@
 	return cmd
 }
 
-// show prints a state, for people or for programs.
-func (f *jobFlags) show(w io.Writer, s client.State) error {
+// printState prints a state, for people or for programs.
+func (f *jobFlags) printState(w io.Writer, s client.State) error {
 	if f.json {
 		return json.NewEncoder(w).Encode(s)
 	}
-	_, err := fmt.Fprintln(w, line(s))
+	_, err := fmt.Fprintln(w, stateLine(s))
 	return err
 }
 
-func line(s client.State) string {
+func stateLine(s client.State) string {
 	if s.State == client.Running {
 		return fmt.Sprintf("%s %s: %d done, %d running", s.ID, s.State, s.DoneTasks, s.RunningTasks)
 	}
@@ -80,11 +80,11 @@
 	return s.ID + " " + s.State
 }
 
-// follow waits for a job and prints its progress to standard error.
-func (f *jobFlags) follow(cmd *cobra.Command, c *client.Client, id string) error {
+// waitForEnd waits for a job and prints its progress to standard error.
+func (f *jobFlags) waitForEnd(cmd *cobra.Command, c *client.Client, id string) error {
 	last := ""
 	s, err := c.Wait(cmd.Context(), id, func(s client.State) {
-		if text := line(s); text != last && !s.Final() {
+		if text := stateLine(s); text != last && !s.Final() {
 			last = text
 			fmt.Fprintln(cmd.ErrOrStderr(), text)
 		}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.show(cmd.OutOrStdout(), s); err != nil {
+	if err := f.printState(cmd.OutOrStdout(), s); err != nil {
 		return err
 	}
 	if s.State == client.Cancelled {
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// onJob makes a command that does something with one job.
-func onJob(use, short string, do func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error) *cobra.Command {
+// jobCommand makes a command that does something with one job.
+func jobCommand(use, short string, do func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error) *cobra.Command {
 	var f jobFlags
 	return f.add(&cobra.Command{
 		Use: use + " JOB", Short: short, Args: cobra.ExactArgs(1),
@@ -116,23 +116,23 @@
 	})
 }
 
-// told prints the state that a call gives.
-func told(call func(*client.Client, context.Context, string) (client.State, error)) func(*jobFlags, *cobra.Command, *client.Client, string) error {
+// showStateOf prints the state that a call gives.
+func showStateOf(call func(*client.Client, context.Context, string) (client.State, error)) func(*jobFlags, *cobra.Command, *client.Client, string) error {
 	return func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error {
 		s, err := call(c, cmd.Context(), id)
 		if err != nil {
 			return err
 		}
-		return f.show(cmd.OutOrStdout(), s)
+		return f.printState(cmd.OutOrStdout(), s)
 	}
 }
 
 func jobCommands() []*cobra.Command {
 	return []*cobra.Command{
 		submitCommand(),
-		onJob("status", "Tell the state of a job", told((*client.Client).Status)),
-		onJob("cancel", "Withdraw a job", told((*client.Client).Cancel)),
-		onJob("wait", "Follow a job to its end", (*jobFlags).follow),
+		jobCommand("status", "Tell the state of a job", showStateOf((*client.Client).Status)),
+		jobCommand("cancel", "Withdraw a job", showStateOf((*client.Client).Cancel)),
+		jobCommand("wait", "Follow a job to its end", (*jobFlags).waitForEnd),
 		listCommand(),
 	}
 }
@@ -148,7 +148,7 @@
 			"The exit status is 0 when the job is accepted (with --wait: done), 1 when it was cancelled, 2 when something\n" +
 			"cannot be used, 3 when the job is refused, 4 when no controller gives a clear answer.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			j, err := described(cmd, flags, args)
+			j, err := describedJob(cmd, flags, args)
 			if err != nil {
 				return err
 			}
@@ -161,9 +161,9 @@
 			case err != nil:
 				return fmt.Errorf("%s: %w", j.ID, err)
 			case wait:
-				return f.follow(cmd, c, j.ID)
+				return f.waitForEnd(cmd, c, j.ID)
 			}
-			return f.show(cmd.OutOrStdout(), s)
+			return f.printState(cmd.OutOrStdout(), s)
 		},
 	})
 	jobFields(cmd.Flags(), &flags)
@@ -196,8 +196,8 @@
 	fl.Float64Var(&j.SaveS, "save-s", 0, "seconds that saving takes")
 }
 
-// described is the job of the file, with the flags that were given in its place.
-func described(cmd *cobra.Command, flags client.Job, args []string) (client.Job, error) {
+// describedJob is the job of the file, with the flags that were given in its place.
+func describedJob(cmd *cobra.Command, flags client.Job, args []string) (client.Job, error) {
 	if len(args) == 0 {
 		return flags, flags.Fill()
 	}
--- a/cmd/pepperlever/jobs_test.go
+++ b/cmd/pepperlever/jobs_test.go
@@ -34,7 +34,7 @@
 func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
-	cmd := command()
+	cmd := rootCommand()
 	cmd.SetOut(&out)
 	cmd.SetErr(&bytes.Buffer{})
 	cmd.SetArgs(args)
--- a/cmd/pepperlever/lab.go
+++ b/cmd/pepperlever/lab.go
@@ -18,10 +18,17 @@
 
 // labFlags are the flags of the lab.
 type labFlags struct {
-	config, data, images, job, only string
-	print, two, cut, measure        bool
-	link                            time.Duration
-	inFlight                        []int
+	siteFile      string
+	data          string
+	images        string
+	jobFile       string
+	printConfig   bool
+	twoSites      bool
+	linkDelay     time.Duration
+	cutEveryStage bool
+	onlyFaults    string
+	measure       bool
+	inFlight      []int
 }
 
 func labCommand() *cobra.Command {
@@ -33,38 +40,48 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.run(cmd) },
 	}
 	fl := cmd.Flags()
-	fl.StringVar(&f.config, "site", "", "the site's file (TOML); the defaults without one")
+	fl.StringVar(&f.siteFile, "site", "", "the site's file (TOML); the defaults without one")
 	fl.StringVar(&f.data, "data", "", "folder that keeps the state, and the tasks' output, between runs")
 	fl.StringVar(&f.images, "images", "", "folder of images: a folder each, with an executable run")
-	fl.StringVar(&f.job, "job", "", "run the job of this file to its end, then stop the site")
-	fl.BoolVar(&f.two, "two-sites", false, "run two sites that hand jobs of class goes from the first to the second")
-	fl.DurationVar(&f.link, "link", 0, "how long a message takes between the two sites")
-	fl.BoolVar(&f.cut, "cut-every-stage", false, "with two sites: cause every trouble at every message of a hand-off, count runs and answers, then stop")
-	fl.StringVar(&f.only, "only", "", "with --cut-every-stage: only troubles whose name holds this, such as killed or hanging")
+	fl.StringVar(&f.jobFile, "job", "", "run the job of this file to its end, then stop the site")
+	fl.BoolVar(&f.twoSites, "two-sites", false, "run two sites that hand jobs of class goes from the first to the second")
+	fl.DurationVar(&f.linkDelay, "link", 0, "how long a message takes between the two sites")
+	fl.BoolVar(&f.cutEveryStage, "cut-every-stage", false, "with two sites: cause every trouble at every message of a hand-off, count runs and answers, then stop")
+	fl.StringVar(&f.onlyFaults, "only", "", "with --cut-every-stage: only troubles whose name holds this, such as killed or hanging")
 	fl.BoolVar(&f.measure, "measure", false, "with two sites: measure hand-offs a second, added latency and recovery, then stop")
 	fl.IntSliceVar(&f.inFlight, "in-flight", []int{10, 100, 1000}, "with --measure: how many jobs are behind a cut link")
-	fl.BoolVar(&f.print, "print-config", false, "print the site's file with all defaults, and stop")
+	fl.BoolVar(&f.printConfig, "print-config", false, "print the site's file with all defaults, and stop")
 	return cmd
 }
 
 func (f *labFlags) run(cmd *cobra.Command) error {
-	cfg := emulator.Default()
-	if f.config != "" {
-		loaded, err := emulator.Load(f.config)
-		if err != nil {
-			return err
-		}
-		cfg = *loaded
+	cfg, err := f.loadSite()
+	if err != nil {
+		return err
 	}
-	if f.print {
+	if f.printConfig {
 		text, err := cfg.Print()
 		fmt.Fprint(cmd.OutOrStdout(), text)
 		return err
 	}
-	if f.two || f.cut || f.measure {
-		return f.runPair(cmd, &cfg)
+	if f.twoSites || f.cutEveryStage || f.measure {
+		return f.runPair(cmd, cfg)
+	}
+	return f.runSite(cmd, cfg)
+}
+
+// loadSite reads the site's file, or gives the default site without one.
+func (f *labFlags) loadSite() (*emulator.Config, error) {
+	if f.siteFile != "" {
+		return emulator.Load(f.siteFile)
 	}
-	site, err := emulator.Open(&cfg, f.data, f.images)
+	cfg := emulator.Default()
+	return &cfg, nil
+}
+
+// runSite runs one site until its job has ended or it is interrupted.
+func (f *labFlags) runSite(cmd *cobra.Command, cfg *emulator.Config) error {
+	site, err := emulator.Open(cfg, f.data, f.images)
 	if err != nil {
 		return err
 	}
@@ -72,9 +89,9 @@
 	ctx, stop := context.WithCancel(cmd.Context())
 	defer stop()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return site.Run(ctx, launch) })
+	g.Go(func() error { return site.Run(ctx, launchController) })
 	g.Go(func() error {
-		if f.job != "" {
+		if f.jobFile != "" {
 			defer stop()
 			return f.runJob(ctx, cmd, site)
 		}
@@ -91,7 +108,7 @@
 
 // runPair runs two sites, for what is asked of them or until it is interrupted.
 func (f *labFlags) runPair(cmd *cobra.Command, cfg *emulator.Config) error {
-	pair, err := emulator.OpenPair(cfg, f.data, f.images, f.link)
+	pair, err := emulator.OpenPair(cfg, f.data, f.images, f.linkDelay)
 	if err != nil {
 		return err
 	}
@@ -99,12 +116,12 @@
 	ctx, stop := context.WithCancel(cmd.Context())
 	defer stop()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return pair.Run(ctx, launch) })
+	g.Go(func() error { return pair.Run(ctx, launchController) })
 	g.Go(func() error {
 		defer stop()
 		switch {
-		case f.cut:
-			return pair.CutEveryStage(ctx, cmd.OutOrStdout(), f.only)
+		case f.cutEveryStage:
+			return pair.CutEveryStage(ctx, cmd.OutOrStdout(), f.onlyFaults)
 		case f.measure:
 			return pair.Measure(ctx, cmd.OutOrStdout(), f.inFlight)
 		}
@@ -121,7 +138,7 @@
 
 // runJob hands a job in and follows it.
 func (f *labFlags) runJob(ctx context.Context, cmd *cobra.Command, site *emulator.Site) error {
-	j, err := client.LoadJob(f.job)
+	j, err := client.LoadJob(f.jobFile)
 	if err != nil {
 		return err
 	}
@@ -136,14 +153,14 @@
 		return err
 	}
 	cmd.SetContext(ctx)
-	if err := (&jobFlags{}).follow(cmd, c, j.ID); err != nil {
+	if err := (&jobFlags{}).waitForEnd(cmd, c, j.ID); err != nil {
 		return err
 	}
-	return showOutputs(cmd, site.Outputs(j.ID))
+	return printOutputs(cmd, site.Outputs(j.ID))
 }
 
-// showOutputs prints the first lines that the tasks of a job have written.
-func showOutputs(cmd *cobra.Command, dir string) error {
+// printOutputs prints the first lines that the tasks of a job have written.
+func printOutputs(cmd *cobra.Command, dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(files) == 0 {
 		return err
@@ -154,9 +171,9 @@
 	return err
 }
 
-// launch runs a controller as a process of its own until ctx ends. It is killed
+// launchController runs a controller as a process of its own until ctx ends. It is killed
 // then, as a site has to bear that.
-func launch(ctx context.Context, settings, gateway string) error {
+func launchController(ctx context.Context, settings, gateway string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/pepperlever/main.go
+++ b/cmd/pepperlever/main.go
@@ -25,7 +25,7 @@
 	setLogger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := command().ExecuteContext(ctx); err != nil {
+	if err := rootCommand().ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "pepperlever:", err)
 		os.Exit(exitStatus(err))
 	}
@@ -46,7 +46,7 @@
 // files names what the operator hands over.
 type files struct{ config, policy, gateway string }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var f files
 	root := &cobra.Command{
 		Use:           "pepperlever --config FILE",
@@ -68,23 +68,8 @@
 	root.PersistentFlags().StringVar(&f.gateway, "gateway", os.Getenv("PEPPERLEVER_GATEWAY"),
 		"the gateway's file (TOML), which switches hand-offs between sites on; PEPPERLEVER_GATEWAY names it too")
 	root.AddCommand(
-		&cobra.Command{
-			Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-			Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "pepperlever", version) },
-		},
-		&cobra.Command{
-			Use: "check [FILE]", Short: "Check a settings file and the operator's script", Args: cobra.MaximumNArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				if len(args) == 1 {
-					f.config = args[0]
-				}
-				if _, _, err := f.load(); err != nil {
-					return err
-				}
-				fmt.Fprintln(cmd.OutOrStdout(), "settings are good")
-				return nil
-			},
-		},
+		versionCommand(),
+		checkCommand(&f),
 	)
 	root.AddCommand(jobCommands()...)
 	root.AddCommand(labCommand())
@@ -92,6 +77,31 @@
 	return root
 }
 
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "pepperlever", version) },
+	}
+}
+
+// checkCommand reads the files as a controller would, and does nothing else.
+func checkCommand(f *files) *cobra.Command {
+	return &cobra.Command{
+		Use: "check [FILE]", Short: "Check a settings file and the operator's script", Args: cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if len(args) == 1 {
+				f.config = args[0]
+			}
+			if _, _, err := f.load(); err != nil {
+				return err
+			}
+			fmt.Fprintln(cmd.OutOrStdout(), "settings are good")
+			return nil
+		},
+	}
+}
+
+// load reads the settings and the operator's script.
 func (f files) load() (*settings.Settings, settings.Policy, error) {
 	cfg, err := settings.Load(f.config)
 	if err != nil {
--- a/internal/client/retry/retry.go
+++ b/internal/client/retry/retry.go
@@ -9,20 +9,20 @@
 
 // Rules bound the tries of one request.
 type Rules struct {
-	// Answer is for how long one try waits for its answer.
-	Answer time.Duration
-	// Least is the least pause between two tries, Most the longest that a
+	// AnswerTimeout is for how long one try waits for its answer.
+	AnswerTimeout time.Duration
+	// MinPause is the least pause between two tries, Most the longest that a
 	// controller may ask for; past it, it is cut to Most.
-	Least, Most time.Duration
-	// Total is for how long tries go on.
-	Total time.Duration
+	MinPause, MaxPause time.Duration
+	// Deadline is for how long tries go on.
+	Deadline time.Duration
 }
 
 // Change are the rules for requests that change something, Poll those for
 // questions, as the protocol gives them.
 var (
-	Change = Rules{Answer: 5 * time.Second, Least: time.Second, Most: 30 * time.Second, Total: time.Minute}
-	Poll   = Rules{Answer: 2 * time.Second, Least: time.Second, Most: 30 * time.Second, Total: time.Minute}
+	Change = Rules{AnswerTimeout: 5 * time.Second, MinPause: time.Second, MaxPause: 30 * time.Second, Deadline: time.Minute}
+	Poll   = Rules{AnswerTimeout: 2 * time.Second, MinPause: time.Second, MaxPause: 30 * time.Second, Deadline: time.Minute}
 )
 
 // Outcome is what came of a try. Status is 0 when no answer came.
@@ -50,62 +50,62 @@
 	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
 		return Answered, 0
 	}
-	pause := min(max(r.Least, o.RetryAfter), r.Most)
-	if now+pause-started > r.Total {
+	pause := min(max(r.MinPause, o.RetryAfter), r.MaxPause)
+	if now+pause-started > r.Deadline {
 		return GiveUp, 0
 	}
 	return Again, pause
 }
 
-// skipAfter is how many tries in a row a target may fail before it is skipped for
-// skipFor.
+// maxConsecutiveFailures is how many tries in a row a target may fail before it is skipped for
+// skipDuration.
 const (
-	skipAfter = 3
-	skipFor   = 3 * time.Second
+	maxConsecutiveFailures = 3
+	skipDuration           = 3 * time.Second
 )
 
 // Targets chooses between several addresses. One that fails is left for the next;
 // one that failed often in a row is skipped for a while, unless all are.
 type Targets struct {
-	addresses []string
-	failed    []int
-	until     []time.Duration
-	at        int
+	addresses    []string
+	failures     []int
+	skippedUntil []time.Duration
+	current      int
 }
 
 // NewTargets makes Targets of at least one address.
 func NewTargets(addresses []string) *Targets {
-	return &Targets{addresses: addresses, failed: make([]int, len(addresses)), until: make([]time.Duration, len(addresses))}
+	return &Targets{addresses: addresses, failures: make([]int, len(addresses)), skippedUntil: make([]time.Duration, len(addresses))}
 }
 
 // Pick is the address for the next try.
 func (t *Targets) Pick(now time.Duration) string {
 	for range t.addresses {
-		if t.until[t.at] <= now {
+		if t.skippedUntil[t.current] <= now {
 			break
 		}
-		t.at = (t.at + 1) % len(t.addresses)
+		t.current = (t.current + 1) % len(t.addresses)
 	}
-	return t.addresses[t.at]
+	return t.addresses[t.current]
 }
 
-// Note takes what came of a try at an address. Any answer shows that it is there;
+// Record takes what came of a try at an address. Any answer shows that it is there;
 // after one that asks to come back the next address is tried.
-func (t *Targets) Note(now time.Duration, address string, o Outcome) {
+func (t *Targets) Record(now time.Duration, address string, o Outcome) {
 	for i, a := range t.addresses {
 		if a != address {
 			continue
 		}
 		if o.Status == 0 {
-			t.failed[i]++
+			t.failures[i]++
 		} else {
-			t.failed[i] = 0
+			t.failures[i] = 0
 		}
-		if t.failed[i] >= skipAfter {
-			t.failed[i], t.until[i] = 0, now+skipFor
+		if t.failures[i] >= maxConsecutiveFailures {
+			t.failures[i], t.skippedUntil[i] = 0, now+skipDuration
 		}
-		if i == t.at && (o.Status == 0 || o.Status >= http.StatusTooManyRequests) {
-			t.at = (t.at + 1) % len(t.addresses)
+		if i == t.current && (o.Status == 0 || o.Status >= http.StatusTooManyRequests) {
+			t.current = (t.current + 1) % len(t.addresses)
 		}
 	}
 }
--- a/internal/client/retry/retry_test.go
+++ b/internal/client/retry/retry_test.go
@@ -25,7 +25,7 @@
 			now := time.Duration(i) * 100 * time.Millisecond
 			target := targets.Pick(now)
 			asked += target
-			targets.Note(now, target, Outcome{Status: map[string]int{".": 200, "x": 0, "5": 503}[s]})
+			targets.Record(now, target, Outcome{Status: map[string]int{".": 200, "x": 0, "5": 503}[s]})
 		}
 		if asked != c.asked {
 			t.Errorf("%s: asked %s, want %s", name, asked, c.asked)
@@ -33,15 +33,15 @@
 	}
 	targets := NewTargets([]string{"a", "b"})
 	for range 3 {
-		targets.at = 0
-		targets.Note(0, "a", Outcome{})
+		targets.current = 0
+		targets.Record(0, "a", Outcome{})
 	}
-	targets.at = 0
-	if early := targets.Pick(skipFor - 1); early != "b" {
+	targets.current = 0
+	if early := targets.Pick(skipDuration - 1); early != "b" {
 		t.Errorf("in the pause %s is asked", early)
 	}
-	targets.at = 0
-	if back := targets.Pick(skipFor); back != "a" {
+	targets.current = 0
+	if back := targets.Pick(skipDuration); back != "a" {
 		t.Errorf("after the pause %s is asked", back)
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -21,20 +21,20 @@
 // Cloud carries the core's requests out one after the other, within the
 // cloud's limit on requests.
 type Cloud struct {
-	cfg   *settings.Settings
-	emit  func(core.Command)
-	http  *httpclient.Client
-	queue chan func()
-	pause time.Duration
-	// refuses is set while the cloud answers that it does not act.
-	refuses bool
+	cfg             *settings.Settings
+	emit            func(core.Command)
+	http            *httpclient.Client
+	queue           chan func()
+	requestInterval time.Duration
+	// refusing is set while the cloud answers that it does not carry requests out.
+	refusing bool
 }
 
 // New makes a Cloud that tells emit what it learns.
 func New(cfg *settings.Settings, emit func(core.Command)) *Cloud {
 	return &Cloud{cfg: cfg, emit: emit, queue: make(chan func(), 256),
-		http:  httpclient.New(time.Duration(cfg.Params.Workers.LeaseS*float64(time.Second)/4), 2),
-		pause: time.Duration(float64(time.Second) / cfg.Params.Cloud.RPS),
+		http:            httpclient.New(time.Duration(cfg.Params.Workers.LeaseS*float64(time.Second)/4), 2),
+		requestInterval: time.Duration(float64(time.Second) / cfg.Params.Cloud.RPS),
 	}
 }
 
@@ -48,7 +48,7 @@
 			return ctx.Err()
 		}
 		select {
-		case <-time.After(c.pause / 2):
+		case <-time.After(c.requestInterval / 2):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -67,43 +67,47 @@
 	return c.http.Call(method, c.cfg.Services.Cloud, path, body, out)
 }
 
-// note tells the core when the cloud stops or starts to act. A rental that is refused
+// noteAvailability tells the core when the cloud stops or starts to carry requests out. A rental that is refused
 // for want of machines says nothing of the kind, and no answer at all may be the
 // network's doing.
-func (c *Cloud) note(status int, err error) {
+func (c *Cloud) noteAvailability(status int, err error) {
 	refuses := status == fasthttp.StatusServiceUnavailable
-	if err == nil && refuses != c.refuses && (refuses || status == fasthttp.StatusOK) {
-		c.refuses = refuses
-		slog.Info("cloud", "acts", !refuses)
+	if err == nil && refuses != c.refusing && (refuses || status == fasthttp.StatusOK) {
+		c.refusing = refuses
+		if refuses {
+			slog.Info("cloud refuses requests")
+		} else {
+			slog.Info("cloud accepts requests again")
+		}
 		c.emit(core.CloudHealth{OK: !refuses})
 	}
 }
 
-// Catalog reads the machine types.
-func (c *Cloud) Catalog() {
+// FetchCatalog reads the machine types.
+func (c *Cloud) FetchCatalog() {
 	c.enqueue(func() {
 		var cat protocol.Catalogue
 		status, err := c.call(fasthttp.MethodGet, protocol.PathTypes, nil, &cat)
-		c.note(status, err)
+		c.noteAvailability(status, err)
 		if err == nil && status == fasthttp.StatusOK && len(cat.Types) > 0 {
 			c.emit(core.CatalogReceived{Types: cat.Types})
 		}
 	}, func() {})
 }
 
-// List reads the list of machines, page by page. A list that breaks off is not
-// passed on: a machine that is missing from it would be taken for gone.
-func (c *Cloud) List() {
+// FetchInventory reads the list of machines, page by page. A list that breaks off is not
+// passed on: a machine that is missing from it would be taken for terminated.
+func (c *Cloud) FetchInventory() {
 	c.enqueue(func() {
-		if all, whole := c.pages(); whole {
+		if all, whole := c.readAllPages(); whole {
 			c.emit(core.InventoryReceived{Machines: all})
 		}
 	}, func() {})
 }
 
-// pages reads all pages, and tells whether they reach the end of the list. Pages
+// readAllPages reads all pages, and tells whether they reach the end of the list. Pages
 // that do not go on where the one before ended would be read for ever.
-func (c *Cloud) pages() (all []protocol.ListedMachine, whole bool) {
+func (c *Cloud) readAllPages() (all []protocol.ListedMachine, whole bool) {
 	after := ""
 	for {
 		args := []string{protocol.ArgLimit, pageSize}
@@ -151,7 +155,7 @@
 func (c *Cloud) Release(machines []string) {
 	c.enqueue(func() {
 		status, err := c.call(fasthttp.MethodPost, protocol.PathRelease, protocol.MachineNames{Machines: machines}, nil)
-		c.note(status, err)
+		c.noteAvailability(status, err)
 		c.emit(core.ReleaseResult{Machines: machines, OK: err == nil && status == fasthttp.StatusOK})
 	}, func() { c.emit(core.ReleaseResult{Machines: machines}) })
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -33,7 +33,7 @@
 		l := cmd.(core.InventoryReceived)
 		got = &l
 	})
-	c.List()
+	c.FetchInventory()
 	(<-c.queue)()
 	return got
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,7 +40,7 @@
 	api     *api.API
 	store   *store.Store
 	cloud   *cloud.Cloud
-	workers *workerclient.Agent
+	workers *workerclient.Client
 	peers   *peer.Peers
 	// sites are the streams to other sites, nil without a gateway.
 	sites *transport.Links
@@ -140,9 +140,9 @@
 	case core.Deliver:
 		d.workers.Deliver(e)
 	case core.FetchCatalog:
-		d.cloud.Catalog()
+		d.cloud.FetchCatalog()
 	case core.FetchInventory:
-		d.cloud.List()
+		d.cloud.FetchInventory()
 	case core.RequestRental:
 		d.cloud.Rent(e.Rental)
 	case core.ReleaseMachines:
--- a/internal/federation/transport/link.go
+++ b/internal/federation/transport/link.go
@@ -33,7 +33,7 @@
 const (
 	streamPath  = "/gateway"
 	queueLength = 4096
-	// maxLine bounds a message: a ticket with the longest description, or a list of
+	// maxLineBytes bounds a message: a ticket with the longest description, or a list of
 	// all jobs that may be away.
 	maxLine = 512 << 10
 	// watchEvery is how often the files are looked at.
@@ -50,7 +50,7 @@
 	mu      sync.Mutex
 	cfg     *federation.Config
 	secrets *secrets
-	outs    map[federation.Site]*stream.Out
+	outs    map[federation.Site]*stream.Writer
 	// changed is closed when files have changed: streams begin anew.
 	changed chan struct{}
 }
@@ -66,9 +66,9 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	l := &Links{path: path, emit: emit, cfg: cfg, secrets: s, outs: map[federation.Site]*stream.Out{}, changed: make(chan struct{})}
+	l := &Links{path: path, emit: emit, cfg: cfg, secrets: s, outs: map[federation.Site]*stream.Writer{}, changed: make(chan struct{})}
 	for _, p := range cfg.Peers {
-		l.outs[p.Site] = stream.NewOut(queueLength)
+		l.outs[p.Site] = stream.NewWriter(queueLength)
 	}
 	return l, cfg, nil
 }
@@ -154,7 +154,7 @@
 	l.cfg, l.secrets = cfg, s
 	for _, p := range cfg.Peers {
 		if l.outs[p.Site] == nil {
-			l.outs[p.Site] = stream.NewOut(queueLength)
+			l.outs[p.Site] = stream.NewWriter(queueLength)
 		}
 	}
 	close(l.changed)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,27 +28,27 @@
 	nodeHeader = "Pepperlever-Node"
 	// queueLength bounds what waits for a slow peer; past it the stream is
 	// opened anew, which makes the core tell everything again.
-	queueLength = 1024
-	maxLine     = 1 << 20
+	queueLength  = 1024
+	maxLineBytes = 1 << 20
 )
 
 // Peers holds the streams to all other controllers.
 type Peers struct {
-	cfg   *settings.Settings
-	emit  func(core.Command)
-	links map[string]*link
+	cfg     *settings.Settings
+	emit    func(core.Command)
+	streams map[string]*peerStream
 }
 
-type link struct {
+type peerStream struct {
 	node, address string
-	out           *stream.Out
+	outgoing      *stream.Writer
 }
 
 // New makes Peers that pass messages to emit.
 func New(cfg *settings.Settings, emit func(core.Command)) *Peers {
-	p := &Peers{cfg: cfg, emit: emit, links: map[string]*link{}}
+	p := &Peers{cfg: cfg, emit: emit, streams: map[string]*peerStream{}}
 	for _, o := range cfg.Peers {
-		p.links[o.Node] = &link{node: o.Node, address: o.Address, out: stream.NewOut(queueLength)}
+		p.streams[o.Node] = &peerStream{node: o.Node, address: o.Address, outgoing: stream.NewWriter(queueLength)}
 	}
 	return p
 }
@@ -61,8 +61,8 @@
 	}
 	line = append(line, '\n')
 	for _, node := range m.Nodes {
-		if l := p.links[node]; l != nil {
-			l.out.Send(line)
+		if l := p.streams[node]; l != nil {
+			l.outgoing.Send(line)
 		}
 	}
 }
@@ -75,8 +75,8 @@
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return p.serve(ctx, ln) })
-	for _, l := range p.links {
-		g.Go(func() error { return p.keep(ctx, l) })
+	for _, l := range p.streams {
+		g.Go(func() error { return p.maintain(ctx, l) })
 	}
 	return g.Wait()
 }
@@ -101,7 +101,7 @@
 // receive reads one peer's messages for as long as its stream lasts.
 func (p *Peers) receive(w http.ResponseWriter, r *http.Request) {
 	node := r.Header.Get(nodeHeader)
-	if p.links[node] == nil || r.URL.Path != streamPath {
+	if p.streams[node] == nil || r.URL.Path != streamPath {
 		http.Error(w, "unknown node", http.StatusNotFound)
 		return
 	}
@@ -110,7 +110,7 @@
 		f.Flush()
 	}
 	lines := bufio.NewScanner(r.Body)
-	lines.Buffer(make([]byte, 16<<10), maxLine)
+	lines.Buffer(make([]byte, 16<<10), maxLineBytes)
 	lines.Split(stream.WholeLines)
 	for lines.Scan() {
 		var m core.PeerMessage
@@ -127,9 +127,9 @@
 	return time.Duration(p.cfg.Params.Workers.ReportS * float64(time.Second) / 2)
 }
 
-func (p *Peers) keep(ctx context.Context, l *link) error {
+func (p *Peers) maintain(ctx context.Context, l *peerStream) error {
 	for ctx.Err() == nil {
-		err := p.stream(ctx, l)
+		err := p.runStream(ctx, l)
 		slog.Debug("no stream to peer", "node", l.node, "error", err)
 		select {
 		case <-time.After(p.period() / 2):
@@ -139,8 +139,8 @@
 	return ctx.Err()
 }
 
-// stream opens one stream and writes to it until it breaks.
-func (p *Peers) stream(ctx context.Context, l *link) error {
+// runStream opens one stream and writes to it until it breaks.
+func (p *Peers) runStream(ctx context.Context, l *peerStream) error {
 	transport := &http2.Transport{AllowHTTP: true, ReadIdleTimeout: p.period(), PingTimeout: p.period(),
 		DialTLSContext: func(ctx context.Context, network, addr string, _ *tls.Config) (net.Conn, error) {
 			d := net.Dialer{Timeout: p.period()}
@@ -152,5 +152,5 @@
 		return err
 	}
 	req.Header.Set(nodeHeader, p.cfg.Node)
-	return l.out.Run(transport, req, func() { p.emit(core.PeerConnected{Node: l.node}) }, func() { p.emit(core.PeerDisconnected{Node: l.node}) }, nil)
+	return l.outgoing.Run(transport, req, func() { p.emit(core.PeerConnected{Node: l.node}) }, func() { p.emit(core.PeerDisconnected{Node: l.node}) }, nil)
 }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -10,25 +10,49 @@
 	"net/http"
 )
 
-// Out is a queue of lines for one receiver.
-type Out struct {
+const (
+	// maxReasonBytes bounds what is read of an answer that refuses the stream.
+	maxReasonBytes = 200
+	// maxWriteBytes is from which size on no further line is added to one write.
+	maxWriteBytes = 64 << 10
+)
+
+// Errors that end a stream.
+var (
+	// ErrEnded means that the receiver has ended the stream.
+	ErrEnded = errors.New("stream ended")
+	// ErrSlowReceiver means that more lines wait than the queue holds.
+	ErrSlowReceiver = errors.New("receiver is too slow")
+)
+
+// StatusError is an answer that does not accept the stream.
+type StatusError struct {
+	// Status is the HTTP status with its text, Reason the start of the answer's body.
+	Status, Reason string
+}
+
+// Error tells the status and the receiver's reason.
+func (e *StatusError) Error() string { return e.Status + ": " + e.Reason }
+
+// Writer is a queue of lines for one receiver.
+type Writer struct {
 	queue    chan []byte
 	overflow chan struct{}
 }
 
-// NewOut makes an Out in which at most length lines wait; past that the stream is
+// NewWriter makes a Writer in which at most length lines wait; past that the stream is
 // opened anew.
-func NewOut(length int) *Out {
-	return &Out{queue: make(chan []byte, length), overflow: make(chan struct{}, 1)}
+func NewWriter(length int) *Writer {
+	return &Writer{queue: make(chan []byte, length), overflow: make(chan struct{}, 1)}
 }
 
 // Send queues a line with its end.
-func (o *Out) Send(line []byte) {
+func (w *Writer) Send(line []byte) {
 	select {
-	case o.queue <- line:
+	case w.queue <- line:
 	default:
 		select {
-		case o.overflow <- struct{}{}:
+		case w.overflow <- struct{}{}:
 		default:
 		}
 	}
@@ -38,7 +62,7 @@
 // why. up and down are called when lines can be sent and no longer can; back, if not
 // nil, reads what the receiver says. What was queued for an earlier stream is
 // dropped.
-func (o *Out) Run(t http.RoundTripper, req *http.Request, up, down func(), back func(io.Reader)) error {
+func (w *Writer) Run(t http.RoundTripper, req *http.Request, up, down func(), back func(io.Reader)) error {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
 	body, out := io.Pipe()
@@ -51,8 +75,8 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		why, _ := io.ReadAll(io.LimitReader(res.Body, 200)) // what could be read tells enough
-		return errors.New(res.Status + ": " + string(bytes.TrimSpace(why)))
+		reason, _ := io.ReadAll(io.LimitReader(res.Body, maxReasonBytes)) // what could be read tells enough
+		return &StatusError{Status: res.Status, Reason: string(bytes.TrimSpace(reason))}
 	}
 	closed := make(chan error, 1)
 	go func() {
@@ -60,20 +84,20 @@
 			back(res.Body)
 		}
 		_, err := io.Copy(io.Discard, res.Body)
-		closed <- errors.Join(errors.New("stream ended"), err)
+		closed <- errors.Join(ErrEnded, err)
 		out.Close()
 	}()
-	o.drain()
+	w.drain()
 	up()
 	defer down()
-	return o.write(ctx, out, closed)
+	return w.write(ctx, out, closed)
 }
 
-func (o *Out) drain() {
+func (w *Writer) drain() {
 	for {
 		select {
-		case <-o.queue:
-		case <-o.overflow:
+		case <-w.queue:
+		case <-w.overflow:
 		default:
 			return
 		}
@@ -81,21 +105,21 @@
 }
 
 // write sends queued lines, as many as there are in one piece.
-func (o *Out) write(ctx context.Context, out io.Writer, closed <-chan error) error {
+func (w *Writer) write(ctx context.Context, out io.Writer, closed <-chan error) error {
 	var buf []byte
 	for {
 		select {
-		case m := <-o.queue:
+		case m := <-w.queue:
 			buf = append(buf[:0], m...)
-		case <-o.overflow:
-			return errors.New("peer is too slow")
+		case <-w.overflow:
+			return ErrSlowReceiver
 		case err := <-closed:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		for len(buf) < 64<<10 && len(o.queue) > 0 {
-			buf = append(buf, <-o.queue...)
+		for len(buf) < maxWriteBytes && len(w.queue) > 0 {
+			buf = append(buf, <-w.queue...)
 		}
 		if _, err := out.Write(buf); err != nil {
 			return err
--- a/internal/workerclient/agent.go
+++ b/internal/workerclient/client.go
@@ -12,30 +12,30 @@
 	"pepperlever/internal/settings"
 )
 
-// Agent delivers commands; each delivery is sent at most once.
-type Agent struct {
-	emit  func(core.Command)
-	http  *httpclient.Client
-	slots chan struct{}
+// Client delivers commands; each delivery is sent at most once.
+type Client struct {
+	emit       func(core.Command)
+	http       *httpclient.Client
+	concurrent chan struct{}
 }
 
-// New makes an Agent that tells emit what came of deliveries.
-func New(cfg *settings.Settings, emit func(core.Command)) *Agent {
+// New makes a Client that tells emit what came of deliveries.
+func New(cfg *settings.Settings, emit func(core.Command)) *Client {
 	timeout := time.Duration(cfg.Params.Workers.ReportS * float64(time.Second) * 2 / 3)
-	return &Agent{emit: emit, http: httpclient.New(timeout, 2), slots: make(chan struct{}, max(8, cfg.Params.Limits.MaxConnections/8))}
+	return &Client{emit: emit, http: httpclient.New(timeout, 2), concurrent: make(chan struct{}, max(8, cfg.Params.Limits.MaxConnections/8))}
 }
 
 // Deliver sends commands to a worker without waiting for the answer.
-func (a *Agent) Deliver(d core.Deliver) {
+func (c *Client) Deliver(d core.Deliver) {
 	go func() {
-		a.slots <- struct{}{}
-		defer func() { <-a.slots }()
+		c.concurrent <- struct{}{}
+		defer func() { <-c.concurrent }()
 		out := core.DeliveryResult{Machine: d.Machine, Orders: d.Orders}
 		var r protocol.Report
-		status, err := a.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.Orders, &r)
+		status, err := c.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.Orders, &r)
 		if err == nil && (status == fasthttp.StatusOK || status == fasthttp.StatusConflict) {
 			out.Executed, out.Report = status == fasthttp.StatusOK, &r
 		}
-		a.emit(out)
+		c.emit(out)
 	}()
 }
