--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -30,8 +30,7 @@
 	return out
 }
 
-// Each poll used to be a request of its own, which used the state service up
-// when a thousand small jobs were asked for at once, and polls failed for minutes.
+// A request to the store for each poll would use the store up.
 func TestManyPollsShareFewRequests(t *testing.T) {
 	w := newWorld(t).ready()
 	var ids []string
@@ -52,7 +51,7 @@
 
 // A check that fails may name only one of the keys that failed it; the other
 // jobs must neither be taken for unknown nor for unfinished.
-func TestPollsAreNotOlderThanTheStoreWhateverTheReplicaHolds(t *testing.T) {
+func TestStatusIsNoOlderThanTheStore(t *testing.T) {
 	for _, terse := range []bool{false, true} {
 		w := newWorld(t).ready()
 		w.nameOneFailedKey = terse
@@ -81,7 +80,7 @@
 	}
 }
 
-func TestFloodOfPollsIsTurnedAwayAtOnceBeyondWhatCanBeAnswered(t *testing.T) {
+func TestPollsBeyondTheLookupRateAreRejected(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
 	limit := int(c.lookupLimits().Rate) * c.limits.maxConditions()
@@ -105,8 +104,8 @@
 	}
 }
 
-// A message of an acceptance may be held by the network until the job is over.
-func TestAcceptanceToldLateDoesNotBringAJobBack(t *testing.T) {
+// The network may hold the message of an acceptance until the job is over.
+func TestLateAcceptanceMessageDoesNotReviveAJob(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 1, ""))
 	item := w.kv[jobKey("req-blue-1")]
--- /dev/null
+++ b/internal/core/loweredlimits_test.go
@@ -0,0 +1,57 @@
+package core
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"pepperlever/internal/settings"
+)
+
+// The limits become lower while a transaction on a job in large chunks has no answer, and all
+// is stored within the lower ones from then on; the job ends, and no key of it is left.
+func TestLimitsAreLoweredDuringAWrite(t *testing.T) {
+	const tasks = 150
+	for _, late := range []bool{false, true} {
+		t.Run(fmt.Sprintf("written late %v", late), func(t *testing.T) {
+			t.Parallel()
+			w := newTunedWorld(t, five, func(s *settings.Settings) {
+				s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
+			})
+			w.notUpgraded["c"] = true
+			for i := range 40 {
+				w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
+			}
+			w.ready().run(10*time.Second, nil)
+			w.taskTime = 20 * time.Second
+			accepted(t, w.submit("a", "req-free-1", tasks, `,"vcpus":1.0`))
+			w.started("req-free-1", 100)
+			c := w.cores[w.leaderOf("free")]
+			if c.jobs["req-free-1"].ChunkSize != c.limits.defaultChunkSize() {
+				t.Fatal("split before all are upgraded")
+			}
+			w.lateWrite = func(_ string, e StoreTxn) time.Duration {
+				if late && strings.HasPrefix(e.Txn.Then[0].Put, keyJob) {
+					return 3 * time.Second
+				}
+				return 0
+			}
+			clear(w.notUpgraded)
+			w.run(5*time.Second, nil)
+			w.lowLimits, w.lateWrite = true, nil
+			leader := w.leaderOf("free")
+			w.crash(leader)
+			w.expire(leader)
+			if !w.run(5*time.Minute, w.finished("req-free-1")) {
+				t.Fatal("the job does not end")
+			}
+			w.run(5*time.Second, nil)
+			for key := range w.kv {
+				if strings.HasPrefix(key, jobKey("req-free-1")) {
+					t.Errorf("%s is left", key)
+				}
+			}
+		})
+	}
+}
