--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -61,7 +61,7 @@
 	if len(c.announcements) == 0 {
 		return
 	}
-	for machine := range ordered(c.agents) {
+	for machine := range c.agents.all() {
 		m := c.machines.Get(machine)
 		if m == nil || m.Node != c.cfg.Node {
 			continue
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
 )
 
@@ -66,8 +65,8 @@
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
 		c.tokens.acquired[1] = true
-		w := &agentSession{token: 1, epoch: 1, pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
-		c.agents["vm"] = w
+		w := newAgentSession(1, 1, "")
+		c.agents.add("vm", w)
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node = "vm", "small", "a"
 		if toldFirst {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -34,7 +34,7 @@
 		r := benchReport(n, j.TaskID(n%10))
 		j.Bind(n%10, &job.Binding{Machine: r.Machine, Attempt: 1, Term: 1, Session: 1, Stored: true, Sent: true})
 		c.applyObservation(Observation{Node: "a", Token: 1, Report: r})
-		c.agents[r.Machine] = &agentSession{token: 1, epoch: 1, pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
+		c.agents.add(r.Machine, newAgentSession(1, 1, ""))
 	}
 	for _, j := range c.jobs {
 		j.TakeDirty(1) // all is stored
@@ -64,7 +64,7 @@
 			r := c.machines.Get(c.machines.Names()[n%machines]).Report
 			r.Seq++
 			r.Token = 1 + uint64(n/machines%2)
-			c.agents[r.Machine].token = 2
+			c.agents.session(r.Machine).token = 2
 			c.effects, c.pendingObservations = nil, nil
 			c.handle(Heartbeat{Req: 1, Report: r})
 		}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -81,7 +81,7 @@
 		if !b.Stored {
 			continue
 		}
-		if home || c.agents[b.Machine] != nil {
+		if home || c.agents.session(b.Machine) != nil {
 			c.stopTask(j, i, b, 0)
 		}
 		if c.mayStillRun(j, i, b) {
@@ -170,7 +170,7 @@
 		return c.leads(j)
 	}
 	live := c.members.isLive(m.Node)
-	return m.Node == c.cfg.Node && c.agents[machine] != nil || c.leads(j) && (c.hasContact(m.Node) || !live)
+	return m.Node == c.cfg.Node && c.agents.session(machine) != nil || c.leads(j) && (c.hasContact(m.Node) || !live)
 }
 
 // fleetLeaderUnavailable tells whether there may be no renter, and a mark for the next one can't be
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -58,17 +58,18 @@
 	handoffs handoffRecords
 
 	// Machines.
-	catalog  catalog.Catalog
-	machines *worker.Registry
-	agents   map[string]*agentSession
-	// startLedgers holds what was decided on starts, by machine.
-	startLedgers map[string]*startLedger
-	tokens       tokenState
+	catalog      catalog.Catalog
+	machines     *worker.Registry
+	agents       agentSessions
+	startLedgers startLedgers
+	tokens       fencingTokens
+	// orphanLookups names the jobs of reported tasks that are being looked up in the store.
+	orphanLookups map[string]bool
 	// pendingObservations waits for being passed on to the other controllers.
 	pendingObservations []Observation
 	// heartbeatAt is when this node last gave a sign of life.
 	heartbeatAt time.Duration
-	rebalancing rebalancing
+	rebalancer  rebalancer
 	writeBudget writeBudget
 	lookups     lookup.Queue
 
@@ -90,7 +91,7 @@
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, heartbeat, share, observations, rebalance, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
+	last, heartbeat, share, observations, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
 }
 
 // New makes a core. The incarnation must differ between runs of the process.
@@ -103,9 +104,11 @@
 		teamBy:         map[string]*team{}, jobs: map[string]*job.Job{},
 		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
 		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
-		machines: worker.NewRegistry(), agents: map[string]*agentSession{}, startLedgers: map[string]*startLedger{},
+		machines: worker.NewRegistry(), agents: newAgentSessions(),
+		startLedgers: newStartLedgers(), tokens: newFencingTokens(),
+		rebalancer: newRebalancer(), orphanLookups: map[string]bool{},
 		peers: map[string]*peerState{}, storeOK: true,
-		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newAutoscaler(), rebalancing: newSpread(), tokens: tokenState{acquired: map[uint64]bool{}}, relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
+		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newAutoscaler(), relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
@@ -226,8 +229,9 @@
 		c.repeatAnnouncements()
 		c.checkFreshness()
 		c.reconcileAll()
-		c.expireAgents()
-		c.forgetDecisions()
+		c.retryPendingRaises()
+		c.expireSessions()
+		c.expireStartDecisions()
 	}
 	if c.loaded {
 		c.checkDependencies()
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -102,7 +102,7 @@
 				t.Errorf("%s: %s takes the machine for %s, session %d, %d tasks", name, to, m.Node, m.Session, len(m.Tasks))
 			}
 		}
-		if own := w.cores[node].agents[f.Machine]; own.epoch != f.Session {
+		if own := w.cores[node].agents.session(f.Machine); own.epoch != f.Session {
 			t.Errorf("%s: its controller went back to session %d", name, own.epoch)
 		}
 	}
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -136,7 +136,7 @@
 	w.boot("c")
 	w.run(20*time.Second, nil)
 	for _, n := range nodeNames {
-		if got := len(w.cores[n].agents); got < 3 {
+		if got := len(w.cores[n].agents.byMachine); got < 3 {
 			t.Errorf("%s hears %d workers of %d", n, got, len(w.workers))
 		}
 	}
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -134,7 +134,7 @@
 	c.effects = nil
 	c.handle(Heartbeat{Req: 1, Report: r})
 	_, unknown := c.lookups.Len()
-	if w := c.agents[r.Machine]; unknown != 3 || len(w.queuedCommands) > 0 {
+	if w := c.agents.session(r.Machine); unknown != 3 || len(w.queuedCommands) > 0 {
 		t.Errorf("%d lookups for three jobs, %d commands", unknown, len(w.queuedCommands))
 	}
 }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -14,5 +14,5 @@
 // removeMachine forgets a machine that is gone for good.
 func (c *Core) removeMachine(id string) {
 	c.machines.Remove(id)
-	delete(c.rebalancing.sent, id)
+	c.rebalancer.forget(id)
 }
--- a/internal/core/meetings_test.go
+++ b/internal/core/meetings_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"pepperlever/internal/core/job"
 	"pepperlever/internal/protocol"
 )
 
@@ -56,8 +55,8 @@
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
 		c.tokens.acquired[3], c.tokens.acquired[5] = true, true
-		w := &agentSession{token: 5, epoch: 2, pendingStarts: map[taskAttempt]job.Resources{}, queuedCommands: map[taskAttempt]protocol.Command{}}
-		c.agents["vm"] = w
+		w := newAgentSession(5, 2, "")
+		c.agents.add("vm", w)
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node, m.Session = "vm", "small", "a", 2
 		s.Machine, s.Task, s.Attempt = "vm", "req-free-1/0", 1
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -83,7 +83,7 @@
 func (c *Core) peerConnected(node string) {
 	c.peers[node].connected = true
 	var all []Observation
-	for id, w := range ordered(c.agents) {
+	for id, w := range c.agents.all() {
 		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node {
 			all = append(all, Observation{Node: c.cfg.Node, Token: w.token, Report: m.Report, Direct: c.reportOverdue(m)})
 		}
@@ -195,7 +195,7 @@
 	if c.every(&c.timers.share, usageRecordInterval) {
 		b.Records = c.ownRecords()
 	}
-	for id := range ordered(c.agents) {
+	for id := range c.agents.all() {
 		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node && m.LastReport > c.heartbeatAt {
 			b.HeardMachines, b.ReportSeqs = append(b.HeardMachines, id), append(b.ReportSeqs, m.Seq)
 		}
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -9,7 +9,7 @@
 // stops counts the stops that are on their way to workers.
 func stops(c *Core) int {
 	n := 0
-	for _, w := range c.agents {
+	for _, w := range c.agents.all() {
 		n += len(w.queuedCommands)
 	}
 	return n
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -32,7 +32,7 @@
 	}
 	w.unreachableNodes["c"] = false
 	w.run(2*time.Minute, nil)
-	if n := len(w.cores["c"].agents); n < 3 {
+	if n := len(w.cores["c"].agents.byMachine); n < 3 {
 		t.Errorf("c hears %d workers again", n)
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	var heard []int
 	for _, node := range nodeNames {
-		heard = append(heard, len(w.cores[node].agents))
+		heard = append(heard, len(w.cores[node].agents.byMachine))
 	}
 	if most, least := slices.Max(heard), slices.Min(heard); most > 2*least {
 		t.Errorf("controllers hear %v workers", heard)
@@ -69,7 +69,7 @@
 func TestMachinesOfASilentControllerGetNoTasksUntilTheyReportElsewhere(t *testing.T) {
 	w := busyWorld(t, 6)
 	var lost []string
-	for id := range w.cores["c"].agents {
+	for id := range w.cores["c"].agents.all() {
 		lost = append(lost, id)
 	}
 	if len(lost) == 0 {
@@ -102,7 +102,7 @@
 		a := w.cores["a"]
 		f.node = 0
 		w.report(f)
-		if k := a.agents[id]; k != nil && (k.delivering || f.Token == k.token) {
+		if k := a.agents.session(id); k != nil && (k.delivering || f.Token == k.token) {
 			probed++
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -2,63 +2,12 @@
 
 import (
 	"slices"
-	"time"
 
 	"pepperlever/internal/core/job"
-	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/protocol"
 )
 
-// sendStarts sends the starts of bindings that the store now holds. A gang's
-// start together, once all of them are stored.
-func (c *Core) sendStarts(j *job.Job) {
-	if j.Cancelled {
-		return
-	}
-	if j.Kind == job.Gang {
-		for _, b := range j.Bound {
-			if !b.Stored {
-				return
-			}
-		}
-	}
-	for i, b := range ordered(j.Bound) {
-		if !b.Stored || b.Sent || b.Stopping {
-			continue
-		}
-		b.Sent, b.Since = true, c.now.Steady
-		m := c.machines.Get(b.Machine)
-		if m == nil || m.GrantedToken != b.Term || m.Session != b.Session {
-			// It would be refused, but the controller that had the machine may start
-			// it by its own watch meanwhile: only evidence settles it.
-			if m != nil {
-				c.reconcileBinding(j, i, b, m)
-			}
-			continue
-		}
-		c.log(Debug, "start sent", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
-		c.sendTo(m.Node, PeerMessage{Start: &Start{Machine: b.Machine, Task: j.TaskID(i), Attempt: b.Attempt,
-			Token: b.Term, Epoch: b.Session, Need: j.Need, Revision: j.Version}})
-	}
-}
-
-// handleRefusal ends a binding whose start was never forwarded and never will be.
-func (c *Core) handleRefusal(r Refusal) {
-	id, i, ok := job.SplitTask(r.Task)
-	j := c.jobs[id]
-	if !ok || j == nil || !c.leads(j) {
-		return
-	}
-	if b := j.Bound[i]; b != nil && b.Stored && b.Attempt == r.Attempt && b.Machine == r.Machine {
-		c.log(Debug, "start was refused", "task", r.Task, "machine", r.Machine)
-		if m := c.machines.Get(r.Machine); m != nil {
-			m.FullAt = c.now.Steady // not again before something has changed
-		}
-		c.unbind(j, i)
-	}
-}
-
 // reconcileMachine weighs the newest report of a machine against the bindings on
 // it, and has tasks that nobody wants stopped and forgotten.
 func (c *Core) reconcileMachine(m *worker.Machine) {
@@ -157,92 +106,6 @@
 	c.unbind(j, i)
 }
 
-// handleStaleAttempt deals with a reported task that no binding stands for. It can be
-// forgotten once the store holds what became of it. An attempt later than this
-// home has stored is another home's: this one has been deposed and was not told
-// yet, since the state service is out of its reach. It used to stop whatever the
-// new home started.
-func (c *Core) handleStaleAttempt(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
-	if t.Attempt > j.StoredAttempt {
-		return
-	}
-	if t.State != protocol.Exited || !j.Dirty() && !j.InFlight {
-		c.stopOrForgetTask(m, t)
-	}
-}
-
-// forgetEndedTasks has exited tasks forgotten whose end a store write has recorded.
-func (c *Core) forgetEndedTasks(j *job.Job, exits []job.Exit) {
-	for _, e := range exits {
-		m := c.machines.Get(e.Machine)
-		if m == nil {
-			continue
-		}
-		t, there := m.Find(j.TaskID(e.Index), e.Attempt)
-		if b := j.Bound[e.Index]; there && t.State == protocol.Exited && (b == nil || b.Attempt != e.Attempt) {
-			c.stopOrForgetTask(m, t)
-		}
-	}
-}
-
-// stopOrForgetTask has a task forgotten by its worker if it has exited, or else stopped.
-func (c *Core) stopOrForgetTask(m *worker.Machine, t protocol.TaskReport) {
-	cmd := protocol.Command{Op: protocol.OpForget, Task: t.Task, Attempt: t.Attempt}
-	if t.State != protocol.Exited {
-		cmd = protocol.Command{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64)}
-	}
-	c.sendTo(m.Node, PeerMessage{Command: &TaskCommand{Machine: m.Machine, Command: cmd}})
-}
-
-// handleOrphanTask deals with a task of a job that is not known as active: only the
-// machine's controller acts, and only once the store says the job is final.
-func (c *Core) handleOrphanTask(m *worker.Machine, t protocol.TaskReport, id string) {
-	if m.Node != c.cfg.Node {
-		return
-	}
-	if _, final := c.finalStates[id]; !final {
-		if c.scheduler.asked[id] {
-			return
-		}
-		c.scheduler.asked[id] = true
-		c.lookUp(id, func(lookup.Result) { delete(c.scheduler.asked, id) })
-		return
-	}
-	c.stopOrForgetTask(m, t)
-}
-
-// onCordonPut notes that a machine takes no bindings; if it is gone for good, that
-// ends every binding on it.
-func (c *Core) onCordonPut(machine string, k cordonRecord) {
-	if old, ok := c.cordons[machine]; ok && old.version >= k.version {
-		return
-	}
-	k.since = c.now.Steady
-	c.cordons[machine] = k
-	c.requestRound()
-	c.expediteExits(machine)
-	if !k.Terminated {
-		return
-	}
-	c.removeMachine(machine)
-	all := func(job.Ref, *job.Binding) bool { return true }
-	c.eachLedBinding(machine, all, func(j *job.Job, i int, _ *job.Binding) {
-		c.log(Debug, "task is gone with its machine", "task", j.TaskID(i), "machine", machine)
-		c.unbind(j, i)
-	})
-}
-
-// expediteExits has the ends of tasks on a closing machine stored without delay: it
-// can be returned only after that.
-func (c *Core) expediteExits(machine string) {
-	onMachine := func(e job.Exit) bool { return e.Machine == machine }
-	for _, j := range c.jobs {
-		if c.leads(j) && slices.ContainsFunc(j.Ended, onMachine) {
-			j.Urgent = true
-		}
-	}
-}
-
 // reconcileAll looks at every binding of this node's teams once in a while: what
 // stays unproven is fenced, what must go is stopped, and what does not go is
 // given back with its machine.
@@ -300,80 +163,6 @@
 	}
 }
 
-// isSilent tells whether nothing has been heard of a binding's machine for so
-// long that the renter has to be asked: a renter that came after its last report
-// does not know it. One that was given back by a renter which ended before it
-// could say so kept its tasks bound for ever.
-func (c *Core) isSilent(m *worker.Machine, b *job.Binding) bool {
-	if m == nil {
-		return c.now.Steady-b.Since > c.silenceLimit()
-	}
-	return c.now.Steady-max(m.LastContact, b.Since) > 2*c.silenceLimit() && c.knowsAllMachines()
-}
-
-// silenceLimit is how long a machine may say nothing before it is given up: a
-// report may be late or lost, and a worker needs a time-out and a pause for
-// each node that it tries in vain.
-func (c *Core) silenceLimit() time.Duration {
-	missing := c.members.missing()
-	return 2*c.reportInterval() + time.Duration(1+missing)*(protocol.ReportTimeout+protocol.ReportPause)
-}
-
-// stopTask asks for a task to end, with grace to save, and repeats it until a
-// report shows the end.
-func (c *Core) stopTask(j *job.Job, i int, b *job.Binding, grace float64) {
-	if b.Stopping && c.now.Steady-b.StopSent < c.reportInterval() {
-		return
-	}
-	b.Stopping, b.StopSent = true, c.now.Steady
-	c.sendStop(j, i, b, grace)
-}
-
-// sendStop sends one order to stop a task, whoever is the home of its team.
-func (c *Core) sendStop(j *job.Job, i int, b *job.Binding, grace float64) {
-	if m := c.machines.Get(b.Machine); m != nil {
-		cmd := protocol.Command{Op: protocol.OpStop, Task: j.TaskID(i), Attempt: b.Attempt, GraceS: &grace}
-		c.sendTo(m.Node, PeerMessage{Command: &TaskCommand{Machine: b.Machine, Command: cmd}})
-	}
-}
-
-// evictBeforeReclaim stops tasks that can save before their machine is taken away, and the
-// rest of a gang that has lost a task: it starts again whole. A gang is stopped
-// as one, so that its progress is saved.
-func (c *Core) evictBeforeReclaim(j *job.Job) {
-	whole := j.Kind == job.Gang && j.Waiting() > 0 && j.Done.Len() == 0
-	if j.Kind == job.Gang {
-		for _, b := range j.Bound {
-			whole = whole || c.mustSaveNow(j, b)
-		}
-	}
-	for i, b := range ordered(j.Bound) {
-		if b.Sent && (whole || c.mustSaveNow(j, b) || c.finishesTooLate(j, i, b)) {
-			c.stopTask(j, i, b, j.SaveS)
-		}
-	}
-}
-
-// finishesTooLate tells whether a task that can't save will hardly end before its
-// machine is taken away, so that it had better start elsewhere at once. Owners'
-// estimates are often wrong by half.
-func (c *Core) finishesTooLate(j *job.Job, i int, b *job.Binding) bool {
-	m := c.machines.Get(b.Machine)
-	if m == nil || m.ReclaimAt == 0 || j.CheckpointS > 0 || j.Kind != job.Array {
-		return false
-	}
-	ran := m.RunningTime(j.TaskID(i), b.Attempt, c.now.Steady)
-	return seconds(j.EstimateS)-ran > 2*(m.ReclaimAt-c.now.Steady)
-}
-
-// mustSaveNow tells whether a task's machine is about to be taken away, with just
-// enough time left to save.
-func (c *Core) mustSaveNow(j *job.Job, b *job.Binding) bool {
-	m := c.machines.Get(b.Machine)
-	return m != nil && m.ReclaimAt > 0 && j.CheckpointS > 0 &&
-		m.ReclaimAt-c.now.Steady < seconds(j.SaveS)+2*c.reportInterval()
-}
-
 // recordImage remembers that a machine has an image.
 func (c *Core) recordImage(m *worker.Machine, j *job.Job, t protocol.TaskReport) {
 	m.UseImage(j.Image, j.ImageGB, c.catalog.CacheGB(m.Type), c.now.Steady)
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -14,8 +14,6 @@
 	// time of one.
 	dirty           bool
 	next            time.Duration
-	deliver         map[string]bool
-	asked           map[string]bool
 	returnRequested map[string]time.Duration
 	// released is when this node last gave a machine back without a renter, returned
 	// holds those that the cloud has taken, returnMachineOf those to ask for next.
@@ -35,8 +33,6 @@
 
 func newScheduler() scheduler {
 	return scheduler{
-		deliver:         map[string]bool{},
-		asked:           map[string]bool{},
 		returnRequested: map[string]time.Duration{},
 		released:        map[string]time.Duration{},
 		returned:        map[string]bool{},
@@ -79,13 +75,3 @@
 	}
 	r.run()
 }
-
-// deliverAll sends the starts and stops that this step has queued.
-func (c *Core) deliverAll() {
-	for id := range ordered(c.scheduler.deliver) {
-		if w := c.agents[id]; w != nil {
-			c.deliverTo(id, w)
-		}
-		delete(c.scheduler.deliver, id)
-	}
-}
--- a/internal/core/startdelivery_test.go
+++ b/internal/core/startdelivery_test.go
@@ -89,15 +89,15 @@
 	for range nodeNames {
 		w.addWorker("z1", false)
 	}
-	w.run(8*time.Second, func() bool { return len(c.agents) > 0 })
-	for id, k := range c.agents {
+	w.run(8*time.Second, func() bool { return len(c.agents.byMachine) > 0 })
+	for id, k := range c.agents.all() {
 		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: k.token, Epoch: k.epoch, Need: job.Resources{CPUs: 1}}
-		if why := c.startRefusalReason(k, s); why != "" {
+		if why := c.refusalReasonFor(&s); why != "" {
 			t.Errorf("healthy: %s", why)
 		}
 		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: k.token}})
 		w.step("a")
-		if why := c.startRefusalReason(k, s); why == "" {
+		if why := c.refusalReasonFor(&s); why == "" {
 			t.Error("a worker without an answer takes starts")
 		}
 		return
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -117,7 +117,7 @@
 func (c *Core) updateRelay() {
 	split := c.partitioned()
 	if split && c.every(&c.relay.startsCheckedAt, c.reportInterval()/30) {
-		for id, w := range ordered(c.agents) {
+		for id, w := range c.agents.all() {
 			if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node {
 				c.startForUnreachableLeaders(id, w, m)
 				c.forgetForUnreachableLeaders(m)
@@ -164,7 +164,7 @@
 		return evidence == worker.Inconclusive
 	}
 	c.eachBindingOn(id, due, func(j *job.Job, i int, b *job.Binding) {
-		if made, decided := c.decisionOn(id, b.Term, taskAttempt{j.TaskID(i), b.Attempt}); decided {
+		if made, decided := c.startLedgers.find(id, b.Term, taskAttempt{j.TaskID(i), b.Attempt}); decided {
 			// What became of it is not known: a newer term makes it known, as the
 			// home would ask for.
 			if !made.refused && c.now.Steady-made.at > 2*c.reportInterval() {
@@ -202,7 +202,7 @@
 // hear of it, for as long as the store shows them bound.
 func (c *Core) relayEntries() []relay.Entry {
 	var out []relay.Entry
-	for id := range c.agents {
+	for id := range c.agents.all() {
 		m := c.machines.Get(id)
 		if m == nil || m.Node != c.cfg.Node {
 			continue
@@ -217,7 +217,7 @@
 			}
 			task := ref.Job.TaskID(ref.Index)
 			evidence, t := m.Evidence(task, b)
-			made, decided := c.decisionOn(id, b.Term, taskAttempt{task, b.Attempt})
+			made, decided := c.startLedgers.find(id, b.Term, taskAttempt{task, b.Attempt})
 			if evidence == worker.Exited || evidence == worker.Absent || decided && made.refused {
 				out = append(out, relay.Entry{Job: ref.Job.ID, Index: ref.Index, Attempt: b.Attempt, Machine: id, Reason: t.Why})
 			}
@@ -229,7 +229,7 @@
 // machinesHeardHere lists the machines that this node hears.
 func (c *Core) machinesHeardHere() map[relay.MachineKind][]string {
 	out := map[relay.MachineKind][]string{}
-	for id, w := range ordered(c.agents) {
+	for id, w := range c.agents.all() {
 		m := c.machines.Get(id)
 		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.LastContact > 2*c.reportInterval() {
 			continue
