--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -16,7 +16,7 @@
 	const sent, later = 10 * time.Second, 20 * time.Second
 	beat := func(b NodeHeartbeat) func(c *Core) {
 		return func(c *Core) {
-			c.peers["c"].freshUntil = later
+			c.peers.get("c").freshUntil = later
 			c.handleNodeHeartbeat("b", b)
 		}
 	}
@@ -47,7 +47,7 @@
 	} {
 		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
 		c.revision, c.now.Steady = 5, sent
-		c.nextHeartbeatID()
+		c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady)
 		c.now.Steady = later
 		d.happens(c)
 		if got := c.freshUntil(); got != d.want {
@@ -115,7 +115,7 @@
 		c.rememberFinalState("req-done-1", protocol.JobState{ID: "req-done-1", State: protocol.Done})
 		c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{Cancellations: told}})
 		c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{Acknowledged: []string{"req-else-1", good.Job}}})
-		if c.finalStates["req-done-1"].State != protocol.Done || c.announcements["req-done-1"] != nil || c.cancelled("req-free-1") || c.cancelled("../x") {
+		if c.finalStates["req-done-1"].State != protocol.Done || c.announcements.has("req-done-1") || c.cancelled("req-free-1") || c.cancelled("../x") {
 			t.Errorf("%s: taken", name)
 		}
 		if !c.cancelled(good.Job) {
@@ -135,10 +135,10 @@
 	for i := range 2 * maxAnnouncements {
 		c.noteCancellation(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
 	}
-	if len(c.announcements) > maxAnnouncements || len(c.announcementOrder) > maxAnnouncements {
-		t.Errorf("%d broadcasts are kept", len(c.announcements))
+	if len(c.announcements.byJob) > maxAnnouncements || len(c.announcements.order) > maxAnnouncements {
+		t.Errorf("%d broadcasts are kept", len(c.announcements.byJob))
 	}
-	c.peers["b"].connected = true
+	c.peers.setConnected("b", true)
 	c.effects = nil
 	c.now.Steady = time.Minute
 	c.announceAgainTo("b")
@@ -223,7 +223,7 @@
 	w.crash("d")
 	w.run(2*time.Second, nil)
 	b := w.cores["b"]
-	if b.announcements[refusedJob] == nil || b.acknowledgedByAnother(b.announcements[refusedJob]) {
+	if !b.announcements.has(refusedJob) || b.knownToAnother(b.announcements.of(refusedJob)) {
 		t.Fatal("b is not the only one that knows")
 	}
 	for _, make1 := range []func(req uint64) Command{
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -43,11 +43,8 @@
 	// cancelRequests mirrors the cancellations of jobs that are not final, with the time
 	// of day of each.
 	cancelRequests map[string]int64
-	// announcements are the cancellations that are passed on to other controllers, announcementOrder
-	// names them from the oldest; untold are those that no user has been told of yet.
-	announcements     map[string]*cancelAnnouncement
-	announcementOrder []string
-	unannounced       map[string]*cancelAnnouncement
+	// announcements holds the cancellations that are announced to the other controllers.
+	announcements *announcementSet
 	// endRevisions holds the revisions that ended jobs.
 	endRevisions map[string]uint64
 	upgrade      upgradeTracker
@@ -73,11 +70,13 @@
 	writeBudget writeBudget
 	lookups     lookup.Queue
 
-	peers     map[string]*peerState
+	peers *peerTable
+	// storeOK tells whether the store answers this node.
 	storeOK   bool
-	freshness freshness
-	relay     storeRelay
-	isolation isolation
+	freshness freshnessTracker
+	relay     *storeRelay
+	isolation isolationDetector
+	returns   *machineReturns
 	stats     *jobstats.Collector
 	counts    Counters
 
@@ -103,20 +102,17 @@
 		pendingReplies: pendingReplies{},
 		teamBy:         map[string]*team{}, jobs: map[string]*job.Job{},
 		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
-		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, announcements: map[string]*cancelAnnouncement{}, unannounced: map[string]*cancelAnnouncement{}, endRevisions: map[string]uint64{},
+		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, endRevisions: map[string]uint64{},
 		machines: worker.NewRegistry(), agents: newAgentSessions(),
 		startLedgers: newStartLedgers(), tokens: newFencingTokens(),
 		rebalancer: newRebalancer(), orphanLookups: map[string]bool{},
-		peers: map[string]*peerState{}, storeOK: true,
-		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newAutoscaler(), relay: storeRelay{inboxes: map[string]*relayInbox{}}, stats: jobstats.New(),
+		announcements: newAnnouncementSet(), peers: newPeerTable(cfg), storeOK: true,
+		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newAutoscaler(), relay: newStoreRelay(), returns: newMachineReturns(), stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
 	}
 	c.fleet = &shard{name: fleetName, key: keyFleet}
-	for _, p := range cfg.Peers {
-		c.peers[p.Node] = &peerState{}
-	}
 	c.dependencies = newDependencies()
 	c.upgrade = newUpgradeTracker(c.members.roster)
 	return c
@@ -173,7 +169,7 @@
 	case PeerConnected:
 		c.peerConnected(m.Node)
 	case PeerDisconnected:
-		c.peers[m.Node].connected = false
+		c.peers.setConnected(m.Node, false)
 	case DeliveryResult:
 		c.handleDelivery(m)
 	case CatalogReceived:
--- a/internal/core/dark_test.go
+++ b/internal/core/dark_test.go
@@ -42,7 +42,7 @@
 		c := nearZ2(t)
 		c.now.Steady += k.quiet
 		for _, n := range k.heard {
-			c.peers[n].lastContact = c.now.Steady
+			c.peers.get(n).lastContact = c.now.Steady
 		}
 		delete(c.members.live, "b") // what is not heard has lost its lease
 		delete(c.members.live, "c")
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -211,7 +211,7 @@
 	c.checkIsolation()
 	c.now.Steady += 5 * time.Second
 	away := func(machine, zone string) bool {
-		return c.redirects(&protocol.Report{Machine: machine, Zone: zone})
+		return c.isolation.redirect(machine, zone, c.now.Steady, c.reportInterval())
 	}
 	for range 3 {
 		if away("vm-1", "z1") {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -19,7 +19,7 @@
 		c.answerStaleReport(heartbeat)
 		return
 	}
-	if c.redirects(report) {
+	if c.isolation.redirect(report.Machine, report.Zone, c.now.Steady, c.reportInterval()) {
 		c.replyUnavailable(heartbeat.Req)
 		return
 	}
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -1,51 +1,60 @@
 package core
 
-import (
-	"time"
+import "time"
 
-	"pepperlever/internal/protocol"
-)
-
-// lonely is what a controller keeps that has lost the state service and all other
-// controllers, but not its workers. It knows of no cancellation and no new home any
-// more, and the others know nothing of its machines: they would have them given back
-// with all that runs on them. So it sends each worker on to another controller, once:
+// isolationDetector follows whether this controller has lost the store and all other
+// controllers, but not its workers. It then learns of no cancellation and no new leader
+// any more, and the others learn nothing of its machines and would return them with all
+// that runs on them. So it redirects each worker to another controller, once:
 // one that comes back has found none, and is answered as before.
 //
-// In a zone that is cut off it must not: there its workers have nowhere to go, and
-// looking for it would cost them their leases. What tells the two apart is that machines
-// of a second zone go on reporting here.
-type isolation struct {
+// In a zone that is cut off it must not: there workers have nowhere to go, and a search
+// would cost them their leases. Machines of a second zone that go on reporting here
+// show that this is not the case.
+type isolationDetector struct {
+	isolated bool
+	// since is when the isolation began.
 	since time.Duration
+	// zones holds the zones of the workers that have reported since.
 	zones map[string]bool
-	sent  map[string]bool
+	// redirected holds the workers that have been sent to another controller.
+	redirected map[string]bool
 }
 
-// checkIsolation follows whether this node is alone.
-func (c *Core) checkIsolation() {
-	alone := !c.storeOK && len(c.peers) > 0
-	for node := range c.peers {
-		alone = alone && !c.inDirectContact(node)
+// update notes whether the controller is isolated now, and tells whether that has just begun.
+func (d *isolationDetector) update(isolated bool, now time.Duration) (began bool) {
+	if !isolated {
+		*d = isolationDetector{}
+		return false
 	}
-	switch l := &c.isolation; {
-	case !alone:
-		c.isolation = isolation{}
-	case l.zones == nil:
-		c.log(Info, "neither the state service nor another controller is heard", "does", "sends workers on, once each, if more than one zone reports here")
-		c.isolation = isolation{since: c.now.Steady, zones: map[string]bool{}, sent: map[string]bool{}}
+	if d.isolated {
+		return false
 	}
+	*d = isolationDetector{isolated: true, since: now, zones: map[string]bool{}, redirected: map[string]bool{}}
+	return true
 }
 
-// redirects tells whether a worker is to look for another controller.
-func (c *Core) redirects(r *protocol.Report) bool {
-	l := &c.isolation
-	if l.zones == nil || c.now.Steady-l.since < c.reportInterval() {
+// redirect tells whether a worker that reports is to look for another controller.
+// Isolation has to last for minDuration first.
+func (d *isolationDetector) redirect(machine, zone string, now, minDuration time.Duration) bool {
+	if !d.isolated || now-d.since < minDuration {
 		return false
 	}
-	l.zones[r.Zone] = true
-	if len(l.zones) < 2 || l.sent[r.Machine] {
+	d.zones[zone] = true
+	if len(d.zones) < 2 || d.redirected[machine] {
 		return false
 	}
-	l.sent[r.Machine] = true
+	d.redirected[machine] = true
 	return true
 }
+
+// checkIsolation follows whether this node is isolated.
+func (c *Core) checkIsolation() {
+	isolated := !c.storeOK && len(c.peers.names) > 0
+	for _, node := range c.peers.names {
+		isolated = isolated && !c.inDirectContact(node)
+	}
+	if c.isolation.update(isolated, c.now.Steady) {
+		c.log(Info, "controller is isolated", "effect", "redirects each worker once if more than one zone reports here")
+	}
+}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -59,7 +59,7 @@
 	for i, s := range c.allShards() {
 		preferred := members.preferredLeader(i, len(c.handoffs.versions) > 0)
 		prefersSelf := preferred == members.self
-		connected := c.peers[preferred] != nil && c.peers[preferred].connected
+		connected := c.peers.isConnected(preferred)
 		switch {
 		case s.electing:
 		case !s.hasLeader(members) && (prefersSelf || s.leader == members.self):
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -59,11 +59,7 @@
 func (c *Core) resolveEnded(request lookup.Request) {
 	id := request.JobID
 	state := c.finalStates[id]
-	if c.unannounced[id] == nil {
-		c.announceCancel(id) // the watch may be all that told of it
-	}
-	if announcement := c.unannounced[id]; announcement != nil {
-		announcement.waiting = append(announcement.waiting, request)
+	if c.deferUntilAnnounced(request) {
 		return
 	}
 	request.Resolve(lookup.Result{Outcome: lookup.Final, State: state})
--- /dev/null
+++ b/internal/core/nodeheartbeat.go
@@ -0,0 +1,84 @@
+package core
+
+import "pepperlever/internal/core/fairness"
+
+// sendHeartbeat broadcasts this node's heartbeat, with the records of the teams that it
+// leads every record interval.
+func (c *Core) sendHeartbeat() {
+	b := c.newHeartbeat()
+	if c.every(&c.timers.share, usageRecordInterval) {
+		b.Records = c.ownRecords()
+	}
+	for id := range c.agents.all() {
+		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node && m.LastReport > c.heartbeatAt {
+			b.HeardMachines = append(b.HeardMachines, id)
+			b.ReportSeqs = append(b.ReportSeqs, m.Seq)
+		}
+	}
+	c.heartbeatAt = c.now.Steady
+	c.broadcast(PeerMessage{Heartbeat: &b})
+}
+
+// newHeartbeat makes a heartbeat with what it says both over connections and through the store.
+func (c *Core) newHeartbeat() NodeHeartbeat {
+	_, disconnected := c.peers.connections()
+	return NodeHeartbeat{
+		Revision:         c.revision,
+		StoreOK:          c.storeOK,
+		PendingWrites:    c.writeBudget.due,
+		ID:               c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady),
+		Acknowledgements: c.peers.heartbeatIDs(c.members.roster),
+		Unacknowledged:   c.nodesWithUnacknowledged(),
+		Unreachable:      c.unreachablePeers(),
+		Disconnected:     disconnected,
+	}
+}
+
+// nodesWithUnacknowledged names the controllers that this node has cancellations for which
+// they have not acknowledged.
+func (c *Core) nodesWithUnacknowledged() (out []string) {
+	for _, node := range c.members.roster {
+		if c.announcements.hasUnacknowledged(node, c.peers) {
+			out = append(out, node)
+		}
+	}
+	return out
+}
+
+// ownRecords returns the records of the teams that this node leads. From now on it ranks
+// by them, as the receivers do.
+func (c *Core) ownRecords() map[string]fairness.Record {
+	out := map[string]fairness.Record{}
+	for _, t := range c.teams {
+		if t.leading {
+			t.ranked = t.record
+			out[t.Name] = t.record
+		}
+	}
+	return out
+}
+
+// handleNodeHeartbeat takes in the heartbeat of another controller.
+func (c *Core) handleNodeHeartbeat(node string, b NodeHeartbeat) {
+	p := c.peers.get(node)
+	if p == nil {
+		return
+	}
+	p.applyHeartbeat(&b)
+	c.freshness.noteAcknowledgements(p, c.cfg.Node, &b)
+	for name, r := range b.Records {
+		if t := c.teamBy[name]; t != nil && !t.leading {
+			t.record, t.ranked = r, r
+		}
+	}
+	for i, id := range b.HeardMachines {
+		m := c.machines.Get(id)
+		if m == nil {
+			continue
+		}
+		if m.Node == node && i < len(b.ReportSeqs) {
+			m.AnnouncedSeq = max(m.AnnouncedSeq, b.ReportSeqs[i])
+		}
+		c.machines.RecordContact(m, false, c.now.Steady)
+	}
+}
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -139,11 +139,9 @@
 // peersTakingWorkers lists the controllers that workers can be sent to.
 func (c *Core) peersTakingWorkers() []string {
 	var out []string
-	for _, peer := range c.cfg.Peers {
-		state := c.peers[peer.Node]
-		ready := state.connected && state.storeOK && c.inDirectContact(peer.Node)
-		if ready && !c.rebalancer.isBackedOff(peer.Node, c.now.Steady) {
-			out = append(out, peer.Node)
+	for _, node := range c.peers.names {
+		if c.peers.servesWorkers(node, c.now.Steady) && !c.rebalancer.isBackedOff(node, c.now.Steady) {
+			out = append(out, node)
 		}
 	}
 	return out
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -110,7 +110,7 @@
 // stays unproven is fenced, what must go is stopped, and what does not go is
 // given back with its machine.
 func (c *Core) reconcileAll() {
-	c.reapplyRelay()
+	c.reapplyRelayEntries()
 	for _, t := range c.teams {
 		if !t.leading {
 			c.stopCancelledJobs(t)
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -26,7 +26,7 @@
 	}
 	c.revision = max(c.revision, m.Revision)
 	c.dependencies.endReload()
-	c.replicaAdvanced()
+	c.freshness.replicaAdvanced(c.revision)
 	if !c.loaded {
 		c.checkLease()
 	}
@@ -63,13 +63,8 @@
 	for key := range c.handoffs.versions {
 		out[key] = true
 	}
-	for _, page := range c.relay.published.StoredPages() {
-		out[pageKey(c.cfg.Node, page)] = true
-	}
-	for node, r := range c.relay.inboxes {
-		for page := range r.pages {
-			out[pageKey(node, page)] = true
-		}
+	for _, key := range c.relay.keys(c.cfg.Node) {
+		out[key] = true
 	}
 	return out
 }
@@ -84,7 +79,7 @@
 		}
 	}
 	c.revision = max(c.revision, m.Revision)
-	c.replicaAdvanced()
+	c.freshness.replicaAdvanced(c.revision)
 }
 
 // onPut applies a stored value to the replica.
@@ -268,7 +263,7 @@
 		clear(c.endRevisions)
 	}
 	c.endRevisions[id] = revision
-	delete(c.announcements, id)
+	c.announcements.remove(id)
 }
 
 // rememberFinalState caches a final state, which never changes.
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -227,8 +227,8 @@
 // was bound to them.
 func (c *Core) handleRelease(m ReleaseResult) {
 	for _, id := range m.Machines {
-		if _, mine := c.scheduler.released[id]; mine && m.OK {
-			c.scheduler.returned[id] = true
+		if m.OK {
+			c.returns.confirm(id)
 		}
 	}
 	if !c.fleet.leading {
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -12,14 +12,8 @@
 type scheduler struct {
 	// dirty is set when something has changed that a round may act on, next is the earliest
 	// time of one.
-	dirty           bool
-	next            time.Duration
-	returnRequested map[string]time.Duration
-	// released is when this node last gave a machine back without a renter, returned
-	// holds those that the cloud has taken, returnMachineOf those to ask for next.
-	released map[string]time.Duration
-	returned map[string]bool
-	giveBack []string
+	dirty bool
+	next  time.Duration
 	// claims are the bindings made in this step, which other controllers are to be told of.
 	claims []Claim
 	// pendingDemand is the demand that found no room in the newest round.
@@ -33,10 +27,7 @@
 
 func newScheduler() scheduler {
 	return scheduler{
-		returnRequested: map[string]time.Duration{},
-		released:        map[string]time.Duration{},
-		returned:        map[string]bool{},
-		reservations:    newReservations(),
+		reservations: newReservations(),
 	}
 }
 
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -35,7 +35,7 @@
 	return StatisticsReport{
 		Rows:              c.stats.Rows(c.now.Steady),
 		LongestUnanswered: c.stats.LongestUnanswered(),
-		Unacknowledged:    c.unacknowledged(),
+		Unacknowledged:    c.announcements.unacknowledged(c.peers),
 		Staleness:         c.now.Steady - c.freshUntil(),
 		Pending:           c.pendingTasks(),
 		Counters:          c.counts,
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -85,9 +85,9 @@
 func (c *Core) jobWriteRate() float64 {
 	own := &c.writeBudget.due
 	all := *own
-	for node, p := range c.peers {
+	for node, pending := range c.peers.pendingWrites() {
 		if c.hasContact(node) {
-			for rank, changes := range p.pendingWrites {
+			for rank, changes := range pending {
 				all[rank] += changes
 			}
 		}
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -59,7 +59,7 @@
 func TestSwarmOfTheLowestPriorityLeavesTheChangesToUrgentStarts(t *testing.T) {
 	c := busyCore(4)
 	all := c.cfg.Params.State.WriteRPS * jobsShare
-	other := c.peers[c.cfg.Peers[0].Node]
+	other := c.peers.get(c.cfg.Peers[0].Node)
 	other.lastContact, other.pendingWrites = c.now.Steady, changesByRank{4: 500}
 	c.writeBudget.due = changesByRank{2: int(all)}
 	if got := c.jobWriteRate(); got < 0.9*all {
