--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,7 +10,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// dependencies is what this controller knows of jobs that await others (docs/chains.md).
+// dependencies is what this controller knows of jobs that await others (docs/dependencies.md).
 type dependencies struct {
 	graph *dependency.Graph
 	// lookingUp holds the awaited jobs whose state is being read.
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -13,7 +13,7 @@
 )
 
 // A machine whose reports arrive while nothing reaches it looked alive: it got tasks again
-// and again, and each was lost with its next lease (docs/endofday.md).
+// and again, and each was lost with its next lease (docs/fault-handling.md).
 func TestDeafMachineGetsNoWorkUntilItHears(t *testing.T) {
 	w, _ := partitionedWorld(t, 10, "req-free-first")
 	w.noCloud, w.taskTime = true, 5*time.Second
--- a/internal/core/refused_test.go
+++ b/internal/core/refused_test.go
@@ -168,7 +168,7 @@
 // The operators' first meeting: the state service refuses the leading controller alone,
 // another confirms a cancellation, then it is down for all, longer than cancel_s, while
 // workers keep reporting to the old leader. Only its watch told a controller of
-// cancellations (docs/cancel.md).
+// cancellations (docs/cancellation.md).
 func TestConfirmedCancellationsHoldWhileTheStateServiceIsOut(t *testing.T) {
 	for links := range linkTroubles {
 		for _, cloud := range []string{"well", "refusing"} {
--- a/internal/core/submitdependencies_test.go
+++ b/internal/core/submitdependencies_test.go
@@ -14,7 +14,7 @@
 // awaiting is the field of a submission that awaits jobs.
 func awaiting(ids ...string) string { return `,"awaits":["` + strings.Join(ids, `","`) + `"]` }
 
-// Every submission that awaits others has its stated answer (docs/chains.md).
+// Every submission that awaits others has its stated answer (docs/dependencies.md).
 func TestDependentSubmissionIsAnswered(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.taskTime = time.Minute
--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -1,7 +1,7 @@
 // Package federation hands jobs to other sites and brings their results back. It is
 // one site's part in that, for both roles, without input or output: messages,
 // replies of the state service and the time go in, effects come out.
-// docs/gateway.md has the design and what must hold.
+// docs/federation.md has the design and what must hold.
 package federation
 
 import (
