--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -146,16 +146,16 @@
 	for _, p := range s.Peers {
 		state := "waits for its records"
 		switch {
-		case p.Stopped != "":
-			state = "STOPPED: " + p.Stopped
+		case p.SuspendedReason != "":
+			state = "STOPPED: " + p.SuspendedReason
 		case p.Drained:
 			state = "drained"
 		case p.Busy:
 			state = "asks for a pause"
-		case p.Met:
+		case p.RecordsCompared:
 			state = "open"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.0f s\t%s\t%s\t%s\n", p.Site, state, p.Breaker, p.Retries, p.WaitS, formatCounts(p.Away), formatCounts(p.Taken), formatAge(p.OldestAt))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.0f s\t%s\t%s\t%s\n", p.Site, state, p.Breaker, p.Retries, p.LongestWaitS, formatCounts(p.Outgoing), formatCounts(p.Incoming), formatAge(p.OldestHandOffAt))
 	}
 	return t.Flush()
 }
@@ -186,7 +186,7 @@
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "JOB\tCLASS\tPEER\tEPOCH\tSTAGE\tAGE")
 	for _, h := range list {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\n", h.Job, h.Class, h.Peer, h.Epoch, h.Stage, formatAge(h.At))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\n", h.JobID, h.Class, h.Peer, h.Epoch, h.Stage, formatAge(h.Time))
 	}
 	return t.Flush()
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -62,7 +62,7 @@
 	case core.OperatorRequest:
 		if c.Op == core.ActionStatus {
 			return &core.Answer{Req: c.Req, Status: 200, Body: core.SiteStatus{Node: "a", Status: federation.Status{Site: "near",
-				Peers: []federation.PeerStatus{{Site: "far", Breaker: "open", Away: map[string]int{"offered": 2}, Retries: 7}}}}}
+				Peers: []federation.PeerStatus{{Site: "far", Breaker: "open", Outgoing: map[string]int{"offered": 2}, Retries: 7}}}}}
 		}
 		return &core.Answer{Req: c.Req, Status: 200, Body: string(c.Op) + " " + c.Name + " " + c.Reason}
 	}
--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -52,21 +52,21 @@
 		for _, side := range []struct {
 			name  string
 			count map[string]int
-		}{{"away", p.Away}, {"taken", p.Taken}} {
+		}{{"away", p.Outgoing}, {"taken", p.Incoming}} {
 			for _, stage := range slices.Sorted(maps.Keys(side.count)) {
 				fmt.Fprintf(&b, "pepperlever_gateway_handoffs{peer=%q,side=%q,stage=%q} %d\n", p.Site, side.name, stage, side.count[stage])
 			}
 		}
 		age := 0.0
-		if p.OldestAt > 0 {
-			age = time.Since(time.UnixMilli(p.OldestAt)).Seconds()
+		if p.OldestHandOffAt > 0 {
+			age = time.Since(time.UnixMilli(p.OldestHandOffAt)).Seconds()
 		}
 		fmt.Fprintf(&b, "pepperlever_gateway_oldest_seconds{peer=%q} %.0f\n", p.Site, age)
 		fmt.Fprintf(&b, "pepperlever_gateway_retries{peer=%q} %d\n", p.Site, p.Retries)
 		for _, state := range []string{"closed", "half-open", "open"} {
 			fmt.Fprintf(&b, "pepperlever_gateway_breaker{peer=%q,state=%q} %d\n", p.Site, state, one(p.Breaker == state))
 		}
-		fmt.Fprintf(&b, "pepperlever_gateway_stopped{peer=%q} %d\n", p.Site, one(p.Stopped != ""))
+		fmt.Fprintf(&b, "pepperlever_gateway_stopped{peer=%q} %d\n", p.Site, one(p.SuspendedReason != ""))
 	}
 	return []byte(b.String())
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -186,7 +186,7 @@
 		c.handleSiteMessage(m.Message)
 	case SiteConnected:
 		if c.federation != nil && c.federation.machine != nil {
-			c.federation.inputs = append(c.federation.inputs, federation.Reachable{Site: m.Site})
+			c.federation.inputs = append(c.federation.inputs, federation.PeerReachable{Site: m.Site})
 		}
 	case SiteConfig:
 		c.siteConfig(m.Config)
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -20,7 +20,7 @@
 type federationAdapter struct {
 	cfg     *federation.Config
 	shard   *shard
-	machine *federation.Machine
+	machine *federation.Coordinator
 	inputs  []federation.Input
 	// inFlight holds the machine's writes that are not answered; foreign the
 	// revisions at which its records changed otherwise, as far as known.
@@ -50,7 +50,7 @@
 }
 
 // limit sets what follows from the state service's limits.
-func (g *federationAdapter) limit(c *Core) { g.cfg.Drops = c.limits.maxChanges() - 1 }
+func (g *federationAdapter) limit(c *Core) { g.cfg.MaxForget = c.limits.maxChanges() - 1 }
 
 // open starts the machine, as this node has become its home: the mirror holds all
 // that an earlier one has stored.
@@ -61,7 +61,7 @@
 	clear(g.inFlight)
 	clear(g.foreign)
 	clear(g.asking)
-	g.inputs, g.loadAt = []federation.Input{federation.Loaded{Records: c.handoffs.Records}}, 0
+	g.inputs, g.loadAt = []federation.Input{federation.RecordsLoaded{Records: c.handoffs.Records}}, 0
 }
 
 // siteChanged notes a change of the records that did not come with the answer to a
@@ -84,7 +84,7 @@
 	if len(g.inFlight) == 0 && (len(g.foreign) > 0 || g.loadAt > 0 && c.now.Steady >= g.loadAt) {
 		clear(g.foreign)
 		g.loadAt = 0
-		g.inputs = append(g.inputs, federation.Loaded{Records: c.handoffs.Records})
+		g.inputs = append(g.inputs, federation.RecordsLoaded{Records: c.handoffs.Records})
 	}
 	for len(g.inputs) > 0 || c.every(&g.tickAt, c.reportInterval()/30) {
 		in := g.inputs
@@ -101,23 +101,23 @@
 func (c *Core) carryOutFederation(e federation.Effect) {
 	g := c.federation
 	switch e := e.(type) {
-	case federation.Store:
+	case federation.StoreWrite:
 		c.siteStore(e)
 	case federation.Reload:
 		g.loadAt = c.now.Steady + c.reportInterval()/6
 	case federation.Send:
-		if k, ok := c.handoffs.Taken[federation.Hold{Origin: e.Message.To, Epoch: e.Message.Epoch}]; ok && e.Message.Accepted {
-			s := c.jobProgress(k.Local)
+		if k, ok := c.handoffs.Incoming[federation.IncomingID{Origin: e.Message.To, Epoch: e.Message.Epoch}]; ok && e.Message.Accepted {
+			s := c.jobProgress(k.LocalID)
 			e.Message.Done, e.Message.Running = s.Done, s.Running
 		}
 		c.emit(SendSite{Message: e.Message})
-	case federation.CancelHere:
-		c.cancel(Cancel{ID: e.Local})
+	case federation.CancelLocal:
+		c.cancel(Cancel{ID: e.LocalID})
 	case federation.Answer:
 		c.siteAnswer(e)
 	case federation.Log:
 		level := Info
-		if e.Bad {
+		if e.IsError {
 			level = Error
 		}
 		c.log(level, e.Text, e.Attrs...)
@@ -136,14 +136,14 @@
 		}
 		return
 	}
-	in := federation.Received{Message: m}
-	if m.Kind == federation.Offered && m.Ticket != nil {
+	in := federation.MessageReceived{Message: m}
+	if m.Kind == federation.KindOffer && m.Ticket != nil {
 		if !c.catalog.Loaded() {
 			return // it is offered again
 		}
-		in.Unfit = c.unfit(m.Ticket)
+		in.Infeasible = c.unfit(m.Ticket)
 	}
-	if job, ok := g.machine.Job(m.From, m.Epoch); ok && m.Kind == federation.Decided && m.Accepted {
+	if job, ok := g.machine.OutgoingJob(m.From, m.Epoch); ok && m.Kind == federation.KindDecision && m.Accepted {
 		c.progressed(job, Progress{m.Done, m.Running})
 		c.broadcast(PeerMessage{Federation: &FederationNote{Progress: map[string]Progress{job: c.handoffs.progress[job]}}})
 	}
@@ -152,7 +152,7 @@
 
 // progressed notes how a job that is away gets on. What was done stays done.
 func (c *Core) progressed(id string, p Progress) {
-	if _, away := c.handoffs.Away[id]; away {
+	if _, away := c.handoffs.Outgoing[id]; away {
 		p.Done = max(p.Done, c.handoffs.progress[id].Done)
 		c.handoffs.progress[id] = p
 	}
@@ -162,7 +162,7 @@
 // anything said of it might be older than what its user was told before.
 func (c *Core) outgoingUnconfirmed(id string) bool {
 	_, told := c.handoffs.progress[id]
-	return c.handoffs.Away[id].Accepted && !told
+	return c.handoffs.Outgoing[id].Accepted && !told
 }
 
 // unfit tells why a job of another site can never run here, or nothing.
@@ -183,13 +183,13 @@
 // canRunElsewhere tells whether a job that can never run here may go to a site that has
 // what it asks for.
 func (c *Core) canRunElsewhere(s *job.Spec) bool {
-	return c.federation != nil && len(s.Awaits) == 0 && c.federation.cfg.Elsewhere(s.Class, s.Zone, s.Types)
+	return c.federation != nil && len(s.Awaits) == 0 && c.federation.cfg.CanRunElsewhere(s.Class, s.Zone, s.Types)
 }
 
 // feedFederation tells the machine which jobs wait, and which accepted ones have ended.
 func (c *Core) feedFederation() {
 	g := c.federation
-	w := federation.Waiting{}
+	w := federation.JobsWaiting{}
 	var jobs []*job.Job
 	for _, t := range c.teams {
 		for _, j := range ordered(t.jobs) {
@@ -197,7 +197,7 @@
 				continue
 			}
 			if waited := c.now.Steady - j.WaitingSince; !j.Suspected && !isBestEffort(j) {
-				w.WaitS = max(w.WaitS, waited.Seconds())
+				w.LongestWaitS = max(w.LongestWaitS, waited.Seconds())
 			}
 			jobs = append(jobs, j)
 		}
@@ -211,19 +211,19 @@
 				break
 			}
 			never := c.catalog.Loaded() && c.submissionCheck().reject(c.teamBy[j.Team], &j.Spec) != nil
-			if waited := c.now.Steady - j.WaitingSince; never || g.cfg.Goes(j.Class, waited) {
+			if waited := c.now.Steady - j.WaitingSince; never || g.cfg.MayOffer(j.Class, waited) {
 				w.Jobs = append(w.Jobs, c.offerable(j, waited, never))
 			}
 		}
 	}
 	g.inputs = append(g.inputs, w)
-	for _, k := range orderedBy(c.handoffs.Taken, federation.CompareHolds) {
-		if k.Accepted && k.State == "" && !g.asking[k.Local] && (c.jobs[k.Local] == nil || c.jobs[k.Local].Cancelled) {
-			g.asking[k.Local] = true
-			c.lookUp(k.Local, func(result lookup.Result) {
-				delete(g.asking, k.Local)
+	for _, k := range orderedBy(c.handoffs.Incoming, federation.CompareIncomingIDs) {
+		if k.Accepted && k.FinalState == "" && !g.asking[k.LocalID] && (c.jobs[k.LocalID] == nil || c.jobs[k.LocalID].Cancelled) {
+			g.asking[k.LocalID] = true
+			c.lookUp(k.LocalID, func(result lookup.Result) {
+				delete(g.asking, k.LocalID)
 				if result.Outcome == lookup.Final && g.machine != nil {
-					g.inputs = append(g.inputs, federation.EndedHere{Local: k.Local, State: result.State.State})
+					g.inputs = append(g.inputs, federation.LocalJobEnded{LocalID: k.LocalID, FinalState: result.State.State})
 				}
 			})
 		}
@@ -239,10 +239,10 @@
 	return j.Attempt == 0 && len(j.Bound) == 0 && !j.Cancelled && !j.InFlight && j.Version > 0 && len(j.Awaits) == 0 && !c.isOutgoing(j.ID)
 }
 
-func (c *Core) offerable(j *job.Job, waited time.Duration, never bool) federation.Job {
-	out := federation.Job{ID: j.ID, Class: j.Class, Waited: waited, Zone: j.Zone, Types: j.Types, Elsewhere: never}
-	if h, ok := federation.ParseLocal(j.ID); ok {
-		out.Path = c.handoffs.Taken[h].Path
+func (c *Core) offerable(j *job.Job, waited time.Duration, never bool) federation.WaitingJob {
+	out := federation.WaitingJob{ID: j.ID, Class: j.Class, Waited: waited, Zone: j.Zone, Types: j.Types, InfeasibleHere: never}
+	if h, ok := federation.ParseLocalID(j.ID); ok {
+		out.Path = c.handoffs.Incoming[h].Path
 	}
 	s := j.Spec
 	if s.DeadlineS > 0 { // clocks of sites differ, so what is left is told
@@ -285,7 +285,7 @@
 			c.progressed(id, p)
 		}
 	case n.Cancel != "" && g.machine != nil:
-		g.inputs = append(g.inputs, federation.Cancel{Job: n.Cancel})
+		g.inputs = append(g.inputs, federation.CancelRequested{JobID: n.Cancel})
 	case n.Request != nil && g.machine != nil:
 		c.siteOperate(operator{from, n.Request.Req}, *n.Request)
 	case n.Reply != nil:
@@ -300,7 +300,7 @@
 	case g == nil:
 		c.reply(m.Req, http.StatusNotFound, protocol.Problem{Error: "this controller has no gateway"})
 	case m.Op == ActionHandoffs:
-		c.reply(m.Req, http.StatusOK, federation.HandOffs(&c.handoffs.Records))
+		c.reply(m.Req, http.StatusOK, federation.ListHandOffs(&c.handoffs.Records))
 	case g.machine != nil:
 		c.siteOperate(operator{c.cfg.Node, m.Req}, m)
 	case g.shard.leader == "":
@@ -324,11 +324,11 @@
 	g.asked[g.nextID] = q
 	switch m.Op {
 	case ActionGiveUp:
-		g.inputs = append(g.inputs, federation.GiveUp{Req: g.nextID, Job: m.Name, Operator: m.Operator, Why: m.Reason})
+		g.inputs = append(g.inputs, federation.GiveUp{Req: g.nextID, JobID: m.Name, Operator: m.Operator, Reason: m.Reason})
 	case ActionDrain:
-		g.inputs = append(g.inputs, federation.Drain{Req: g.nextID, Site: federation.Site(m.Name), On: m.On})
+		g.inputs = append(g.inputs, federation.Drain{Req: g.nextID, Site: federation.Site(m.Name), Drained: m.On})
 	case ActionRenew:
-		g.inputs = append(g.inputs, federation.Renew{Req: g.nextID, Site: federation.Site(m.Name), Operator: m.Operator, Why: m.Reason})
+		g.inputs = append(g.inputs, federation.Renew{Req: g.nextID, Site: federation.Site(m.Name), Operator: m.Operator, Reason: m.Reason})
 	}
 }
 
@@ -339,8 +339,8 @@
 		return
 	}
 	delete(c.federation.asked, a.Req)
-	if a.Err != "" {
-		c.siteTell(q, http.StatusConflict, protocol.Problem{Error: a.Err})
+	if a.Error != "" {
+		c.siteTell(q, http.StatusConflict, protocol.Problem{Error: a.Error})
 		return
 	}
 	c.siteTell(q, http.StatusOK, OperatorResult{Message: a.State})
@@ -364,7 +364,7 @@
 	g.cfg = cfg
 	g.limit(c)
 	if g.machine != nil {
-		g.inputs = append(g.inputs, federation.Configured{Config: cfg})
+		g.inputs = append(g.inputs, federation.ConfigChanged{Config: cfg})
 	}
-	c.log(Info, "gateway file taken", "peers", len(cfg.Peers), "classes", len(cfg.Class))
+	c.log(Info, "gateway file taken", "peers", len(cfg.Peers), "classes", len(cfg.Classes))
 }
--- a/internal/core/federation_test.go
+++ b/internal/core/federation_test.go
@@ -33,8 +33,8 @@
 	for _, n := range nodeNames {
 		cfg := federation.Default()
 		cfg.Site, cfg.RetryS, cfg.RetryMaxS = "near", 1, 4
-		cfg.Peers = []federation.Peer{{Site: "far", AtOnce: 10, Takes: 10, Zones: []string{"z9"}}}
-		cfg.Class = []federation.Class{{Name: "k", To: []federation.Site{"far"}, Accept: []federation.Site{"far"}, Repeat: true, AfterS: 3600}}
+		cfg.Peers = []federation.Peer{{Site: "far", MaxOutgoing: 10, MaxIncoming: 10, Zones: []string{"z9"}}}
+		cfg.Classes = []federation.Class{{Name: "k", To: []federation.Site{"far"}, AcceptFrom: []federation.Site{"far"}, AllowsRepeat: true, OfferAfterS: 3600}}
 		w.gateways[n] = &cfg
 	}
 	for _, n := range nodeNames {
@@ -42,7 +42,7 @@
 	}
 	f := &far{w: w, taken: map[federation.Epoch]federation.Message{}, end: func() string { return "" }}
 	f.decide = func(m federation.Message) federation.Message {
-		return federation.Message{Kind: federation.Decided, Accepted: true, Done: 1, Running: 2}
+		return federation.Message{Kind: federation.KindDecision, Accepted: true, Done: 1, Running: 2}
 	}
 	w.ready()
 	return w, f
@@ -66,19 +66,19 @@
 func (f *far) hear(m federation.Message) {
 	answer, known := f.taken[m.Epoch]
 	switch {
-	case m.Kind == federation.Asked:
-		f.say(federation.Message{Kind: federation.Viewed, Nonce: m.Nonce, View: &federation.View{}})
+	case m.Kind == federation.KindViewRequest:
+		f.say(federation.Message{Kind: federation.KindView, Nonce: m.Nonce, View: &federation.View{}})
 		return
-	case m.Kind == federation.CancelAsked && !known:
-		answer = federation.Message{Kind: federation.Decided, Reason: "cancelled"}
-	case m.Kind == federation.Offered && !known:
+	case m.Kind == federation.KindCancel && !known:
+		answer = federation.Message{Kind: federation.KindDecision, Reason: "cancelled"}
+	case m.Kind == federation.KindOffer && !known:
 		answer = f.decide(m)
-	case m.Kind != federation.Offered && m.Kind != federation.CancelAsked:
+	case m.Kind != federation.KindOffer && m.Kind != federation.KindCancel:
 		return
 	}
 	f.taken[m.Epoch] = answer
 	if state := f.end(); answer.Accepted && state != "" {
-		answer = federation.Message{Kind: federation.Ended, State: state}
+		answer = federation.Message{Kind: federation.KindResult, State: state}
 	}
 	answer.Epoch = m.Epoch
 	f.say(answer)
@@ -167,10 +167,10 @@
 func TestRefusedJobRunsAtHome(t *testing.T) {
 	w, f := joined(t)
 	for _, n := range nodeNames {
-		w.gateways[n].Class[0].AfterS = 0
+		w.gateways[n].Classes[0].OfferAfterS = 0
 	}
 	f.decide = func(federation.Message) federation.Message {
-		return federation.Message{Kind: federation.Decided, Reason: "not today"}
+		return federation.Message{Kind: federation.KindDecision, Reason: "not today"}
 	}
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
@@ -187,7 +187,7 @@
 	w, f := joined(t)
 	f.play(10*time.Second, func() bool { return false })
 	offer := func(epoch federation.Epoch, body string) federation.Message {
-		return federation.Message{Kind: federation.Offered, Epoch: epoch, Ticket: &federation.Ticket{Origin: "far", To: "near", Job: "req-x",
+		return federation.Message{Kind: federation.KindOffer, Epoch: epoch, Ticket: &federation.Ticket{Origin: "far", To: "near", JobID: "req-x",
 			Class: "k", Epoch: epoch, Path: []federation.Site{"far"}, Body: json.RawMessage(body)}}
 	}
 	told := func(kind federation.Kind, epoch federation.Epoch) *federation.Message {
@@ -200,11 +200,11 @@
 	f.say(offer(1, submission("req-x", "red", 2, "")))
 	f.say(offer(2, submission("req-x", "nobody", 2, "")))
 	f.say(offer(3, submission("req-x", "red", 2, elsewhere)))
-	if !f.play(time.Minute, func() bool { return told(federation.Ended, 1) != nil }) || told(federation.Ended, 1).State != protocol.Done {
+	if !f.play(time.Minute, func() bool { return told(federation.KindResult, 1) != nil }) || told(federation.KindResult, 1).State != protocol.Done {
 		t.Fatal("its end is not told")
 	}
 	for epoch, why := range map[federation.Epoch]string{2: "team is unknown", 3: "zone is unknown"} {
-		if m := told(federation.Decided, epoch); m == nil || m.Accepted || m.Reason != why {
+		if m := told(federation.KindDecision, epoch); m == nil || m.Accepted || m.Reason != why {
 			t.Errorf("epoch %d: %+v", epoch, m)
 		}
 	}
@@ -217,9 +217,11 @@
 		t.Errorf("a user's job with such an id got %d", a.Status)
 	}
 	w.startedOnce()
-	f.say(federation.Message{Kind: federation.Closed, Epoch: 1, Floor: 3})
-	if !f.play(time.Minute, func() bool { return len(w.cores["a"].handoffs.Taken) == 0 && w.cores["b"].handoffs.Floors["far"] == 3 }) {
-		t.Errorf("not forgotten: %v", w.cores["a"].handoffs.Taken)
+	f.say(federation.Message{Kind: federation.KindClosed, Epoch: 1, LowWaterMark: 3})
+	if !f.play(time.Minute, func() bool {
+		return len(w.cores["a"].handoffs.Incoming) == 0 && w.cores["b"].handoffs.LowWaterMarks["far"] == 3
+	}) {
+		t.Errorf("not forgotten: %v", w.cores["a"].handoffs.Incoming)
 	}
 }
 
@@ -258,7 +260,7 @@
 	w, f := joined(t)
 	f.decide = func(federation.Message) federation.Message {
 		w.lostReplies = 1 + len(f.taken)%3 // the next writes, of whoever it is
-		return federation.Message{Kind: federation.Decided, Accepted: true}
+		return federation.Message{Kind: federation.KindDecision, Accepted: true}
 	}
 	f.end = func() string { w.lostReplies++; return protocol.Done }
 	for i := range 5 {
@@ -281,7 +283,7 @@
 // Bindings, hand-offs and cancellations meet in the state service, whatever the
 // controllers have heard by then.
 func TestHandOffsMeetBindingsAndCancellations(t *testing.T) {
-	away := federation.Away{Epoch: 1, To: "far", Accepted: true}
+	away := federation.Outgoing{Epoch: 1, To: "far", Accepted: true}
 	for name, c := range map[string]struct {
 		more   string
 		before func(w *world)
@@ -319,7 +321,7 @@
 // A job that is away is not even tried to be placed.
 func TestJobThatIsAwayIsNotPlaced(t *testing.T) {
 	w, f := joined(t)
-	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: mustMarshal(federation.Away{Epoch: 1, To: "far"})})
+	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: mustMarshal(federation.Outgoing{Epoch: 1, To: "far"})})
 	f.play(time.Second, func() bool { return false })
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -10,12 +10,12 @@
 
 // siteStore carries out one write of the gateway: a transaction on the condition
 // that this node is still its home, and on the records as the mirror has them.
-func (c *Core) siteStore(s federation.Store) {
+func (c *Core) siteStore(s federation.StoreWrite) {
 	g := c.federation
 	machine := g.machine
 	txn, ok := c.siteTxn(s.Write)
 	if !ok {
-		g.inputs = append(g.inputs, federation.Stored{ID: s.ID, Outcome: federation.Conflict})
+		g.inputs = append(g.inputs, federation.WriteCompleted{ID: s.ID, Outcome: federation.Conflict})
 		return
 	}
 	txn.If = append(txn.If, g.shard.leaderCondition())
@@ -25,7 +25,7 @@
 			return // this node has been deposed since; the mirror follows the watch
 		}
 		delete(g.inFlight, s.ID)
-		out := federation.Stored{ID: s.ID, Outcome: federation.Unknown}
+		out := federation.WriteCompleted{ID: s.ID, Outcome: federation.Unknown}
 		switch r.Outcome {
 		case Applied:
 			out.Outcome = federation.Applied
@@ -56,11 +56,11 @@
 
 // handOver tells the home of an accepted job's team at once.
 func (c *Core) handOver(w federation.Write, revision uint64) {
-	d, ok := w.(federation.Decide)
-	if !ok || !d.Taken.Accepted {
+	d, ok := w.(federation.DecideIncoming)
+	if !ok || !d.Incoming.Accepted {
 		return
 	}
-	if j := c.jobs[d.Taken.Local]; j != nil {
+	if j := c.jobs[d.Incoming.LocalID]; j != nil {
 		c.broadcastAccepted(protocol.KeyValue{Key: jobKey(j.ID), Value: j.Head(), Version: revision})
 	}
 }
@@ -69,32 +69,32 @@
 // fail.
 func (c *Core) siteTxn(w federation.Write) (protocol.Txn, bool) {
 	switch w := w.(type) {
-	case federation.MakeAway:
+	case federation.CreateOutgoing:
 		return c.makeAway(w)
-	case federation.MarkTold:
-		return c.changeAway(w.Job, w.Epoch, func(a *federation.Away) { a.Accepted = true })
-	case federation.MarkCancel:
-		return c.changeAway(w.Job, w.Epoch, func(a *federation.Away) { a.CancelAsked = true })
-	case federation.TakeBack:
+	case federation.MarkAccepted:
+		return c.changeAway(w.JobID, w.Epoch, func(a *federation.Outgoing) { a.Accepted = true })
+	case federation.MarkCancelRequested:
+		return c.changeAway(w.JobID, w.Epoch, func(a *federation.Outgoing) { a.CancelRequested = true })
+	case federation.RevertOutgoing:
 		return c.takeBack(w)
-	case federation.Finish:
+	case federation.FinishOutgoing:
 		return c.finishAway(w)
-	case federation.Decide:
+	case federation.DecideIncoming:
 		return c.decide(w)
-	case federation.NoteEnd:
-		k, there := c.handoffs.Taken[w.Hold]
-		k.State = w.State
-		return protocol.Txn{If: c.asMirrored(takenKey(w.Hold)), Then: []protocol.Change{putJSON(takenKey(w.Hold), k)}}, there
-	case federation.Forget:
+	case federation.FinishIncoming:
+		k, there := c.handoffs.Incoming[w.ID]
+		k.FinalState = w.FinalState
+		return protocol.Txn{If: c.asMirrored(takenKey(w.ID)), Then: []protocol.Change{putJSON(takenKey(w.ID), k)}}, there
+	case federation.ForgetIncoming:
 		return c.forget(w)
-	case federation.SetDrain:
+	case federation.SetDrained:
 		change := protocol.Change{Delete: drainedKey(w.Site)}
-		if w.On {
+		if w.Drained {
 			change = putJSON(drainedKey(w.Site), struct{}{})
 		}
 		return protocol.Txn{If: c.asMirrored(drainedKey(w.Site)), Then: []protocol.Change{change}}, true
-	case federation.SetLast:
-		return protocol.Txn{If: c.asMirrored(lastKey(w.Site)), Then: []protocol.Change{putJSON(lastKey(w.Site), w.Last)}}, true
+	case federation.SetLastEpoch:
+		return protocol.Txn{If: c.asMirrored(lastKey(w.Site)), Then: []protocol.Change{putJSON(lastKey(w.Site), w.Epoch)}}, true
 	}
 	panic("core: unknown write of the gateway")
 }
@@ -110,13 +110,13 @@
 
 // makeAway gives the right away. That the head is unchanged shows that nothing is
 // bound; a binding that comes later finds the record.
-func (c *Core) makeAway(w federation.MakeAway) (protocol.Txn, bool) {
-	j := c.jobs[w.Job]
-	if j == nil || !c.untouched(j) || !c.members.allKnowFederation() || w.Away.Epoch != c.handoffs.Last[w.Away.To]+1 {
+func (c *Core) makeAway(w federation.CreateOutgoing) (protocol.Txn, bool) {
+	j := c.jobs[w.JobID]
+	if j == nil || !c.untouched(j) || !c.members.allKnowFederation() || w.Outgoing.Epoch != c.handoffs.LastEpochs[w.Outgoing.To]+1 {
 		return protocol.Txn{}, false
 	}
-	a := w.Away
-	a.At = c.now.Wall
+	a := w.Outgoing
+	a.HandedOffAt = c.now.Wall
 	return protocol.Txn{
 		If: append(c.asMirrored(lastKey(a.To), awayKey(j.ID)), protocol.Condition{Key: jobKey(j.ID), Version: j.Version},
 			protocol.Condition{Key: cancelKey(j.ID)}, protocol.Condition{Key: keyState + j.ID}),
@@ -126,31 +126,31 @@
 
 // awayUnder tells whether the mirror shows a job to be away under an epoch.
 func (c *Core) awayUnder(id string, e federation.Epoch) bool {
-	a, there := c.handoffs.Away[id]
+	a, there := c.handoffs.Outgoing[id]
 	return there && a.Epoch == e
 }
 
 // changeAway changes the record of a job that is away under an epoch.
-func (c *Core) changeAway(id string, e federation.Epoch, change func(*federation.Away)) (protocol.Txn, bool) {
-	a := c.handoffs.Away[id]
+func (c *Core) changeAway(id string, e federation.Epoch, change func(*federation.Outgoing)) (protocol.Txn, bool) {
+	a := c.handoffs.Outgoing[id]
 	change(&a)
 	return protocol.Txn{If: c.asMirrored(awayKey(id)), Then: []protocol.Change{putJSON(awayKey(id), a)}}, c.awayUnder(id, e)
 }
 
 // takeBack brings the right home, or ends the job if its user wanted that.
-func (c *Core) takeBack(w federation.TakeBack) (protocol.Txn, bool) {
-	held := c.awayUnder(w.Job, w.Epoch)
+func (c *Core) takeBack(w federation.RevertOutgoing) (protocol.Txn, bool) {
+	held := c.awayUnder(w.JobID, w.Epoch)
 	if w.Cancelled {
-		return c.endAway(w.Job, protocol.Cancelled), held
+		return c.endAway(w.JobID, protocol.Cancelled), held
 	}
-	return protocol.Txn{If: c.asMirrored(awayKey(w.Job)), Then: []protocol.Change{{Delete: awayKey(w.Job)}}}, held
+	return protocol.Txn{If: c.asMirrored(awayKey(w.JobID)), Then: []protocol.Change{{Delete: awayKey(w.JobID)}}}, held
 }
 
-func (c *Core) finishAway(w federation.Finish) (protocol.Txn, bool) {
-	if c.jobs[w.Job] == nil {
+func (c *Core) finishAway(w federation.FinishOutgoing) (protocol.Txn, bool) {
+	if c.jobs[w.JobID] == nil {
 		return protocol.Txn{}, false
 	}
-	return c.endAway(w.Job, w.State), c.awayUnder(w.Job, w.Epoch)
+	return c.endAway(w.JobID, w.FinalState), c.awayUnder(w.JobID, w.Epoch)
 }
 
 // endAway stores the final state of a job that is away. A cancelled one's head is
@@ -167,11 +167,11 @@
 }
 
 // decide stores a decision for good, with the job if it is accepted.
-func (c *Core) decide(w federation.Decide) (protocol.Txn, bool) {
-	k := w.Taken
-	k.At = c.now.Wall
-	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Hold.Origin), takenKey(w.Hold)), Then: []protocol.Change{putJSON(takenKey(w.Hold), k)}}
-	_, decided := c.handoffs.Taken[w.Hold]
+func (c *Core) decide(w federation.DecideIncoming) (protocol.Txn, bool) {
+	k := w.Incoming
+	k.DecidedAt = c.now.Wall
+	txn := protocol.Txn{If: c.asMirrored(floorKey(w.ID.Origin), takenKey(w.ID)), Then: []protocol.Change{putJSON(takenKey(w.ID), k)}}
+	_, decided := c.handoffs.Incoming[w.ID]
 	if !k.Accepted {
 		return txn, !decided
 	}
@@ -179,7 +179,7 @@
 	if err != nil || decided {
 		return txn, false
 	}
-	s.ID, s.Accepted = k.Local, c.now.Wall
+	s.ID, s.Accepted = k.LocalID, c.now.Wall
 	txn.If = append(txn.If, protocol.Condition{Key: jobKey(s.ID)}, protocol.Condition{Key: keyState + s.ID})
 	txn.Then = append(txn.Then, protocol.Change{Put: jobKey(s.ID), Value: json.RawMessage(c.newJob(*s).Head())})
 	return txn, true
@@ -187,9 +187,9 @@
 
 // forget drops decisions. The final states of the jobs stay, as any job's: workers
 // that come back late are told by them what to stop.
-func (c *Core) forget(w federation.Forget) (protocol.Txn, bool) {
-	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Origin)), Then: []protocol.Change{putJSON(floorKey(w.Origin), w.Floor)}}
-	for _, h := range w.Drop {
+func (c *Core) forget(w federation.ForgetIncoming) (protocol.Txn, bool) {
+	txn := protocol.Txn{If: c.asMirrored(floorKey(w.Origin)), Then: []protocol.Change{putJSON(floorKey(w.Origin), w.LowWaterMark)}}
+	for _, h := range w.IDs {
 		txn.Then = append(txn.Then, protocol.Change{Delete: takenKey(h)})
 	}
 	return txn, true
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -22,7 +22,7 @@
 )
 
 func awayKey(id string) string { return keyAway + id }
-func takenKey(h federation.Hold) string {
+func takenKey(h federation.IncomingID) string {
 	return keyTaken + string(h.Origin) + "/" + epochText(h.Epoch)
 }
 func floorKey(s federation.Site) string   { return keyFloor + string(s) }
@@ -45,14 +45,14 @@
 }
 
 func newSiteRecords() handoffRecords {
-	return handoffRecords{Records: federation.Records{Last: map[federation.Site]federation.Epoch{}, Away: map[string]federation.Away{},
-		Taken: map[federation.Hold]federation.Taken{}, Floors: map[federation.Site]federation.Epoch{}, Drained: map[federation.Site]bool{}},
+	return handoffRecords{Records: federation.Records{LastEpochs: map[federation.Site]federation.Epoch{}, Outgoing: map[string]federation.Outgoing{},
+		Incoming: map[federation.IncomingID]federation.Incoming{}, LowWaterMarks: map[federation.Site]federation.Epoch{}, Drained: map[federation.Site]bool{}},
 		versions: map[string]uint64{}, gone: map[string]uint64{}, unconfirmed: map[string]time.Duration{}, progress: map[string]Progress{}}
 }
 
 // isOutgoing tells whether another site has the right to a job.
 func (c *Core) isOutgoing(id string) bool {
-	if _, away := c.handoffs.Away[id]; away {
+	if _, away := c.handoffs.Outgoing[id]; away {
 		return true
 	}
 	at, doubted := c.handoffs.unconfirmed[id]
@@ -108,21 +108,21 @@
 	}
 	switch kind {
 	case keyAway:
-		var a federation.Away
+		var a federation.Outgoing
 		err = json.Unmarshal(item.Value, &a)
-		s.Away[name] = a
+		s.Outgoing[name] = a
 		delete(s.unconfirmed, name)
 	case keyTaken:
-		var k federation.Taken
-		var h federation.Hold
+		var k federation.Incoming
+		var h federation.IncomingID
 		if h, err = holdOf(name); err == nil {
 			err = json.Unmarshal(item.Value, &k)
-			s.Taken[h] = k
+			s.Incoming[h] = k
 		}
 	case keyFloor, keyLast:
 		var e federation.Epoch
 		err = json.Unmarshal(item.Value, &e)
-		of := map[string]map[federation.Site]federation.Epoch{keyFloor: s.Floors, keyLast: s.Last}[kind]
+		of := map[string]map[federation.Site]federation.Epoch{keyFloor: s.LowWaterMarks, keyLast: s.LastEpochs}[kind]
 		of[federation.Site(name)] = max(of[federation.Site(name)], e)
 	case keyDrained:
 		s.Drained[federation.Site(name)] = true
@@ -140,10 +140,10 @@
 	return "", "", strconv.ErrSyntax
 }
 
-func holdOf(name string) (federation.Hold, error) {
+func holdOf(name string) (federation.IncomingID, error) {
 	origin, epoch, _ := strings.Cut(name, "/")
 	e, err := strconv.ParseUint(epoch, 10, 64)
-	return federation.Hold{Origin: federation.Site(origin), Epoch: federation.Epoch(e)}, err
+	return federation.IncomingID{Origin: federation.Site(origin), Epoch: federation.Epoch(e)}, err
 }
 
 // onFederationDelete applies the deletion of a record.
@@ -163,7 +163,7 @@
 	}
 	switch kind {
 	case keyAway:
-		delete(s.Away, name)
+		delete(s.Outgoing, name)
 		delete(s.progress, name)
 		c.requestRound()
 		if j := c.jobs[name]; j != nil {
@@ -171,7 +171,7 @@
 		}
 	case keyTaken:
 		if h, err := holdOf(name); err == nil {
-			delete(s.Taken, h)
+			delete(s.Incoming, h)
 		}
 	case keyDrained:
 		delete(s.Drained, federation.Site(name))
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -49,7 +49,7 @@
 	return map[string]any{
 		"message": PeerMessage{}, "node": nodeRecord{}, "home": leaderRecord{}, "mark": cordonRecord{}, "state": finalStateRecord{}, "counter": tokenCounter{},
 		"intent": rentalIntent{}, "record": usageRecord{}, "cancellation": cancelRecord{}, "page": relay.Page{}, "page beat": relayHeartbeat{},
-		"spec": job.Spec{}, "away": federation.Away{}, "taken": federation.Taken{},
+		"spec": job.Spec{}, "away": federation.Outgoing{}, "taken": federation.Incoming{},
 	}
 }
 
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -53,7 +53,7 @@
 
 // isForeign tells whether an ID is one of those that jobs of other sites get here.
 func (c *Core) isForeign(id string) bool {
-	return c.federation != nil && strings.HasPrefix(id, federation.LocalPrefix)
+	return c.federation != nil && strings.HasPrefix(id, federation.LocalIDPrefix)
 }
 
 // rejectSubmission turns a submission down, unless the job was accepted earlier: the settings,
--- a/internal/emulator/pair.go
+++ b/internal/emulator/pair.go
@@ -99,7 +99,7 @@
 // writeFederationFiles writes the gateway's files of site i, whose streams go through its link.
 func (p *Pair) writeFederationFiles(i int) error {
 	other := p.Sites[1-i]
-	peer := federation.Peer{Site: pairNames[1-i], AtOnce: federation.MostAway, Takes: federation.MostAway, Zones: other.cfg.Zones}
+	peer := federation.Peer{Site: pairNames[1-i], MaxOutgoing: federation.MaxJobsPerPeer, MaxIncoming: federation.MaxJobsPerPeer, Zones: other.cfg.Zones}
 	for _, k := range other.controllers {
 		ln, err := net.Listen("tcp4", loopback)
 		if err != nil {
@@ -112,9 +112,9 @@
 	cfg := federation.Default()
 	cfg.Site, cfg.Peers = pairNames[i], []federation.Peer{peer}
 	cfg.RetryS, cfg.RetryMaxS = 1, 4
-	cfg.Class = []federation.Class{{Name: RemoteClass, Accept: []federation.Site{peer.Site}, Repeat: true}}
+	cfg.Classes = []federation.Class{{Name: RemoteClass, AcceptFrom: []federation.Site{peer.Site}, AllowsRepeat: true}}
 	if i == 0 {
-		cfg.Class[0].To = []federation.Site{peer.Site}
+		cfg.Classes[0].To = []federation.Site{peer.Site}
 	}
 	cfg.Authority, cfg.TicketKeys = in("authority.pem"), in("tickets.toml")
 	cfg.Certificate, cfg.Key = in(string(cfg.Site)+".pem"), in(string(cfg.Site)+"-key.pem")
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -16,14 +16,14 @@
 	// RetryS is the first pause between two tries of the same, RetryMaxS the longest.
 	RetryS    float64 `toml:"retry_s"`
 	RetryMaxS float64 `toml:"retry_max_s"`
-	// RetriesPerS is how many repeated tries a second all hand-offs to one peer share.
-	RetriesPerS float64 `toml:"retries_per_s"`
-	// BreakAfter is how many tries in a row without an answer open a peer's breaker.
-	BreakAfter int `toml:"break_after"`
-	// Hops bounds the sites that a job may pass through.
-	Hops int `toml:"hops"`
-	// RoomAgeS is for how long a peer's word on its waiting work counts.
-	RoomAgeS float64 `toml:"room_age_s"`
+	// RetryRate is how many repeated tries a second all hand-offs to one peer share.
+	RetryRate float64 `toml:"retries_per_s"`
+	// BreakerThreshold is how many tries in a row without an answer open a peer's breaker.
+	BreakerThreshold int `toml:"break_after"`
+	// MaxHops bounds the sites that a job may pass through.
+	MaxHops int `toml:"hops"`
+	// LoadMaxAgeS is for how long a peer's word on its waiting work counts.
+	LoadMaxAgeS float64 `toml:"room_age_s"`
 	// Listen is where this controller takes peers' streams.
 	Listen string `toml:"listen"`
 	// Authority, Certificate and Key are PEM files for mutual TLS. Certificates name
@@ -33,11 +33,11 @@
 	Key         string `toml:"key"`
 	// TicketKeys is the file of the keys that sign tickets.
 	TicketKeys string `toml:"ticket_keys"`
-	// Drops is how many decisions one write may forget; it follows from the state
+	// MaxForget is how many decisions one write may forget; it follows from the state
 	// service's limit on changes.
-	Drops int     `toml:"-"`
-	Peers []Peer  `toml:"peers"`
-	Class []Class `toml:"classes"`
+	MaxForget int     `toml:"-"`
+	Peers     []Peer  `toml:"peers"`
+	Classes   []Class `toml:"classes"`
 }
 
 // Peer is another site.
@@ -45,11 +45,11 @@
 	Site Site `toml:"site"`
 	// Addresses are its controllers', tried in turn.
 	Addresses []string `toml:"addresses"`
-	// AtOnce bounds the jobs that are away there at a time, Takes those taken from
+	// MaxOutgoing bounds the jobs that are away there at a time, Takes those taken from
 	// it; 0 takes none.
-	AtOnce int  `toml:"at_once"`
-	Takes  int  `toml:"takes"`
-	Drain  bool `toml:"drain"`
+	MaxOutgoing int  `toml:"at_once"`
+	MaxIncoming int  `toml:"takes"`
+	Drained     bool `toml:"drain"`
 	// Zones and Types are what it has; jobs that name others are not offered. Not
 	// given: any.
 	Zones []string `toml:"zones"`
@@ -61,19 +61,19 @@
 	Name string `toml:"name"`
 	// To lists the sites that its jobs may go to, the preferred first.
 	To []Site `toml:"to"`
-	// AfterS is for how long a job waits here before it is offered.
-	AfterS float64 `toml:"after_s"`
-	// AtOnce bounds the jobs of the class that are away at a time; 0: no bound.
-	AtOnce int `toml:"at_once"`
-	// Repeat allows an operator to run its jobs again although they may have run.
-	Repeat bool `toml:"repeat"`
-	// Accept lists the sites whose jobs of the class are taken.
-	Accept []Site `toml:"accept"`
+	// OfferAfterS is for how long a job waits here before it is offered.
+	OfferAfterS float64 `toml:"after_s"`
+	// MaxOutgoing bounds the jobs of the class that are away at a time; 0: no bound.
+	MaxOutgoing int `toml:"at_once"`
+	// AllowsRepeat allows an operator to run its jobs again although they may have run.
+	AllowsRepeat bool `toml:"repeat"`
+	// AcceptFrom lists the sites whose jobs of the class are taken.
+	AcceptFrom []Site `toml:"accept"`
 }
 
 // Default holds the figures that a file need not give.
 func Default() Config {
-	return Config{RetryS: 2, RetryMaxS: 60, RetriesPerS: 20, BreakAfter: 3, Hops: 3, RoomAgeS: 20}
+	return Config{RetryS: 2, RetryMaxS: 60, RetryRate: 20, BreakerThreshold: 3, MaxHops: 3, LoadMaxAgeS: 20}
 }
 
 // Load reads and checks a gateway's file. Unknown keys are errors, told in one line.
@@ -82,16 +82,16 @@
 	return &c, strictconfig.Load(path, &c)
 }
 
-// MostAway bounds the jobs that are away at one peer, so that a list of them fits a
+// MaxJobsPerPeer bounds the jobs that are away at one peer, so that a list of them fits a
 // message.
-const MostAway = 10_000
+const MaxJobsPerPeer = 10_000
 
 // Check tells what is wrong with the file.
 func (c *Config) Check() error {
 	if c.Site == "" || !siteName.MatchString(string(c.Site)) {
 		return fmt.Errorf("site %q is missing or not made of letters, digits and -", c.Site)
 	}
-	if c.RetryS <= 0 || c.RetryMaxS < c.RetryS || c.RetriesPerS <= 0 || c.BreakAfter < 1 || c.Hops < 1 || c.RoomAgeS <= 0 {
+	if c.RetryS <= 0 || c.RetryMaxS < c.RetryS || c.RetryRate <= 0 || c.BreakerThreshold < 1 || c.MaxHops < 1 || c.LoadMaxAgeS <= 0 {
 		return errors.New("retry_s, retry_max_s, retries_per_s, break_after, hops and room_age_s must be positive, retry_max_s at least retry_s")
 	}
 	known := []Site{}
@@ -101,13 +101,13 @@
 			return fmt.Errorf("peer %q is this site, empty or named twice", p.Site)
 		case !siteName.MatchString(string(p.Site)):
 			return fmt.Errorf("peer %q is not made of letters, digits and -", p.Site)
-		case p.AtOnce < 0 || p.Takes < 0 || p.AtOnce > MostAway || p.Takes > MostAway:
-			return fmt.Errorf("peer %q: at_once and takes must be from 0 to %d", p.Site, MostAway)
+		case p.MaxOutgoing < 0 || p.MaxIncoming < 0 || p.MaxOutgoing > MaxJobsPerPeer || p.MaxIncoming > MaxJobsPerPeer:
+			return fmt.Errorf("peer %q: at_once and takes must be from 0 to %d", p.Site, MaxJobsPerPeer)
 		}
 		known = append(known, p.Site)
 	}
-	for _, k := range c.Class {
-		for _, s := range append(slices.Clone(k.To), k.Accept...) {
+	for _, k := range c.Classes {
+		for _, s := range append(slices.Clone(k.To), k.AcceptFrom...) {
 			if !slices.Contains(known, s) {
 				return fmt.Errorf("class %q names %q, which is no peer", k.Name, s)
 			}
@@ -119,9 +119,9 @@
 // siteName is what a site may be called: its name becomes part of keys and ids.
 var siteName = regexp.MustCompile(`^[A-Za-z0-9-]{1,32}$`)
 
-// Elsewhere tells whether a job of a class that asks for a zone or types which this
+// CanRunElsewhere tells whether a job of a class that asks for a zone or types which this
 // site has not may go to a site that has them.
-func (c *Config) Elsewhere(class, zone string, types []string) bool {
+func (c *Config) CanRunElsewhere(class, zone string, types []string) bool {
 	return slices.ContainsFunc(c.class(class).To, func(s Site) bool {
 		p, _ := c.peer(s)
 		return zone != "" && slices.Contains(p.Zones, zone) ||
@@ -129,10 +129,10 @@
 	})
 }
 
-// Goes tells whether jobs of a class may go anywhere once they have waited.
-func (c *Config) Goes(class string, waited time.Duration) bool {
+// MayOffer tells whether jobs of a class may go anywhere once they have waited.
+func (c *Config) MayOffer(class string, waited time.Duration) bool {
 	k := c.class(class)
-	return len(k.To) > 0 && waited >= seconds(k.AfterS)
+	return len(k.To) > 0 && waited >= seconds(k.OfferAfterS)
 }
 
 // peer finds a peer by its name.
@@ -147,9 +147,9 @@
 // class finds the rules of a class; one that is not named goes nowhere and is not
 // taken.
 func (c *Config) class(name string) Class {
-	i := slices.IndexFunc(c.Class, func(k Class) bool { return k.Name == name })
+	i := slices.IndexFunc(c.Classes, func(k Class) bool { return k.Name == name })
 	if i < 0 {
 		return Class{Name: name}
 	}
-	return c.Class[i]
+	return c.Classes[i]
 }
--- a/internal/federation/gateway_test.go
+++ b/internal/federation/gateway_test.go
@@ -86,7 +86,7 @@
 			"give up": func(t *rapid.T) {
 				seldom(t, func() {
 					n, id := job(t)
-					w.step(n, GiveUp{Req: 1, Job: id, Operator: "ana", Why: "site burnt down"})
+					w.step(n, GiveUp{Req: 1, JobID: id, Operator: "ana", Reason: "site burnt down"})
 				})
 			},
 			"crash":      func(t *rapid.T) { seldom(t, func() { w.boot(site.Draw(t, "site")) }) },
--- a/internal/federation/index.go
+++ b/internal/federation/index.go
@@ -8,31 +8,31 @@
 
 // index finds records without going through all of them; there may be thousands.
 type index struct {
-	// job finds the job that is away under an epoch, open lists a site's epochs.
-	job  map[given]string
-	open map[Site][]Epoch
-	// taken lists what was decided of an origin's epochs, local finds an accepted
+	// outgoing finds the job that is away under an epoch, open lists a site's epochs.
+	outgoing   map[outgoingID]string
+	openEpochs map[Site][]Epoch
+	// incoming lists what was decided of an origin's epochs, local finds an accepted
 	// job's, running counts the accepted ones that have not ended.
-	taken   map[Site][]Epoch
-	local   map[string]Hold
-	running map[Site]int
-	// class counts the jobs that are away by class.
-	class map[string]int
+	incoming        map[Site][]Epoch
+	byLocalID       map[string]IncomingID
+	runningByOrigin map[Site]int
+	// outgoingByClass counts the jobs that are away by class.
+	outgoingByClass map[string]int
 }
 
 func newIndex(r *Records) *index {
-	x := &index{job: map[given]string{}, open: map[Site][]Epoch{}, taken: map[Site][]Epoch{}, local: map[string]Hold{},
-		running: map[Site]int{}, class: map[string]int{}}
-	for job, a := range r.Away {
-		x.job[given{a.To, a.Epoch}] = job
-		x.open[a.To] = append(x.open[a.To], a.Epoch)
-		x.class[a.Ticket.Class]++
+	x := &index{outgoing: map[outgoingID]string{}, openEpochs: map[Site][]Epoch{}, incoming: map[Site][]Epoch{}, byLocalID: map[string]IncomingID{},
+		runningByOrigin: map[Site]int{}, outgoingByClass: map[string]int{}}
+	for job, a := range r.Outgoing {
+		x.outgoing[outgoingID{a.To, a.Epoch}] = job
+		x.openEpochs[a.To] = append(x.openEpochs[a.To], a.Epoch)
+		x.outgoingByClass[a.Ticket.Class]++
 	}
-	for h, k := range r.Taken {
-		x.taken[h.Origin] = append(x.taken[h.Origin], h.Epoch)
+	for h, k := range r.Incoming {
+		x.incoming[h.Origin] = append(x.incoming[h.Origin], h.Epoch)
 		x.count(h, k, 1)
 	}
-	for _, lists := range []map[Site][]Epoch{x.open, x.taken} {
+	for _, lists := range []map[Site][]Epoch{x.openEpochs, x.incoming} {
 		for _, list := range lists {
 			slices.Sort(list)
 		}
@@ -41,12 +41,12 @@
 }
 
 // count adds an accepted job that has not ended, or takes it off.
-func (x *index) count(h Hold, k Taken, n int) {
+func (x *index) count(h IncomingID, k Incoming, n int) {
 	if k.Accepted {
-		x.local[k.Local] = h
+		x.byLocalID[k.LocalID] = h
 	}
-	if k.Accepted && k.State == "" {
-		x.running[h.Origin] += n
+	if k.Accepted && k.FinalState == "" {
+		x.runningByOrigin[h.Origin] += n
 	}
 }
 
@@ -65,47 +65,47 @@
 	return list
 }
 
-// addAway and dropAway note that a job is away, or is no more.
-func (m *Machine) addAway(job string, a Away) {
-	m.records.Away[job] = a
-	m.index.job[given{a.To, a.Epoch}] = job
-	m.index.open[a.To] = insert(m.index.open[a.To], a.Epoch)
-	m.index.class[a.Ticket.Class]++
+// addOutgoing and removeOutgoing note that a job is away, or is no more.
+func (m *Coordinator) addOutgoing(job string, a Outgoing) {
+	m.records.Outgoing[job] = a
+	m.index.outgoing[outgoingID{a.To, a.Epoch}] = job
+	m.index.openEpochs[a.To] = insert(m.index.openEpochs[a.To], a.Epoch)
+	m.index.outgoingByClass[a.Ticket.Class]++
 }
 
-func (m *Machine) dropAway(job string) Away {
-	a := m.records.Away[job]
-	delete(m.records.Away, job)
-	delete(m.index.job, given{a.To, a.Epoch})
-	m.index.open[a.To] = remove(m.index.open[a.To], a.Epoch)
-	m.index.class[a.Ticket.Class]--
-	m.peer(a.To).agenda.drop(item{a.Epoch, true})
+func (m *Coordinator) removeOutgoing(job string) Outgoing {
+	a := m.records.Outgoing[job]
+	delete(m.records.Outgoing, job)
+	delete(m.index.outgoing, outgoingID{a.To, a.Epoch})
+	m.index.openEpochs[a.To] = remove(m.index.openEpochs[a.To], a.Epoch)
+	m.index.outgoingByClass[a.Ticket.Class]--
+	m.peer(a.To).retryQueue.remove(retryKey{a.Epoch, true})
 	return a
 }
 
-// setTaken notes a decision, or the end of an accepted job; dropTaken forgets it.
-func (m *Machine) setTaken(h Hold, k Taken) {
-	m.dropTaken(h)
-	m.records.Taken[h] = k
-	m.index.taken[h.Origin] = insert(m.index.taken[h.Origin], h.Epoch)
+// setIncoming notes a decision, or the end of an accepted job; removeIncoming forgets it.
+func (m *Coordinator) setIncoming(h IncomingID, k Incoming) {
+	m.removeIncoming(h)
+	m.records.Incoming[h] = k
+	m.index.incoming[h.Origin] = insert(m.index.incoming[h.Origin], h.Epoch)
 	m.index.count(h, k, 1)
 }
 
-func (m *Machine) dropTaken(h Hold) {
-	k, there := m.records.Taken[h]
+func (m *Coordinator) removeIncoming(h IncomingID) {
+	k, there := m.records.Incoming[h]
 	if !there {
 		return
 	}
 	m.index.count(h, k, -1)
-	delete(m.records.Taken, h)
-	delete(m.index.local, k.Local)
-	m.index.taken[h.Origin] = remove(m.index.taken[h.Origin], h.Epoch)
-	m.peer(h.Origin).agenda.drop(item{h.Epoch, false})
+	delete(m.records.Incoming, h)
+	delete(m.index.byLocalID, k.LocalID)
+	m.index.incoming[h.Origin] = remove(m.index.incoming[h.Origin], h.Epoch)
+	m.peer(h.Origin).retryQueue.remove(retryKey{h.Epoch, false})
 }
 
 // copy makes records that share nothing with others.
 func (r Records) copy() Records {
-	return Records{Last: clone(r.Last), Away: clone(r.Away), Taken: clone(r.Taken), Floors: clone(r.Floors), Drained: clone(r.Drained)}
+	return Records{LastEpochs: clone(r.LastEpochs), Outgoing: clone(r.Outgoing), Incoming: clone(r.Incoming), LowWaterMarks: clone(r.LowWaterMarks), Drained: clone(r.Drained)}
 }
 
 func clone[K comparable, V any](m map[K]V) map[K]V {
@@ -115,7 +115,7 @@
 	return maps.Clone(m)
 }
 
-// CompareHolds orders epochs by origin and number.
-func CompareHolds(a, b Hold) int {
+// CompareIncomingIDs orders epochs by origin and number.
+func CompareIncomingIDs(a, b IncomingID) int {
 	return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.Epoch, b.Epoch))
 }
--- a/internal/federation/meet.go
+++ b/internal/federation/meet.go
@@ -10,98 +10,98 @@
 // question. A site that is behind stops handing off with that peer, in both
 // directions, until an operator says that nothing of what it forgot still runs.
 
-// meet asks a peer what it holds, again and again until it tells.
-func (m *Machine) meet(to Site, p *peerState) {
-	if p.met || p.stopped != "" || m.now < p.askAt || !p.breaker.allows(m.now) {
+// requestView asks a peer what it holds, again and again until it tells.
+func (m *Coordinator) requestView(to Site, p *peerState) {
+	if p.recordsCompared || p.suspendedReason != "" || m.now < p.viewRequestDueAt || !p.breaker.allows(m.now) {
 		return
 	}
 	if p.nonce == 0 {
 		p.nonce = m.rng.Uint64() | 1
 	}
-	p.breaker.tried(m.now, m.cfg)
-	p.asks++
-	p.askAt = m.now + jitter(m.rng, m.pause(p.asks-1))
-	m.send(Message{To: to, Kind: Asked, Nonce: p.nonce})
+	p.breaker.onTry(m.now, m.cfg)
+	p.viewRequests++
+	p.viewRequestDueAt = m.now + jitter(m.rng, m.retryDelay(p.viewRequests-1))
+	m.send(Message{To: to, Kind: KindViewRequest, Nonce: p.nonce})
 }
 
 // view is what this site holds of its hand-offs with another one.
-func (m *Machine) view(of Site) *View {
-	v := &View{Last: m.records.Last[of], Open: slices.Clone(m.index.open[of]), Highest: m.highest(of)}
+func (m *Coordinator) view(of Site) *View {
+	v := &View{LastEpoch: m.records.LastEpochs[of], Open: slices.Clone(m.index.openEpochs[of]), HighestEpoch: m.highestEpoch(of)}
 	for _, e := range v.Open {
-		if m.records.Away[m.index.job[given{of, e}]].Accepted {
+		if m.records.Outgoing[m.index.outgoing[outgoingID{of, e}]].Accepted {
 			v.Accepted = append(v.Accepted, e)
 		}
 	}
 	return v
 }
 
-// highest is the highest epoch of an origin that is stored here.
-func (m *Machine) highest(origin Site) Epoch {
-	most := m.records.Floors[origin]
-	if list := m.index.taken[origin]; len(list) > 0 {
+// highestEpoch is the highest epoch of an origin that is stored here.
+func (m *Coordinator) highestEpoch(origin Site) Epoch {
+	most := m.records.LowWaterMarks[origin]
+	if list := m.index.incoming[origin]; len(list) > 0 {
 		most = max(most, list[len(list)-1])
 	}
 	return most
 }
 
-// viewed compares what a peer holds with the records here.
-func (m *Machine) viewed(msg Message) {
+// handleView compares what a peer holds with the records here.
+func (m *Coordinator) handleView(msg Message) {
 	p := m.peer(msg.From)
-	if msg.View == nil || msg.Nonce != p.nonce || p.met || p.stopped != "" {
+	if msg.View == nil || msg.Nonce != p.nonce || p.recordsCompared || p.suspendedReason != "" {
 		return
 	}
 	v := msg.View
-	clear(p.lost)
+	clear(p.lostEpochs)
 	for _, e := range v.Accepted {
-		if h := (Hold{msg.From, e}); !m.records.Taken[h].Accepted && !(e <= m.records.Floors[msg.From]) {
-			p.lost[e] = true
+		if h := (IncomingID{msg.From, e}); !m.records.Incoming[h].Accepted && !(e <= m.records.LowWaterMarks[msg.From]) {
+			p.lostEpochs[e] = true
 		}
 	}
 	switch {
-	case v.Highest > m.records.Last[msg.From]:
-		p.ahead = v.Highest
-		m.stop(msg.From, "it knows of hand-offs from here that are not in the records")
-	case len(p.lost) > 0:
-		m.stop(msg.From, "it was told of acceptances here that are not in the records")
+	case v.HighestEpoch > m.records.LastEpochs[msg.From]:
+		p.peerLastEpoch = v.HighestEpoch
+		m.suspend(msg.From, "it knows of hand-offs from here that are not in the records")
+	case len(p.lostEpochs) > 0:
+		m.suspend(msg.From, "it was told of acceptances here that are not in the records")
 	default:
-		p.met = true
-		m.log("sites have compared their records", "peer", msg.From, "open there", len(v.Open), "open here", len(m.index.open[msg.From]))
+		p.recordsCompared = true
+		m.log("sites have compared their records", "peer", msg.From, "open there", len(v.Open), "open here", len(m.index.openEpochs[msg.From]))
 	}
 }
 
-// stop ends hand-offs with a peer until an operator has looked.
-func (m *Machine) stop(peer Site, why string) {
-	m.peer(peer).stopped = why
-	m.emit(Log{Text: "hand-offs are stopped: this site's state is older than its peer's", Bad: true,
+// suspend ends hand-offs with a peer until an operator has looked.
+func (m *Coordinator) suspend(peer Site, why string) {
+	m.peer(peer).suspendedReason = why
+	m.emit(Log{Text: "hand-offs are stopped: this site's state is older than its peer's", IsError: true,
 		Attrs: []any{"peer", peer, "why", why, "then", "pepperlever gateway renew"}})
 }
 
-// renew goes on after a stop, by an operator's word: epochs beyond what the peer
+// handleRenew goes on after a stop, by an operator's word: epochs beyond what the peer
 // has seen are given from now on, and what was forgotten here is refused as lost.
-func (m *Machine) renew(in Renew) {
+func (m *Coordinator) handleRenew(in Renew) {
 	p := m.peer(in.Site)
 	switch {
-	case p.stopped == "":
-		m.emit(Answer{Req: in.Req, Err: "hand-offs with " + string(in.Site) + " are not stopped"})
-	case in.Operator == "" || in.Why == "":
-		m.emit(Answer{Req: in.Req, Err: "who renews, and why, must be said"})
+	case p.suspendedReason == "":
+		m.emit(Answer{Req: in.Req, Error: "hand-offs with " + string(in.Site) + " are not stopped"})
+	case in.Operator == "" || in.Reason == "":
+		m.emit(Answer{Req: in.Req, Error: "who renews, and why, must be said"})
 	default:
-		m.log("hand-offs go on after a stop", "peer", in.Site, "lost", len(p.lost), "operator", in.Operator, "why", in.Why)
-		m.store("last/"+string(in.Site), SetLast{Site: in.Site, Last: max(p.ahead, m.records.Last[in.Site])}, in.Req)
+		m.log("hand-offs go on after a stop", "peer", in.Site, "lost", len(p.lostEpochs), "operator", in.Operator, "why", in.Reason)
+		m.write("last/"+string(in.Site), SetLastEpoch{Site: in.Site, Epoch: max(p.peerLastEpoch, m.records.LastEpochs[in.Site])}, in.Req)
 	}
 }
 
-// renewed takes note that a stop is over.
-func (m *Machine) renewed(w SetLast, req uint64) {
-	m.records.Last[w.Site] = max(m.records.Last[w.Site], w.Last)
+// onRenewed takes note that a stop is over.
+func (m *Coordinator) onRenewed(w SetLastEpoch, req uint64) {
+	m.records.LastEpochs[w.Site] = max(m.records.LastEpochs[w.Site], w.Epoch)
 	p := m.peer(w.Site)
-	p.stopped, p.met, p.ahead = "", true, 0
+	p.suspendedReason, p.recordsCompared, p.peerLastEpoch = "", true, 0
 	m.emit(Answer{Req: req, State: "renewed"})
 }
 
-// recordLost is the reason of a refusal of what was forgotten, closedBefore that of an
+// reasonRecordLost is the reason of a refusal of what was forgotten, reasonClosed that of an
 // epoch whose origin has closed it and forgotten that.
 const (
-	recordLost   = "its record was lost"
-	closedBefore = "its origin has closed it before"
+	reasonRecordLost = "its record was lost"
+	reasonClosed     = "its origin has closed it before"
 )
--- a/internal/federation/meet_test.go
+++ b/internal/federation/meet_test.go
@@ -35,24 +35,24 @@
 				w.deliver(0, false, fine)
 			}
 		}
-		if !w.sites["a"].records.Away["req-1"].Accepted {
+		if !w.sites["a"].records.Outgoing["req-1"].Accepted {
 			t.Fatalf("%s: not handed off", name)
 		}
 		w.restore(c.restored, records, jobs)
 		w.play(20 * time.Second)
 		s := w.sites[c.restored]
-		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.machine.peer(other).stopped == "" || s.warned == 0 {
+		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.machine.peer(other).suspendedReason == "" || s.warned == 0 {
 			t.Errorf("%s: goes on, %d warnings", name, s.warned)
 		}
-		if len(s.records.Taken)+len(s.records.Away) > 0 {
+		if len(s.records.Incoming)+len(s.records.Outgoing) > 0 {
 			t.Errorf("%s: it hands off all the same: %v", name, s.records)
 		}
 		for _, peer := range siteNames {
-			w.step(c.restored, Renew{Req: 7, Site: peer, Operator: "ana", Why: "all machines were returned"})
+			w.step(c.restored, Renew{Req: 7, Site: peer, Operator: "ana", Reason: "all machines were returned"})
 		}
 		w.play(20 * time.Second)
 		if c.final == Cancelled {
-			if _, away := w.sites["a"].records.Away["req-1"]; !away || w.roots["req-1"].final != "" {
+			if _, away := w.sites["a"].records.Outgoing["req-1"]; !away || w.roots["req-1"].final != "" {
 				t.Errorf("%s: it is at home again, or %q", name, w.roots["req-1"].final)
 			}
 			w.cancel("a", "req-1")
@@ -69,21 +69,21 @@
 func TestNothingPassesBeforeSitesHaveMet(t *testing.T) {
 	m := New(simConfig("a"), 1)
 	var nonce uint64
-	for _, e := range m.Step(time.Second, Loaded{Records{}.copy()}, Waiting{Jobs: []Job{{ID: "req-1", Class: "k", Waited: time.Hour}}}) {
+	for _, e := range m.Step(time.Second, RecordsLoaded{Records{}.copy()}, JobsWaiting{Jobs: []WaitingJob{{ID: "req-1", Class: "k", Waited: time.Hour}}}) {
 		switch e := e.(type) {
 		case Send:
-			if e.Message.Kind != Asked {
+			if e.Message.Kind != KindViewRequest {
 				t.Errorf("%s is sent", e.Message.Kind)
 			}
 			if e.Message.To == "b" {
 				nonce = e.Message.Nonce
 			}
-		case Store:
+		case StoreWrite:
 			t.Errorf("%T is written", e.Write)
 		}
 	}
-	offer := Message{From: "b", To: "a", Kind: Offered, Epoch: 1, Ticket: &Ticket{Origin: "b", To: "a", Epoch: 1, Class: "k", Path: []Site{"b"}}}
-	view := Message{From: "b", To: "a", Kind: Viewed, Nonce: nonce, View: &View{Last: 1, Open: []Epoch{1}}}
+	offer := Message{From: "b", To: "a", Kind: KindOffer, Epoch: 1, Ticket: &Ticket{Origin: "b", To: "a", Epoch: 1, Class: "k", Path: []Site{"b"}}}
+	view := Message{From: "b", To: "a", Kind: KindView, Nonce: nonce, View: &View{LastEpoch: 1, Open: []Epoch{1}}}
 	late := view
 	late.Nonce++
 	for i, c := range []struct {
@@ -91,9 +91,9 @@
 		decides bool
 	}{{offer, false}, {late, false}, {offer, false}, {view, false}, {offer, true}} {
 		decides := false
-		for _, e := range m.Step(2*time.Second, Received{Message: c.in}) {
-			if st, ok := e.(Store); ok {
-				_, d := st.Write.(Decide)
+		for _, e := range m.Step(2*time.Second, MessageReceived{Message: c.in}) {
+			if st, ok := e.(StoreWrite); ok {
+				_, d := st.Write.(DecideIncoming)
 				decides = decides || d
 			}
 		}
--- a/internal/federation/route_test.go
+++ b/internal/federation/route_test.go
@@ -11,7 +11,7 @@
 )
 
 // routed is a gateway at "a" with peers b and c, and some jobs away.
-func routed(change func(c *Config), away ...Away) *Machine {
+func routed(change func(c *Config), away ...Outgoing) *Coordinator {
 	c := simConfig("a")
 	if change != nil {
 		change(c)
@@ -20,51 +20,51 @@
 	records := Records{}.copy()
 	for i, a := range away {
 		a.Epoch = Epoch(i + 1)
-		records.Away["req-away-"+string(a.To)+string(rune('0'+i))] = a
-		records.Last[a.To] = a.Epoch
+		records.Outgoing["req-away-"+string(a.To)+string(rune('0'+i))] = a
+		records.LastEpochs[a.To] = a.Epoch
 	}
-	m.Step(time.Second, Loaded{records})
+	m.Step(time.Second, RecordsLoaded{records})
 	for _, p := range c.Peers {
-		m.peer(p.Site).met = true
+		m.peer(p.Site).recordsCompared = true
 	}
 	return m
 }
 
 func TestJobsGoWhereTheyMay(t *testing.T) {
-	at := func(s Site, class string) Away { return Away{To: s, Ticket: Ticket{Class: class}} }
-	full := []Away{at("b", "k"), at("b", "once")}
+	at := func(s Site, class string) Outgoing { return Outgoing{To: s, Ticket: Ticket{Class: class}} }
+	full := []Outgoing{at("b", "k"), at("b", "once")}
 	for name, c := range map[string]struct {
 		change func(c *Config)
-		away   []Away
-		job    Job
+		away   []Outgoing
+		job    WaitingJob
 		to     Site
 		why    string
 	}{
-		"the preferred site":      {job: Job{Class: "k"}, to: "b"},
-		"a class that stays":      {job: Job{Class: "other"}, why: "class goes nowhere"},
-		"has just come":           {change: func(c *Config) { c.Class[0].AfterS = 60 }, job: Job{Class: "k", Waited: time.Second}, why: "has not waited for long enough"},
-		"has waited":              {change: func(c *Config) { c.Class[0].AfterS = 60 }, job: Job{Class: "k", Waited: time.Minute}, to: "b"},
-		"preferred one is full":   {away: full, job: Job{Class: "k"}, to: "c"},
-		"preferred one drains":    {change: func(c *Config) { c.Peers[0].Drain = true }, job: Job{Class: "k"}, to: "c"},
-		"not back where it was":   {job: Job{Class: "k", Path: []Site{"b"}}, to: "c"},
-		"too many sites":          {job: Job{Class: "k", Path: []Site{"x", "y", "z"}}, why: "has come through too many sites"},
-		"class has its number":    {change: func(c *Config) { c.Class[0].AtOnce = 1 }, away: full, job: Job{Class: "k"}, why: "as many of its class are away as may be"},
-		"all sites full":          {change: func(c *Config) { c.Peers[1].AtOnce = 0 }, away: full, job: Job{Class: "k"}, why: "as many are there as may be"},
-		"refused there, the next": {job: Job{ID: "req-refused", Class: "k"}, to: "c"},
-		"work waits there longer": {job: Job{ID: "req-late", Class: "k", Waited: 10 * time.Second}, to: "c"},
-		"work waits here longer":  {job: Job{ID: "req-late", Class: "k", Waited: time.Minute}, to: "b"},
-		"here it could never run": {change: func(c *Config) { c.Class[0].AfterS = 60 }, job: Job{ID: "req-late", Class: "k", Elsewhere: true}, to: "b"},
+		"the preferred site":      {job: WaitingJob{Class: "k"}, to: "b"},
+		"a class that stays":      {job: WaitingJob{Class: "other"}, why: "class goes nowhere"},
+		"has just come":           {change: func(c *Config) { c.Classes[0].OfferAfterS = 60 }, job: WaitingJob{Class: "k", Waited: time.Second}, why: "has not waited for long enough"},
+		"has waited":              {change: func(c *Config) { c.Classes[0].OfferAfterS = 60 }, job: WaitingJob{Class: "k", Waited: time.Minute}, to: "b"},
+		"preferred one is full":   {away: full, job: WaitingJob{Class: "k"}, to: "c"},
+		"preferred one drains":    {change: func(c *Config) { c.Peers[0].Drained = true }, job: WaitingJob{Class: "k"}, to: "c"},
+		"not back where it was":   {job: WaitingJob{Class: "k", Path: []Site{"b"}}, to: "c"},
+		"too many sites":          {job: WaitingJob{Class: "k", Path: []Site{"x", "y", "z"}}, why: "has come through too many sites"},
+		"class has its number":    {change: func(c *Config) { c.Classes[0].MaxOutgoing = 1 }, away: full, job: WaitingJob{Class: "k"}, why: "as many of its class are away as may be"},
+		"all sites full":          {change: func(c *Config) { c.Peers[1].MaxOutgoing = 0 }, away: full, job: WaitingJob{Class: "k"}, why: "as many are there as may be"},
+		"refused there, the next": {job: WaitingJob{ID: "req-refused", Class: "k"}, to: "c"},
+		"work waits there longer": {job: WaitingJob{ID: "req-late", Class: "k", Waited: 10 * time.Second}, to: "c"},
+		"work waits here longer":  {job: WaitingJob{ID: "req-late", Class: "k", Waited: time.Minute}, to: "b"},
+		"here it could never run": {change: func(c *Config) { c.Classes[0].OfferAfterS = 60 }, job: WaitingJob{ID: "req-late", Class: "k", InfeasibleHere: true}, to: "b"},
 		"a zone that only c has": {change: func(c *Config) { c.Peers[0].Zones, c.Peers[1].Zones = []string{"n"}, []string{"s"} },
-			job: Job{Class: "k", Zone: "s"}, to: "c"},
+			job: WaitingJob{Class: "k", Zone: "s"}, to: "c"},
 		"a type that only c has": {change: func(c *Config) { c.Peers[0].Types, c.Peers[1].Types = []string{"cpu"}, []string{"gpu"} },
-			job: Job{Class: "k", Types: []string{"gpu", "tpu"}}, to: "c"},
+			job: WaitingJob{Class: "k", Types: []string{"gpu", "tpu"}}, to: "c"},
 		"a zone that nobody has": {change: func(c *Config) { c.Peers[0].Zones, c.Peers[1].Zones = []string{"n"}, []string{"s"} },
-			job: Job{Class: "k", Zone: "x"}, why: "site has not the zone"},
+			job: WaitingJob{Class: "k", Zone: "x"}, why: "site has not the zone"},
 	} {
 		m := routed(c.change, c.away...)
-		m.refused[refusal{"req-refused", "b"}] = true
+		m.rejected[rejectionKey{"req-refused", "b"}] = true
 		if c.job.ID == "req-late" {
-			m.peer("b").waitS, m.peer("b").waitAt = 30, m.now
+			m.peer("b").longestWaitS, m.peer("b").loadReceivedAt = 30, m.now
 		}
 		if to, why := m.route(c.job); to != c.to || why != c.why {
 			t.Errorf("%s: goes to %q (%s)", name, to, why)
@@ -73,22 +73,22 @@
 }
 
 func TestOffersAreTakenOrRefusedWithAReason(t *testing.T) {
-	good := Ticket{Origin: "b", To: "a", Job: "req-1", Class: "k", Epoch: 4, Path: []Site{"b"}}
+	good := Ticket{Origin: "b", To: "a", JobID: "req-1", Class: "k", Epoch: 4, Path: []Site{"b"}}
 	for name, c := range map[string]struct {
 		change func(c *Config, t *Ticket)
 		why    string
 	}{
 		"a good one":           {func(*Config, *Ticket) {}, ""},
 		"a stranger's":         {func(_ *Config, t *Ticket) { t.Origin = "x" }, "site is unknown"},
-		"while draining":       {func(c *Config, _ *Ticket) { c.Peers[0].Drain = true }, "site is drained"},
+		"while draining":       {func(c *Config, _ *Ticket) { c.Peers[0].Drained = true }, "site is drained"},
 		"came through here":    {func(_ *Config, t *Ticket) { t.Path = []Site{"a", "b"} }, "path is a loop or too long"},
 		"without a path":       {func(_ *Config, t *Ticket) { t.Path = nil }, "path is a loop or too long"},
 		"a class not taken":    {func(_ *Config, t *Ticket) { t.Class = "secret" }, "class is not taken from there"},
-		"none taken from them": {func(c *Config, _ *Ticket) { c.Peers[0].Takes = 0 }, busy},
+		"none taken from them": {func(c *Config, _ *Ticket) { c.Peers[0].MaxIncoming = 0 }, reasonBusy},
 	} {
 		ticket := good
 		m := routed(func(cfg *Config) { c.change(cfg, &ticket) })
-		if why := m.refuses(ticket, ""); why != c.why {
+		if why := m.rejectionReason(ticket, ""); why != c.why {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
@@ -98,29 +98,29 @@
 // crowd of tries at once was taken for as many silences.
 func TestBreakerLeavesASilentPeerAloneAndProbesIt(t *testing.T) {
 	c := Default()
-	var b breaker
+	var b circuitBreaker
 	tries, open := []time.Duration{}, time.Duration(0)
 	for now := time.Second; now < 10*time.Minute; now += 100 * time.Millisecond {
-		b.judge(now, &c)
+		b.checkTimeout(now, &c)
 		if !b.allows(now) {
 			open = max(open, now)
 			continue
 		}
 		for range 100 { // as long as it is closed, all go
 			if b.allows(now) {
-				b.tried(now, &c)
+				b.onTry(now, &c)
 				tries = append(tries, now)
 			}
 		}
 	}
 	late := tries[len(tries)-3:]
-	if opened := time.Duration(c.BreakAfter) * seconds(c.RetryS); tries[99] != time.Second || tries[1000] > opened+time.Second {
+	if opened := time.Duration(c.BreakerThreshold) * seconds(c.RetryS); tries[99] != time.Second || tries[1000] > opened+time.Second {
 		t.Errorf("opens at once: try 1000 at %v", tries[1000])
 	}
 	if late[2]-late[1] < seconds(c.RetryMaxS) || late[1]-late[0] < seconds(c.RetryMaxS) {
 		t.Errorf("probes at %v", late)
 	}
-	b.answered()
+	b.close()
 	if !b.allows(open) {
 		t.Error("an answer does not close it")
 	}
@@ -131,28 +131,28 @@
 func TestRepeatedTriesFollowTheAnswers(t *testing.T) {
 	sent := map[bool]int{}
 	for _, answers := range []bool{false, true} {
-		m := routed(func(c *Config) { c.Peers[0].AtOnce, c.RetriesPerS, c.BreakAfter = 1000, 5, 1<<30 })
+		m := routed(func(c *Config) { c.Peers[0].MaxOutgoing, c.RetryRate, c.BreakerThreshold = 1000, 5, 1<<30 })
 		r := Records{}.copy()
 		for i := range 500 {
-			r.Away[fmt.Sprint("req-", i)] = Away{Epoch: Epoch(i + 1), To: "b"}
+			r.Outgoing[fmt.Sprint("req-", i)] = Outgoing{Epoch: Epoch(i + 1), To: "b"}
 		}
-		m.Step(2*time.Second, Loaded{r})
+		m.Step(2*time.Second, RecordsLoaded{r})
 		const span = 30
 		last := 0
 		for s := range span {
 			var in []Input
 			for i := 0; answers && i < last; i++ {
-				in = append(in, Received{Message: Message{From: "b", To: "a", Kind: Roomed}})
+				in = append(in, MessageReceived{Message: Message{From: "b", To: "a", Kind: KindLoad}})
 			}
 			last = 0
 			for _, e := range m.Step(time.Duration(s+3)*time.Second, in...) {
-				if send, ok := e.(Send); ok && send.Message.Kind == Offered {
+				if send, ok := e.(Send); ok && send.Message.Kind == KindOffer {
 					last++
 				}
 			}
 			sent[answers] += last
 		}
-		if most := span*5 + budgetMost; !answers && sent[answers] > most {
+		if most := span*5 + maxRetryBudget; !answers && sent[answers] > most {
 			t.Errorf("%d messages without an answer, %d are allowed", sent[answers], most)
 		}
 	}
@@ -163,20 +163,20 @@
 
 // After a long cut the first word waited for the longest pause.
 func TestReachablePeerIsToldAtOnce(t *testing.T) {
-	m := routed(nil, Away{To: "b"})
+	m := routed(nil, Outgoing{To: "b"})
 	now := 2 * time.Second
 	for ; now < 5*time.Minute; now += time.Second {
 		m.Step(now) // nothing answers
 	}
 	tell := func(in ...Input) (n int) {
 		for _, e := range m.Step(now, in...) {
-			if s, ok := e.(Send); ok && s.Message.To == "b" && s.Message.Kind == Offered {
+			if s, ok := e.(Send); ok && s.Message.To == "b" && s.Message.Kind == KindOffer {
 				n++
 			}
 		}
 		return n
 	}
-	if before, after := tell(), tell(Reachable{"b"}); before != 0 || after != 1 {
+	if before, after := tell(), tell(PeerReachable{"b"}); before != 0 || after != 1 {
 		t.Errorf("told %d times before it was reachable, %d then", before, after)
 	}
 }
@@ -195,18 +195,18 @@
 		in   GiveUp
 		want string
 	}{
-		"class allows it":        {GiveUp{Job: "req-away-b0", Operator: "ana", Why: "burnt down"}, ""},
-		"class does not":         {GiveUp{Job: "req-away-b1", Operator: "ana", Why: "burnt down"}, "class once does not allow a repeat"},
-		"nobody says it":         {GiveUp{Job: "req-away-b0", Why: "burnt down"}, "who gives it up, and why, must be said"},
-		"nothing to be given up": {GiveUp{Job: "req-x", Operator: "ana", Why: "burnt down"}, "job is not away"},
+		"class allows it":        {GiveUp{JobID: "req-away-b0", Operator: "ana", Reason: "burnt down"}, ""},
+		"class does not":         {GiveUp{JobID: "req-away-b1", Operator: "ana", Reason: "burnt down"}, "class once does not allow a repeat"},
+		"nobody says it":         {GiveUp{JobID: "req-away-b0", Reason: "burnt down"}, "who gives it up, and why, must be said"},
+		"nothing to be given up": {GiveUp{JobID: "req-x", Operator: "ana", Reason: "burnt down"}, "job is not away"},
 	} {
-		m := routed(nil, Away{To: "b", Ticket: Ticket{Class: "k"}}, Away{To: "b", Ticket: Ticket{Class: "once"}})
+		m := routed(nil, Outgoing{To: "b", Ticket: Ticket{Class: "k"}}, Outgoing{To: "b", Ticket: Ticket{Class: "once"}})
 		got, stored := "", false // what is left to be written if it is let through
 		for _, e := range m.Step(2*time.Second, c.in) {
 			switch e := e.(type) {
 			case Answer:
-				got = e.Err
-			case Store:
+				got = e.Error
+			case StoreWrite:
 				stored = true
 			}
 		}
@@ -217,7 +217,7 @@
 }
 
 func TestGatewayFilesAreChecked(t *testing.T) {
-	if c, err := Load("../../deploy/gateway.toml"); err != nil || !c.Goes("nightly", time.Minute) {
+	if c, err := Load("../../deploy/gateway.toml"); err != nil || !c.MayOffer("nightly", time.Minute) {
 		t.Errorf("the file under deploy: %v", err)
 	}
 	const good = "site = \"a\"\n[[peers]]\nsite = \"b\"\naddresses = [\"127.0.0.1:1\"]\nat_once = 3\n"
@@ -236,7 +236,7 @@
 		}
 		c, err := Load(path)
 		switch {
-		case want == "" && (err != nil || c.Peers[0].AtOnce != 3 || c.Hops == 0):
+		case want == "" && (err != nil || c.Peers[0].MaxOutgoing != 3 || c.MaxHops == 0):
 			t.Errorf("%q: got %+v, %v", text, c, err)
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("%q: got %v", text, err)
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -32,7 +32,7 @@
 type simSite struct {
 	name    Site
 	cfg     *Config
-	machine *Machine
+	machine *Coordinator
 	records Records
 	jobs    map[string]*simJob
 	// home is the version of the gateway's home key; writes of an earlier one fail.
@@ -63,16 +63,16 @@
 func simConfig(self Site) *Config {
 	c := Default()
 	c.Site, c.RetryS, c.RetryMaxS = self, 1, 8
-	k := Class{Name: "k", Repeat: true}
+	k := Class{Name: "k", AllowsRepeat: true}
 	once := Class{Name: "once"}
 	for _, s := range siteNames {
 		if s != self {
-			c.Peers = append(c.Peers, Peer{Site: s, AtOnce: 2, Takes: 1})
-			k.To, k.Accept = append(k.To, s), append(k.Accept, s)
-			once.To, once.Accept = append(once.To, s), append(once.Accept, s)
+			c.Peers = append(c.Peers, Peer{Site: s, MaxOutgoing: 2, MaxIncoming: 1})
+			k.To, k.AcceptFrom = append(k.To, s), append(k.AcceptFrom, s)
+			once.To, once.AcceptFrom = append(once.To, s), append(once.AcceptFrom, s)
 		}
 	}
-	c.Class = []Class{k, once}
+	c.Classes = []Class{k, once}
 	return &c
 }
 
@@ -94,7 +94,7 @@
 	s.home++
 	s.seed++
 	s.machine = New(s.cfg, s.seed)
-	w.step(n, Loaded{s.records.copy()})
+	w.step(n, RecordsLoaded{s.records.copy()})
 }
 
 // fate is what becomes of a write.
@@ -118,16 +118,16 @@
 		queue = nil
 		for _, e := range effects {
 			switch e := e.(type) {
-			case Store:
-				queue = append(queue, Stored{e.ID, w.write(s, e.Write, f)})
+			case StoreWrite:
+				queue = append(queue, WriteCompleted{e.ID, w.write(s, e.Write, f)})
 			case Reload:
 				if !w.down[n] {
-					queue = append(queue, Loaded{s.records.copy()})
+					queue = append(queue, RecordsLoaded{s.records.copy()})
 				} else {
 					s.machine.reloadAt = w.now + time.Second // the adapter tries again
 				}
 			case Log:
-				if e.Bad {
+				if e.IsError {
 					s.warned++
 				}
 			case Answer:
@@ -136,8 +136,8 @@
 				if !w.cut[[2]Site{n, e.Message.To}] {
 					w.flying = append(w.flying, e.Message)
 				}
-			case CancelHere:
-				w.cancelHere(n, e.Local)
+			case CancelLocal:
+				w.cancelHere(n, e.LocalID)
 			}
 		}
 	}
@@ -170,74 +170,74 @@
 		return false
 	}
 	switch wr := wr.(type) {
-	case MakeAway:
-		j := s.jobs[wr.Job]
-		if j == nil || j.final != "" || j.away != 0 || j.running || wr.Away.Epoch != s.records.Last[wr.Away.To]+1 {
+	case CreateOutgoing:
+		j := s.jobs[wr.JobID]
+		if j == nil || j.final != "" || j.away != 0 || j.running || wr.Outgoing.Epoch != s.records.LastEpochs[wr.Outgoing.To]+1 {
 			return false
 		}
-		s.records.Last[wr.Away.To], j.away = wr.Away.Epoch, wr.Away.Epoch
-		s.records.Away[wr.Job] = wr.Away
-	case MarkCancel:
-		a, ok := s.records.Away[wr.Job]
+		s.records.LastEpochs[wr.Outgoing.To], j.away = wr.Outgoing.Epoch, wr.Outgoing.Epoch
+		s.records.Outgoing[wr.JobID] = wr.Outgoing
+	case MarkCancelRequested:
+		a, ok := s.records.Outgoing[wr.JobID]
 		if !ok || a.Epoch != wr.Epoch {
 			return false
 		}
-		a.CancelAsked = true
-		s.records.Away[wr.Job] = a
-	case TakeBack:
-		if a, ok := s.records.Away[wr.Job]; !ok || a.Epoch != wr.Epoch {
+		a.CancelRequested = true
+		s.records.Outgoing[wr.JobID] = a
+	case RevertOutgoing:
+		if a, ok := s.records.Outgoing[wr.JobID]; !ok || a.Epoch != wr.Epoch {
 			return false
 		}
-		delete(s.records.Away, wr.Job)
-		s.jobs[wr.Job].away = 0
+		delete(s.records.Outgoing, wr.JobID)
+		s.jobs[wr.JobID].away = 0
 		if wr.Operator != "" {
-			w.roots[s.jobs[wr.Job].root].givenUp = true
+			w.roots[s.jobs[wr.JobID].root].givenUp = true
 		}
 		if wr.Cancelled {
-			w.end(s, wr.Job, Cancelled)
+			w.end(s, wr.JobID, Cancelled)
 		}
-	case Finish:
-		if a, ok := s.records.Away[wr.Job]; !ok || a.Epoch != wr.Epoch || s.jobs[wr.Job].final != "" {
+	case FinishOutgoing:
+		if a, ok := s.records.Outgoing[wr.JobID]; !ok || a.Epoch != wr.Epoch || s.jobs[wr.JobID].final != "" {
 			return false
 		}
-		delete(s.records.Away, wr.Job)
-		s.jobs[wr.Job].away = 0
-		w.end(s, wr.Job, wr.State)
-	case Decide:
-		if _, ok := s.records.Taken[wr.Hold]; ok || wr.Hold.Epoch <= s.records.Floors[wr.Hold.Origin] {
+		delete(s.records.Outgoing, wr.JobID)
+		s.jobs[wr.JobID].away = 0
+		w.end(s, wr.JobID, wr.FinalState)
+	case DecideIncoming:
+		if _, ok := s.records.Incoming[wr.ID]; ok || wr.ID.Epoch <= s.records.LowWaterMarks[wr.ID.Origin] {
 			return false
 		}
-		s.records.Taken[wr.Hold] = wr.Taken
-		if wr.Taken.Accepted {
-			from := w.sites[wr.Hold.Origin].jobs[wr.Ticket.Job]
-			s.jobs[wr.Taken.Local] = &simJob{root: from.root, class: from.class, path: wr.Ticket.Path}
+		s.records.Incoming[wr.ID] = wr.Incoming
+		if wr.Incoming.Accepted {
+			from := w.sites[wr.ID.Origin].jobs[wr.Ticket.JobID]
+			s.jobs[wr.Incoming.LocalID] = &simJob{root: from.root, class: from.class, path: wr.Ticket.Path}
 		}
-	case NoteEnd:
-		k, ok := s.records.Taken[wr.Hold]
+	case FinishIncoming:
+		k, ok := s.records.Incoming[wr.ID]
 		if !ok {
 			return false
 		}
-		k.State = wr.State
-		s.records.Taken[wr.Hold] = k
-	case Forget:
-		if wr.Floor < s.records.Floors[wr.Origin] {
+		k.FinalState = wr.FinalState
+		s.records.Incoming[wr.ID] = k
+	case ForgetIncoming:
+		if wr.LowWaterMark < s.records.LowWaterMarks[wr.Origin] {
 			return false
 		}
-		s.records.Floors[wr.Origin] = wr.Floor
-		for _, h := range wr.Drop {
-			delete(s.records.Taken, h)
+		s.records.LowWaterMarks[wr.Origin] = wr.LowWaterMark
+		for _, h := range wr.IDs {
+			delete(s.records.Incoming, h)
 		}
-	case MarkTold:
-		a, ok := s.records.Away[wr.Job]
+	case MarkAccepted:
+		a, ok := s.records.Outgoing[wr.JobID]
 		if !ok || a.Epoch != wr.Epoch {
 			return false
 		}
 		a.Accepted = true
-		s.records.Away[wr.Job] = a
-	case SetDrain:
-		s.records.Drained[wr.Site] = wr.On
-	case SetLast:
-		s.records.Last[wr.Site] = wr.Last
+		s.records.Outgoing[wr.JobID] = a
+	case SetDrained:
+		s.records.Drained[wr.Site] = wr.Drained
+	case SetLastEpoch:
+		s.records.LastEpochs[wr.Site] = wr.Epoch
 	default:
 		panic(fmt.Sprintf("unknown write %T", wr))
 	}
@@ -305,7 +305,7 @@
 	switch {
 	case j == nil || j.final != "":
 	case j.away != 0:
-		w.step(n, Cancel{Job: id})
+		w.step(n, CancelRequested{JobID: id})
 	default:
 		w.end(w.sites[n], id, Cancelled)
 	}
@@ -317,7 +317,7 @@
 	if j.final == "" && j.away == 0 {
 		w.end(w.sites[n], id, Cancelled)
 	} else if j.final == "" {
-		w.step(n, Cancel{Req: 1, Job: id})
+		w.step(n, CancelRequested{Req: 1, JobID: id})
 	}
 	w.check()
 }
@@ -328,24 +328,24 @@
 	if !again {
 		w.flying = slices.Delete(w.flying, i, i+1)
 	}
-	w.stepWith(m.To, f, Received{Message: m})
+	w.stepWith(m.To, f, MessageReceived{Message: m})
 }
 
 // tick lets a second pass at a site: its jobs that wait may go elsewhere, and ends
 // that are not noted yet are told to the gateway.
 func (w *sim) tick(n Site, f fate) {
 	s := w.sites[n]
-	var wait Waiting
+	var wait JobsWaiting
 	for _, id := range sortedJobs(s) {
 		j := s.jobs[id]
 		if j.mayRun() && !j.running {
-			wait.Jobs = append(wait.Jobs, Job{ID: id, Class: j.class, Path: j.path, Waited: time.Hour})
+			wait.Jobs = append(wait.Jobs, WaitingJob{ID: id, Class: j.class, Path: j.path, Waited: time.Hour})
 		}
 	}
 	in := []Input{wait}
-	for _, k := range s.records.Taken {
-		if k.Accepted && k.State == "" && s.jobs[k.Local].final != "" {
-			in = append(in, EndedHere{k.Local, s.jobs[k.Local].final})
+	for _, k := range s.records.Incoming {
+		if k.Accepted && k.FinalState == "" && s.jobs[k.LocalID].final != "" {
+			in = append(in, LocalJobEnded{k.LocalID, s.jobs[k.LocalID].final})
 		}
 	}
 	w.stepWith(n, f, in...)
@@ -358,7 +358,7 @@
 		l := s.late[0]
 		s.late = s.late[1:]
 		if w.apply(s, l.write, l.home) {
-			w.step(n, Loaded{s.records.copy()}) // its watch tells
+			w.step(n, RecordsLoaded{s.records.copy()}) // its watch tells
 		}
 	}
 }
@@ -432,12 +432,12 @@
 				return false
 			}
 		}
-		for _, k := range s.records.Taken {
+		for _, k := range s.records.Incoming {
 			if k.Accepted {
 				return false
 			}
 		}
-		if len(s.records.Away) > 0 {
+		if len(s.records.Outgoing) > 0 {
 			return false
 		}
 	}
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -81,7 +81,7 @@
 		for len(w.flying) > 0 {
 			w.deliver(0, false, fine)
 		}
-		if w.sites["a"].records.Away["req-1"].Accepted {
+		if w.sites["a"].records.Outgoing["req-1"].Accepted {
 			w.cancel("a", "req-1")
 		}
 	}
@@ -93,28 +93,28 @@
 // What an origin has closed is told one by one, and goes from the receiver's records
 // once all before it is closed, wherever it lies.
 func TestClosedHandOffsAreToldAndForgotten(t *testing.T) {
-	m := routed(nil, Away{To: "b"}, Away{To: "b"})
-	delete(m.records.Away, "req-away-b1")
+	m := routed(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
+	delete(m.records.Outgoing, "req-away-b1")
 	m.load(m.records)
 	closed := false
-	for _, e := range m.Step(2*time.Second, Received{Message: Message{From: "b", To: "a", Kind: Ended, Epoch: 2, State: Done}}) {
-		if s, ok := e.(Send); ok && s.Message.Kind == Closed {
-			closed = s.Message.Epoch == 2 && s.Message.Floor == 0
+	for _, e := range m.Step(2*time.Second, MessageReceived{Message: Message{From: "b", To: "a", Kind: KindResult, Epoch: 2, State: Done}}) {
+		if s, ok := e.(Send); ok && s.Message.Kind == KindClosed {
+			closed = s.Message.Epoch == 2 && s.Message.LowWaterMark == 0
 		}
 	}
 	if !closed {
 		t.Error("an epoch that is closed beside an open one is told again and again")
 	}
 	r := Records{}.copy()
-	r.Floors["b"] = 5
-	r.Taken[Hold{"b", 3}] = Taken{Reason: busy}
-	var drop []Hold
-	for _, e := range m.Step(3*time.Second, Loaded{r}) {
-		if s, ok := e.(Store); ok {
-			drop = append(drop, s.Write.(Forget).Drop...)
+	r.LowWaterMarks["b"] = 5
+	r.Incoming[IncomingID{"b", 3}] = Incoming{Reason: reasonBusy}
+	var drop []IncomingID
+	for _, e := range m.Step(3*time.Second, RecordsLoaded{r}) {
+		if s, ok := e.(StoreWrite); ok {
+			drop = append(drop, s.Write.(ForgetIncoming).IDs...)
 		}
 	}
-	if len(drop) != 1 || drop[0] != (Hold{"b", 3}) {
+	if len(drop) != 1 || drop[0] != (IncomingID{"b", 3}) {
 		t.Errorf("forgets %v of what lies below the floor", drop)
 	}
 }
@@ -195,6 +195,6 @@
 
 func (w *sim) drain(n Site) {
 	for i := range w.sites[n].cfg.Peers {
-		w.sites[n].cfg.Peers[i].Drain = true
+		w.sites[n].cfg.Peers[i].Drained = true
 	}
 }
--- a/internal/federation/transport/keys.go
+++ b/internal/federation/transport/keys.go
@@ -66,7 +66,7 @@
 
 // Sign is a ticket with the first key's signature.
 func (k *TicketKeys) Sign(t federation.Ticket) (federation.Ticket, error) {
-	t.Key = k.Keys[0].ID
+	t.KeyID = k.Keys[0].ID
 	var err error
 	t.MAC, err = mac(t, k.Keys[0])
 	return t, err
@@ -74,13 +74,13 @@
 
 // Verify tells what is wrong with a ticket's signature, or nil.
 func (k *TicketKeys) Verify(t federation.Ticket) error {
-	i := slices.IndexFunc(k.Keys, func(o TicketKey) bool { return o.ID == t.Key })
+	i := slices.IndexFunc(k.Keys, func(o TicketKey) bool { return o.ID == t.KeyID })
 	if i < 0 {
-		return fmt.Errorf("ticket is signed with key %q, which is not known here", t.Key)
+		return fmt.Errorf("ticket is signed with key %q, which is not known here", t.KeyID)
 	}
 	want, err := mac(t, k.Keys[i])
 	if err != nil || !hmac.Equal(want, t.MAC) {
-		return fmt.Errorf("ticket's signature is not that of key %q", t.Key)
+		return fmt.Errorf("ticket's signature is not that of key %q", t.KeyID)
 	}
 	return nil
 }
--- a/internal/federation/transport/link.go
+++ b/internal/federation/transport/link.go
@@ -84,7 +84,7 @@
 	if m.Ticket != nil {
 		signed, err := s.tickets.Sign(*m.Ticket)
 		if err != nil {
-			slog.Error("ticket can't be signed", "job", m.Ticket.Job, "error", err)
+			slog.Error("ticket can't be signed", "job", m.Ticket.JobID, "error", err)
 			return
 		}
 		m.Ticket = &signed
--- a/internal/federation/transport/link_test.go
+++ b/internal/federation/transport/link_test.go
@@ -132,17 +132,17 @@
 func TestBadMessagesAreRefusedAndGoodOnesArrive(t *testing.T) {
 	p := newPair(t)
 	sign := func(change func(*federation.Ticket)) string {
-		ticket := federation.Ticket{Origin: "east", To: "west", Job: "req-1", Class: "k", Epoch: 3, Path: []federation.Site{"east"}, Body: json.RawMessage(`{"a":"<b>"}`)}
+		ticket := federation.Ticket{Origin: "east", To: "west", JobID: "req-1", Class: "k", Epoch: 3, Path: []federation.Site{"east"}, Body: json.RawMessage(`{"a":"<b>"}`)}
 		signed, err := p.west.secrets.tickets.Sign(ticket)
 		if err != nil {
 			t.Fatal(err)
 		}
 		change(&signed)
-		return line(t, federation.Message{From: "east", To: "west", Kind: federation.Offered, Epoch: 3, Ticket: &signed})
+		return line(t, federation.Message{From: "east", To: "west", Kind: federation.KindOffer, Epoch: 3, Ticket: &signed})
 	}
 	none := func(*federation.Ticket) {}
 	cases := []struct{ line, why string }{
-		{line(t, federation.Message{From: "east", To: "west", Kind: federation.Roomed}), ""},
+		{line(t, federation.Message{From: "east", To: "west", Kind: federation.KindLoad}), ""},
 		{"garbage", "message is not understood"},
 		{strings.Repeat("x", maxLine+1), "message is longer than"},
 		{sign(none), ""},
@@ -151,9 +151,9 @@
 		{sign(func(k *federation.Ticket) { k.Origin = "north" }), "ticket is for another hand-off"},
 		{sign(func(k *federation.Ticket) { k.To = "north" }), "ticket is for another hand-off"},
 		{sign(func(k *federation.Ticket) { k.Epoch = 4 }), "ticket is for another hand-off"},
-		{sign(func(k *federation.Ticket) { k.Job = "req-2" }), "signature is not that of key"},
+		{sign(func(k *federation.Ticket) { k.JobID = "req-2" }), "signature is not that of key"},
 		{sign(func(k *federation.Ticket) { k.MAC = nil }), "signature is not that of key"},
-		{sign(func(k *federation.Ticket) { k.Key = "mine" }), `key "mine", which is not known`},
+		{sign(func(k *federation.Ticket) { k.KeyID = "mine" }), `key "mine", which is not known`},
 		{sign(none), ""},
 	}
 	var lines []string
@@ -201,7 +201,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, back, err := p.post(t, cert, line(t, federation.Message{From: "east", To: "west", Kind: federation.Roomed}))
+		_, back, err := p.post(t, cert, line(t, federation.Message{From: "east", To: "west", Kind: federation.KindLoad}))
 		told := strings.Join(back, " ")
 		if err != nil {
 			told += err.Error()
@@ -253,7 +253,7 @@
 // and hands it to the core, and a broken file leaves the earlier one in force.
 func TestTicketKeysRollOver(t *testing.T) {
 	p := newPair(t)
-	old, err := p.west.secrets.tickets.Sign(federation.Ticket{Job: "req-1"})
+	old, err := p.west.secrets.tickets.Sign(federation.Ticket{JobID: "req-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,9 +266,9 @@
 		t.Fatalf("reload: %v, %d", err, taken)
 	}
 	keys := p.west.secrets.tickets
-	fresh, err := keys.Sign(federation.Ticket{Job: "req-1"})
-	if err != nil || fresh.Key == old.Key || keys.Verify(old) != nil || keys.Verify(fresh) != nil {
-		t.Errorf("keys %q and %q: %v, %v, %v", old.Key, fresh.Key, err, keys.Verify(old), keys.Verify(fresh))
+	fresh, err := keys.Sign(federation.Ticket{JobID: "req-1"})
+	if err != nil || fresh.KeyID == old.KeyID || keys.Verify(old) != nil || keys.Verify(fresh) != nil {
+		t.Errorf("keys %q and %q: %v, %v, %v", old.KeyID, fresh.KeyID, err, keys.Verify(old), keys.Verify(fresh))
 	}
 	if err := os.WriteFile(p.west.path, []byte("hop = 3"), 0o600); err != nil {
 		t.Fatal(err)
