--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -104,7 +104,7 @@
 	}
 	for i, b := range j.Bound {
 		if !b.Stored && slices.Contains(failed, keyCordon+b.Machine) {
-			c.autoscaler.cordoning[b.Machine] = c.now.Steady
+			c.autoscaler.beginCordon(b.Machine, c.now.Steady)
 			c.unbind(j, i)
 		}
 	}
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -18,7 +18,7 @@
 	}
 	m := c.machines.Get(report.Machine)
 	if m == nil {
-		c.provisioned(report)
+		c.noteProvisioned(report)
 		m = c.addMachine(report.Machine)
 	} else if !m.IsNewer(report) {
 		c.applyNewerToken(m, &o)
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -23,7 +23,7 @@
 			State: protocol.Booting, AgeS: age.Seconds()})
 	}
 	c.handleInventory(l)
-	c.updateProvisioningTimes()
+	c.autoscaler.updateProvisioningTimes(c.now.Steady, c.machines, c.catalog)
 	return c
 }
 
@@ -52,7 +52,7 @@
 		c.comesUp(fmt.Sprintf("vm-9%03d", i))
 	}
 	c.now.Steady += 2*boot + c.silenceLimit() + boot
-	c.updateProvisioningTimes()
+	c.autoscaler.updateProvisioningTimes(c.now.Steady, c.machines, c.catalog)
 	if n := len(c.pendingCapacity()); n > 0 {
 		t.Errorf("%d machines are awaited that hardly come", n)
 	}
@@ -78,7 +78,7 @@
 	l := protocol.ListedMachine{Type: "small", Zone: "z1", Spot: true}
 	before := len(c.offers(0))
 	for range maxProvisioningFailures {
-		c.failedProvisioning(l)
+		c.noteProvisioningFailure(l)
 	}
 	if n := len(c.offers(0)); n != before-1 {
 		t.Errorf("%d offers of %d are left", n, before)
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -71,7 +71,7 @@
 	m := c.machines.Get(id)
 	switch {
 	case m == nil:
-		c.provisioned(&protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot})
+		c.noteProvisioned(&protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot})
 		m = c.addMachine(id)
 	case kind.Token < m.GrantedToken || kind.Epoch < m.Session:
 		return // a newer controller serves it
