--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -6,33 +6,33 @@
 	"pepperlever/internal/core/job"
 )
 
-// onCordonPut notes that a machine takes no bindings; if it is gone for good, that
-// ends every binding on it.
-func (c *Core) onCordonPut(machine string, k cordonRecord) {
-	if old, ok := c.cordons[machine]; ok && old.version >= k.version {
+// onCordonPut notes that a machine takes no bindings. If it is gone for good, that ends every
+// binding on it.
+func (c *Core) onCordonPut(machine string, record cordonRecord) {
+	if known, ok := c.cordons[machine]; ok && known.version >= record.version {
 		return
 	}
-	k.since = c.now.Steady
-	c.cordons[machine] = k
+	record.since = c.now.Steady
+	c.cordons[machine] = record
 	c.requestRound()
 	c.expediteExits(machine)
-	if !k.Terminated {
+	if !record.Terminated {
 		return
 	}
 	c.removeMachine(machine)
-	all := func(job.Ref, *job.Binding) bool { return true }
-	c.eachLedBinding(machine, all, func(j *job.Job, i int, _ *job.Binding) {
+	anyBinding := func(job.Ref, *job.Binding) bool { return true }
+	c.eachLedBinding(machine, anyBinding, func(j *job.Job, i int, _ *job.Binding) {
 		c.log(Debug, "task is gone with its machine", "task", j.TaskID(i), "machine", machine)
 		c.unbind(j, i)
 	})
 }
 
-// expediteExits has the ends of tasks on a closing machine stored without delay: it
-// can be returned only after that.
+// expediteExits has the ends of tasks on a cordoned machine stored without delay: it can be
+// returned only after that.
 func (c *Core) expediteExits(machine string) {
-	onMachine := func(e job.Exit) bool { return e.Machine == machine }
+	isOnMachine := func(exit job.Exit) bool { return exit.Machine == machine }
 	for _, j := range c.jobs {
-		if c.leads(j) && slices.ContainsFunc(j.Ended, onMachine) {
+		if c.leads(j) && slices.ContainsFunc(j.Ended, isOnMachine) {
 			j.Urgent = true
 		}
 	}
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -126,7 +126,7 @@
 	if e.Reason == protocol.WhyDone || e.Reason == protocol.WhyError {
 		c.attributeExit(j, m, e.Machine, t)
 	}
-	c.taskEnded(j, e.Index, b, m, t)
+	c.taskEnded(j, e.Index, m, t)
 }
 
 // reapplyRelayEntries applies the entries of all pages once more: this node may have become
