--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -74,7 +74,7 @@
 // cancelConflict answers a cancellation that could not be stored: the job has a final state,
 // or another site has the right to it.
 func (c *Core) cancelConflict(m Cancel, failed []string) {
-	if slices.Contains(failed, awayKey(m.ID)) {
+	if slices.Contains(failed, outgoingKey(m.ID)) {
 		c.cancelOutgoing(m)
 		return
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,6 @@
 	"pepperlever/internal/core/jobstats"
 	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/core/worker"
-	"pepperlever/internal/federation"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -52,7 +51,7 @@
 	limits       storeLimits
 	dependencies dependencies
 	// handoffs mirrors the hand-offs to and from other sites.
-	handoffs handoffRecords
+	handoffs handoffReplica
 
 	// Machines.
 	catalog      catalog.Catalog
@@ -107,7 +106,7 @@
 		startLedgers: newStartLedgers(), tokens: newFencingTokens(),
 		rebalancer: newRebalancer(), orphanLookups: map[string]bool{},
 		announcements: newAnnouncementSet(), peers: newPeerTable(cfg), storeOK: true,
-		handoffs: newSiteRecords(), scheduler: newScheduler(), autoscaler: newAutoscaler(), relay: newStoreRelay(), returns: newMachineReturns(), stats: jobstats.New(),
+		handoffs: newHandoffReplica(), scheduler: newScheduler(), autoscaler: newAutoscaler(), relay: newStoreRelay(), returns: newMachineReturns(), stats: jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
@@ -185,11 +184,9 @@
 	case SiteMessageReceived:
 		c.handleSiteMessage(m.Message)
 	case SiteConnected:
-		if c.federation != nil && c.federation.machine != nil {
-			c.federation.inputs = append(c.federation.inputs, federation.PeerReachable{Site: m.Site})
-		}
+		c.federation.peerReachable(m.Site)
 	case SiteConfig:
-		c.siteConfig(m.Config)
+		c.updateFederationConfig(m.Config)
 	case OperatorRequest:
 		c.handleOperatorRequest(m)
 	default:
--- a/internal/core/federation_test.go
+++ b/internal/core/federation_test.go
@@ -129,7 +129,7 @@
 			t.Errorf("%s says %+v", n, s)
 		}
 	}
-	if len(w.starts) > 0 || w.kv[jobKey("req-red-1")].Version > 0 || w.kv[awayKey("req-red-1")].Version > 0 {
+	if len(w.starts) > 0 || w.kv[jobKey("req-red-1")].Version > 0 || w.kv[outgoingKey("req-red-1")].Version > 0 {
 		t.Errorf("started here: %v, or not tidied up", w.starts)
 	}
 }
@@ -289,19 +289,19 @@
 		before func(w *world)
 		holds  func(w *world) bool
 	}{
-		"a binding after a hand-off": {before: func(w *world) { w.silently(awayKey("req-red-1"), away) },
+		"a binding after a hand-off": {before: func(w *world) { w.silently(outgoingKey("req-red-1"), away) },
 			holds: func(w *world) bool { return len(w.starts) == 0 }},
-		"a cancellation after a hand-off": {before: func(w *world) { w.silently(awayKey("req-red-1"), away) },
+		"a cancellation after a hand-off": {before: func(w *world) { w.silently(outgoingKey("req-red-1"), away) },
 			holds: func(w *world) bool {
 				return w.cancelJob("b", "req-red-1").Status == http.StatusServiceUnavailable && w.kv[keyState+"req-red-1"].Version == 0
 			}},
 		"a hand-off after a binding": {more: elsewhere, before: func(w *world) { w.silently(jobKey("req-red-1"), "bound meanwhile") },
-			holds: func(w *world) bool { return w.kv[awayKey("req-red-1")].Version == 0 }},
+			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
 		"a hand-off after a cancellation": {more: elsewhere, before: func(w *world) { w.silently(cancelKey("req-red-1"), struct{}{}) },
-			holds: func(w *world) bool { return w.kv[awayKey("req-red-1")].Version == 0 }},
+			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
 		"a hand-off after a drain by another": {more: elsewhere, before: func(w *world) {
 			w.change(protocol.Change{Put: drainedKey("far"), Value: mustMarshal(struct{}{})})
-		}, holds: func(w *world) bool { return w.kv[awayKey("req-red-1")].Version == 0 }},
+		}, holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
 	} {
 		w, f := joined(t)
 		f.play(10*time.Second, func() bool { return false }) // the sites meet
@@ -313,7 +313,7 @@
 		c.before(w)
 		f.play(15*time.Second, func() bool { return false })
 		if !c.holds(w) {
-			t.Errorf("%s: starts %v, away %d, state %d", name, w.starts, w.kv[awayKey("req-red-1")].Version, w.kv[keyState+"req-red-1"].Version)
+			t.Errorf("%s: starts %v, away %d, state %d", name, w.starts, w.kv[outgoingKey("req-red-1")].Version, w.kv[keyState+"req-red-1"].Version)
 		}
 	}
 }
@@ -321,7 +321,7 @@
 // A job that is away is not even tried to be placed.
 func TestJobThatIsAwayIsNotPlaced(t *testing.T) {
 	w, f := joined(t)
-	w.change(protocol.Change{Put: awayKey("req-red-1"), Value: mustMarshal(federation.Outgoing{Epoch: 1, To: "far"})})
+	w.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustMarshal(federation.Outgoing{Epoch: 1, To: "far"})})
 	f.play(time.Second, func() bool { return false })
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -1,8 +1,7 @@
 package core
 
 import (
-	"strconv"
-	"strings"
+	"fmt"
 	"time"
 
 	"github.com/segmentio/encoding/json"
@@ -12,70 +11,167 @@
 	"pepperlever/internal/protocol"
 )
 
-// Keys of the hand-offs between sites. Only the gateway's home writes them.
-const (
-	keyAway    = keyFederation + "a/" // j/ga/<job>: another site has the right to it
-	keyTaken   = keyFederation + "t/" // j/gt/<origin>/<epoch>: what was decided here
-	keyFloor   = keyFederation + "f/" // j/gf/<origin>: the epoch up to which all is closed
-	keyLast    = keyFederation + "e/" // j/ge/<site>: the highest epoch given to it
-	keyDrained = keyFederation + "d/" // j/gd/<site>: no new hand-offs with it
-)
-
-func awayKey(id string) string { return keyAway + id }
-func takenKey(h federation.IncomingID) string {
-	return keyTaken + string(h.Origin) + "/" + epochText(h.Epoch)
-}
-func floorKey(s federation.Site) string   { return keyFloor + string(s) }
-func lastKey(s federation.Site) string    { return keyLast + string(s) }
-func drainedKey(s federation.Site) string { return keyDrained + string(s) }
-func epochText(e federation.Epoch) string { return strconv.FormatUint(uint64(e), 10) }
-
-// handoffRecords mirror the hand-offs on every controller, with a gateway or without:
-// what is away is bound nowhere here.
-type handoffRecords struct {
+// handoffReplica is the replica of the hand-offs on every controller, with a federation or
+// without: a job that is handed off is bound nowhere here.
+type handoffReplica struct {
 	federation.Records
-	// versions are the keys' versions, gone the revisions of deletions that the
-	// watch has not told yet.
+	// versions are the keys' versions.
 	versions map[string]uint64
-	gone     map[string]uint64
-	// unconfirmed holds jobs that were found to be away before their records came.
+	// deletions are the revisions of deletions that the watch has not told yet, by key.
+	deletions map[string]uint64
+	// unconfirmed holds when jobs were found to be handed off before their records came.
 	unconfirmed map[string]time.Duration
-	// progress is what the far sites have told of jobs that are away, for display.
+	// progress is what other sites have told of jobs that were handed to them, for display.
 	progress map[string]Progress
 }
 
-func newSiteRecords() handoffRecords {
-	return handoffRecords{Records: federation.Records{LastEpochs: map[federation.Site]federation.Epoch{}, Outgoing: map[string]federation.Outgoing{},
-		Incoming: map[federation.IncomingID]federation.Incoming{}, LowWaterMarks: map[federation.Site]federation.Epoch{}, Drained: map[federation.Site]bool{}},
-		versions: map[string]uint64{}, gone: map[string]uint64{}, unconfirmed: map[string]time.Duration{}, progress: map[string]Progress{}}
+func newHandoffReplica() handoffReplica {
+	return handoffReplica{
+		Records:     federation.NewRecords(),
+		versions:    map[string]uint64{},
+		deletions:   map[string]uint64{},
+		unconfirmed: map[string]time.Duration{},
+		progress:    map[string]Progress{},
+	}
+}
+
+// anyStored tells whether any hand-off is stored.
+func (r *handoffReplica) anyStored() bool { return len(r.versions) > 0 }
+
+// noteProgress notes how a job at another site gets on. What was done stays done.
+func (r *handoffReplica) noteProgress(id string, progress Progress) {
+	if _, outgoing := r.Outgoing[id]; outgoing {
+		progress.Done = max(progress.Done, r.progress[id].Done)
+		r.progress[id] = progress
+	}
 }
 
-// isOutgoing tells whether another site has the right to a job.
+// lacksProgress tells whether nobody here knows how an accepted job at another site gets on:
+// anything said of it might be older than what its user was told before.
+func (r *handoffReplica) lacksProgress(id string) bool {
+	_, known := r.progress[id]
+	return r.Outgoing[id].Accepted && !known
+}
+
+// noteDeleted notes that a record is deleted, ahead of the watch.
+func (r *handoffReplica) noteDeleted(key string, revision uint64) {
+	if _, _, err := parseHandoffKey(key); err == nil {
+		r.deletions[key] = revision
+	}
+}
+
+// isOlder tells whether a stored record is older than what the replica holds.
+func (r *handoffReplica) isOlder(item protocol.KeyValue) bool {
+	return r.versions[item.Key] >= item.Version || r.deletions[item.Key] > item.Version
+}
+
+// put reads a stored record.
+func (r *handoffReplica) put(item protocol.KeyValue) error {
+	kind, name, err := parseHandoffKey(item.Key)
+	if err != nil {
+		return err
+	}
+	switch kind {
+	case keyOutgoing:
+		err = r.putOutgoing(name, item.Value)
+	case keyIncoming:
+		err = r.putIncoming(name, item.Value)
+	case keyLowWaterMark:
+		err = putEpoch(r.LowWaterMarks, federation.Site(name), item.Value)
+	case keyLastEpoch:
+		err = putEpoch(r.LastEpochs, federation.Site(name), item.Value)
+	case keyDrained:
+		r.Drained[federation.Site(name)] = true
+	}
+	if err != nil {
+		return fmt.Errorf("read hand-off record %s: %w", item.Key, err)
+	}
+	r.versions[item.Key] = item.Version
+	return nil
+}
+
+func (r *handoffReplica) putOutgoing(id string, value json.RawMessage) error {
+	var outgoing federation.Outgoing
+	err := json.Unmarshal(value, &outgoing)
+	r.Outgoing[id] = outgoing // even if malformed: the job is not to run here
+	delete(r.unconfirmed, id)
+	return err
+}
+
+func (r *handoffReplica) putIncoming(name string, value json.RawMessage) error {
+	id, err := parseIncomingID(name)
+	if err != nil {
+		return err
+	}
+	var incoming federation.Incoming
+	err = json.Unmarshal(value, &incoming)
+	r.Incoming[id] = incoming
+	return err
+}
+
+// putEpoch reads an epoch of a site, which never falls.
+func putEpoch(epochs map[federation.Site]federation.Epoch, site federation.Site, value json.RawMessage) error {
+	var epoch federation.Epoch
+	err := json.Unmarshal(value, &epoch)
+	epochs[site] = max(epochs[site], epoch)
+	return err
+}
+
+// remove applies a deletion that the watch tells of, and reports whether the replica held a
+// record of it.
+func (r *handoffReplica) remove(key string, revision uint64) (removed bool) {
+	if r.deletions[key] == revision {
+		delete(r.deletions, key) // applied already
+		return false
+	}
+	version, found := r.versions[key]
+	if !found || version > revision {
+		return false
+	}
+	delete(r.versions, key)
+	kind, name, err := parseHandoffKey(key)
+	if err != nil {
+		return false
+	}
+	switch kind {
+	case keyOutgoing:
+		delete(r.Outgoing, name)
+		delete(r.progress, name)
+	case keyIncoming:
+		if id, err := parseIncomingID(name); err == nil {
+			delete(r.Incoming, id)
+		}
+	case keyDrained:
+		delete(r.Drained, federation.Site(name))
+	}
+	return true
+}
+
+// isOutgoing tells whether another site has the right to run a job.
 func (c *Core) isOutgoing(id string) bool {
-	if _, away := c.handoffs.Outgoing[id]; away {
+	if _, outgoing := c.handoffs.Outgoing[id]; outgoing {
 		return true
 	}
-	at, doubted := c.handoffs.unconfirmed[id]
-	return doubted && c.now.Steady-at < c.reportInterval()
+	since, unconfirmed := c.handoffs.unconfirmed[id]
+	return unconfirmed && c.now.Steady-since < c.reportInterval()
 }
 
-// notHandedOff is the condition that a job has not been handed off. Without a gateway
-// none is; that all controllers of a site have one before anything is handed off is
-// seen to by their own keys.
+// notHandedOff is the condition that a job has not been handed off. Without a federation none
+// is: all controllers of a site have one, by their own keys, before anything is handed off.
 func (c *Core) notHandedOff(id string) []protocol.Condition {
 	if c.federation == nil {
 		return nil
 	}
-	return []protocol.Condition{{Key: awayKey(id)}}
+	return []protocol.Condition{{Key: outgoingKey(id)}}
 }
 
-// hidesOutgoing tells whether this node must be no home: hand-offs are stored, and it does
-// not know how to keep away from them.
-func (c *Core) hidesOutgoing() bool { return c.federation == nil && len(c.handoffs.versions) > 0 }
+// ignoresHandoffs tells whether this node must not lead anything: hand-offs are stored, and it
+// has no federation to keep away from the jobs.
+func (c *Core) ignoresHandoffs() bool { return c.federation == nil && c.handoffs.anyStored() }
 
-// handedOff ends the bindings that could not be stored since the job is away. Its
+// onHandedOff ends the bindings that could not be stored since the job is handed off. Its
 // record is on its way.
-func (c *Core) handedOff(j *job.Job) {
+func (c *Core) onHandedOff(j *job.Job) {
 	c.handoffs.unconfirmed[j.ID] = c.now.Steady
 	for i, b := range j.Bound {
 		if !b.Stored {
@@ -84,97 +180,31 @@
 	}
 }
 
-// onFederationPut takes over a stored record.
+// onFederationPut applies a stored record to the replica.
 func (c *Core) onFederationPut(item protocol.KeyValue) error {
-	if c.handoffs.versions[item.Key] >= item.Version || c.handoffs.gone[item.Key] > item.Version {
+	if c.handoffs.isOlder(item) {
 		return nil
 	}
-	if c.federation == nil && len(c.handoffs.versions) == 0 {
-		c.log(Error, "jobs of this site are handed off: give this controller its gateway file; it takes no teams without")
+	if c.federation == nil && !c.handoffs.anyStored() {
+		c.log(Error, "hand-offs are stored and this controller has no federation configuration: it will not lead any shard")
 	}
 	if err := c.handoffs.put(item); err != nil {
 		return err
 	}
-	c.handoffs.versions[item.Key] = item.Version
-	c.siteChanged(item.Version)
+	c.federation.noteChange(item.Version)
 	return nil
 }
 
-// put reads a record into the mirror.
-func (s *handoffRecords) put(item protocol.KeyValue) error {
-	kind, name, err := splitSite(item.Key)
-	if err != nil {
-		return err
-	}
-	switch kind {
-	case keyAway:
-		var a federation.Outgoing
-		err = json.Unmarshal(item.Value, &a)
-		s.Outgoing[name] = a
-		delete(s.unconfirmed, name)
-	case keyTaken:
-		var k federation.Incoming
-		var h federation.IncomingID
-		if h, err = holdOf(name); err == nil {
-			err = json.Unmarshal(item.Value, &k)
-			s.Incoming[h] = k
-		}
-	case keyFloor, keyLast:
-		var e federation.Epoch
-		err = json.Unmarshal(item.Value, &e)
-		of := map[string]map[federation.Site]federation.Epoch{keyFloor: s.LowWaterMarks, keyLast: s.LastEpochs}[kind]
-		of[federation.Site(name)] = max(of[federation.Site(name)], e)
-	case keyDrained:
-		s.Drained[federation.Site(name)] = true
-	}
-	return err
-}
-
-// splitSite takes the key of a record apart.
-func splitSite(key string) (kind, name string, err error) {
-	for _, kind := range []string{keyAway, keyTaken, keyFloor, keyLast, keyDrained} {
-		if name, ok := strings.CutPrefix(key, kind); ok {
-			return kind, name, nil
-		}
-	}
-	return "", "", strconv.ErrSyntax
-}
-
-func holdOf(name string) (federation.IncomingID, error) {
-	origin, epoch, _ := strings.Cut(name, "/")
-	e, err := strconv.ParseUint(epoch, 10, 64)
-	return federation.IncomingID{Origin: federation.Site(origin), Epoch: federation.Epoch(e)}, err
-}
-
-// onFederationDelete applies the deletion of a record.
+// onFederationDelete applies the deletion of a record to the replica.
 func (c *Core) onFederationDelete(key string, revision uint64) {
-	s := &c.handoffs
-	if s.gone[key] == revision {
-		delete(s.gone, key) // told already
-		return
-	}
-	if v, there := s.versions[key]; !there || v > revision {
+	if !c.handoffs.remove(key, revision) {
 		return
 	}
-	delete(s.versions, key)
-	kind, name, err := splitSite(key)
-	if err != nil {
-		return
-	}
-	switch kind {
-	case keyAway:
-		delete(s.Outgoing, name)
-		delete(s.progress, name)
+	if kind, id, _ := parseHandoffKey(key); kind == keyOutgoing {
 		c.requestRound()
-		if j := c.jobs[name]; j != nil {
+		if j := c.jobs[id]; j != nil {
 			j.WaitingSince = c.now.Steady
 		}
-	case keyTaken:
-		if h, err := holdOf(name); err == nil {
-			delete(s.Incoming, h)
-		}
-	case keyDrained:
-		delete(s.Drained, federation.Site(name))
 	}
-	c.siteChanged(revision)
+	c.federation.noteChange(revision)
 }
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -64,7 +64,7 @@
 	// last was, CancelledAt when its cancellation became known.
 	Urgent                bool
 	StoredAt, CancelledAt time.Duration
-	// KindCancel is the time of day of the cancellation in milliseconds, 0 if
+	// CancelAsked is the time of day of the cancellation in milliseconds, 0 if
 	// it is not known.
 	CancelAsked int64
 	// ClaimedAt is when the newest bindings were made.
--- a/internal/core/job/spec.go
+++ b/internal/core/job/spec.go
@@ -85,7 +85,7 @@
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// MaxOutgoing is how many of the job's tasks have to be on machines at the same time for it to
+// AtOnce is how many of the job's tasks have to be on machines at the same time for it to
 // run: an array's may come one after the other.
 func (s *Spec) AtOnce() int {
 	if s.Kind == Array {
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -99,8 +99,8 @@
 	if slices.Contains(failed, cancelKey(j.ID)) {
 		c.noteCancellation(Cancellation{Job: j.ID, Revision: r.Revision})
 	}
-	if slices.Contains(failed, awayKey(j.ID)) {
-		c.handedOff(j)
+	if slices.Contains(failed, outgoingKey(j.ID)) {
+		c.onHandedOff(j)
 	}
 	for i, b := range j.Bound {
 		if !b.Stored && slices.Contains(failed, keyCordon+b.Machine) {
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -52,12 +52,12 @@
 func (c *Core) electLeaders() {
 	c.register()
 	members := &c.members
-	if members.lease == 0 || !members.registered() || c.hidesOutgoing() {
+	if members.lease == 0 || !members.registered() || c.ignoresHandoffs() {
 		return
 	}
 	c.stateVersion()
 	for i, s := range c.allShards() {
-		preferred := members.preferredLeader(i, len(c.handoffs.versions) > 0)
+		preferred := members.preferredLeader(i, c.handoffs.anyStored())
 		prefersSelf := preferred == members.self
 		connected := c.peers.isConnected(preferred)
 		switch {
@@ -130,8 +130,8 @@
 	if s == c.fleet {
 		c.autoscaler.reset(c.now.Steady)
 	}
-	if c.federation != nil && s == c.federation.shard {
-		c.federation.open(c)
+	if c.federation.owns(s) {
+		c.federation.start(c.members.incarnation, c.handoffs.Records)
 	}
 	c.requestRound()
 }
@@ -156,8 +156,8 @@
 func (c *Core) lostLeadership(s *shard) {
 	led := s.leading
 	s.leading, s.leader, s.leaderIncarnation, s.version = false, "", "", 0
-	if c.federation != nil && s == c.federation.shard {
-		c.federation.machine = nil
+	if c.federation.owns(s) {
+		c.federation.stop()
 	}
 	if !led {
 		return
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -122,7 +122,7 @@
 	switch {
 	case !group.Accepted:
 		group.ResolveAll(lookup.Result{Outcome: lookup.Absent})
-	case c.outgoingUnconfirmed(group.JobID):
+	case c.handoffs.lacksProgress(group.JobID):
 		group.ResolveUnavailable()
 	default:
 		c.resolveActive(group, revision)
--- a/internal/federation/index.go
+++ b/internal/federation/index.go
@@ -108,6 +108,9 @@
 	return Records{LastEpochs: clone(r.LastEpochs), Outgoing: clone(r.Outgoing), Incoming: clone(r.Incoming), LowWaterMarks: clone(r.LowWaterMarks), Drained: clone(r.Drained)}
 }
 
+// NewRecords makes records without any hand-off.
+func NewRecords() Records { return Records{}.copy() }
+
 func clone[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return map[K]V{}
