--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -92,10 +92,13 @@
 	c.machines.RecordContact(m, false, c.now.Steady)
 }
 
-// applyRelayEntries ends the bindings of this node's teams whose outcome a page tells. It
-// applies the entries before a malformed one.
+// applyRelayEntries ends the bindings of this node's teams whose outcome a page tells. Of a
+// page with a malformed entry it applies none.
 func (c *Core) applyRelayEntries(p *relay.Page) error {
 	entries, err := p.Entries()
+	if err != nil {
+		return err
+	}
 	for _, e := range entries {
 		j := c.jobs[e.Job]
 		if j == nil || !c.leads(j) {
@@ -106,7 +109,7 @@
 			c.applyRelayEntry(j, b, e)
 		}
 	}
-	return err
+	return nil
 }
 
 // applyRelayEntry ends one binding.
