--- a/internal/core/placement/picker.go
+++ b/internal/core/placement/picker.go
@@ -8,18 +8,19 @@
 	"pepperlever/internal/core/job"
 )
 
-// Picker chooses hosts for like tasks of one job, best first. It weighs the
-// hosts once for as many tasks as wait, not anew for each of them: a host that
-// was the best stays so while it has room, since it only gets fuller.
+// Picker chooses hosts for like tasks of one job, best first. It ranks the hosts once for as
+// many tasks as wait, not anew for each of them: a host that was the best stays so while it has
+// room, since it only gets fuller.
 type Picker struct {
 	spec   *job.Spec
 	hosts  []*Host
-	ranked []scored
-	// complete is set when best holds every host that can take a task.
+	ranked []rankedHost
+	// complete is set when ranked holds every host that can take a task.
 	complete bool
 }
 
-type scored struct {
+// rankedHost is a host with its score, and its place among the hosts.
+type rankedHost struct {
 	host  *Host
 	score float64
 	index int
@@ -46,37 +47,41 @@
 
 // rank finds the n best hosts.
 func (p *Picker) rank(n int, zones Zones) {
-	top := worstFirst{}
+	best := worstFirst{}
 	for i, h := range p.hosts {
 		if !Suits(p.spec, h, zones) {
 			continue
 		}
-		s := scored{h, score(p.spec, h), i}
+		candidate := rankedHost{h, score(p.spec, h), i}
 		switch {
-		case len(top) < n:
-			heap.Push(&top, s)
-		case better(s, top[0]) < 0:
-			top[0] = s
-			heap.Fix(&top, 0)
+		case len(best) < n:
+			heap.Push(&best, candidate)
+		case compareRanked(candidate, best[0]) < 0:
+			best[0] = candidate
+			heap.Fix(&best, 0)
 		}
 	}
-	p.complete = len(top) < n
-	slices.SortFunc(top, better)
-	p.ranked = top
+	p.complete = len(best) < n
+	slices.SortFunc(best, compareRanked)
+	p.ranked = best
 }
 
-// better orders by score; equals stay in the order of the hosts.
-func better(a, b scored) int {
+// compareRanked orders by score, the best first; equals stay in the order of the hosts.
+func compareRanked(a, b rankedHost) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
 // worstFirst is a heap with the worst of the chosen hosts on top.
-type worstFirst []scored
+type worstFirst []rankedHost
 
 func (w worstFirst) Len() int           { return len(w) }
-func (w worstFirst) Less(i, j int) bool { return better(w[i], w[j]) > 0 }
+func (w worstFirst) Less(i, j int) bool { return compareRanked(w[i], w[j]) > 0 }
 func (w worstFirst) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
-func (w *worstFirst) Push(x any)        { *w = append(*w, x.(scored)) }
+
+// Push implements heap.Interface.
+func (w *worstFirst) Push(x any) { *w = append(*w, x.(rankedHost)) }
+
+// Pop implements heap.Interface.
 func (w *worstFirst) Pop() any {
 	last := (*w)[len(*w)-1]
 	*w = (*w)[:len(*w)-1]
