--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -11,12 +11,15 @@
 	"testing"
 )
 
+// root is the repository, seen from this package.
+const root = "../.."
+
 // Every package and every exported type, function, method, constant and variable has a
 // doc comment. One comment may stand for a whole group of constants or variables.
 func TestExportedDeclarationsAreDocumented(t *testing.T) {
 	files := token.NewFileSet()
 	documented := map[string]bool{}
-	err := filepath.WalkDir("../..", func(path string, _ fs.DirEntry, err error) error {
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -86,16 +89,20 @@
 
 // hasExportedReceiver tells whether a function is no method, or one of an exported type.
 func hasExportedReceiver(function *ast.FuncDecl) bool {
-	if function.Recv == nil {
-		return true
-	}
-	receiver := function.Recv.List[0].Type
+	return function.Recv == nil || ast.IsExported(receiverName(function))
+}
+
+// receiverName is the name of a method's type.
+func receiverName(method *ast.FuncDecl) string {
+	receiver := method.Recv.List[0].Type
 	if pointer, ok := receiver.(*ast.StarExpr); ok {
 		receiver = pointer.X
 	}
 	if generic, ok := receiver.(*ast.IndexExpr); ok {
 		receiver = generic.X
 	}
-	name, ok := receiver.(*ast.Ident)
-	return ok && name.IsExported()
+	if name, ok := receiver.(*ast.Ident); ok {
+		return name.Name
+	}
+	return ""
 }
