--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -10,7 +10,7 @@
 	// cancellationsPerMessage bounds a message, maxAnnouncements the memory. Beyond it the
 	// oldest are dropped: peers that have not acknowledged them learn of them by their watch.
 	cancellationsPerMessage = 256
-	maxAnnouncements        = 4 * maxFinalStates
+	maxAnnouncements        = 4 * endedJobsKept
 	// announcementLifetime is for how many cancellation deadlines a cancellation is announced.
 	announcementLifetime = 4
 )
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -46,7 +46,7 @@
 		"a refusal": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Refused, Revision: 5}) }, 0},
 	} {
 		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
-		c.revision, c.now.Steady = 5, sent
+		c.replica.revision, c.now.Steady = 5, sent
 		c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady)
 		c.now.Steady = later
 		d.happens(c)
@@ -115,7 +115,7 @@
 		c.rememberFinalState("req-done-1", protocol.JobState{ID: "req-done-1", State: protocol.Done})
 		c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{Cancellations: told}})
 		c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{Acknowledged: []string{"req-else-1", good.Job}}})
-		if c.finalStates["req-done-1"].State != protocol.Done || c.announcements.has("req-done-1") || c.cancelled("req-free-1") || c.cancelled("../x") {
+		if !c.ended.isDone("req-done-1") || c.announcements.has("req-done-1") || c.cancelled("req-free-1") || c.cancelled("../x") {
 			t.Errorf("%s: taken", name)
 		}
 		if !c.cancelled(good.Job) {
--- a/internal/core/announcing.go
+++ b/internal/core/announcing.go
@@ -9,7 +9,7 @@
 // noteCancellation notes a cancellation that the store holds, whoever told of it: this
 // node's own write, its watch, an answer of the store, or another controller.
 func (c *Core) noteCancellation(k Cancellation) {
-	if s, known := c.finalStates[k.Job]; known && s.State != protocol.Cancelled {
+	if s, known := c.ended.state(k.Job); known && s.State != protocol.Cancelled {
 		c.log(Error, "cancellation of a job in another final state ignored", "job", k.Job, "state", s.State)
 		return
 	}
@@ -17,7 +17,7 @@
 	if a := c.announcements.of(k.Job); a != nil {
 		a.Revision = min(a.Revision, k.Revision)
 		a.RequestedAt = max(a.RequestedAt, k.RequestedAt)
-	} else if c.endRevisions[k.Job] == 0 {
+	} else if c.ended.revision(k.Job) == 0 {
 		c.announcements.add(k, c.now.Steady)
 		c.timers.stopReported = 0
 	}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	id := strings.TrimPrefix(item.Key, keyCancel)
-	c.cancelRequests[id] = record.RequestedAt
+	c.replica.cancelRequests[id] = record.RequestedAt
 	c.noteCancellation(Cancellation{Job: id, Revision: item.Version, RequestedAt: record.RequestedAt})
 	return nil
 }
@@ -37,7 +37,7 @@
 		return
 	}
 	j.Cancel()
-	j.CancelledAt, j.CancelAsked = c.now.Steady, c.cancelRequests[j.ID]
+	j.CancelledAt, j.CancelAsked = c.now.Steady, c.replica.cancelRequests[j.ID]
 	if a := c.announcements.of(j.ID); a != nil {
 		j.CancelledAt, j.CancelAsked = a.since, a.RequestedAt
 	}
@@ -51,13 +51,13 @@
 // cancelled tells whether a job is known to be cancelled.
 func (c *Core) cancelled(id string) bool {
 	j := c.jobs[id]
-	return c.userCancelled(id) || j != nil && j.Cancelled || c.finalStates[id].State == protocol.Cancelled
+	return c.userCancelled(id) || j != nil && j.Cancelled || c.ended.isCancelled(id)
 }
 
 // userCancelled tells whether a job is known to have been cancelled by its own user, and
 // not only with a job that it depends on.
 func (c *Core) userCancelled(id string) bool {
-	_, requested := c.cancelRequests[id]
+	_, requested := c.replica.cancelRequests[id]
 	return requested || c.announcements.has(id)
 }
 
@@ -93,7 +93,7 @@
 // where that is proven, nor for as long as a controller in contact that knows of the
 // cancellation reports the machine without it: should a start still come, it is stopped.
 func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
-	if c.cordons[b.Machine].Terminated || c.returns.isConfirmed(b.Machine) {
+	if c.cordons.isTerminated(b.Machine) || c.returns.isConfirmed(b.Machine) {
 		return false
 	}
 	m, task := c.machines.Get(b.Machine), j.TaskID(i)
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -2,18 +2,48 @@
 
 import (
 	"slices"
+	"time"
 
 	"pepperlever/internal/core/job"
 )
 
+// cordonRecord is the stored value of a machine that takes no new bindings. Terminated is proof
+// that the machine and all that was on it are gone.
+type cordonRecord struct {
+	Terminated bool   `json:"g,omitempty"`
+	Reason     string `json:"w,omitempty"`
+	version    uint64
+	since      time.Duration
+}
+
+// cordons holds the stored cordons by machine.
+type cordons map[string]cordonRecord
+
+// has tells whether a machine is cordoned.
+func (c cordons) has(machine string) bool {
+	_, cordoned := c[machine]
+	return cordoned
+}
+
+// isTerminated tells whether a machine is proved to be gone.
+func (c cordons) isTerminated(machine string) bool { return c[machine].Terminated }
+
+// put takes a cordon that is known since now, and reports whether it is newer than the known one.
+func (c cordons) put(machine string, cordon cordonRecord, now time.Duration) bool {
+	if known, cordoned := c[machine]; cordoned && known.version >= cordon.version {
+		return false
+	}
+	cordon.since = now
+	c[machine] = cordon
+	return true
+}
+
 // onCordonPut notes that a machine takes no bindings. If it is gone for good, that ends every
 // binding on it.
 func (c *Core) onCordonPut(machine string, record cordonRecord) {
-	if known, ok := c.cordons[machine]; ok && known.version >= record.version {
+	if !c.cordons.put(machine, record, c.now.Steady) {
 		return
 	}
-	record.since = c.now.Steady
-	c.cordons[machine] = record
 	c.requestRound()
 	c.expediteExits(machine)
 	if !record.Terminated {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,7 +12,6 @@
 	"pepperlever/internal/core/jobstats"
 	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/core/worker"
-	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
 
@@ -28,25 +27,18 @@
 	pendingReplies pendingReplies
 
 	// Replica of the store.
-	loaded        bool
-	revision      uint64
-	members       membership
-	teams         []*team
-	teamBy        map[string]*team
-	fleet         *shard
-	jobs          map[string]*job.Job
-	pendingChunks map[string]map[job.ChunkKey]protocol.KeyValue
-	cordons       map[string]cordonRecord
-	intents       map[string]*rentalIntent
-	finalStates   map[string]protocol.JobState
-	// cancelRequests mirrors the cancellations of jobs that are not final, with the time
-	// of day of each.
-	cancelRequests map[string]int64
+	replica replica
+	members membership
+	teams   []*team
+	teamBy  map[string]*team
+	fleet   *shard
+	jobs    map[string]*job.Job
+	cordons cordons
+	intents map[string]*rentalIntent
+	ended   endedJobs
 	// announcements holds the cancellations that are announced to the other controllers.
 	announcements *announcementSet
-	// endRevisions holds the revisions that ended jobs.
-	endRevisions map[string]uint64
-	upgrade      upgradeTracker
+	upgrade       upgradeTracker
 	// limits are those of the store on what this controller writes.
 	limits       storeLimits
 	dependencies dependencies
@@ -95,24 +87,38 @@
 // New makes a core. The incarnation must differ between runs of the process.
 func New(cfg *settings.Settings, policy settings.Policy, incarnation string) *Core {
 	c := &Core{
-		cfg: cfg, policy: policy,
+		cfg:            cfg,
+		policy:         policy,
+		pendingReplies: pendingReplies{},
 		members:        newMembership(cfg.Node, incarnation, cfg.Peers),
 		limits:         storeLimits{settings: &cfg.Params.State},
-		pendingReplies: pendingReplies{},
-		teamBy:         map[string]*team{}, jobs: map[string]*job.Job{},
-		pendingChunks: map[string]map[job.ChunkKey]protocol.KeyValue{}, cordons: map[string]cordonRecord{},
-		intents: map[string]*rentalIntent{}, finalStates: map[string]protocol.JobState{}, cancelRequests: map[string]int64{}, endRevisions: map[string]uint64{},
-		machines: worker.NewRegistry(), agents: newAgentSessions(),
-		startLedgers: newStartLedgers(), tokens: newFencingTokens(),
-		rebalancer: newRebalancer(), orphanLookups: map[string]bool{},
-		announcements: newAnnouncementSet(), peers: newPeerTable(cfg), storeOK: true,
-		handoffs: newHandoffReplica(), scheduler: newScheduler(), autoscaler: newAutoscaler(), relay: newStoreRelay(), returns: newMachineReturns(), stats: jobstats.New(),
+		replica:        newReplica(),
+		ended:          newEndedJobs(),
+		fleet:          &shard{name: "fleet", key: keyFleet},
+		teamBy:         map[string]*team{},
+		jobs:           map[string]*job.Job{},
+		cordons:        cordons{},
+		intents:        map[string]*rentalIntent{},
+		announcements:  newAnnouncementSet(),
+		dependencies:   newDependencies(),
+		handoffs:       newHandoffReplica(),
+		machines:       worker.NewRegistry(),
+		agents:         newAgentSessions(),
+		startLedgers:   newStartLedgers(),
+		tokens:         newFencingTokens(),
+		orphanLookups:  map[string]bool{},
+		returns:        newMachineReturns(),
+		rebalancer:     newRebalancer(),
+		peers:          newPeerTable(cfg),
+		storeOK:        true,
+		relay:          newStoreRelay(),
+		scheduler:      newScheduler(),
+		autoscaler:     newAutoscaler(),
+		stats:          jobstats.New(),
 	}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
 	}
-	c.fleet = &shard{name: fleetName, key: keyFleet}
-	c.dependencies = newDependencies()
 	c.upgrade = newUpgradeTracker(c.members.roster)
 	return c
 }
@@ -215,10 +221,10 @@
 	if len(c.pendingObservations) > 0 && c.every(&c.timers.observations, report/30) {
 		c.flushObservations()
 	}
-	if c.loaded && c.every(&c.members.nextElection, report/6) {
+	if c.replica.loaded && c.every(&c.members.nextElection, report/6) {
 		c.electLeaders()
 	}
-	if c.loaded && c.every(&c.timers.reconcile, report/3) {
+	if c.replica.loaded && c.every(&c.timers.reconcile, report/3) {
 		c.repeatAnnouncements()
 		c.checkFreshness()
 		c.reconcileAll()
@@ -226,7 +232,7 @@
 		c.expireSessions()
 		c.expireStartDecisions()
 	}
-	if c.loaded {
+	if c.replica.loaded {
 		c.checkDependencies()
 		c.inheritUrgency()
 		c.updateRelay()
@@ -244,7 +250,7 @@
 	if c.fleet.leading && c.every(&c.timers.statistics, statisticsInterval*report) {
 		c.logStatistics()
 	}
-	if c.loaded && c.every(&c.timers.record, 15*usageRecordInterval) {
+	if c.replica.loaded && c.every(&c.timers.record, 15*usageRecordInterval) {
 		c.storeUsageRecords()
 	}
 }
--- a/internal/core/deferredstatus.go
+++ b/internal/core/deferredstatus.go
@@ -50,7 +50,7 @@
 	if c.hasEnded(id) {
 		return true
 	}
-	if c.revision < status.revision {
+	if !c.replica.shows(status.revision) {
 		return false
 	}
 	if c.jobs[id] == nil && c.dependencies.reloading {
@@ -76,6 +76,5 @@
 	if j := c.jobs[id]; j != nil && j.Cancelled {
 		c.rememberFinalState(id, protocol.JobState{ID: id, State: protocol.Cancelled})
 	}
-	_, ended := c.finalStates[id]
-	return ended
+	return c.ended.has(id)
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -102,7 +102,7 @@
 	}
 	var unfinished []string
 	for _, id := range j.Awaits {
-		if c.finalStates[id].State != protocol.Done {
+		if !c.ended.isDone(id) {
 			unfinished = append(unfinished, id)
 		}
 	}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -131,8 +131,8 @@
 	w.recover()
 	w.ready().run(10*time.Second, nil)
 	for _, node := range w.names {
-		if c := w.cores[node]; len(c.finalStates) > 1 {
-			t.Fatalf("%s remembers %v", node, c.finalStates)
+		if c := w.cores[node]; len(c.ended.states) > 1 {
+			t.Fatalf("%s remembers %v", node, c.ended.states)
 		}
 	}
 	accepted(t, w.submit("c", "req-red-1", 1, awaiting("req-free-1")))
--- a/internal/core/endofday_test.go
+++ b/internal/core/endofday_test.go
@@ -56,7 +56,7 @@
 // In a zone that is cut off no worker could be heard elsewhere.
 func TestNoWorkerIsSentOnInAZoneThatIsCutOff(t *testing.T) {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "a1")
-	c.loaded, c.storeOK = true, false
+	c.replica.loaded, c.storeOK = true, false
 	c.now.Steady = time.Minute
 	c.checkIsolation()
 	c.now.Steady += 5 * time.Second
--- a/internal/core/federationstep.go
+++ b/internal/core/federationstep.go
@@ -9,7 +9,7 @@
 // runFederation hands the coordinator what has happened and carries its effects out.
 func (c *Core) runFederation() {
 	f := c.federation
-	if !f.running() || !c.loaded {
+	if !f.running() || !c.replica.loaded {
 		return
 	}
 	if c.every(&f.jobsAt, c.reportInterval()/6) {
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -109,7 +109,7 @@
 	}
 	answered := r.Outcome == Applied || r.Outcome == Conflict || r.Outcome == Missing
 	if r.Revision > 0 && answered {
-		c.freshness.storeAnswered(sentAt, r.Revision, c.revision)
+		c.freshness.storeAnswered(sentAt, r.Revision, c.replica.revision)
 	}
 }
 
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -7,7 +7,7 @@
 // refusing at once serves users better than an empty list of nodes. A node that reaches
 // neither the store nor a peer takes itself to be cut off.
 func (c *Core) health(m Health) {
-	serves := c.loaded && c.catalog.Loaded() && (c.storeOK || c.peers.lackStore(c.now.Steady))
+	serves := c.replica.loaded && c.catalog.Loaded() && (c.storeOK || c.peers.lackStore(c.now.Steady))
 	if !serves {
 		c.replyUnavailable(m.Req)
 		return
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -11,7 +11,7 @@
 // with the controller that it should report to instead.
 func (c *Core) handleHeartbeat(heartbeat Heartbeat) {
 	report := &heartbeat.Report
-	if c.tokens.current == 0 || !c.loaded || c.freshness.stale {
+	if c.tokens.current == 0 || !c.replica.loaded || c.freshness.stale {
 		c.replyUnavailable(heartbeat.Req)
 		return
 	}
@@ -67,7 +67,7 @@
 // come minutes late, to any controller.
 func (c *Core) isStaleReport(report *protocol.Report) bool {
 	m := c.machines.Get(report.Machine)
-	return c.cordons[report.Machine].Terminated || m != nil && m.IsOutdated(report)
+	return c.cordons.isTerminated(report.Machine) || m != nil && m.IsOutdated(report)
 }
 
 // answerStaleReport answers a report that says nothing new. An agent may be waiting for the
@@ -129,7 +129,7 @@
 		silence := c.now.Steady - session.lastReportAt
 		elsewhere := m != nil && m.Node != c.cfg.Node
 		switch {
-		case elsewhere || silence > c.leaseTime()+2*c.reportInterval() || c.cordons[machine].Terminated:
+		case elsewhere || silence > c.leaseTime()+2*c.reportInterval() || c.cordons.isTerminated(machine):
 			c.agents.remove(machine)
 		case m != nil && c.isProbeDue(session, m):
 			session.lastProbeAt = c.now.Steady
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -58,7 +58,7 @@
 // isSchedulable tells whether new tasks may go to a machine: it is in contact both ways, is
 // not cordoned, its controller can be reached, and it has not refused tasks lately.
 func (c *Core) isSchedulable(m *worker.Machine) bool {
-	if _, cordoned := c.cordons[m.Machine]; cordoned || m.GrantedToken == 0 {
+	if c.cordons.has(m.Machine) || m.GrantedToken == 0 {
 		return false
 	}
 	if c.autoscaler.isCordoning(m.Machine) {
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -48,7 +48,7 @@
 // forgetUnlisted forgets the times of machines that have been returned.
 func (c *Core) forgetUnlisted() {
 	for name := range c.autoscaler.firstSeen {
-		if !c.autoscaler.isListed(name) && c.cordons[name].Terminated {
+		if !c.autoscaler.isListed(name) && c.cordons.isTerminated(name) {
 			delete(c.autoscaler.firstSeen, name)
 			delete(c.autoscaler.provisioning.observed, name)
 		}
@@ -145,7 +145,7 @@
 
 // returnMachine has a machine released with all that is on it, and tells whether that is new.
 func (c *Core) returnMachine(name, reason string) bool {
-	if c.cordons[name].Terminated || c.autoscaler.isReturning(name) {
+	if c.cordons.isTerminated(name) || c.autoscaler.isReturning(name) {
 		return false
 	}
 	c.log(Info, "returning machine", "machine", name, "reason", reason)
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -12,7 +12,7 @@
 // list tells an operator of the jobs that have not ended, from the replica: it may
 // lag, and no rule depends on it.
 func (c *Core) list(m List) {
-	if !c.loaded {
+	if !c.replica.loaded {
 		c.replyUnavailable(m.Req)
 		return
 	}
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -58,7 +58,7 @@
 // until another controller knows it too.
 func (c *Core) resolveEnded(request lookup.Request) {
 	id := request.JobID
-	state := c.finalStates[id]
+	state, _ := c.ended.state(id)
 	if c.deferUntilAnnounced(request) {
 		return
 	}
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -117,7 +117,7 @@
 // does not show it.
 func (c *Core) register() {
 	m := &c.members
-	if !c.loaded || m.lease == 0 || m.registered() || m.registering || c.revision < m.registeredAt {
+	if !c.replica.loaded || m.lease == 0 || m.registered() || m.registering || c.replica.revision < m.registeredAt {
 		return
 	}
 	m.registering = true
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -23,7 +23,7 @@
 func (c *Core) newHeartbeat() NodeHeartbeat {
 	_, disconnected := c.peers.connections()
 	return NodeHeartbeat{
-		Revision:         c.revision,
+		Revision:         c.replica.revision,
 		StoreOK:          c.storeOK,
 		PendingWrites:    c.writeBudget.due,
 		ID:               c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady),
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -13,7 +13,7 @@
 // applyObservation takes a report that any controller has passed on.
 func (c *Core) applyObservation(o Observation) {
 	report := &o.Report
-	if c.cordons[report.Machine].Terminated {
+	if c.cordons.isTerminated(report.Machine) {
 		return // a late copy: the cloud has taken the machine with all that was on it
 	}
 	m := c.machines.Get(report.Machine)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -156,7 +156,7 @@
 
 // checkBinding resolves one binding if that can be done now, and has it resolved soon if not.
 func (c *Core) checkBinding(j *job.Job, i int, b *job.Binding) {
-	if c.cordons[b.Machine].Terminated {
+	if c.cordons.isTerminated(b.Machine) {
 		c.unbind(j, i)
 		return
 	}
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -60,7 +60,7 @@
 func (c *Core) applyRelayMachines(node string, p *relay.Page) {
 	for _, group := range p.Machines {
 		for _, id := range group.Machines {
-			if !c.cordons[id].Terminated {
+			if !c.cordons.isTerminated(id) {
 				c.applyRelayMachine(node, id, group.MachineKind)
 			}
 		}
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -98,7 +98,7 @@
 // haveAllShownUp tells whether rented machines are all listed, known or gone already.
 func (c *Core) haveAllShownUp(names []string) bool {
 	for _, name := range names {
-		_, cordoned := c.cordons[name]
+		cordoned := c.cordons.has(name)
 		if !cordoned && !c.autoscaler.isListed(name) && c.machines.Get(name) == nil {
 			return false
 		}
--- /dev/null
+++ b/internal/core/replicajobs.go
@@ -0,0 +1,135 @@
+package core
+
+import (
+	"strings"
+
+	"pepperlever/internal/core/job"
+	"pepperlever/internal/protocol"
+)
+
+// onJobPut takes what another controller, or an earlier leader, stored of a job.
+func (c *Core) onJobPut(item protocol.KeyValue) error {
+	id, chunk, ok := parseJobKey(item.Key)
+	switch {
+	case !ok:
+		return nil
+	case chunk == firstChunk:
+		return c.onHeadPut(id, item)
+	}
+	return c.onChunkPut(id, chunk, item)
+}
+
+// onHeadPut takes the head of a job, with its first chunk.
+func (c *Core) onHeadPut(id string, item protocol.KeyValue) error {
+	j := c.jobs[id]
+	known := j != nil
+	if known && (c.leads(j) || j.Version >= item.Version) {
+		return nil
+	}
+	if c.ended.revision(id) > item.Version {
+		return nil // an old event, or an acceptance told late, of a job that has ended since
+	}
+	if !known {
+		j = job.New(job.Spec{ID: id}, c.limits.defaultChunkSize(), c.now.Steady)
+	}
+	attempt := j.Attempt
+	if err := j.LoadHead(item.Value); err != nil {
+		return err
+	}
+	if j.Attempt > attempt {
+		j.WaitingSince = c.now.Steady // its leader has bound some of it
+	}
+	t := c.teamBy[j.Team]
+	if t == nil {
+		return nil
+	}
+	j.Version = item.Version
+	if !known {
+		c.addJob(t, j)
+		if c.cancelled(id) {
+			// A leader that was superseded forgets its jobs and reads them again. One that
+			// was cancelled before must not count as done at its end.
+			defer c.markCancelled(j)
+		}
+		if err := c.replica.loadPendingChunks(j); err != nil {
+			return err
+		}
+	}
+	c.trackDependencies(j)
+	c.requestRound()
+	return nil
+}
+
+// onChunkPut takes a further chunk of a job. A chunk may come before its head, since the items
+// of a snapshot are ordered by key and events by revision.
+func (c *Core) onChunkPut(id string, chunk job.ChunkKey, item protocol.KeyValue) error {
+	j := c.jobs[id]
+	switch {
+	case j == nil:
+		c.replica.keepChunk(id, chunk, item)
+		return nil
+	case c.leads(j):
+		return nil
+	}
+	return j.LoadChunk(chunk, item.Value)
+}
+
+// onHeadDelete forgets a job whose head is no longer stored, unless this node leads its team and
+// so removes it by itself.
+func (c *Core) onHeadDelete(key string, revision uint64) {
+	id, chunk, ok := parseJobKey(key)
+	j := c.jobs[id]
+	if !ok || chunk != firstChunk || j == nil || j.Version >= revision {
+		return
+	}
+	if !c.leads(j) || c.isOutgoing(id) {
+		c.forgetJob(j)
+	}
+}
+
+// onJobDelete notes the end of a job that the watch tells of: its head goes when it is done, or
+// when nothing is left of a cancelled one. Events come in order, so a cancellation is known by
+// then.
+func (c *Core) onJobDelete(key string, revision uint64) {
+	if !strings.HasPrefix(key, keyJob) {
+		return
+	}
+	id, chunk, ok := parseJobKey(key)
+	if !ok || chunk != firstChunk {
+		return
+	}
+	if j := c.jobs[id]; j != nil && !j.Cancelled && j.Version < revision {
+		c.rememberFinalState(id, finalStateAtDeletion(j))
+	}
+	c.noteEnd(id, revision)
+}
+
+// finalStateAtDeletion is how a job has ended whose head was deleted while no cancellation was
+// known here. One that still waited for dependencies was never bound, so it is not done: its
+// leader knew of a cancellation first.
+func finalStateAtDeletion(j *job.Job) protocol.JobState {
+	if j.Awaiting {
+		return protocol.JobState{ID: j.ID, State: protocol.Cancelled}
+	}
+	return protocol.JobState{ID: j.ID, State: protocol.Done, Done: j.Tasks}
+}
+
+// addJob adds a job to all that follows jobs.
+func (c *Core) addJob(t *team, j *job.Job) {
+	c.jobs[j.ID] = j
+	t.jobs[j.ID] = j
+	c.stats.Accept(j.ID, j.Class, j.Team, j.Tasks, c.now.Steady)
+	c.machines.TrackBindings(j)
+	c.requestRound()
+}
+
+// forgetJob removes a job from all that follows jobs.
+func (c *Core) forgetJob(j *job.Job) {
+	delete(c.jobs, j.ID)
+	c.machines.UntrackBindings(j)
+	c.dependencies.forget(j.ID)
+	if t := c.teamBy[j.Team]; t != nil {
+		delete(t.jobs, j.ID)
+	}
+	c.requestRound()
+}
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -41,7 +41,7 @@
 // cordonMachine stores a cordon that no binding can pass. Once the replica shows it, the
 // replica also shows every binding that came before it.
 func (c *Core) cordonMachine(name, reason string) {
-	if _, cordoned := c.cordons[name]; cordoned {
+	if c.cordons.has(name) {
 		return
 	}
 	if since, cordoning := c.autoscaler.cordoning[name]; cordoning && c.now.Steady-since < c.silenceLimit() {
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -55,7 +55,7 @@
 // leads and leaves the room of the others to their leaders.
 func (c *Core) schedule() {
 	defer c.deliverAll()
-	if !c.loaded || !c.catalog.Loaded() || !c.scheduler.startRound(c.now.Steady, c.reportInterval()/30) {
+	if !c.replica.loaded || !c.catalog.Loaded() || !c.scheduler.startRound(c.now.Steady, c.reportInterval()/30) {
 		return
 	}
 	c.scheduler.pendingDemand = nil
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -190,7 +190,7 @@
 // leaderOf is the home of a team by the store, or nothing.
 func (w *world) leaderOf(team string) string {
 	for _, n := range w.names {
-		if c := w.cores[n]; c != nil && !w.withoutStore[n] && c.loaded {
+		if c := w.cores[n]; c != nil && !w.withoutStore[n] && c.replica.loaded {
 			return c.teamBy[team].leader
 		}
 	}
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -345,7 +345,7 @@
 	if !w.run(20*time.Second, func() bool {
 		for _, n := range w.names {
 			c := w.cores[n]
-			if c == nil || !c.loaded || !c.catalog.Loaded() || c.tokens.current == 0 || c.fleet.leader == "" {
+			if c == nil || !c.replica.loaded || !c.catalog.Loaded() || c.tokens.current == 0 || c.fleet.leader == "" {
 				return false
 			}
 		}
--- a/internal/core/staletasks.go
+++ b/internal/core/staletasks.go
@@ -27,7 +27,7 @@
 	if m.Node != c.cfg.Node {
 		return
 	}
-	if _, final := c.finalStates[id]; final {
+	if c.ended.has(id) {
 		c.stopOrForgetTask(m, t)
 		return
 	}
--- a/internal/core/startledger_test.go
+++ b/internal/core/startledger_test.go
@@ -47,7 +47,7 @@
 		"done":               {state: protocol.Done},
 	} {
 		c := newWorld(t).cores["a"]
-		c.revision = 9
+		c.replica.revision = 9
 		c.agents.add("vm", newAgentSession(1, 0, ""))
 		c.startLedgers.record(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Revision: 5}, false, c.now.Steady)
 		if k.state != "" {
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -161,7 +161,7 @@
 		return refusedUnanswered
 	case m != nil && c.reportOverdue(m):
 		return refusedSilent
-	case s.Revision > 0 && s.Revision <= c.revision && !c.storeHasBinding(s.Machine, s.taskAttempt()):
+	case s.Revision > 0 && c.replica.shows(s.Revision) && !c.storeHasBinding(s.Machine, s.taskAttempt()):
 		return refusedUnbound
 	case c.isOfCancelledJob(s.Task):
 		return refusedCancelled
@@ -210,7 +210,7 @@
 // still comes for one is refused, since the replica is past it.
 func (c *Core) expireStartDecisions() {
 	isObsolete := func(machine string, attempt taskAttempt, decision startDecision) bool {
-		return decision.revision <= c.revision && c.isReplicaCurrent(attempt) && !c.storeHasBinding(machine, attempt)
+		return c.replica.shows(decision.revision) && c.isReplicaCurrent(attempt) && !c.storeHasBinding(machine, attempt)
 	}
 	isKnown := func(machine string) bool {
 		return c.agents.session(machine) != nil || c.machines.Get(machine) != nil
@@ -226,7 +226,7 @@
 	id, _, _ := job.SplitTask(attempt.task)
 	j := c.jobs[id]
 	if j == nil {
-		return c.finalStates[id].State == protocol.Done || c.endRevisions[id] > 0
+		return c.ended.isDone(id) || c.ended.revision(id) > 0
 	}
 	return !c.leads(j) || !j.Dirty() && !j.InFlight
 }
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -199,7 +199,7 @@
 func TestTeamNamesMayHoldAnyCharacters(t *testing.T) {
 	for _, team := range []string{"red", "night shift", "a/b", "čuvari%2F~", "x+y"} {
 		part := teamPart(team)
-		if got, err := teamOf(part); strings.ContainsAny(part, " %/") || got != team || err != nil {
+		if got, err := parseTeamPart(part); strings.ContainsAny(part, " %/") || got != team || err != nil {
 			t.Errorf("%q became %q of %q, %v", team, got, part, err)
 		}
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -26,7 +26,7 @@
 	}
 	t := c.teamBy[spec.Team]
 	catalogMissing := t != nil && !c.catalog.Loaded()
-	if catalogMissing || !c.loaded || !c.storeOK {
+	if catalogMissing || !c.replica.loaded || !c.storeOK {
 		c.replyUnavailable(m.Req)
 		return
 	}
@@ -47,7 +47,7 @@
 
 // knowsJob tells whether the replica holds a job, or its final state.
 func (c *Core) knowsJob(id string) bool {
-	_, ended := c.finalStates[id]
+	ended := c.ended.has(id)
 	return ended || c.jobs[id] != nil
 }
 
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -61,7 +61,7 @@
 		Token:    b.Term,
 		Epoch:    b.Session,
 		Need:     j.Need,
-		Revision: c.revision,
+		Revision: c.replica.revision,
 	})
 }
 
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -108,7 +108,7 @@
 		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: reason}})
 		return
 	}
-	if _, cordoned := c.cordons[machine]; cordoned || reason == reasonUnknownMachine {
+	if c.cordons.has(machine) || reason == reasonUnknownMachine {
 		return
 	}
 	c.log(Info, "machine cordoned to be returned", "machine", machine, "reason", reason)
--- a/internal/core/usagerecords.go
+++ b/internal/core/usagerecords.go
@@ -35,7 +35,7 @@
 func (c *Core) storeUsageRecords() {
 	for _, t := range c.teams {
 		if t.leading && c.storeOK {
-			c.compareAndSwap(usageRecordTxn(t), false, func(StoreReply) {})
+			c.compareAndSwap(t.usageTxn(), false, func(StoreReply) {})
 		}
 	}
 }
