--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -10,55 +10,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// What proves up to when a controller knows of all confirmed cancellations: an answer of
-// the state service once the replica has reached it, and beats that answer own beats.
-func TestWhatProvesThatNoCancellationIsUnknown(t *testing.T) {
-	const sent, later = 10 * time.Second, 20 * time.Second
-	beat := func(b NodeHeartbeat) func(c *Core) {
-		return func(c *Core) {
-			c.peers.get("c").freshUntil = later
-			c.handleNodeHeartbeat("b", b)
-		}
-	}
-	for name, d := range map[string]struct {
-		happens func(c *Core)
-		want    time.Duration
-	}{
-		"nothing":                        {func(*Core) {}, 0},
-		"a beat that answers":            {beat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "b.1"}, {"a", "a.1"}}}), sent},
-		"one that answers another's":     {beat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "a.1"}}}), 0},
-		"one that answers a former run":  {beat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"a", "x.1"}}}), 0},
-		"one that owes others":           {beat(NodeHeartbeat{Revision: 5, Unacknowledged: []string{"a"}, Acknowledgements: []Acknowledgement{{"a", "a.1"}}}), 0},
-		"one of a run that has not read": {beat(NodeHeartbeat{Acknowledgements: []Acknowledgement{{"a", "a.1"}}}), 0},
-		"one of two others": {func(c *Core) {
-			c.handleNodeHeartbeat("b", NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"a", "a.1"}}})
-		}, 0},
-		"an answer of the state service":   {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Conflict, Revision: 5}) }, sent},
-		"one that the replica is short of": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 6}) }, 0},
-		"the replica gets there": {func(c *Core) {
-			c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 6})
-			c.applyEvents(StoreChanged{Revision: 6})
-		}, sent},
-		"it gets half way": {func(c *Core) {
-			c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 8})
-			c.applyEvents(StoreChanged{Revision: 7})
-		}, 0},
-		"a refusal": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Refused, Revision: 5}) }, 0},
-	} {
-		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
-		c.replica.revision, c.now.Steady = 5, sent
-		c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady)
-		c.now.Steady = later
-		d.happens(c)
-		if got := c.freshUntil(); got != d.want {
-			t.Errorf("%s: sure until %v, not %v", name, got, d.want)
-		}
-	}
-}
-
-// A start that waits for its delivery, or comes after it, while a broadcast says that its job
-// is cancelled: neither is given, though the job is not known here.
-func TestCancellationKeepsStartsBack(t *testing.T) {
+// A start that waits for its delivery, or comes after it, while an announcement says that its job
+// is cancelled: neither is delivered, though the job is not in the replica.
+func TestAnnouncedCancellationBlocksStarts(t *testing.T) {
 	told := Cancellation{Job: "req-free-1", Revision: 3}
 	start := Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Epoch: 1}
 	for name, toldFirst := range map[string]bool{"the broadcast comes first": true, "the start comes first": false} {
@@ -89,8 +43,8 @@
 	}
 }
 
-// The acceptance of a job may come after the news that it is cancelled, over a slow link.
-func TestJobThatComesAfterItsCancellationIsCancelled(t *testing.T) {
+// The acceptance of a job may come after the announcement that it is cancelled.
+func TestJobAcceptedAfterItsCancellationIsCancelled(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-free-1", 3, ""))
 	c := New(testSettings("a"), w.cores["a"].policy, "a")
@@ -101,8 +55,8 @@
 	}
 }
 
-// Cancellations that make no sense change nothing, and what comes with them is taken all the same.
-func TestBadCancellationsAreIgnored(t *testing.T) {
+// Malformed cancellations change nothing, and valid ones in the same message are applied.
+func TestMalformedCancellationsAreIgnored(t *testing.T) {
 	good := Cancellation{Job: "req-good-1", Revision: 7}
 	for name, told := range map[string][]Cancellation{
 		"no id":             {{Job: "../x", Revision: 7}, good},
@@ -130,7 +84,7 @@
 }
 
 // However many cancellations come, memory and messages stay bounded.
-func TestBroadcastsAreBounded(t *testing.T) {
+func TestAnnouncementsAreBounded(t *testing.T) {
 	c := newWorld(t).cores["a"]
 	for i := range 2 * maxAnnouncements {
 		c.noteCancellation(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
@@ -150,8 +104,8 @@
 	}
 }
 
-// Where nothing is wrong a cancellation costs one message to each controller, and one back.
-func TestBroadcastsCostNothingWhereAllIsWell(t *testing.T) {
+// Without faults a cancellation costs one message to each controller, and no machine.
+func TestAnnouncementCostsOneMessageAPeer(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 40, ""))
@@ -174,9 +128,9 @@
 	}
 }
 
-// In a rolling upgrade some controllers know neither broadcasts nor what is new in beats:
-// users are told in time all the same, tasks end, and no machine is given back for it.
-func TestOldControllersBesideNewOnes(t *testing.T) {
+// In a rolling upgrade some controllers know neither announcements nor acknowledgements: users are
+// told in time all the same, tasks end, and no machine is returned for it.
+func TestCancellationDuringRollingUpgrade(t *testing.T) {
 	for _, old := range [][]string{{"a"}, {"b", "c"}, {"a", "b", "c", "d"}} {
 		t.Run(fmt.Sprint(old), func(t *testing.T) {
 			t.Parallel()
@@ -196,7 +150,7 @@
 			if w.now-begin > 2*time.Second {
 				t.Errorf("the user waits for %v", w.now-begin)
 			}
-			w.run(w.allowed(), nil)
+			w.run(w.cancelDeadline(), nil)
 			if n := w.onMachines("req-free-1"); n > 0 || given > 0 {
 				t.Errorf("%d tasks are left, %d times a machine was given back", n, given)
 			}
@@ -204,33 +158,33 @@
 	}
 }
 
-// A controller may know a cancellation by its watch alone, the one that stored it having ended:
-// it is held to what that one is held to, and tells no user before another one knows.
-func TestWatchAloneIsToldOnlyOnceAnotherKnows(t *testing.T) {
+// A controller may know a cancellation by its watch alone, the one that stored it having crashed.
+// It confirms it to no user before another controller knows.
+func TestCancellationKnownByWatchAloneIsNotConfirmed(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	accepted(t, w.submit("b", refusedJob, 40, ""))
-	w.started(refusedJob, 40)
+	accepted(t, w.submit("b", cancelledJob, 40, ""))
+	w.started(cancelledJob, 40)
 	w.refuse(everyLink)
 	for _, n := range []string{"a", "c", "d", "e"} {
 		w.watchedAt[n] = w.now + time.Hour // their watches bring nothing
 	}
 	w.watchLag = time.Second
-	w.send("d", Cancel{Req: 1 << 20, ID: refusedJob})
-	if !w.run(time.Second, func() bool { return w.kv[cancelKey(refusedJob)].Version > 0 }) {
+	w.send("d", Cancel{Req: 1 << 20, ID: cancelledJob})
+	if !w.run(time.Second, func() bool { return w.kv[cancelKey(cancelledJob)].Version > 0 }) {
 		t.Fatal("the cancellation is not stored")
 	}
 	w.crash("d")
 	w.run(2*time.Second, nil)
 	b := w.cores["b"]
-	if !b.announcements.has(refusedJob) || b.knownToAnother(b.announcements.of(refusedJob)) {
+	if !b.announcements.has(cancelledJob) || b.knownToAnother(b.announcements.of(cancelledJob)) {
 		t.Fatal("b is not the only one that knows")
 	}
 	for _, make1 := range []func(req uint64) Command{
-		func(req uint64) Command { return Status{Req: req, ID: refusedJob} },
-		func(req uint64) Command { return Cancel{Req: req, ID: refusedJob} },
+		func(req uint64) Command { return Status{Req: req, ID: cancelledJob} },
+		func(req uint64) Command { return Cancel{Req: req, ID: cancelledJob} },
 		func(req uint64) Command {
-			return Submit{Req: req, Body: []byte(submission(refusedJob, "free", 40, ""))}
+			return Submit{Req: req, Body: []byte(submission(cancelledJob, "free", 40, ""))}
 		},
 	} {
 		if a := w.request("b", make1); a.Status != http.StatusServiceUnavailable {
@@ -239,7 +193,7 @@
 	}
 	w.restore()
 	w.run(time.Second, nil)
-	if s := stateOf(t, w.status("b", refusedJob)); s.State != protocol.Cancelled {
+	if s := stateOf(t, w.status("b", cancelledJob)); s.State != protocol.Cancelled {
 		t.Errorf("once others know it is %q", s.State)
 	}
 }
--- a/internal/core/cancelnow_test.go
+++ b/internal/core/canceltiming_test.go
@@ -12,10 +12,10 @@
 	"pepperlever/internal/settings"
 )
 
-// tunedIdleWorld is idleWorld with other times for leases and cancellations.
+// tunedIdleWorld is idleWorld with other settings for the worker lease and cancellations.
 func tunedIdleWorld(t tester, machines int, lease, cancel float64) *world {
 	t.Helper()
-	w := newTunedWorld(t, five, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = lease, cancel })
+	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = lease, cancel })
 	w.maxMachines, w.allowRacingStarts, w.taskTime = machines, true, 20*time.Minute
 	for i := range machines {
 		w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
@@ -24,16 +24,16 @@
 	return w
 }
 
-// Jobs are called off at the very moment at which the state service refuses the leader alone; a
-// second later it is out for longer than cancel_s, and up to eight of their machines hang and
-// go on later.
-func TestCancelledAtTheMomentTheLeaderIsRefused(t *testing.T) {
+// A job is cancelled at the moment at which the store begins to refuse the leader alone. A second
+// later the store is down for longer than cancel_s, and up to eight of the job's machines
+// hang and go on later.
+func TestCancellationWhenStoreBeginsToRefuseLeader(t *testing.T) {
 	times := []struct{ lease, cancel float64 }{{16, 30}, {12, 32}, {26, 51}, {16, 20}}
 	hangs := map[string]func(w *world) time.Duration{
 		"no hang":                 func(*world) time.Duration { return 0 },
 		"shorter than the lease":  func(w *world) time.Duration { return w.lease() * 3 / 4 },
-		"just under cancel_s":     func(w *world) time.Duration { return w.allowed() - time.Second },
-		"just over cancel_s":      func(w *world) time.Duration { return w.allowed() + time.Second },
+		"just under cancel_s":     func(w *world) time.Duration { return w.cancelDeadline() - time.Second },
+		"just over cancel_s":      func(w *world) time.Duration { return w.cancelDeadline() + time.Second },
 		"hang and mute":           func(w *world) time.Duration { return w.lease() / 2 },
 		"then report to one more": func(w *world) time.Duration { return w.lease() / 2 },
 	}
@@ -43,8 +43,8 @@
 				t.Run(fmt.Sprintf("%s, lease %v, cancel %v, links %v", hang, p.lease, p.cancel, links), func(t *testing.T) {
 					t.Parallel()
 					w := tunedIdleWorld(t, 20, p.lease, p.cancel)
-					accepted(t, w.submit("b", refusedJob, 40, ""))
-					w.started(refusedJob, 40)
+					accepted(t, w.submit("b", cancelledJob, 40, ""))
+					w.started(cancelledJob, 40)
 					leader := w.leaderOf("free")
 					if !links {
 						w.refuse(everyLink)
@@ -58,21 +58,21 @@
 							hung++
 						}
 					}
-					w.refuseStore(leader)
-					w.confirm()
+					w.refuseStoreTo(leader)
+					w.confirmCancellation()
 					w.run(time.Second, nil)
 					w.outage = true
-					before := w.onMachines(refusedJob)
+					before := w.onMachines(cancelledJob)
 					if hang != "no hang" && (hung != 8 || before == 0) {
 						t.Fatalf("%d machines hang, with %d tasks", hung, before)
 					}
-					w.run(w.allowed()*5/4, nil) // the world checks what is cancelled
+					w.run(w.cancelDeadline()*5/4, nil) // the world checks what is cancelled
 					if len(w.cancellationToldAt) > 0 {
 						t.Error("the time allowed is not over")
 					}
 					w.recover()
-					w.run(w.allowed(), nil)
-					if n := w.onMachines(refusedJob); n > 0 {
+					w.run(w.cancelDeadline(), nil)
+					if n := w.onMachines(cancelledJob); n > 0 {
 						t.Errorf("%d tasks run on", n)
 					}
 				})
@@ -81,11 +81,11 @@
 	}
 }
 
-// A cancellation, questions and a repeated submission meet the end of a job's last tasks, with no
-// other trouble: at the home and elsewhere, before and after the report, the end's write and
-// its answer. The job is done or cancelled, all say the same, done not before all has ended and
-// at most 3 s after.
-func TestCancellationMeetsTheEnd(t *testing.T) {
+// A cancellation, status requests and a repeated submission come while a job's last tasks end,
+// without faults: at the leader and elsewhere, before and after the report, the write of
+// the end and its reply. The job is done or cancelled, all say the same, done not before
+// all tasks have ended, and within 3 s.
+func TestCancellationDuringLastTasksEnd(t *testing.T) {
 	outcomes := map[string]int{}
 	for name, more := range map[string]string{
 		"one task": "", "two tasks that end in one report": "", "several chunks": "",
@@ -97,7 +97,7 @@
 		}
 		for _, home := range []bool{true, false} {
 			for tenths := -4; tenths < 12; tenths++ {
-				w := newWorldOf(t, five).ready()
+				w := newWorldOf(t, fiveNodes).ready()
 				w.allowRacingStarts, w.taskTime, w.maxMachines = true, 6*time.Second, 80
 				w.watchLag, w.latency = 300*time.Millisecond, true
 				id := "req-free-1"
@@ -120,7 +120,7 @@
 				}
 				node := w.leaderOf("free")
 				if !home {
-					node = w.notHome(node)
+					node = w.anotherNode(node)
 				}
 				body := []byte(submission(id, "free", tasks, more))
 				var cancel Answer
@@ -177,3 +177,73 @@
 		}
 	}
 }
+
+// A job's last task ends while its user cancels at a controller whose replica is behind and that
+// the leader gets no messages from: the job is done or cancelled, and stays so.
+func TestJobIsEitherDoneOrCancelled(t *testing.T) {
+	seen := map[string]int{}
+	for tenths := range 16 {
+		w := newWorldOf(t, fiveNodes).ready()
+		w.allowRacingStarts = true
+		accepted(t, w.submit("a", "req-blue-1", 1, ""))
+		w.started("req-blue-1", 1)
+		home := w.cores["a"].teamBy["blue"].leader
+		w.run(4200*time.Millisecond+time.Duration(tenths)*100*time.Millisecond, nil)
+		for _, f := range w.workers {
+			f.node = slices.Index(w.names, home) // it hears of the end by a report
+		}
+		w.slowWatcher = home
+		w.hold(everyLink)
+		var a Answer
+		for range 5 { // it waits until another controller knows
+			if a = w.request("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
+				break
+			}
+			w.run(time.Second, nil)
+		}
+		told := stateOf(t, a)
+		w.run(5*time.Second, nil)
+		w.slowWatcher = ""
+		w.restore()
+		w.run(10*time.Second, nil)
+		seen[told.State]++
+		for _, n := range w.names {
+			if s := stateOf(t, w.status(n, "req-blue-1")); s.State != told.State {
+				t.Errorf("cancelled after %d tenths: told %s, and %s by %s", tenths, told.State, s.State, n)
+			}
+		}
+	}
+	if seen[protocol.Done] == 0 || seen[protocol.Cancelled] == 0 {
+		t.Errorf("the end and the cancellation never came close: %v", seen)
+	}
+}
+
+// A cancellation is stored before the write that binds more of the job's tasks, and the leader
+// hears of it before the reply to that write: the job ends after a few writes.
+func TestCancellationDuringBindingWrite(t *testing.T) {
+	const id = "req-free-1"
+	w := newWorldOf(t, fiveNodes).ready()
+	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
+	home, writes, met := w.leaderOf("free"), 0, false
+	w.onEffect = func(node string, e Effect) {
+		txn, is := e.(StoreTxn)
+		if !is || node != home || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
+			return
+		}
+		if writes++; met || len(txn.Txn.If) < 4 {
+			return // it binds nothing
+		}
+		met = true
+		r := w.decide(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
+			Then: []protocol.Change{putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(id), cancelRecord{})}})
+		w.send(home, PeerMessageReceived{Node: w.anotherNode(home), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
+	}
+	accepted(t, w.submit("a", id, 40, ""))
+	if !w.run(20*time.Second, func() bool { return met }) {
+		t.Fatal("nothing was bound")
+	}
+	writes = 0
+	if !w.run(20*time.Second, func() bool { return w.kv[jobKey(id)].Version == 0 }) || writes > 5 {
+		t.Errorf("it has not ended, after %d writes", writes)
+	}
+}
--- a/internal/core/deliveries_test.go
+++ b/internal/core/deliveries_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, _ := partitionedWorld(t, 10, muteJob)
+			w, _ := loadedWorld(t, 10, muteJob)
 			w.started(muteJob, 20)
 			w.run(3*time.Second, nil)
 			ids := slices.Sorted(maps.Keys(w.workers))
--- a/internal/core/dependencycancel_test.go
+++ b/internal/core/dependencycancel_test.go
@@ -20,10 +20,10 @@
 	for name, meanwhile := range map[string]func(w *world){
 		"all is well": func(*world) {},
 		"the leader is refused, then an outage": func(w *world) {
-			w.refuseStore(w.leaderOf("blue"))
+			w.refuseStoreTo(w.leaderOf("blue"))
 			w.run(time.Second, nil)
 			w.outage = true
-			w.run(w.allowed()*3/2, nil)
+			w.run(w.cancelDeadline()*3/2, nil)
 			w.endOutage()
 		},
 		"all end":          func(w *world) { w.stopAllFor(3 * time.Second) },
@@ -51,7 +51,7 @@
 			}
 			confirmedAt := w.now
 			meanwhile(w)
-			w.run(confirmedAt+w.allowed()-w.now, nil)
+			w.run(confirmedAt+w.cancelDeadline()-w.now, nil)
 			answered := 0
 			for n, id := range ids {
 				for try := range 3 {
@@ -111,7 +111,7 @@
 	}
 	w.restore()
 	w.watchLag, w.lateWrite = 0, nil
-	w.run(w.allowed(), nil)
+	w.run(w.cancelDeadline(), nil)
 	for key := range w.kv {
 		if strings.HasSuffix(key, "req-blue-1") && key != keyState+"req-blue-1" {
 			t.Errorf("%s is left", key)
--- /dev/null
+++ b/internal/core/leaderchange_test.go
@@ -0,0 +1,133 @@
+package core
+
+import (
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+)
+
+// Leaders change ten times in two minutes, with an outage in the middle: jobs that run long are
+// started once, what is cancelled meanwhile stays so, and nobody starves after it.
+func TestRepeatedLeaderChanges(t *testing.T) {
+	for _, outage := range []bool{false, true} {
+		t.Run(fmt.Sprintf("outage %v", outage), func(t *testing.T) {
+			t.Parallel()
+			w := idleWorld(t, 20)
+			w.allowRacingStarts, w.unevenRunTimes, w.taskTime = true, true, 50*time.Second
+			for n := range 4 {
+				accepted(t, w.submit("a", fmt.Sprintf("req-free-%d", n), 3, ""))
+			}
+			w.started("req-free-3", 3)
+			changes := w.countLeaderChanges("free")
+			w.changeLeaders("free", 20, 6*time.Second)
+			w.run(40*time.Second, nil)
+			if outage {
+				w.outage = true
+				w.run(15*time.Second, nil)
+				w.endOutage()
+			}
+			if node := w.serving(); w.cancelJob(node, "req-free-3").Status != http.StatusOK {
+				w.run(5*time.Second, nil)
+				w.cancelJob(w.serving(), "req-free-3")
+			}
+			accepted(t, w.submit(w.serving(), "req-free-9", 3, ""))
+			w.run(80*time.Second, nil)
+			if n := changes(); n < 10 {
+				t.Fatalf("the home has changed %d times", n)
+			}
+			if len(w.cancellationToldAt) > 0 && w.onMachines("req-free-3") > 0 {
+				t.Error("what was cancelled runs")
+			}
+			w.recover()
+			w.run(75*time.Second, nil)
+			if w.startsOf("req-free-9") == 0 || !w.run(5*time.Minute, w.finished("req-free-0", "req-free-1", "req-free-2", "req-free-9")) {
+				t.Error("jobs do not go on once leaders stay")
+			}
+			w.startedOnce()
+		})
+	}
+}
+
+// A team is at its limit when its leader crashes. Some of its machines can't be asked, and one of
+// its jobs is cancelled meanwhile. What is cancelled counts until its end is proven, by
+// every leader that follows, and the capacity is used again soon after.
+func TestLeaderChangeAtTeamLimit(t *testing.T) {
+	for name, unasked := range map[string]func(w *world, id string){
+		"hang":      func(w *world, id string) { w.hang(id, 14*time.Second) },
+		"are cut":   func(w *world, id string) { w.cutWorkers[id] = true },
+		"are mute":  func(w *world, id string) { w.silentWorkers[id] = true },
+		"are deaf":  func(w *world, id string) { w.unreachableWorkers[id] = true },
+		"are taken": func(w *world, id string) { delete(w.workers, id) },
+	} {
+		for _, twice := range []bool{false, true} {
+			t.Run(fmt.Sprintf("machines %s, twice %v", name, twice), func(t *testing.T) {
+				t.Parallel()
+				w := idleWorld(t, 20)
+				w.allowRacingStarts, w.taskTime = true, 5*time.Minute
+				accepted(t, w.submit("a", "req-red-1", 4, ""))
+				accepted(t, w.submit("a", "req-red-2", 4, ""))
+				accepted(t, w.submit("a", "req-red-3", 8, ""))
+				w.run(30*time.Second, func() bool { return w.inUse("red") == 16 })
+				first := "req-red-1"
+				if w.onMachines(first) == 0 {
+					first = "req-red-3"
+				}
+				if w.inUse("red") != 16 || w.onMachines(first) == 0 {
+					t.Fatal("the team is not at its limit")
+				}
+				for _, id := range slices.Sorted(maps.Keys(w.workers)) {
+					if w.loadOf(w.workers[id], "red").CPUs > 0 {
+						unasked(w, id)
+					}
+				}
+				home := w.leaderOf("red")
+				w.crash(home)
+				w.expire(home)
+				w.run(time.Second, nil)
+				a := w.cancelJob(w.serving(), first)
+				if a.Status != http.StatusOK {
+					w.run(3*time.Second, nil)
+					a = w.cancelJob(w.serving(), first)
+				}
+				if a.Status != http.StatusOK {
+					t.Fatalf("cancellation got %d", a.Status)
+				}
+				if twice {
+					w.run(4*time.Second, nil)
+					if next := w.leaderOf("red"); next != "" && w.cores[next] != nil {
+						w.crash(next)
+						w.expire(next)
+					}
+				}
+				w.run(w.lease(), nil) // the world checks the limit with every start
+				w.recover()
+				if !w.run(90*time.Second, func() bool { return w.inUse("red") == 16 }) {
+					t.Errorf("90 s after all troubles the team uses %v of 16 CPUs", w.inUse("red"))
+				}
+			})
+		}
+	}
+}
+
+// A team without a leader gets one as soon as the key of its controller is gone, ahead of the next
+// periodic election.
+func TestTeamsFailOverAsSoonAsTheirLeaderExpires(t *testing.T) {
+	w := newWorld(t).ready()
+	w.run(5*time.Second, nil)
+	for _, c := range w.cores {
+		c.members.nextElection = w.now + time.Hour // they have just looked
+	}
+	w.crash("b")
+	w.expire("b")
+	w.run(3*w.tick, nil) // the watch, the write, and the watch again
+	for _, n := range []string{"a", "c"} {
+		for _, k := range w.cores[n].allShards() {
+			if k.leader != "a" && k.leader != "c" {
+				t.Errorf("%s takes %s to be at %q", n, k.name, k.leader)
+			}
+		}
+	}
+}
--- a/internal/core/loweredlimits_test.go
+++ b/internal/core/loweredlimits_test.go
@@ -16,7 +16,7 @@
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprintf("written late %v", late), func(t *testing.T) {
 			t.Parallel()
-			w := newTunedWorld(t, five, func(s *settings.Settings) {
+			w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
 				s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
 			})
 			w.notUpgraded["c"] = true
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -159,7 +159,7 @@
 	for key, raw := range productionSamples(t).Stored {
 		notePaths(known, kindOf(key), decoded(t, raw))
 	}
-	w := newTunedWorld(t, five, func(s *settings.Settings) {
+	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
 		s.Params.State.ValueKB = 1
 		s.Params.State.Next = settings.StateLimits{ValueKB: 0.5, TxnOps: 5}
 	})
@@ -203,7 +203,7 @@
 	if !w.run(3*time.Minute, w.finished("req-free-1", "req-red-1")) {
 		t.Error("jobs do not end")
 	}
-	if statements < len(five)-1 || chunks == 0 {
+	if statements < len(fiveNodes)-1 || chunks == 0 {
 		t.Fatalf("%d statements and %d chunks were stored", statements, chunks)
 	}
 }
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -70,7 +70,7 @@
 	before, asked := d.final[id], d.now
 	return func(a Answer) {
 		d.checkAnswer(id, before, a)
-		if at, told := d.dependencyToldAt(id); told && asked-at > d.allowed() {
+		if at, told := d.dependencyToldAt(id); told && asked-at > d.cancelDeadline() {
 			if s, is := a.Body.(protocol.JobState); is && (s.State == protocol.Queued || s.State == protocol.Running) {
 				d.t.Errorf("%v: %s is %s, and one that it needs was cancelled at %v", d.now, id, s.State, at)
 			}
--- a/internal/core/randomdays_test.go
+++ b/internal/core/randomdays_test.go
@@ -98,7 +98,7 @@
 // newRandomDay has five controllers in two zones, one of which may be upgraded during the day,
 // machines of two types and two teams with a limit.
 func newRandomDay(t tester, former bool) *randomDay {
-	w := newTunedWorld(t, five, func(s *settings.Settings) {
+	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
 		s.Params.Teams[1].CPUsMax = 24
 		s.Params.State.ValueKB = 2
 		s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
--- a/internal/core/randomfaults_test.go
+++ b/internal/core/randomfaults_test.go
@@ -65,7 +65,7 @@
 	},
 	"refused, then an outage": func(w *randomDay, node, _ string) {
 		if w.isHealthy(node) {
-			w.refuseStore(node)
+			w.refuseStoreTo(node)
 			w.after(time.Duration(w.rng.IntN(6))*time.Second, func() { w.outage = true })
 			w.after(time.Duration(10+w.rng.IntN(40))*time.Second, w.endOutage)
 		}
@@ -150,10 +150,10 @@
 		d.cancelAndPoll(id)
 	}
 	if d.isHealthy(node) {
-		d.refuseStore(node)
+		d.refuseStoreTo(node)
 	}
 	d.after(time.Second, func() { d.outage = true })
-	d.after(time.Second+d.allowed()*6/5, d.endOutage)
+	d.after(time.Second+d.cancelDeadline()*6/5, d.endOutage)
 }
 
 // cancelEndingJobs calls jobs off at the moment at which their last task ends, for a while.
--- a/internal/core/registration_test.go
+++ b/internal/core/registration_test.go
@@ -12,7 +12,7 @@
 // the old lease, so that the controller was home of nothing for as long as it lived.
 func TestLateWriteOfAFormerRunDoesNotReplaceTheNodeKey(t *testing.T) {
 	for _, late := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
-		w := newWorldOf(t, five).ready()
+		w := newWorldOf(t, fiveNodes).ready()
 		w.crash("a")
 		w.expire("a")
 		w.run(time.Second, nil)
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -17,7 +17,7 @@
 // that have accelerators and hold one task of a gang each.
 func gpuWorld(t *testing.T, small, large int) *world {
 	t.Helper()
-	w := newWorldOf(t, five)
+	w := newWorldOf(t, fiveNodes)
 	w.maxMachines, w.allowRacingStarts = small+large, true
 	w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
 		Price: 20, SpotPrice: 8, BootS: 5, Zones: []string{"z1", "z2"}})
@@ -200,7 +200,7 @@
 	for n, id := range slices.Sorted(maps.Keys(w.workers)) {
 		w.workers[id].dead = n < 12 && w.workers[id].Zone == "z1"
 	}
-	for _, nodes := range [][]string{{w.cores["a"].teamBy["free"].leader}, five} {
+	for _, nodes := range [][]string{{w.cores["a"].teamBy["free"].leader}, fiveNodes} {
 		for _, n := range nodes {
 			w.crash(n)
 			w.expire(n)
@@ -234,7 +234,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldOf(t, five)
+			w := newWorldOf(t, fiveNodes)
 			w.allowRacingStarts, w.taskTime = true, 5*time.Second
 			m := plain
 			c.change(&m)
--- a/internal/core/silentmachines_test.go
+++ b/internal/core/silentmachines_test.go
@@ -56,7 +56,7 @@
 	accepted(t, w.submit("a", muteJob, 10, `,"vcpus":3.0`)) // one CPU is left everywhere
 	w.started(muteJob, 10)
 	mute := w.silence(3)
-	w.run(reports(3), nil) // that a report is missing shows after more than two intervals
+	w.run(reportIntervals(3), nil) // that a report is missing shows after more than two intervals
 	meant := 0
 	w.onEffect = func(_ string, e Effect) {
 		switch e := e.(type) {
@@ -73,7 +73,7 @@
 	w.taskTime = 5 * time.Second
 	for n := range 6 {
 		accepted(t, w.submit("a", fmt.Sprintf("req-free-2-%d", n), 10, `,"vcpus":1.0`))
-		w.run(reports(1), nil)
+		w.run(reportIntervals(1), nil)
 		if n == 3 && w.sessions(mute) {
 			t.Fatal("a lease ran out before work came")
 		}
@@ -93,13 +93,13 @@
 
 // For less than its lease a machine may reach nobody and lose nothing: it can be asked.
 func TestSilentMachineKeepsItsTasksForItsLease(t *testing.T) {
-	w, _ := partitionedWorld(t, 20, muteJob)
+	w, _ := loadedWorld(t, 20, muteJob)
 	w.started(muteJob, 40)
 	mute := w.silence(5)
 	before := w.tasksOn(mute)
-	w.run(w.lease()-reports(2), nil)
+	w.run(w.lease()-reportIntervals(2), nil)
 	clear(w.silentWorkers)
-	w.run(reports(4), nil)
+	w.run(reportIntervals(4), nil)
 	if after := w.tasksOn(mute); before == 0 || after != before || w.sessions(mute) {
 		t.Errorf("of %d tasks %d are left", before, after)
 	}
@@ -116,11 +116,11 @@
 	if w.tasksOn(mute) == 0 {
 		t.Fatal("nothing runs on a mute machine")
 	}
-	if !w.run(w.lease()-reports(1), w.finished(muteJob)) || w.sessions(mute) {
+	if !w.run(w.lease()-reportIntervals(1), w.finished(muteJob)) || w.sessions(mute) {
 		t.Error("the job is not known to be done within the lease")
 	}
 	w.startedOnce()
-	w.run(reports(2), nil)
+	w.run(reportIntervals(2), nil)
 	for _, id := range mute {
 		if f := w.workers[id]; f != nil && f.Session == 1 && len(f.Tasks) > 0 {
 			t.Errorf("%s still reports %v", id, f.Tasks)
@@ -130,8 +130,8 @@
 
 // What is cancelled is stopped by direct calls, and no machine is given back for it.
 func TestCancelledTasksOnSilentMachinesAreStoppedAtOnce(t *testing.T) {
-	for name, wait := range map[string]time.Duration{"just mute": 0, "mute for a while": reports(3)} {
-		w, _ := partitionedWorld(t, 20, muteJob)
+	for name, wait := range map[string]time.Duration{"just mute": 0, "mute for a while": reportIntervals(3)} {
+		w, _ := loadedWorld(t, 20, muteJob)
 		mute := w.silence(4)
 		w.run(wait, nil)
 		if w.tasksOn(mute) == 0 {
@@ -141,7 +141,7 @@
 		if a := w.cancelJob("b", muteJob); a.Status != http.StatusOK {
 			t.Fatalf("cancellation got %d", a.Status)
 		}
-		if !w.run(reports(2), func() bool { return w.onMachines(muteJob) == 0 }) {
+		if !w.run(reportIntervals(2), func() bool { return w.onMachines(muteJob) == 0 }) {
 			t.Errorf("%s: %d tasks run on", name, w.onMachines(muteJob))
 		}
 		if len(w.workers) != machines {
@@ -194,7 +194,7 @@
 						t.Fatal("nothing runs on a mute machine")
 					}
 					happen(w, home)
-					w.run(reports(2), nil)
+					w.run(reportIntervals(2), nil)
 					if !w.outage {
 						w.cancelJob(w.serving(), "req-free-3")
 					}
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -93,7 +93,7 @@
 	former := w.leasesOf(node)
 	w.crash(node)
 	w.boot(node)
-	w.after(leaseLife, func() { w.endLeases(former) })
+	w.after(controllerLease, func() { w.endLeases(former) })
 }
 
 // recover ends all troubles.
--- /dev/null
+++ b/internal/core/slowlinks_test.go
@@ -0,0 +1,43 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// There is more work than capacity, urgent and not, and all links are slow: claims and starts take
+// seconds. No machine is overcommitted for long, no limit is exceeded, and all work ends.
+func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
+	w := idleWorld(t, 10)
+	w.allowRacingStarts, w.latency, w.taskTime = true, true, 8*time.Second
+	var ids []string
+	for n := range 4 {
+		for i, team := range []string{"red", "blue", "free"} {
+			id := fmt.Sprintf("req-%s-%d", team, n)
+			ids = append(ids, id)
+			accepted(t, w.submit(w.names[(n+i)%5], id, 12, []string{"", `,"urgency":"critical"`, `,"urgency":"low"`}[n%3]))
+		}
+	}
+	slow := 0
+	for range 30 { // links hold everything for three seconds and let it go for one
+		w.hold(everyLink)
+		w.run(3*time.Second, nil)
+		for _, held := range w.heldMessages {
+			slow += len(held)
+		}
+		w.restore()
+		w.run(time.Second, nil)
+	}
+	if slow == 0 || w.inUse("red") == 0 && w.startsOf("req-red-0") == 0 {
+		t.Fatal("nothing was slow, or nothing ran")
+	}
+	if !w.run(6*time.Minute, w.finished(ids...)) {
+		t.Error("jobs do not end")
+	}
+	for task, n := range w.starts {
+		if n > 3 {
+			t.Errorf("%s was started %d times", task, n)
+		}
+	}
+}
--- a/internal/core/stalereports_test.go
+++ b/internal/core/stalereports_test.go
@@ -14,7 +14,7 @@
 // A copy, or a report that was held back, comes to any controller: one that has the machine
 // and four that have not.
 func TestDuplicateReportChangesNothing(t *testing.T) {
-	w, _ := partitionedWorld(t, 10, "req-free-1")
+	w, _ := loadedWorld(t, 10, "req-free-1")
 	f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
 	w.run(5*time.Second, nil) // beats have told of all reports
 	node := w.cores["a"].machines.Get(f.Machine).Node
@@ -53,7 +53,7 @@
 
 // A machine that the cloud has taken does not come back by a copy.
 func TestDuplicateReportRevivesNoTerminatedMachine(t *testing.T) {
-	w, _ := partitionedWorld(t, 10, "req-free-1")
+	w, _ := loadedWorld(t, 10, "req-free-1")
 	id := slices.Sorted(maps.Keys(w.workers))[3]
 	r := w.snapshot(w.workers[id])
 	w.workers[id].dead = true
@@ -82,7 +82,7 @@
 	var ids []string
 	for n := range 6 {
 		id := fmt.Sprintf("req-free-%d", n)
-		accepted(t, w.submit(w.informed(), id, 30, ""))
+		accepted(t, w.submit(w.nodeWithStore(), id, 30, ""))
 		ids = append(ids, id)
 		w.run(8*time.Second, func() bool { return len(w.pastReports) > 10 })
 		for _, node := range w.names {
@@ -115,10 +115,10 @@
 		"its task was cancelled":   func(w *world, _ *fakeWorker) { w.cancelJob("a", "req-free-1") },
 		"all controllers are back": func(w *world, _ *fakeWorker) { w.stopAllFor(time.Second) },
 	} {
-		for _, to := range five {
+		for _, to := range fiveNodes {
 			t.Run(name+", to "+to, func(t *testing.T) {
 				t.Parallel()
-				w, _ := partitionedWorld(t, 10, "req-free-1")
+				w, _ := loadedWorld(t, 10, "req-free-1")
 				w.started("req-free-1", 20)
 				w.run(3*time.Second, nil)
 				f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
@@ -134,7 +134,7 @@
 				w.send(to, Heartbeat{Req: w.nextReq, Report: held})
 				w.run(time.Minute, nil)
 				w.recover()
-				w.run(w.allowed(), nil) // the world checks starts, limits and what is cancelled
+				w.run(w.cancelDeadline(), nil) // the world checks starts, limits and what is cancelled
 				for _, node := range w.names {
 					if m := w.cores[node].machines.Get(f.Machine); m != nil && (m.Session < f.Session || w.workers[f.Machine] == nil) {
 						t.Errorf("%s has the machine in session %d", node, m.Session)
--- a/internal/core/refused_test.go
+++ b/internal/core/storerefusal_test.go
@@ -8,42 +8,9 @@
 	"time"
 )
 
-// leaseLife is for how long a controller's own lease lives, an eighth of a worker's.
-const leaseLife = 2 * time.Second
-
-// refuseStore lets the state service refuse one controller alone. Its lease runs out,
-// unless an outage comes before: then every lease has its full time again.
-func (w *world) refuseStore(node string) {
-	w.withoutStore[node] = true
-	refusedAt := w.now
-	w.scheduled = append(w.scheduled, func() bool {
-		if w.outage || !w.withoutStore[node] {
-			refusedAt = w.now
-		}
-		if w.now-refusedAt <= leaseLife {
-			return !w.withoutStore[node]
-		}
-		w.expire(node)
-		return true
-	})
-}
-
-// endOutage gives the state service back to all.
-func (w *world) endOutage() {
-	w.outage = false
-	for _, node := range w.names {
-		if w.withoutStore[node] && w.cores[node] != nil {
-			if len(w.leasesOf(node)) == 0 {
-				w.restoreStore(node)
-			}
-			delete(w.withoutStore, node)
-		}
-	}
-}
-
-// refused is a day on which the state service refuses a controller alone, another one
+// storeRefusal is a day on which the state service refuses a controller alone, another one
 // confirms a cancellation, and then it is down for all.
-type refused struct {
+type storeRefusal struct {
 	// links and cloud say how these are from the refusal on.
 	links, cloud string
 	// gap is how long after the refusal the outage begins, atOnce that the user
@@ -65,7 +32,8 @@
 	kept bool
 }
 
-var linkTroubles = map[string]func(w *world, old string){
+// linkFaults are the faults of links to and from the controller that the store refuses.
+var linkFaults = map[string]func(w *world, old string){
 	"well":          func(*world, string) {},
 	"to it refused": func(w *world, old string) { w.refuse(func(_, t string) bool { return t == old }) },
 	"from it":       func(w *world, old string) { w.refuse(func(f, _ string) bool { return f == old }) },
@@ -76,14 +44,15 @@
 	"gone":               func(w *world, _ string) { w.refuse(everyLink) },
 }
 
-const refusedJob = "req-free-1"
+// cancelledJob is the job that is cancelled.
+const cancelledJob = "req-free-1"
 
-// play plays the day with a job whose tasks run for four times the time that a
-// cancellation may take.
-func (d refused) play(t *testing.T) {
+// run plays the scenario with a job whose tasks run for four times the time that a cancellation may
+// take.
+func (d storeRefusal) run(t *testing.T) {
 	machines := max(d.machines, 20)
 	w := idleWorld(t, machines)
-	w.allowRacingStarts, w.taskTime = true, 4*w.allowed()
+	w.allowRacingStarts, w.taskTime = true, 4*w.cancelDeadline()
 	given, released := 0, map[string]int{}
 	w.onEffect = func(node string, e Effect) {
 		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
@@ -98,17 +67,17 @@
 	if d.before != nil {
 		d.before(w)
 	}
-	accepted(t, w.submit("b", refusedJob, max(d.tasks, 2*machines), d.more))
+	accepted(t, w.submit("b", cancelledJob, max(d.tasks, 2*machines), d.more))
 	if w.run(10*time.Second, nil); !w.loseDeliveries {
-		w.started(refusedJob, max(d.tasks, 2*machines))
+		w.started(cancelledJob, max(d.tasks, 2*machines))
 	}
 	old := w.cores["b"].teamBy["free"].leader
 	if d.renter {
 		old = w.cores["b"].fleet.leader
 	}
-	linkTroubles[d.links](w, old)
+	linkFaults[d.links](w, old)
 	w.noCloud = d.cloud != "well"
-	w.refuseStore(old)
+	w.refuseStoreTo(old)
 	if d.refused != nil {
 		d.refused(w)
 	}
@@ -116,19 +85,19 @@
 	if !d.atOnce {
 		w.run(d.gap, nil)
 	}
-	if w.onMachines(refusedJob) == 0 && !w.loseDeliveries {
+	if w.onMachines(cancelledJob) == 0 && !w.loseDeliveries {
 		t.Fatal("no task is running when the user cancels")
 	}
-	told := w.confirm()
+	told := w.confirmCancellation()
 	w.run(begin+d.gap-w.now, nil)
 	w.outage = true
 	if d.outage != nil {
 		d.outage(w, old, told)
 	}
-	if d.gone > 0 && !w.run(d.gone, func() bool { return w.onMachines(refusedJob) == 0 }) {
-		t.Errorf("%d tasks run on %v after the outage began", w.onMachines(refusedJob), d.gone)
+	if d.gone > 0 && !w.run(d.gone, func() bool { return w.onMachines(cancelledJob) == 0 }) {
+		t.Errorf("%d tasks run on %v after the outage began", w.onMachines(cancelledJob), d.gone)
 	}
-	w.run(w.allowed()*3/2, nil)
+	w.run(w.cancelDeadline()*3/2, nil)
 	if d.kept && given > 0 {
 		t.Errorf("machines are given back %d times for tasks that end when they are told to", given)
 	}
@@ -140,23 +109,19 @@
 	w.endOutage()
 	w.noCloud, w.unreachableNodes = false, map[string]bool{}
 	w.heal()
-	w.run(w.allowed(), nil)
+	w.run(w.cancelDeadline(), nil)
 	if len(w.cancellationToldAt) > 0 {
 		t.Error("the day ended before the time allowed")
 	}
 }
 
-// reports is the time of that many report intervals.
-func reports(n int) time.Duration { return time.Duration(n) * 2 * time.Second }
-
-func (w *world) allowed() time.Duration { return seconds(w.cfg["a"].Params.Workers.CancelS) }
-
-// confirm lets the user cancel until some controller says that the job is cancelled.
-func (w *world) confirm() (told string) {
+// confirmCancellation lets the user cancel until some controller confirms that the job is cancelled,
+// and names that controller.
+func (w *world) confirmCancellation() (told string) {
 	w.t.Helper()
 	for range 20 {
-		told = w.informed()
-		if a := w.cancelJob(told, refusedJob); a.Status == http.StatusOK {
+		told = w.nodeWithStore()
+		if a := w.cancelJob(told, cancelledJob); a.Status == http.StatusOK {
 			return told
 		}
 		w.run(time.Second, nil)
@@ -165,25 +130,24 @@
 	return ""
 }
 
-// The operators' first meeting: the state service refuses the leading controller alone,
-// another confirms a cancellation, then it is down for all, longer than cancel_s, while
-// workers keep reporting to the old leader. Only its watch told a controller of
-// cancellations (docs/cancellation.md).
-func TestConfirmedCancellationsHoldWhileTheStateServiceIsOut(t *testing.T) {
-	for links := range linkTroubles {
+// The store refuses the leader alone, another controller confirms a cancellation, then the store is
+// down for all, for longer than cancel_s, while workers keep reporting to the old leader
+// (docs/cancel.md).
+func TestConfirmedCancellationHoldsThroughStoreOutage(t *testing.T) {
+	for links := range linkFaults {
 		for _, cloud := range []string{"well", "refusing"} {
 			for _, lives := range []float64{0, 0.1, 1, 3} {
 				for _, atOnce := range []bool{true, false} {
 					t.Run(fmt.Sprintf("links %s, cloud %s, outage after %v lease lives, cancelled first %v", links, cloud, lives, atOnce), func(t *testing.T) {
 						t.Parallel()
-						d := refused{links: links, cloud: cloud, gap: time.Duration(lives * float64(leaseLife)), atOnce: atOnce}
+						d := storeRefusal{links: links, cloud: cloud, gap: time.Duration(lives * float64(controllerLease)), atOnce: atOnce}
 						switch links {
 						case "well":
-							d.gone, d.kept = reports(1), true
+							d.gone, d.kept = reportIntervals(1), true
 						case "to it over a third":
-							d.gone, d.kept = reports(3), true
+							d.gone, d.kept = reportIntervals(3), true
 						}
-						d.play(t)
+						d.run(t)
 					})
 				}
 			}
@@ -191,8 +155,8 @@
 	}
 }
 
-// What else may happen on that day.
-func TestConfirmedCancellationsHoldWhateverElseHappens(t *testing.T) {
+// A further fault comes with the refusal or the outage.
+func TestConfirmedCancellationHoldsUnderFurtherFaults(t *testing.T) {
 	each := func(w *world, old string, f func(*fakeWorker)) {
 		for _, g := range w.workers {
 			if w.names[g.node%len(w.names)] == old {
@@ -200,7 +164,7 @@
 			}
 		}
 	}
-	for name, d := range map[string]refused{
+	for name, d := range map[string]storeRefusal{
 		"it is the renter": {renter: true},
 		"nothing":          {},
 		"the one that told crashes and is back at once": {outage: func(w *world, _, told string) {
@@ -232,7 +196,7 @@
 		"machines come to one that never heard of the job": {
 			before: func(w *world) {
 				w.refuse(func(f, t string) bool { return f == "e" || t == "e" })
-				w.refuseStore("e")
+				w.refuseStoreTo("e")
 				w.run(3*time.Second, nil)
 			},
 			outage: func(w *world, _, _ string) {
@@ -273,32 +237,32 @@
 		"links come back": {
 			refused: func(w *world) { w.refuse(everyLink) },
 			outage: func(w *world, _, _ string) {
-				w.run(reports(2), nil)
+				w.run(reportIntervals(2), nil)
 				w.restore()
 			},
-			gone: reports(2), kept: true},
+			gone: reportIntervals(2), kept: true},
 		"links are slow for a while": {
 			refused: func(w *world) { w.hold(everyLink) },
 			outage: func(w *world, _, _ string) {
-				w.run(reports(2), nil)
+				w.run(reportIntervals(2), nil)
 				for l := range w.heldMessages {
 					delete(w.heldMessages, l)
 				}
 				clear(w.slowLinks)
 			},
-			gone: reports(2), kept: true},
+			gone: reportIntervals(2), kept: true},
 		"the old leader has forgotten its jobs": {
 			refused: func(w *world) { w.hold(everyLink) },
 			outage: func(w *world, old, _ string) {
 				w.send(old, LeaseExpired{})
-				w.run(reports(1), nil)
+				w.run(reportIntervals(1), nil)
 				w.restore()
 			},
-			gone: reports(2), kept: true},
+			gone: reportIntervals(2), kept: true},
 		"the cloud refuses when half of the time is over": {
 			refused: func(w *world) { w.refuse(everyLink) },
 			outage: func(w *world, _, _ string) {
-				w.run(w.allowed()/2-2*time.Second, nil)
+				w.run(w.cancelDeadline()/2-2*time.Second, nil)
 				w.noCloud = true
 			}},
 		"a gang that saves":               {tasks: 20, more: `,"shape":"group","markEveryS":5.0,"markCostS":3.0`},
@@ -314,105 +278,44 @@
 					d.gone, d.kept = 0, false
 				}
 				if d.gap == 0 {
-					d.gap = leaseLife / 2
+					d.gap = controllerLease / 2
 				}
-				d.play(t)
+				d.run(t)
 			})
 		}
 	}
 }
 
-// Without a cancellation an outage ends no task, however long: not where controllers
-// hear each other, nor where one of them was refused first, crashed and came back.
-func TestOutageAloneEndsNoTask(t *testing.T) {
+// Without a cancellation an outage ends no task, however long: not where controllers have
+// connections, nor where one of them was refused first, crashed and came back.
+func TestStoreOutageAloneEndsNoTask(t *testing.T) {
 	for name, also := range map[string]func(w *world){
 		"nothing":                 func(*world) {},
 		"the cloud refuses":       func(w *world) { w.noCloud = true },
-		"one is refused first":    func(w *world) { w.refuseStore("a"); w.run(5*time.Second, nil) },
+		"one is refused first":    func(w *world) { w.refuseStoreTo("a"); w.run(5*time.Second, nil) },
 		"no links":                func(w *world) { w.refuse(everyLink) },
 		"one crashes and is back": func(w *world) { w.crash("a"); w.run(time.Second, nil); w.boot("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := idleWorld(t, 20)
-			w.taskTime = 20 * w.allowed()
-			accepted(t, w.submit("b", refusedJob, 40, ""))
-			w.started(refusedJob, 40)
+			w.taskTime = 20 * w.cancelDeadline()
+			accepted(t, w.submit("b", cancelledJob, 40, ""))
+			w.started(cancelledJob, 40)
 			also(w)
 			w.outage = true
-			w.run(3*w.allowed(), nil)
-			if n := w.onMachines(refusedJob); n != 40 {
+			w.run(3*w.cancelDeadline(), nil)
+			if n := w.onMachines(cancelledJob); n != 40 {
 				t.Errorf("of 40 tasks %d run on", n)
 			}
 			w.endOutage()
 			w.noCloud = false
 			w.heal()
-			w.run(w.allowed(), nil)
-			if n := w.onMachines(refusedJob); n != 40 {
+			w.run(w.cancelDeadline(), nil)
+			if n := w.onMachines(cancelledJob); n != 40 {
 				t.Errorf("of 40 tasks %d run on after the outage", n)
 			}
 			w.startedOnce()
 		})
 	}
 }
-
-// After an outage in which all controllers ended, each finds in the stored state that a job
-// was cancelled long ago, and nothing of where its tasks are, though they ended in time.
-// Machines are given back only once reports had time to come.
-func TestControllersThatStartOverWaitForReportsBeforeTheyGiveMachinesBack(t *testing.T) {
-	w := idleWorld(t, 20)
-	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	accepted(t, w.submit("a", refusedJob, 40, ""))
-	w.started(refusedJob, 40)
-	w.send("a", Cancel{Req: 1 << 20, ID: refusedJob})
-	if !w.run(time.Second, func() bool { return w.kv[cancelKey(refusedJob)].Version > 0 }) {
-		t.Fatal("the cancellation is not stored")
-	}
-	w.outage = true // the ends of the tasks are not
-	w.run(w.allowed()*45/100, nil)
-	for _, n := range w.names {
-		w.crash(n)
-		w.expire(n)
-	}
-	w.run(time.Second, nil)
-	given := 0
-	w.onEffect = func(node string, e Effect) {
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
-			given++
-		}
-	}
-	w.outage = false
-	for _, n := range w.names {
-		w.boot(n)
-	}
-	w.run(w.allowed(), nil)
-	if given > 0 || w.onMachines(refusedJob) > 0 {
-		t.Errorf("%d times a machine was given back, %d tasks are left", given, w.onMachines(refusedJob))
-	}
-}
-
-// A leader that was cut off comes back, and hears all at once of a job that was cancelled
-// long ago. What it last knew of the machines says nothing of where its tasks are.
-func TestLeaderThatIsBackGivesNoMachinesBack(t *testing.T) {
-	w := idleWorld(t, 20)
-	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	accepted(t, w.submit("b", refusedJob, 30, ""))
-	w.started(refusedJob, 30)
-	old := w.cores["b"].teamBy["free"].leader
-	w.isolate(old)
-	w.run(reports(2), nil)
-	w.confirm()
-	w.run(w.allowed(), nil)
-	given := 0
-	w.onEffect = func(_ string, e Effect) {
-		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && l.Text != "machine returned" {
-			given++
-		}
-	}
-	accepted(t, w.submit(w.informed(), "req-free-2", 30, ""))
-	w.heal()
-	w.run(w.allowed(), nil)
-	if given > 0 {
-		t.Errorf("machines are given back %d times", given)
-	}
-}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -95,7 +95,7 @@
 				}
 				// Nobody can tell while the state service is out: neither 400 nor 422.
 				w.outage = true
-				w.run(reports(2), nil)
+				w.run(reportIntervals(2), nil)
 				if a := w.request("c", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
 					t.Errorf("in an outage the answer is %d", a.Status)
 				}
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -9,7 +9,7 @@
 // A term whose write got no answer may belong to whoever wrote the same number next.
 func TestTokenOfAnUnansweredWriteIsNotUsed(t *testing.T) {
 	for _, late := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		w := newWorldOf(t, five).ready()
+		w := newWorldOf(t, fiveNodes).ready()
 		n := 0
 		w.lateWrite = func(_ string, e StoreTxn) time.Duration {
 			if e.Txn.Then[0].Put != keyToken {
--- a/internal/core/unreachablemachines_test.go
+++ b/internal/core/unreachablemachines_test.go
@@ -13,7 +13,7 @@
 // A machine whose reports arrive while nothing reaches it looked alive: it got tasks again
 // and again, and each was lost with its next lease (docs/fault-handling.md).
 func TestUnreachableMachineGetsNoWorkUntilItIsReached(t *testing.T) {
-	w, _ := partitionedWorld(t, 10, "req-free-first")
+	w, _ := loadedWorld(t, 10, "req-free-first")
 	w.noCloud, w.taskTime = true, 5*time.Second
 	w.cancelJob("a", "req-free-first")
 	deaf := slices.Sorted(maps.Keys(w.workers))[:2]
@@ -57,7 +57,7 @@
 
 // One that stays deaf costs money and does nothing: it goes as an idle one does.
 func TestUnreachableMachineIsReturned(t *testing.T) {
-	w, _ := partitionedWorld(t, 10, "req-free-1")
+	w, _ := loadedWorld(t, 10, "req-free-1")
 	id := slices.Sorted(maps.Keys(w.workers))[2]
 	w.unreachableWorkers[id] = true
 	if !w.run(time.Minute, func() bool { return w.workers[id] == nil }) {
--- a/internal/core/dark_test.go
+++ b/internal/core/zoneoutage_test.go
@@ -2,15 +2,65 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
 
 	"pepperlever/internal/protocol"
 )
 
-// nearZ2 is a renter in z1, with controllers b in z1 and c in z2, that has heard
+// A zone with workers and controllers is cut off for longer than a lease: its tasks go on and are
+// neither started again nor lost, jobs bound to it wait, and what is cancelled outside ends
+// in time.
+func TestZoneCutOffWithItsControllers(t *testing.T) {
+	for _, leases := range []float64{1.3, 2.5} {
+		t.Run(fmt.Sprint(leases, " leases"), func(t *testing.T) {
+			t.Parallel()
+			w := newWorldOf(t, fiveNodes)
+			w.twoZones()
+			w.allowRacingStarts, w.taskTime = true, 4*time.Minute
+			w.ready()
+			accepted(t, w.submit("a", "req-free-1", 8, `,"yard":"z2"`))
+			accepted(t, w.submit("a", "req-blue-2", 4, `,"yard":"z2"`))
+			accepted(t, w.submit("a", "req-free-3", 8, `,"yard":"z1"`))
+			w.started("req-free-1", 8)
+			w.started("req-blue-2", 4)
+			w.run(20*time.Second, nil) // machines have settled with controllers of their zone, or others
+			w.cutZone("z2")
+			w.run(5*time.Second, nil)
+			if a := w.cancelJob("a", "req-blue-2"); a.Status != http.StatusOK {
+				t.Fatalf("cancellation got %d", a.Status)
+			}
+			accepted(t, w.submit("b", "req-free-4", 4, `,"yard":"z2"`))
+			accepted(t, w.submit("b", "req-free-5", 4, ""))
+			w.run(time.Duration(leases*float64(w.lease())), nil)
+			if w.onMachines("req-free-5") != 4 || w.onMachines("req-free-4") != 0 {
+				t.Errorf("%d tasks run outside, %d in the zone", w.onMachines("req-free-5"), w.onMachines("req-free-4"))
+			}
+			w.reconnectZone()
+			w.run(w.cancelDeadline(), nil)
+			if w.onMachines("req-blue-2") > 0 || len(w.cancellationToldAt) > 0 {
+				t.Error("what was cancelled is left")
+			}
+			kept := 0
+			for i := range 8 {
+				if w.starts[fmt.Sprintf("req-free-1/%d", i)] == 1 {
+					kept++
+				}
+			}
+			if kept < 4 { // some were on machines that are given back for the cancelled job
+				t.Errorf("%d of 8 tasks in the zone went on", kept)
+			}
+			if !w.run(8*time.Minute, w.finished("req-free-1", "req-free-3", "req-free-4", "req-free-5")) {
+				t.Error("jobs do not end")
+			}
+		})
+	}
+}
+
+// fleetLeaderInZ1 leads the fleet in z1, with controllers b in z1 and c in z2, and has had reports of
 // ten machines of each zone.
-func nearZ2(t *testing.T) *Core {
+func fleetLeaderInZ1(t *testing.T) *Core {
 	t.Helper()
 	c := renter(t, 0, 0)
 	c.cfg.Zone = "z1"
@@ -22,9 +72,9 @@
 	return c
 }
 
-// A cut zone's controllers go on answering its workers. Given up after the usual
+// The controllers of a zone that is cut off go on answering its workers. Given up after the usual
 // silence, all that runs in there would run again.
-func TestMachinesOfADarkZoneAreLeftAloneForAWhile(t *testing.T) {
+func TestMachinesAreKeptDuringZoneOutage(t *testing.T) {
 	const lease = 16 * time.Second
 	quiet := 2 * lease // more than the usual silence
 	for name, k := range map[string]struct {
@@ -39,7 +89,7 @@
 		"one of its machines is heard by us":   {heard: []string{"b"}, alive: []int{15}, quiet: quiet, givenB: 9},
 		"machines of the renter's own zone go": {heard: []string{"c"}, quiet: quiet, givenB: 10},
 	} {
-		c := nearZ2(t)
+		c := fleetLeaderInZ1(t)
 		c.now.Steady += k.quiet
 		for _, n := range k.heard {
 			c.peers.get(n).lastContact = c.now.Steady
@@ -60,10 +110,10 @@
 	}
 }
 
-// A controller that starts during a cut knows the machines behind it by their
-// bindings alone. It had every one of them given up.
-func TestMachineUnheardByItsHomeIsTheRentersToJudge(t *testing.T) {
-	c := nearZ2(t)
+// A controller that starts while a zone is cut off knows the machines in it by their bindings alone.
+// The fleet's leader keeps those that it knows, or that the cloud lists.
+func TestReturnRequestForUnknownMachineInZoneOutage(t *testing.T) {
+	c := fleetLeaderInZ1(t)
 	c.now.Steady += 32 * time.Second
 	c.handleInventory(InventoryReceived{Machines: []protocol.ListedMachine{{ID: "vm-listed", Zone: "z2", State: protocol.Running}}})
 	for id, given := range map[string]bool{"vm-9015": false, "vm-listed": false, "vm-nobody-knows": true} {
@@ -77,23 +127,3 @@
 		t.Error("a cancelled task is left on a machine of a dark zone")
 	}
 }
-
-// A team without a home used to wait for up to a sixth of a report interval after
-// its controller was back or known to be gone.
-func TestTeamsAreTakenAsSoonAsTheirControllerIsKnownToBeGone(t *testing.T) {
-	w := newWorld(t).ready()
-	w.run(5*time.Second, nil)
-	for _, c := range w.cores {
-		c.members.nextElection = w.now + time.Hour // they have just looked
-	}
-	w.crash("b")
-	w.expire("b")
-	w.run(3*w.tick, nil) // the watch, the write, and the watch again
-	for _, n := range []string{"a", "c"} {
-		for _, k := range w.cores[n].allShards() {
-			if k.leader != "a" && k.leader != "c" {
-				t.Errorf("%s takes %s to be at %q", n, k.name, k.leader)
-			}
-		}
-	}
-}
