--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -142,7 +142,7 @@
 	if got := ctx.Response.StatusCode(); got != 503 || string(ctx.Response.Header.Peek("Retry-After")) == "" {
 		t.Errorf("got %d", got)
 	}
-	if len(a.waits) != 0 {
+	if len(a.pending) != 0 {
 		t.Error("the request is still waited for")
 	}
 	if text := string(a.metrics.text()); !strings.Contains(text, `answers{request="status",status="503"} 1`) {
@@ -155,7 +155,7 @@
 		protocol.PathJobs: "submit", protocol.PathJobs + "/req-1": "status",
 		protocol.PathJobs + "/req-1/" + protocol.PathCancel: "cancel", protocol.PathReport: "report",
 	} {
-		if got := kind(path); got != want {
+		if got := requestKind(path); got != want {
 			t.Errorf("%s is %s", path, got)
 		}
 	}
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -23,17 +23,17 @@
 
 // Range and precision of the latencies, in microseconds.
 const (
-	shortest = 1
-	longest  = 60_000_000
-	digits   = 2
+	minLatencyMicros = 1
+	maxLatencyMicros = 60_000_000
+	latencyDigits    = 2
 )
 
 func newMetrics() metrics {
 	return metrics{mu: &sync.Mutex{}, answers: map[string]int{}, latency: map[string]*hdrhistogram.Histogram{}}
 }
 
-// kind groups paths, so that the figures do not grow with the jobs.
-func kind(path string) string {
+// requestKind groups paths, so that the figures do not grow with the jobs.
+func requestKind(path string) string {
 	switch {
 	case path == protocol.PathReport:
 		return "report"
@@ -47,18 +47,18 @@
 	return "status"
 }
 
-func (m metrics) note(path string, status int, took time.Duration) {
-	k := kind(path)
+func (m metrics) record(path string, status int, took time.Duration) {
+	k := requestKind(path)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.answers[fmt.Sprintf("answers{request=%q,status=\"%d\"}", k, status)]++
 	h := m.latency[k]
 	if h == nil {
-		h = hdrhistogram.New(shortest, longest, digits)
+		h = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 		m.latency[k] = h
 	}
 	// Only values out of range fail, and the range is kept here.
-	_ = h.RecordValue(min(max(took.Microseconds(), shortest), longest))
+	_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
 // text writes the figures one a line.
@@ -79,7 +79,7 @@
 
 // jobMetrics tells what has become of jobs since this controller began.
 func (a *API) jobMetrics() []byte {
-	ans := a.await(func(req uint64) core.Command { return core.JobStatistics{Req: req} })
+	ans := a.call(func(req uint64) core.Command { return core.JobStatistics{Req: req} })
 	s, ok := ans.Body.(core.StatisticsReport)
 	if !ok {
 		return nil
--- a/internal/emulator/cloudapi.go
+++ b/internal/emulator/cloudapi.go
@@ -7,6 +7,7 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/valyala/fasthttp"
 
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
@@ -17,9 +18,9 @@
 	now, path := s.now(), string(ctx.Path())
 	switch {
 	case !s.cloud.requests.take(now, 1):
-		writeProblem(ctx, fasthttp.StatusTooManyRequests, "too many requests")
+		httpserver.WriteProblem(ctx, fasthttp.StatusTooManyRequests, "too many requests")
 	case path == protocol.PathTypes:
-		writeJSON(ctx, fasthttp.StatusOK, s.cloud.Catalogue())
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, s.cloud.Catalogue())
 	case path == protocol.PathRelease:
 		s.release(ctx, now)
 	case path == protocol.PathMachines && ctx.IsPost():
@@ -29,35 +30,35 @@
 		if err != nil || limit < 1 || limit > 500 {
 			limit = 500
 		}
-		writeJSON(ctx, fasthttp.StatusOK, s.cloud.List(now, string(ctx.QueryArgs().Peek(protocol.ArgAfter)), limit))
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, s.cloud.List(now, string(ctx.QueryArgs().Peek(protocol.ArgAfter)), limit))
 	default:
-		writeProblem(ctx, fasthttp.StatusNotFound, "no such path")
+		httpserver.WriteProblem(ctx, fasthttp.StatusNotFound, "no such path")
 	}
 }
 
 func (s *Site) rent(ctx *fasthttp.RequestCtx, now time.Duration) {
 	var r protocol.Rental
 	if json.Unmarshal(ctx.PostBody(), &r) != nil || r.Request == "" || r.Count < 1 || r.Count > protocol.MaxRental {
-		writeProblem(ctx, fasthttp.StatusBadRequest, "malformed rental")
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed rental")
 		return
 	}
 	names, ok := s.cloud.Rent(now, r)
 	if s.State.file.saveMachineCount(s.cloud.namesIssued); ok {
-		writeJSON(ctx, fasthttp.StatusOK, names)
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, names)
 		return
 	}
-	writeProblem(ctx, fasthttp.StatusServiceUnavailable, "no capacity")
+	httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "no capacity")
 }
 
 func (s *Site) release(ctx *fasthttp.RequestCtx, now time.Duration) {
 	var names protocol.MachineNames
 	if json.Unmarshal(ctx.PostBody(), &names) != nil || len(names.Machines) > protocol.MaxRelease {
-		writeProblem(ctx, fasthttp.StatusBadRequest, "malformed release")
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed release")
 		return
 	}
 	s.cloud.Release(now, names.Machines)
 	for _, id := range names.Machines {
 		s.fleet.Remove(id)
 	}
-	writeJSON(ctx, fasthttp.StatusOK, struct{}{})
+	httpserver.WriteJSON(ctx, fasthttp.StatusOK, struct{}{})
 }
--- a/internal/emulator/frontdoor.go
+++ b/internal/emulator/frontdoor.go
@@ -9,6 +9,7 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/valyala/fasthttp"
 
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
@@ -55,7 +56,7 @@
 			return
 		}
 	}
-	writeProblem(ctx, fasthttp.StatusServiceUnavailable, "no controller is healthy")
+	httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "no controller is healthy")
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 }
 
--- a/internal/emulator/http.go
+++ b/internal/emulator/http.go
@@ -5,16 +5,16 @@
 	"net"
 	"time"
 
-	"github.com/segmentio/encoding/json"
 	"github.com/valyala/fasthttp"
 
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
 // serve answers on ln until ctx ends.
 func serve(ctx context.Context, ln net.Listener, h fasthttp.RequestHandler) error {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	s := &fasthttp.Server{Handler: h, MaxRequestBodySize: protocol.MaxBody, NoDefaultServerHeader: true, Logger: discardLogger{}}
+	s := &fasthttp.Server{Handler: h, MaxRequestBodySize: protocol.MaxBody, NoDefaultServerHeader: true, Logger: httpserver.DiscardLogger{}}
 	if err := s.Serve(ln); ctx.Err() == nil {
 		return err
 	}
@@ -34,23 +34,3 @@
 		}
 	}
 }
-
-// discardLogger drops fasthttp's lines on clients that went away.
-type discardLogger struct{}
-
-func (discardLogger) Printf(string, ...any) {}
-
-// writeJSON replies with a JSON body.
-func writeJSON(ctx *fasthttp.RequestCtx, status int, body any) {
-	raw, err := json.Marshal(body)
-	if err != nil {
-		status = fasthttp.StatusInternalServerError
-	}
-	ctx.SetStatusCode(status)
-	ctx.SetContentType("application/json")
-	ctx.SetBody(raw)
-}
-
-func writeProblem(ctx *fasthttp.RequestCtx, status int, what string) {
-	writeJSON(ctx, status, protocol.Problem{Error: what})
-}
--- a/internal/emulator/leaseapi.go
+++ b/internal/emulator/leaseapi.go
@@ -8,6 +8,7 @@
 	"github.com/segmentio/encoding/json"
 	"github.com/valyala/fasthttp"
 
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
@@ -20,11 +21,11 @@
 	case rest == "" && method == fasthttp.MethodPost:
 		var g protocol.LeaseGrant
 		if json.Unmarshal(ctx.PostBody(), &g) != nil || g.TTLMillis < 100 || g.TTLMillis > 600_000 {
-			writeProblem(ctx, fasthttp.StatusBadRequest, "bad time to live")
+			httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "bad time to live")
 			return
 		}
 		ttl := time.Duration(g.TTLMillis) * time.Millisecond
-		writeJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: s.kv.Grant(now, ttl)})
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: s.kv.Grant(now, ttl)})
 		return
 	case err != nil:
 	case action == protocol.PathRenew && method == fasthttp.MethodPost:
@@ -33,8 +34,8 @@
 		there = s.kv.Revoke(n)
 	}
 	if !there {
-		writeProblem(ctx, fasthttp.StatusNotFound, "no such lease")
+		httpserver.WriteProblem(ctx, fasthttp.StatusNotFound, "no such lease")
 		return
 	}
-	writeJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: n})
+	httpserver.WriteJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: n})
 }
--- a/internal/emulator/stateservice.go
+++ b/internal/emulator/stateservice.go
@@ -12,6 +12,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
@@ -141,9 +142,9 @@
 	case s.down && path == protocol.PathWatch:
 		s.watch(ctx)
 	case s.down:
-		writeProblem(ctx, fasthttp.StatusServiceUnavailable, "trouble")
+		httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "trouble")
 	case !s.requests.take(now, 1):
-		writeProblem(ctx, fasthttp.StatusTooManyRequests, "too many requests")
+		httpserver.WriteProblem(ctx, fasthttp.StatusTooManyRequests, "too many requests")
 	case path == protocol.PathTxn && method == fasthttp.MethodPost:
 		s.mutate(func() { s.txn(ctx, now) })
 	case path == protocol.PathWatch && method == fasthttp.MethodGet:
@@ -155,17 +156,17 @@
 	case path == protocol.PathLeases || strings.HasPrefix(path, protocol.PathLeases+"/"):
 		s.mutate(func() { s.lease(ctx, method, strings.TrimPrefix(path, protocol.PathLeases), now) })
 	default:
-		writeProblem(ctx, fasthttp.StatusNotFound, "no such path")
+		httpserver.WriteProblem(ctx, fasthttp.StatusNotFound, "no such path")
 	}
 }
 
 func (s *StateService) get(ctx *fasthttp.RequestCtx, key string) {
 	kv, ok := s.kv.Get(key)
 	if !ok {
-		writeJSON(ctx, fasthttp.StatusNotFound, protocol.TxnResult{Revision: s.kv.revision})
+		httpserver.WriteJSON(ctx, fasthttp.StatusNotFound, protocol.TxnResult{Revision: s.kv.revision})
 		return
 	}
-	writeJSON(ctx, fasthttp.StatusOK, kv)
+	httpserver.WriteJSON(ctx, fasthttp.StatusOK, kv)
 }
 
 func (s *StateService) list(ctx *fasthttp.RequestCtx) {
@@ -174,31 +175,31 @@
 	if err != nil || limit < 1 {
 		limit = maxPage
 	}
-	writeJSON(ctx, fasthttp.StatusOK, s.kv.List(string(args.Peek(protocol.ArgPrefix)), string(args.Peek(protocol.ArgAfter)), limit))
+	httpserver.WriteJSON(ctx, fasthttp.StatusOK, s.kv.List(string(args.Peek(protocol.ArgPrefix)), string(args.Peek(protocol.ArgAfter)), limit))
 }
 
 func (s *StateService) txn(ctx *fasthttp.RequestCtx, now time.Duration) {
 	var t protocol.Txn
 	if err := json.Unmarshal(ctx.PostBody(), &t); err != nil {
-		writeProblem(ctx, fasthttp.StatusBadRequest, "malformed transaction")
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed transaction")
 		return
 	}
 	if why := s.malformed(&t); why != "" {
-		writeProblem(ctx, fasthttp.StatusBadRequest, why)
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, why)
 		return
 	}
 	if !s.writes.take(now, float64(len(t.Then))) {
-		writeProblem(ctx, fasthttp.StatusTooManyRequests, "too many changes")
+		httpserver.WriteProblem(ctx, fasthttp.StatusTooManyRequests, "too many changes")
 		return
 	}
 	out, ok, noLease := s.kv.Apply(t)
 	switch {
 	case noLease:
-		writeProblem(ctx, fasthttp.StatusBadRequest, "no such lease")
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "no such lease")
 	case ok:
-		writeJSON(ctx, fasthttp.StatusOK, out)
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, out)
 	default:
-		writeJSON(ctx, fasthttp.StatusConflict, out)
+		httpserver.WriteJSON(ctx, fasthttp.StatusConflict, out)
 	}
 }
 
--- a/internal/emulator/watchapi.go
+++ b/internal/emulator/watchapi.go
@@ -6,6 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
@@ -20,7 +21,7 @@
 	since, errSince := strconv.ParseUint(string(args.Peek(protocol.ArgAfter)), 10, 64)
 	wait, errWait := strconv.ParseInt(string(args.Peek(protocol.ArgWait)), 10, 64)
 	if errSince != nil || errWait != nil && args.Has(protocol.ArgWait) {
-		writeProblem(ctx, fasthttp.StatusBadRequest, "bad watch")
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "bad watch")
 		return
 	}
 	timer := time.NewTimer(min(time.Duration(max(wait, 0))*time.Millisecond, maxWatch))
@@ -29,13 +30,13 @@
 		out, gone := s.kv.Changes(prefix, since)
 		switch {
 		case gone && !s.down:
-			writeProblem(ctx, fasthttp.StatusGone, "changes are forgotten")
+			httpserver.WriteProblem(ctx, fasthttp.StatusGone, "changes are forgotten")
 			return
 		case !s.down && (len(out.Events) > 0 || over):
-			writeJSON(ctx, fasthttp.StatusOK, out)
+			httpserver.WriteJSON(ctx, fasthttp.StatusOK, out)
 			return
 		case s.down && over:
-			writeProblem(ctx, fasthttp.StatusServiceUnavailable, "trouble")
+			httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "trouble")
 			return
 		}
 		changed := s.changed
--- a/internal/emulator/workeragent.go
+++ b/internal/emulator/workeragent.go
@@ -12,6 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"pepperlever/internal/httpclient"
+	"pepperlever/internal/httpserver"
 	"pepperlever/internal/protocol"
 )
 
@@ -47,7 +48,7 @@
 	if string(ctx.Path()) == protocol.PathCommands {
 		var o protocol.Orders
 		if err := json.Unmarshal(ctx.PostBody(), &o); err != nil || o.Token == 0 || o.Session == 0 {
-			writeProblem(ctx, fasthttp.StatusBadRequest, "token or session is missing")
+			httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "token or session is missing")
 			return
 		}
 		if !s.fleet.Execute(s.now(), w.machine, o) {
@@ -56,10 +57,10 @@
 	}
 	r, there := s.fleet.Snapshot(s.now(), w.machine)
 	if !there {
-		writeProblem(ctx, fasthttp.StatusServiceUnavailable, "machine is gone")
+		httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "machine is gone")
 		return
 	}
-	writeJSON(ctx, status, r)
+	httpserver.WriteJSON(ctx, status, r)
 }
 
 // loop reports every interval, give or take a quarter, and sooner when something
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -9,17 +9,17 @@
 	"go.starlark.net/syntax"
 )
 
-// Policy holds the operator's knobs. Without a script the defaults rule.
+// Policy holds the operator's options. Without a script the defaults rule.
 type Policy struct {
 	// WindowS is the tumbling window of remembered use.
 	WindowS float64
 	// TimeoutS is how long a team waits before it jumps ahead.
 	TimeoutS float64
-	// Spare is the part of the fleet's room that stays open for work to come
-	// while dear and empty machines are drained.
+	// Spare is the part of the fleet's capacity that stays free for work to come while
+	// expensive, empty machines are drained.
 	Spare float64
-	// Preemption allows stopping tasks to make room. It is off by default: it
-	// lost more work than it won time in every measured day.
+	// Preemption allows stopping tasks of other teams to make room. Off by default, since it
+	// loses work.
 	Preemption bool
 	// Spot allows renting spot machines.
 	Spot bool
@@ -33,15 +33,15 @@
 // maxSteps bounds what a script may do; it runs once, at the start.
 const maxSteps = 100_000
 
-// knob is one name that a script may set.
-type knob struct {
+// option is one name that a script may set: a number within bounds, or a flag.
+type option struct {
 	number   *float64
 	flag     *bool
 	min, max float64
 }
 
-func (p *Policy) knobs() map[string]knob {
-	return map[string]knob{
+func (p *Policy) options() map[string]option {
+	return map[string]option{
 		"window_s":   {number: &p.WindowS, min: 1, max: 30 * 24 * 3600},
 		"timeout_s":  {number: &p.TimeoutS, min: 0, max: 30 * 24 * 3600},
 		"spare":      {number: &p.Spare, min: 0, max: 1},
@@ -68,7 +68,7 @@
 }
 
 // run executes the script, which can neither load modules nor reach anything
-// outside, and takes the knobs that it sets.
+// outside, and takes the options that it sets.
 func (p *Policy) run(path string, src []byte, s *Settings) error {
 	thread := &starlark.Thread{Name: path}
 	thread.SetMaxExecutionSteps(maxSteps)
@@ -81,9 +81,9 @@
 	if err != nil {
 		return err
 	}
-	knobs := p.knobs()
+	options := p.options()
 	for _, name := range globals.Keys() {
-		k, known := knobs[name]
+		k, known := options[name]
 		if !known {
 			continue // a helper of the script's own
 		}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (k knob) set(v starlark.Value) error {
+func (k option) set(v starlark.Value) error {
 	if k.flag != nil {
 		b, ok := v.(starlark.Bool)
 		if !ok {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective restates one aim of the users.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -107,7 +107,20 @@
 	} `toml:"params"`
 }
 
-// Load reads and checks a settings file.
+// InvalidError is a settings file that cannot be used.
+type InvalidError struct {
+	// Path is the file, Reason what is wrong with it, in one line.
+	Path   string
+	Reason error
+}
+
+// Error tells the file and what is wrong with it.
+func (e *InvalidError) Error() string { return fmt.Sprintf("%s: %v", e.Path, e.Reason) }
+
+// Unwrap gives what is wrong with the file.
+func (e *InvalidError) Unwrap() error { return e.Reason }
+
+// Load reads and checks a settings file. One that cannot be used is an *InvalidError.
 func Load(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -115,10 +128,11 @@
 	}
 	var s Settings
 	if err := toml.Unmarshal(raw, &s); err != nil {
-		return nil, fmt.Errorf("%s: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
+		oneLine := strings.ReplaceAll(err.Error(), "\n", " ")
+		return nil, &InvalidError{Path: path, Reason: errors.New(oneLine)}
 	}
 	if err := s.check(); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, &InvalidError{Path: path, Reason: err}
 	}
 	return &s, nil
 }
@@ -141,7 +155,7 @@
 	if err := s.checkTeams(); err != nil {
 		return err
 	}
-	return s.checkFigures()
+	return s.checkNumbers()
 }
 
 func (s *Settings) checkPeers() error {
@@ -177,7 +191,7 @@
 	return nil
 }
 
-func (s *Settings) checkFigures() error {
+func (s *Settings) checkNumbers() error {
 	p := &s.Params
 	for _, f := range []struct {
 		name  string
@@ -203,13 +217,3 @@
 	}
 	return nil
 }
-
-// Team looks a team up by name.
-func (s *Settings) Team(name string) (Team, bool) {
-	for _, t := range s.Params.Teams {
-		if t.Name == name {
-			return t, true
-		}
-	}
-	return Team{}, false
-}
