--- a/internal/federation/meet_test.go
+++ b/internal/federation/compare_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A state service restored from an old copy has forgotten what it gave or decided.
-// Its site has to stop and say so, and goes on at an operator's word.
-func TestRestoredStoreStopsAndSaysSo(t *testing.T) {
+// A store restored from an old copy has forgotten what it gave or decided. Its site has to
+// suspend hand-offs and say so, and goes on at an operator's instruction.
+func TestRestoredStoreSuspendsHandOffs(t *testing.T) {
 	for name, c := range map[string]struct {
 		class    string
 		restored Site
@@ -21,7 +21,7 @@
 	} {
 		w := newSim(t.Errorf)
 		for len(w.flying) > 0 {
-			w.deliver(0, false, fine) // the sites meet
+			w.deliver(0, false, fine) // the sites compare their records
 		}
 		w.drain("c")
 		w.submit("a", "req-1", c.class)
@@ -41,7 +41,7 @@
 		w.restore(c.restored, records, jobs)
 		w.play(20 * time.Second)
 		s := w.sites[c.restored]
-		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.machine.peer(other).suspendedReason == "" || s.warned == 0 {
+		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.coordinator.peer(other).suspendedReason == "" || s.warned == 0 {
 			t.Errorf("%s: goes on, %d warnings", name, s.warned)
 		}
 		if len(s.records.Incoming)+len(s.records.Outgoing) > 0 {
@@ -66,7 +66,7 @@
 
 // Before two sites have compared their records nothing passes, and an answer to an
 // earlier question does not count.
-func TestNothingPassesBeforeSitesHaveMet(t *testing.T) {
+func TestNothingPassesBeforeRecordsAreCompared(t *testing.T) {
 	m := New(simConfig("a"), 1)
 	var nonce uint64
 	for _, e := range m.Step(time.Second, RecordsLoaded{Records{}.copy()}, JobsWaiting{Jobs: []WaitingJob{{ID: "req-1", Class: "k", Waited: time.Hour}}}) {
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -10,7 +10,7 @@
 	"pepperlever/internal/strictconfig"
 )
 
-// Config is the gateway's file. Times are in seconds.
+// Config is the federation's configuration file. Times are in seconds.
 type Config struct {
 	Site Site `toml:"site"`
 	// RetryS is the first pause between two tries of the same, RetryMaxS the longest.
@@ -22,7 +22,7 @@
 	BreakerThreshold int `toml:"break_after"`
 	// MaxHops bounds the sites that a job may pass through.
 	MaxHops int `toml:"hops"`
-	// LoadMaxAgeS is for how long a peer's word on its waiting work counts.
+	// LoadMaxAgeS is for how long what a peer tells of its waiting work counts.
 	LoadMaxAgeS float64 `toml:"room_age_s"`
 	// Listen is where this controller takes peers' streams.
 	Listen string `toml:"listen"`
@@ -33,8 +33,8 @@
 	Key         string `toml:"key"`
 	// TicketKeys is the file of the keys that sign tickets.
 	TicketKeys string `toml:"ticket_keys"`
-	// MaxForget is how many decisions one write may forget; it follows from the state
-	// service's limit on changes.
+	// MaxForget is how many decisions one write may forget; it follows from the store's
+	// limit on changes.
 	MaxForget int     `toml:"-"`
 	Peers     []Peer  `toml:"peers"`
 	Classes   []Class `toml:"classes"`
@@ -45,11 +45,12 @@
 	Site Site `toml:"site"`
 	// Addresses are its controllers', tried in turn.
 	Addresses []string `toml:"addresses"`
-	// MaxOutgoing bounds the jobs that are away there at a time, Takes those taken from
-	// it; 0 takes none.
-	MaxOutgoing int  `toml:"at_once"`
-	MaxIncoming int  `toml:"takes"`
-	Drained     bool `toml:"drain"`
+	// MaxOutgoing bounds the jobs that are there at a time.
+	MaxOutgoing int `toml:"at_once"`
+	// MaxIncoming bounds the jobs accepted from it at a time; 0 accepts none.
+	MaxIncoming int `toml:"takes"`
+	// Drained allows no new hand-offs with it.
+	Drained bool `toml:"drain"`
 	// Zones and Types are what it has; jobs that name others are not offered. Not
 	// given: any.
 	Zones []string `toml:"zones"`
@@ -63,11 +64,11 @@
 	To []Site `toml:"to"`
 	// OfferAfterS is for how long a job waits here before it is offered.
 	OfferAfterS float64 `toml:"after_s"`
-	// MaxOutgoing bounds the jobs of the class that are away at a time; 0: no bound.
+	// MaxOutgoing bounds the jobs of the class that are at other sites at a time; 0: no bound.
 	MaxOutgoing int `toml:"at_once"`
 	// AllowsRepeat allows an operator to run its jobs again although they may have run.
 	AllowsRepeat bool `toml:"repeat"`
-	// AcceptFrom lists the sites whose jobs of the class are taken.
+	// AcceptFrom lists the sites whose jobs of the class are accepted.
 	AcceptFrom []Site `toml:"accept"`
 }
 
@@ -76,40 +77,64 @@
 	return Config{RetryS: 2, RetryMaxS: 60, RetryRate: 20, BreakerThreshold: 3, MaxHops: 3, LoadMaxAgeS: 20}
 }
 
-// Load reads and checks a gateway's file. Unknown keys are errors, told in one line.
+// Load reads and checks a configuration file. Unknown keys are errors, told in one line.
 func Load(path string) (*Config, error) {
 	c := Default()
 	return &c, strictconfig.Load(path, &c)
 }
 
-// MaxJobsPerPeer bounds the jobs that are away at one peer, so that a list of them fits a
+// MaxJobsPerPeer bounds the jobs that are at one peer, so that a list of them fits a
 // message.
 const MaxJobsPerPeer = 10_000
 
+// errLimits says which figures of a file are out of range.
+var errLimits = errors.New("retry_s, retry_max_s, retries_per_s, break_after, hops and room_age_s must be positive, retry_max_s at least retry_s")
+
 // Check tells what is wrong with the file.
 func (c *Config) Check() error {
-	if c.Site == "" || !siteName.MatchString(string(c.Site)) {
+	if !siteName.MatchString(string(c.Site)) {
 		return fmt.Errorf("site %q is missing or not made of letters, digits and -", c.Site)
 	}
-	if c.RetryS <= 0 || c.RetryMaxS < c.RetryS || c.RetryRate <= 0 || c.BreakerThreshold < 1 || c.MaxHops < 1 || c.LoadMaxAgeS <= 0 {
-		return errors.New("retry_s, retry_max_s, retries_per_s, break_after, hops and room_age_s must be positive, retry_max_s at least retry_s")
+	if !c.limitsValid() {
+		return errLimits
 	}
-	known := []Site{}
-	for _, p := range c.Peers {
+	peers, err := c.checkPeers()
+	if err != nil {
+		return err
+	}
+	return c.checkClasses(peers)
+}
+
+func (c *Config) limitsValid() bool {
+	retries := c.RetryS > 0 && c.RetryMaxS >= c.RetryS && c.RetryRate > 0
+	return retries && c.BreakerThreshold >= 1 && c.MaxHops >= 1 && c.LoadMaxAgeS > 0
+}
+
+// checkPeers checks the peers and returns their names.
+func (c *Config) checkPeers() ([]Site, error) {
+	names := []Site{}
+	for _, peer := range c.Peers {
 		switch {
-		case p.Site == "" || p.Site == c.Site || slices.Contains(known, p.Site):
-			return fmt.Errorf("peer %q is this site, empty or named twice", p.Site)
-		case !siteName.MatchString(string(p.Site)):
-			return fmt.Errorf("peer %q is not made of letters, digits and -", p.Site)
-		case p.MaxOutgoing < 0 || p.MaxIncoming < 0 || p.MaxOutgoing > MaxJobsPerPeer || p.MaxIncoming > MaxJobsPerPeer:
-			return fmt.Errorf("peer %q: at_once and takes must be from 0 to %d", p.Site, MaxJobsPerPeer)
+		case peer.Site == "" || peer.Site == c.Site || slices.Contains(names, peer.Site):
+			return nil, fmt.Errorf("peer %q is this site, empty or named twice", peer.Site)
+		case !siteName.MatchString(string(peer.Site)):
+			return nil, fmt.Errorf("peer %q is not made of letters, digits and -", peer.Site)
+		case !isJobLimit(peer.MaxOutgoing) || !isJobLimit(peer.MaxIncoming):
+			return nil, fmt.Errorf("peer %q: at_once and takes must be from 0 to %d", peer.Site, MaxJobsPerPeer)
 		}
-		known = append(known, p.Site)
+		names = append(names, peer.Site)
 	}
-	for _, k := range c.Classes {
-		for _, s := range append(slices.Clone(k.To), k.AcceptFrom...) {
-			if !slices.Contains(known, s) {
-				return fmt.Errorf("class %q names %q, which is no peer", k.Name, s)
+	return names, nil
+}
+
+func isJobLimit(limit int) bool { return limit >= 0 && limit <= MaxJobsPerPeer }
+
+// checkClasses checks that classes name peers alone.
+func (c *Config) checkClasses(peers []Site) error {
+	for _, class := range c.Classes {
+		for _, site := range append(slices.Clone(class.To), class.AcceptFrom...) {
+			if !slices.Contains(peers, site) {
+				return fmt.Errorf("class %q names %q, which is no peer", class.Name, site)
 			}
 		}
 	}
@@ -122,22 +147,22 @@
 // CanRunElsewhere tells whether a job of a class that asks for a zone or types which this
 // site has not may go to a site that has them.
 func (c *Config) CanRunElsewhere(class, zone string, types []string) bool {
-	return slices.ContainsFunc(c.class(class).To, func(s Site) bool {
-		p, _ := c.peer(s)
-		return zone != "" && slices.Contains(p.Zones, zone) ||
-			slices.ContainsFunc(types, func(t string) bool { return slices.Contains(p.Types, t) })
+	return slices.ContainsFunc(c.class(class).To, func(site Site) bool {
+		peer, _ := c.peer(site)
+		hasZone := zone != "" && slices.Contains(peer.Zones, zone)
+		return hasZone || containsAny(peer.Types, types)
 	})
 }
 
 // MayOffer tells whether jobs of a class may go anywhere once they have waited.
 func (c *Config) MayOffer(class string, waited time.Duration) bool {
-	k := c.class(class)
-	return len(k.To) > 0 && waited >= seconds(k.OfferAfterS)
+	rules := c.class(class)
+	return len(rules.To) > 0 && waited >= seconds(rules.OfferAfterS)
 }
 
 // peer finds a peer by its name.
-func (c *Config) peer(s Site) (Peer, bool) {
-	i := slices.IndexFunc(c.Peers, func(p Peer) bool { return p.Site == s })
+func (c *Config) peer(site Site) (peer Peer, found bool) {
+	i := slices.IndexFunc(c.Peers, func(p Peer) bool { return p.Site == site })
 	if i < 0 {
 		return Peer{}, false
 	}
@@ -145,11 +170,25 @@
 }
 
 // class finds the rules of a class; one that is not named goes nowhere and is not
-// taken.
+// accepted.
 func (c *Config) class(name string) Class {
-	i := slices.IndexFunc(c.Classes, func(k Class) bool { return k.Name == name })
+	i := slices.IndexFunc(c.Classes, func(class Class) bool { return class.Name == name })
 	if i < 0 {
 		return Class{Name: name}
 	}
 	return c.Classes[i]
 }
+
+// offersZone tells whether a peer may have the zone that a job asks for.
+func (p Peer) offersZone(zone string) bool {
+	return zone == "" || p.Zones == nil || slices.Contains(p.Zones, zone)
+}
+
+// offersTypes tells whether a peer may have a type that a job asks for.
+func (p Peer) offersTypes(types []string) bool {
+	return types == nil || p.Types == nil || containsAny(p.Types, types)
+}
+
+func containsAny(list, wanted []string) bool {
+	return slices.ContainsFunc(wanted, func(s string) bool { return slices.Contains(list, s) })
+}
--- a/internal/federation/index.go
+++ b/internal/federation/index.go
@@ -1,124 +1,139 @@
 package federation
 
-import (
-	"cmp"
-	"maps"
-	"slices"
-)
+import "slices"
 
 // index finds records without going through all of them; there may be thousands.
 type index struct {
-	// outgoing finds the job that is away under an epoch, open lists a site's epochs.
-	outgoing   map[outgoingID]string
+	// outgoing finds the job that is outgoing under an epoch.
+	outgoing map[outgoingID]string
+	// openEpochs lists the epochs of the outgoing jobs at each site.
 	openEpochs map[Site][]Epoch
-	// incoming lists what was decided of an origin's epochs, local finds an accepted
-	// job's, running counts the accepted ones that have not ended.
-	incoming        map[Site][]Epoch
-	byLocalID       map[string]IncomingID
-	runningByOrigin map[Site]int
-	// outgoingByClass counts the jobs that are away by class.
+	// outgoingByClass counts the outgoing jobs by class.
 	outgoingByClass map[string]int
+	// incoming lists the epochs of each origin that are decided.
+	incoming map[Site][]Epoch
+	// byLocalID finds the epoch of an accepted job.
+	byLocalID map[string]IncomingID
+	// runningByOrigin counts the accepted jobs that have not ended.
+	runningByOrigin map[Site]int
 }
 
-func newIndex(r *Records) *index {
-	x := &index{outgoing: map[outgoingID]string{}, openEpochs: map[Site][]Epoch{}, incoming: map[Site][]Epoch{}, byLocalID: map[string]IncomingID{},
-		runningByOrigin: map[Site]int{}, outgoingByClass: map[string]int{}}
-	for job, a := range r.Outgoing {
-		x.outgoing[outgoingID{a.To, a.Epoch}] = job
-		x.openEpochs[a.To] = append(x.openEpochs[a.To], a.Epoch)
-		x.outgoingByClass[a.Ticket.Class]++
+func newIndex(records *Records) *index {
+	x := &index{
+		outgoing:        map[outgoingID]string{},
+		openEpochs:      map[Site][]Epoch{},
+		outgoingByClass: map[string]int{},
+		incoming:        map[Site][]Epoch{},
+		byLocalID:       map[string]IncomingID{},
+		runningByOrigin: map[Site]int{},
 	}
-	for h, k := range r.Incoming {
-		x.incoming[h.Origin] = append(x.incoming[h.Origin], h.Epoch)
-		x.count(h, k, 1)
+	for job, outgoing := range records.Outgoing {
+		x.outgoing[outgoingID{outgoing.To, outgoing.Epoch}] = job
+		x.openEpochs[outgoing.To] = append(x.openEpochs[outgoing.To], outgoing.Epoch)
+		x.outgoingByClass[outgoing.Ticket.Class]++
 	}
-	for _, lists := range []map[Site][]Epoch{x.openEpochs, x.incoming} {
-		for _, list := range lists {
-			slices.Sort(list)
-		}
+	for id, incoming := range records.Incoming {
+		x.incoming[id.Origin] = append(x.incoming[id.Origin], id.Epoch)
+		x.countIncoming(id, incoming, 1)
 	}
+	sortEpochs(x.openEpochs)
+	sortEpochs(x.incoming)
 	return x
 }
 
-// count adds an accepted job that has not ended, or takes it off.
-func (x *index) count(h IncomingID, k Incoming, n int) {
-	if k.Accepted {
-		x.byLocalID[k.LocalID] = h
-	}
-	if k.Accepted && k.FinalState == "" {
-		x.runningByOrigin[h.Origin] += n
+func sortEpochs(bySite map[Site][]Epoch) {
+	for _, epochs := range bySite {
+		slices.Sort(epochs)
 	}
 }
 
-func insert(list []Epoch, e Epoch) []Epoch {
-	i, there := slices.BinarySearch(list, e)
-	if there {
-		return list
-	}
-	return slices.Insert(list, i, e)
+func (x *index) addOutgoing(job string, outgoing Outgoing) {
+	x.outgoing[outgoingID{outgoing.To, outgoing.Epoch}] = job
+	x.openEpochs[outgoing.To] = insert(x.openEpochs[outgoing.To], outgoing.Epoch)
+	x.outgoingByClass[outgoing.Ticket.Class]++
 }
 
-func remove(list []Epoch, e Epoch) []Epoch {
-	if i, there := slices.BinarySearch(list, e); there {
-		return slices.Delete(list, i, i+1)
-	}
-	return list
+func (x *index) removeOutgoing(outgoing Outgoing) {
+	delete(x.outgoing, outgoingID{outgoing.To, outgoing.Epoch})
+	x.openEpochs[outgoing.To] = remove(x.openEpochs[outgoing.To], outgoing.Epoch)
+	x.outgoingByClass[outgoing.Ticket.Class]--
 }
 
-// addOutgoing and removeOutgoing note that a job is away, or is no more.
-func (m *Coordinator) addOutgoing(job string, a Outgoing) {
-	m.records.Outgoing[job] = a
-	m.index.outgoing[outgoingID{a.To, a.Epoch}] = job
-	m.index.openEpochs[a.To] = insert(m.index.openEpochs[a.To], a.Epoch)
-	m.index.outgoingByClass[a.Ticket.Class]++
+func (x *index) addIncoming(id IncomingID, incoming Incoming) {
+	x.incoming[id.Origin] = insert(x.incoming[id.Origin], id.Epoch)
+	x.countIncoming(id, incoming, 1)
 }
 
-func (m *Coordinator) removeOutgoing(job string) Outgoing {
-	a := m.records.Outgoing[job]
-	delete(m.records.Outgoing, job)
-	delete(m.index.outgoing, outgoingID{a.To, a.Epoch})
-	m.index.openEpochs[a.To] = remove(m.index.openEpochs[a.To], a.Epoch)
-	m.index.outgoingByClass[a.Ticket.Class]--
-	m.peer(a.To).retryQueue.remove(retryKey{a.Epoch, true})
-	return a
+func (x *index) removeIncoming(id IncomingID, incoming Incoming) {
+	x.countIncoming(id, incoming, -1)
+	delete(x.byLocalID, incoming.LocalID)
+	x.incoming[id.Origin] = remove(x.incoming[id.Origin], id.Epoch)
 }
 
-// setIncoming notes a decision, or the end of an accepted job; removeIncoming forgets it.
-func (m *Coordinator) setIncoming(h IncomingID, k Incoming) {
-	m.removeIncoming(h)
-	m.records.Incoming[h] = k
-	m.index.incoming[h.Origin] = insert(m.index.incoming[h.Origin], h.Epoch)
-	m.index.count(h, k, 1)
+// countIncoming adds an accepted job to the count of running ones, or takes it off.
+func (x *index) countIncoming(id IncomingID, incoming Incoming, n int) {
+	if incoming.Accepted {
+		x.byLocalID[incoming.LocalID] = id
+	}
+	if incoming.isRunning() {
+		x.runningByOrigin[id.Origin] += n
+	}
 }
 
-func (m *Coordinator) removeIncoming(h IncomingID) {
-	k, there := m.records.Incoming[h]
-	if !there {
-		return
+// insert adds an epoch to a sorted list, unless it is there.
+func insert(epochs []Epoch, epoch Epoch) []Epoch {
+	i, found := slices.BinarySearch(epochs, epoch)
+	if found {
+		return epochs
 	}
-	m.index.count(h, k, -1)
-	delete(m.records.Incoming, h)
-	delete(m.index.byLocalID, k.LocalID)
-	m.index.incoming[h.Origin] = remove(m.index.incoming[h.Origin], h.Epoch)
-	m.peer(h.Origin).retryQueue.remove(retryKey{h.Epoch, false})
+	return slices.Insert(epochs, i, epoch)
 }
 
-// copy makes records that share nothing with others.
-func (r Records) copy() Records {
-	return Records{LastEpochs: clone(r.LastEpochs), Outgoing: clone(r.Outgoing), Incoming: clone(r.Incoming), LowWaterMarks: clone(r.LowWaterMarks), Drained: clone(r.Drained)}
+// remove removes an epoch from a sorted list.
+func remove(epochs []Epoch, epoch Epoch) []Epoch {
+	if i, found := slices.BinarySearch(epochs, epoch); found {
+		return slices.Delete(epochs, i, i+1)
+	}
+	return epochs
 }
 
-// NewRecords makes records without any hand-off.
-func NewRecords() Records { return Records{}.copy() }
+// addOutgoing adds an outgoing job to the records and the index.
+func (c *Coordinator) addOutgoing(job string, outgoing Outgoing) {
+	c.records.Outgoing[job] = outgoing
+	c.index.addOutgoing(job, outgoing)
+}
 
-func clone[K comparable, V any](m map[K]V) map[K]V {
-	if m == nil {
-		return map[K]V{}
-	}
-	return maps.Clone(m)
+// changeOutgoing changes the record of an outgoing job.
+func (c *Coordinator) changeOutgoing(job string, change func(*Outgoing)) Outgoing {
+	outgoing := c.records.Outgoing[job]
+	change(&outgoing)
+	c.records.Outgoing[job] = outgoing
+	return outgoing
+}
+
+// removeOutgoing removes an outgoing job, of which its receiver is told no more.
+func (c *Coordinator) removeOutgoing(job string) Outgoing {
+	outgoing := c.records.Outgoing[job]
+	delete(c.records.Outgoing, job)
+	c.index.removeOutgoing(outgoing)
+	c.peer(outgoing.To).retries.remove(retryKey{outgoing.Epoch, true})
+	return outgoing
 }
 
-// CompareIncomingIDs orders epochs by origin and number.
-func CompareIncomingIDs(a, b IncomingID) int {
-	return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.Epoch, b.Epoch))
+// setIncoming notes a decision, or the end of an accepted job.
+func (c *Coordinator) setIncoming(id IncomingID, incoming Incoming) {
+	c.removeIncoming(id)
+	c.records.Incoming[id] = incoming
+	c.index.addIncoming(id, incoming)
+}
+
+// removeIncoming removes a decision, of which its origin is told no more.
+func (c *Coordinator) removeIncoming(id IncomingID) {
+	incoming, found := c.records.Incoming[id]
+	if !found {
+		return
+	}
+	delete(c.records.Incoming, id)
+	c.index.removeIncoming(id, incoming)
+	c.peer(id.Origin).retries.remove(retryKey{id.Epoch, false})
 }
--- a/internal/federation/gateway_test.go
+++ b/internal/federation/interleaving_test.go
@@ -17,11 +17,11 @@
 // Three sites, any order of messages, cuts, ends of gateways and of state services,
 // writes without an answer or applied late, cancels and operators: one right to
 // run, one final answer, and everything ends once the troubles do.
-func TestAnyInterleavingKeepsOneRightAndOneAnswer(t *testing.T) {
+func TestAnyInterleavingKeepsOneOwnerAndOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSim(t.Fatalf)
 		for len(w.flying) > 0 {
-			w.deliver(0, false, fine) // the sites meet
+			w.deliver(0, false, fine) // the sites compare their records
 		}
 		site := rapid.SampledFrom(siteNames)
 		fates := rapid.SampledFrom([]fate{fine, fine, fine, unanswered, lost, late})
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -30,11 +30,11 @@
 }
 
 type simSite struct {
-	name    Site
-	cfg     *Config
-	machine *Coordinator
-	records Records
-	jobs    map[string]*simJob
+	name        Site
+	cfg         *Config
+	coordinator *Coordinator
+	records     Records
+	jobs        map[string]*simJob
 	// home is the version of the gateway's home key; writes of an earlier one fail.
 	home int
 	// late are writes that may yet be applied.
@@ -93,7 +93,7 @@
 	s := w.sites[n]
 	s.home++
 	s.seed++
-	s.machine = New(s.cfg, s.seed)
+	s.coordinator = New(s.cfg, s.seed)
 	w.step(n, RecordsLoaded{s.records.copy()})
 }
 
@@ -114,7 +114,7 @@
 	s := w.sites[n]
 	queue := in
 	for first := true; first || len(queue) > 0; first = false {
-		effects := s.machine.Step(w.now, queue...)
+		effects := s.coordinator.Step(w.now, queue...)
 		queue = nil
 		for _, e := range effects {
 			switch e := e.(type) {
@@ -124,7 +124,7 @@
 				if !w.down[n] {
 					queue = append(queue, RecordsLoaded{s.records.copy()})
 				} else {
-					s.machine.reloadAt = w.now + time.Second // the adapter tries again
+					s.coordinator.reloadAt = w.now + time.Second // the adapter tries again
 				}
 			case Log:
 				if e.IsError {
@@ -420,7 +420,7 @@
 	}
 	var state []Status
 	for _, n := range siteNames {
-		state = append(state, w.sites[n].machine.Status())
+		state = append(state, w.sites[n].coordinator.Status())
 	}
 	w.fail("hand-offs do not end: %+v", state)
 }
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -38,7 +38,7 @@
 
 // Every message of a hand-off, offered, run and closed, or refused, in turn meets
 // every trouble, in either direction.
-func TestEveryStageMeetsEveryTrouble(t *testing.T) {
+func TestEveryStageSurvivesEveryFault(t *testing.T) {
 	cases, runs, answers := 0, 0, 0
 	for _, refused := range []bool{false, true} {
 		for name, trouble := range troubles {
@@ -92,8 +92,8 @@
 
 // What an origin has closed is told one by one, and goes from the receiver's records
 // once all before it is closed, wherever it lies.
-func TestClosedHandOffsAreToldAndForgotten(t *testing.T) {
-	m := routed(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
+func TestClosedHandOffsAreReportedAndForgotten(t *testing.T) {
+	m := newRoutingCoordinator(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
 	delete(m.records.Outgoing, "req-away-b1")
 	m.load(m.records)
 	closed := false
