--- a/internal/core/announcing.go
+++ b/internal/core/announcing.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		for _, t := range m.Tasks {
-			id, _, ok := job.SplitTask(t.Task)
+			id, _, ok := job.ParseTaskID(t.Task)
 			if ok && t.State != protocol.Exited && c.announcements.has(id) {
 				c.stopOrForgetTask(m, t)
 			}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -32,7 +32,7 @@
 			c.addJob(t, j)
 		}
 		r := benchReport(n, j.TaskID(n%10))
-		j.Bind(n%10, &job.Binding{Machine: r.Machine, Attempt: 1, Term: 1, Session: 1, Stored: true, Sent: true})
+		j.Bind(n%10, &job.Binding{Machine: r.Machine, Attempt: 1, Token: 1, Epoch: 1, Stored: true, Sent: true})
 		c.applyObservation(Observation{Node: "a", Token: 1, Report: r})
 		c.agents.add(r.Machine, newAgentSession(1, 1, ""))
 	}
@@ -95,7 +95,7 @@
 		j := c.jobs["req-0"]
 		for b.Loop() {
 			c.effects = nil
-			j.Touch(0)
+			j.MarkDirty(0)
 			c.flushJob(c.teamBy[j.Team], j)
 			c.handle(StoreReply{ID: c.ids.last, Outcome: Applied, Revision: 2})
 		}
@@ -112,7 +112,7 @@
 			j.Version = 1
 			c.addJob(t, j)
 			if bound {
-				j.Bind(0, &job.Binding{Machine: c.machines.Names()[n%len(c.machines.Names())], Attempt: 1, Term: 1, Session: 1})
+				j.Bind(0, &job.Binding{Machine: c.machines.Names()[n%len(c.machines.Names())], Attempt: 1, Token: 1, Epoch: 1})
 				j.Urgent = true
 			}
 		}
@@ -178,7 +178,7 @@
 		r := benchReport(n, "")
 		r.Zone, r.Spot, r.Tasks = fmt.Sprint("z", 1+n%2), n%3 == 0, nil
 		on := func(j *job.Job, i int) {
-			j.Bind(i, &job.Binding{Machine: r.Machine, Attempt: 1, Term: 1, Session: 1, Stored: true, Sent: true})
+			j.Bind(i, &job.Binding{Machine: r.Machine, Attempt: 1, Token: 1, Epoch: 1, Stored: true, Sent: true})
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: j.TaskID(i), Attempt: 1, State: protocol.Running})
 		}
 		switch {
@@ -263,7 +263,7 @@
 	for r.Tasks = nil; len(r.Tasks) < 600; {
 		i := len(r.Tasks)
 		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: j.TaskID(i), Attempt: 1, State: protocol.Running})
-		j.Bind(i, &job.Binding{Machine: r.Machine, Attempt: 1, Term: 1, Session: 1, Stored: true, Sent: true})
+		j.Bind(i, &job.Binding{Machine: r.Machine, Attempt: 1, Token: 1, Epoch: 1, Stored: true, Sent: true})
 	}
 	states := []string{protocol.Running, "pulling"}
 	for n := 0; b.Loop(); n++ {
--- a/internal/core/besteffort.go
+++ b/internal/core/besteffort.go
@@ -28,7 +28,7 @@
 // nominal boot time of a machine: as many as end the job within a few boots, not a place for
 // each of thousands of short tasks.
 func bestEffortTasks(j *job.Job, tasks int, bootS float64) int {
-	workS := float64(j.Waiting()) * j.EstimateS
+	workS := float64(j.PendingTasks()) * j.EstimateS
 	places := math.Ceil(workS / max(bestEffortBoots*bootS, 1))
 	return max(0, min(tasks, int(places)-len(j.Bound)))
 }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -37,9 +37,9 @@
 		return
 	}
 	j.Cancel()
-	j.CancelledAt, j.CancelAsked = c.now.Steady, c.replica.cancelRequests[j.ID]
+	j.CancelledAt, j.CancelRequestedAt = c.now.Steady, c.replica.cancelRequests[j.ID]
 	if a := c.announcements.of(j.ID); a != nil {
-		j.CancelledAt, j.CancelAsked = a.since, a.RequestedAt
+		j.CancelledAt, j.CancelRequestedAt = a.since, a.RequestedAt
 	}
 	if !j.InFlight {
 		c.unbindUnstored(j)
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -23,7 +23,7 @@
 
 // noteRemoteClaim notes room that another leader is about to bind.
 func (c *Core) noteRemoteClaim(claim Claim) {
-	id, index, ok := job.SplitTask(claim.Task)
+	id, index, ok := job.ParseTaskID(claim.Task)
 	if j := c.jobs[id]; ok && j != nil && !c.leads(j) {
 		j.Claim(index, &job.Binding{Machine: claim.Machine, Attempt: claim.Attempt, Since: c.now.Steady})
 		c.requestRound()
@@ -58,7 +58,7 @@
 	if isWithinCapacity(free) {
 		return true
 	}
-	claim := job.Ref{Job: j, Index: index}
+	claim := job.TaskRef{Job: j, Index: index}
 	for ref, other := range c.machines.Load(b.Machine).Tasks {
 		if !other.Stored && compareClaims(ref, claim) > 0 {
 			free = free.Plus(ref.Job.Need, 1)
@@ -72,7 +72,7 @@
 func isWithinCapacity(free job.Resources) bool { return job.Resources{}.Fits(free) }
 
 // compareClaims orders claims on the same room, the one with precedence first.
-func compareClaims(a, b job.Ref) int {
+func compareClaims(a, b job.TaskRef) int {
 	return cmp.Or(
 		cmp.Compare(a.Job.Rank(), b.Job.Rank()),
 		cmp.Compare(a.Job.ID, b.Job.ID),
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -50,7 +50,7 @@
 		return
 	}
 	c.removeMachine(machine)
-	anyBinding := func(job.Ref, *job.Binding) bool { return true }
+	anyBinding := func(job.TaskRef, *job.Binding) bool { return true }
 	c.eachLedBinding(machine, anyBinding, func(j *job.Job, i int, _ *job.Binding) {
 		c.log(Debug, "task is gone with its machine", "task", j.TaskID(i), "machine", machine)
 		c.unbind(j, i)
@@ -62,7 +62,7 @@
 func (c *Core) expediteExits(machine string) {
 	isOnMachine := func(exit job.Exit) bool { return exit.Machine == machine }
 	for _, j := range c.jobs {
-		if c.leads(j) && slices.ContainsFunc(j.Ended, isOnMachine) {
+		if c.leads(j) && slices.ContainsFunc(j.UnstoredExits, isOnMachine) {
 			j.Urgent = true
 		}
 	}
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -105,7 +105,7 @@
 		if !isStart(command) {
 			continue
 		}
-		id, _, _ := job.SplitTask(command.Task)
+		id, _, _ := job.ParseTaskID(command.Task)
 		j := c.jobs[id]
 		if j == nil {
 			continue
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -80,7 +80,7 @@
 		return dependency.Estimate{}, false
 	}
 	own := dependency.Urgency{Priority: j.Priority, LatestStart: j.OwnLatestStart()}
-	return dependency.Estimate{Urgency: own, RunTime: j.Runs()}, true
+	return dependency.Estimate{Urgency: own, RunTime: j.RunTimeMS()}, true
 }
 
 // inheritUrgency updates the urgency of awaited jobs.
@@ -92,16 +92,16 @@
 
 // trackDependencies notes which jobs a job awaits, when the replica gets it.
 func (c *Core) trackDependencies(j *job.Job) {
-	if j.Attempt > 0 || len(j.Awaits) == 0 {
+	if j.Attempt > 0 || len(j.Dependencies) == 0 {
 		c.dependencies.forget(j.ID)
-		j.Awaiting = false // nothing is bound before all are done
+		j.Blocked = false // nothing is bound before all are done
 		return
 	}
-	if j.WasReady() {
+	if j.WasUnblocked() {
 		return
 	}
 	var unfinished []string
-	for _, id := range j.Awaits {
+	for _, id := range j.Dependencies {
 		if !c.ended.isDone(id) {
 			unfinished = append(unfinished, id)
 		}
@@ -111,7 +111,7 @@
 		c.becameReady(j)
 		return
 	}
-	j.Awaiting = true
+	j.Blocked = true
 	if i := slices.IndexFunc(unfinished, c.cancelled); i >= 0 {
 		c.cancelDependent(j, unfinished[i])
 	}
@@ -119,7 +119,7 @@
 
 // becameReady lets a job begin whose last awaited job is done.
 func (c *Core) becameReady(j *job.Job) {
-	j.Ready(c.now.Steady, c.now.Wall)
+	j.Unblock(c.now.Steady, c.now.Wall)
 	c.requestRound()
 	c.log(Debug, "job dependencies done", "job", j.ID)
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -64,7 +64,7 @@
 	w.run(10*time.Second, nil)
 	c := w.cores[w.leaderOf("red")]
 	j, team := c.jobs["req-red-2"], c.teamBy["red"]
-	if !j.Awaiting || c.startAllowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
+	if !j.Blocked || c.startAllowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
 		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingNeed(team))
 	}
 	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d scaling.Demand) bool { return d.Spec.ID == j.ID }) {
@@ -81,7 +81,7 @@
 		t.Fatal("the awaited job does not end")
 	}
 	w.run(time.Second, nil)
-	if waited := w.now - j.WaitingSince; waited > 2*time.Second {
+	if waited := w.now - j.PendingSince; waited > 2*time.Second {
 		t.Errorf("it counts as having waited for %v", waited)
 	}
 	w.started("req-red-2", 1)
@@ -97,10 +97,10 @@
 	for _, node := range w.names {
 		c := w.cores[node]
 		j, last := c.jobs["req-free-1"], c.jobs["req-blue-1"]
-		if j.Rank() != 0 || isBestEffort(j) || !j.AboveNormal() || j.Effective().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
+		if j.Rank() != 0 || isBestEffort(j) || !j.AboveNormal() || j.EffectiveSpec().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
 			t.Errorf("%s takes it for one of rank %d, its own is %d", node, j.Rank(), j.Priority)
 		}
-		if want := last.OwnLatestStart() - j.Runs(); j.LatestStart() != want || last.OwnLatestStart() == dependency.NoDeadline {
+		if want := last.OwnLatestStart() - j.RunTimeMS(); j.LatestStart() != want || last.OwnLatestStart() == dependency.NoDeadline {
 			t.Errorf("%s has it start by %d, want %d", node, j.LatestStart(), want)
 		}
 	}
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -46,7 +46,7 @@
 
 // isMovableReplica tells whether a task is a replica that needs no accelerators and has run
 // for a while.
-func (c *Core) isMovableReplica(ref job.Ref, b *job.Binding) bool {
+func (c *Core) isMovableReplica(ref job.TaskRef, b *job.Binding) bool {
 	m := c.machines.Get(b.Machine)
 	if ref.Job.Kind != job.Service || ref.Job.Need.GPUs > 0 || m == nil {
 		return false
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -27,7 +27,7 @@
 		if found && known.State == protocol.Exited && m.Session == report.Session {
 			continue
 		}
-		id, _, ok := job.SplitTask(t.Task)
+		id, _, ok := job.ParseTaskID(t.Task)
 		if j := c.jobs[id]; ok && j != nil {
 			c.attributeExit(j, m, report.Machine, t)
 		}
@@ -41,7 +41,7 @@
 		if j.Suspected && c.leads(j) {
 			c.log(Info, "job is no longer suspected of a mistake", "job", j.ID)
 		}
-		j.Succeeded()
+		j.ClearSuspicion()
 		return
 	}
 	m.RecordFailure(j.ID)
@@ -50,7 +50,7 @@
 	}
 	c.requestRound()
 	if c.leads(j) {
-		j.Touch(0)
+		j.MarkDirty(0)
 		c.log(Info, "job is suspected of a mistake", "job", j.ID, "team", j.Team, "class", j.Class,
 			"failed on", j.FailedOn, "does", "tries one task at a time until one succeeds or its user cancels it")
 	}
@@ -88,7 +88,7 @@
 		return 0
 	}
 	if j.Suspected && j.Kind != job.Gang {
-		return max(0, min(j.Waiting(), 1-len(j.Bound)))
+		return max(0, min(j.PendingTasks(), 1-len(j.Bound)))
 	}
-	return j.Waiting()
+	return j.PendingTasks()
 }
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -114,7 +114,7 @@
 // canRunElsewhere tells whether a job that can never run here may go to a site that has
 // what it asks for.
 func (c *Core) canRunElsewhere(spec *job.Spec) bool {
-	if c.federation == nil || len(spec.Awaits) > 0 {
+	if c.federation == nil || len(spec.Dependencies) > 0 {
 		return false
 	}
 	return c.federation.config.CanRunElsewhere(spec.Class, spec.Zone, spec.Types)
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -27,7 +27,7 @@
 			break
 		}
 		infeasible := c.catalog.Loaded() && c.submissionCheck().reject(c.teamBy[j.Team], &j.Spec) != nil
-		waited := c.now.Steady - j.WaitingSince
+		waited := c.now.Steady - j.PendingSince
 		if infeasible || c.federation.config.MayOffer(j.Class, waited) {
 			waiting.Jobs = append(waiting.Jobs, c.offerableJob(j, waited, infeasible))
 		}
@@ -44,7 +44,7 @@
 				continue
 			}
 			if !j.Suspected && !isBestEffort(j) {
-				longestWait = max(longestWait, c.now.Steady-j.WaitingSince)
+				longestWait = max(longestWait, c.now.Steady-j.PendingSince)
 			}
 			jobs = append(jobs, j)
 		}
@@ -63,7 +63,7 @@
 func (c *Core) canHandOff(j *job.Job) bool {
 	neverBound := j.Attempt == 0 && len(j.Bound) == 0
 	stored := j.Version > 0 && !j.InFlight
-	return neverBound && stored && !j.Cancelled && len(j.Awaits) == 0 && !c.isOutgoing(j.ID)
+	return neverBound && stored && !j.Cancelled && len(j.Dependencies) == 0 && !c.isOutgoing(j.ID)
 }
 
 // offerableJob describes a waiting job to the coordinator. Clocks of sites differ, so of a
--- a/internal/core/federationrouting.go
+++ b/internal/core/federationrouting.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	if len(spec.Awaits) > 0 {
+	if len(spec.Dependencies) > 0 {
 		return "job awaits jobs of its own site"
 	}
 	if r := c.submissionCheck().reject(c.teamBy[spec.Team], spec); r != nil {
--- a/internal/core/gangreservations.go
+++ b/internal/core/gangreservations.go
@@ -37,7 +37,7 @@
 		)
 	})
 	for _, j := range waiting {
-		placement.ReserveForGang(&j.Spec, j.Waiting(), r.hosts)
+		placement.ReserveForGang(&j.Spec, j.PendingTasks(), r.hosts)
 	}
 }
 
@@ -51,7 +51,7 @@
 	if r.core.now.Wall < gangReservationTime(j, r.core.policy.TimeoutS) {
 		return false
 	}
-	whole := job.Resources{}.Plus(j.Need, float64(j.Waiting()))
+	whole := job.Resources{}.Plus(j.Need, float64(j.PendingTasks()))
 	return withinLimit(u.team, u.usage.Plus(whole, 1))
 }
 
@@ -61,5 +61,5 @@
 func gangReservationTime(j *job.Job, timeoutS float64) int64 {
 	n := float64(j.Tasks)
 	timeouts := min((n*n-1)/gangSizeDivisor, maxGangTimeouts)
-	return j.Since() + int64(timeoutS*1000*timeouts)
+	return j.EligibleSince() + int64(timeoutS*1000*timeouts)
 }
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -203,7 +203,7 @@
 	if kind, id, _ := parseHandoffKey(key); kind == keyOutgoing {
 		c.requestRound()
 		if j := c.jobs[id]; j != nil {
-			j.WaitingSince = c.now.Steady
+			j.PendingSince = c.now.Steady
 		}
 	}
 	c.federation.noteChange(revision)
--- a/internal/core/job/await.go
+++ b/internal/core/job/await.go
@@ -9,9 +9,9 @@
 // waiting is what a job's controllers derive from the jobs that it awaits and from those
 // that await it. None of it is stored.
 type waiting struct {
-	// Awaiting is set while some awaited job is not known to be done. Such a job holds
+	// Blocked is set while some awaited job is not known to be done. Such a job holds
 	// nothing and is given nothing.
-	Awaiting bool
+	Blocked bool
 	// readyAt is the time of day in milliseconds at which the last awaited job was known
 	// to be done, 0 for a job that never waited.
 	readyAt int64
@@ -19,17 +19,17 @@
 	inherited *dependency.Urgency
 }
 
-// Ready ends the wait of a job for others.
-func (j *Job) Ready(now time.Duration, wall int64) {
-	j.Awaiting, j.readyAt, j.WaitingSince = false, wall, now
+// Unblock ends the wait of a job for others.
+func (j *Job) Unblock(now time.Duration, wall int64) {
+	j.Blocked, j.readyAt, j.PendingSince = false, wall, now
 }
 
-// WasReady tells whether the job waited for others and no longer does.
-func (j *Job) WasReady() bool { return j.readyAt > 0 }
+// WasUnblocked tells whether the job waited for others and no longer does.
+func (j *Job) WasUnblocked() bool { return j.readyAt > 0 }
 
-// Since is the time of day in milliseconds from which the job could begin: its acceptance,
+// EligibleSince is the time of day in milliseconds from which the job could begin: its acceptance,
 // or the end of the last job that it awaited.
-func (j *Job) Since() int64 { return max(j.Accepted, j.readyAt) }
+func (j *Job) EligibleSince() int64 { return max(j.Accepted, j.readyAt) }
 
 // Inherit gives a job the urgency of those that need it, or takes it back.
 func (j *Job) Inherit(u *dependency.Urgency) { j.inherited = u }
@@ -50,8 +50,8 @@
 	return j.DeadlineS > 0 || j.inherited != nil && j.inherited.LatestStart != dependency.NoDeadline
 }
 
-// Runs is the owner's estimate of a task's run time, in milliseconds.
-func (j *Job) Runs() int64 { return int64(j.EstimateS * 1000) }
+// RunTimeMS is the owner's estimate of a task's run time, in milliseconds.
+func (j *Job) RunTimeMS() int64 { return int64(j.EstimateS * 1000) }
 
 // LatestStart is the time of day in milliseconds at which the job would have to start for
 // all deadlines to be met. A job without any may wait for a few times its run time.
@@ -61,7 +61,7 @@
 		start = min(start, j.inherited.LatestStart)
 	}
 	if start == dependency.NoDeadline {
-		return j.Since() + patience*j.Runs()
+		return j.EligibleSince() + patience*j.RunTimeMS()
 	}
 	return start
 }
@@ -74,11 +74,11 @@
 	if j.DeadlineS == 0 {
 		return dependency.NoDeadline
 	}
-	return j.Accepted + int64(j.DeadlineS*1000) - j.Runs()
+	return j.Accepted + int64(j.DeadlineS*1000) - j.RunTimeMS()
 }
 
-// Effective is the description as placing is to see it: with the job's rank.
-func (j *Job) Effective() *Spec {
+// EffectiveSpec is the description as placing is to see it: with the job's rank.
+func (j *Job) EffectiveSpec() *Spec {
 	if j.Rank() == j.Priority {
 		return &j.Spec
 	}
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -11,10 +11,10 @@
 type Binding struct {
 	Machine string
 	Attempt uint64
-	// Term is the only fencing token under which the start may be sent, and
+	// Token is the only fencing token under which the start may be sent, and
 	// Session the only session of the worker that may carry it out. A report
 	// under a newer one in which the task is absent proves that it is gone.
-	Term, Session uint64
+	Token, Epoch uint64
 
 	// The rest is not stored.
 
@@ -58,24 +58,24 @@
 	FailedOn          []string
 	Probes            int
 	NotBefore         time.Duration
-	// Begun is set once a task was seen running.
-	Begun bool
+	// Started is set once a task was seen running.
+	Started bool
 	// Urgent asks for the job to be stored without delay; StoredAt is when it
 	// last was, CancelledAt when its cancellation became known.
 	Urgent                bool
 	StoredAt, CancelledAt time.Duration
-	// CancelAsked is the time of day of the cancellation in milliseconds, 0 if
+	// CancelRequestedAt is the time of day of the cancellation in milliseconds, 0 if
 	// it is not known.
-	CancelAsked int64
+	CancelRequestedAt int64
 	// ClaimedAt is when the newest bindings were made.
 	ClaimedAt time.Duration
-	// WaitingSince is when the job last got room or was accepted.
-	WaitingSince time.Duration
+	// PendingSince is when the job last got room or was accepted.
+	PendingSince time.Duration
 	// PreemptedAt is when room was last made for it.
 	PreemptedAt time.Duration
-	// Ended lists the attempts that have exited since the job was last stored;
+	// UnstoredExits lists the attempts that have exited since the job was last stored;
 	// their workers forget them once the store holds what became of them.
-	Ended []Exit
+	UnstoredExits []Exit
 	// Running is how many tasks ran when they were counted, at CountedAt.
 	Running   int
 	CountedAt time.Duration
@@ -90,8 +90,8 @@
 	Attempt uint64
 }
 
-// NewSized makes a job of a Spec whose head will tell its chunk size.
-func NewSized(s Spec, chunkSize int, now time.Duration) *Job {
+// NewWithChunkSize makes a job of a Spec whose head will tell its chunk size.
+func NewWithChunkSize(s Spec, chunkSize int, now time.Duration) *Job {
 	j := New(s, chunkSize, now)
 	j.sized = true
 	return j
@@ -99,7 +99,7 @@
 
 // New makes a job of a Spec.
 func New(s Spec, chunkSize int, now time.Duration) *Job {
-	return &Job{Spec: s, Bound: map[int]*Binding{}, layout: newLayout(chunkSize), WaitingSince: now}
+	return &Job{Spec: s, Bound: map[int]*Binding{}, layout: newLayout(chunkSize), PendingSince: now}
 }
 
 func (j *Job) finish(i int) {
@@ -110,7 +110,7 @@
 // Bind ties task i to a machine under a new attempt.
 func (j *Job) Bind(i int, b *Binding) {
 	j.set(i, b)
-	j.Touch(i)
+	j.MarkDirty(i)
 }
 
 // Claim notes a binding that the job's home is about to store. One that the
@@ -122,8 +122,8 @@
 	}
 }
 
-// DropClaims forgets what an earlier home was about to store.
-func (j *Job) DropClaims() {
+// DropUnstored forgets what an earlier home was about to store.
+func (j *Job) DropUnstored() {
 	for i, b := range j.Bound {
 		if !b.Stored {
 			j.clear(i)
@@ -136,31 +136,31 @@
 func (j *Job) Unbind(i int) {
 	j.clear(i)
 	j.low = min(j.low, i)
-	j.Touch(i)
+	j.MarkDirty(i)
 }
 
 // Finish records that task i is done.
 func (j *Job) Finish(i int) {
 	j.finish(i)
-	j.Touch(i)
+	j.MarkDirty(i)
 }
 
-// Succeeded clears the job of the suspicion of a mistake.
-func (j *Job) Succeeded() {
+// ClearSuspicion clears the job of the suspicion of a mistake.
+func (j *Job) ClearSuspicion() {
 	j.Proven, j.Suspected, j.FailedOn, j.Probes, j.NotBefore = true, false, nil, 0, 0
 }
 
-// Waiting is the number of tasks that could be bound: neither done nor bound, and none of
+// PendingTasks is the number of tasks that could be bound: neither done nor bound, and none of
 // a job that awaits others.
-func (j *Job) Waiting() int {
-	if j.Cancelled || j.Awaiting {
+func (j *Job) PendingTasks() int {
+	if j.Cancelled || j.Blocked {
 		return 0
 	}
 	return j.Tasks - j.Done.Len() - len(j.Bound)
 }
 
-// NextWaiting finds the first waiting task at or after i, or -1.
-func (j *Job) NextWaiting(i int) int {
+// NextPending finds the first waiting task at or after i, or -1.
+func (j *Job) NextPending(i int) int {
 	i = max(i, j.low)
 	for first := i == j.low; i < j.Tasks; i++ {
 		if !j.Done.Has(i) && j.Bound[i] == nil {
@@ -176,8 +176,8 @@
 // Complete tells whether every task is done.
 func (j *Job) Complete() bool { return j.Done.Len() == j.Tasks }
 
-// SplitTask takes a task id apart.
-func SplitTask(id string) (jobID string, index int, ok bool) {
+// ParseTaskID takes a task id apart.
+func ParseTaskID(id string) (jobID string, index int, ok bool) {
 	cut := strings.LastIndexByte(id, '/')
 	if cut < 0 {
 		return "", 0, false
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -49,7 +49,7 @@
 	j.Finish(199)
 	j.Attempt = 9
 	for _, i := range []int{1, 5, 130, 198} {
-		j.Bind(i, &Binding{Machine: "vm-1", Attempt: uint64(i), Term: 4, Session: 2, Stored: true})
+		j.Bind(i, &Binding{Machine: "vm-1", Attempt: uint64(i), Token: 4, Epoch: 2, Stored: true})
 	}
 	back := New(Spec{ID: j.ID, Team: j.Team}, 64, 0)
 	writes, more := j.TakeDirty(8)
@@ -79,8 +79,8 @@
 	if a, b := j.Done.Format(0, 200), back.Done.Format(0, 200); a != b || b != "0,64-127,199" {
 		t.Errorf("done tasks %q came back as %q", a, b)
 	}
-	if back.Attempt != 9 || back.Waiting() != 200-66-4 {
-		t.Errorf("attempt %d, %d waiting", back.Attempt, back.Waiting())
+	if back.Attempt != 9 || back.PendingTasks() != 200-66-4 {
+		t.Errorf("attempt %d, %d waiting", back.Attempt, back.PendingTasks())
 	}
 }
 
@@ -92,7 +92,7 @@
 	const valueBytes = 4096
 	j := New(*spec, valueBytes/64, 0)
 	for i := range 50 {
-		j.Bind(i, &Binding{Machine: "vm-" + strings.Repeat("9", 5) + string(rune('a'+i%26)), Attempt: 99999, Term: 99999, Session: 99})
+		j.Bind(i, &Binding{Machine: "vm-" + strings.Repeat("9", 5) + string(rune('a'+i%26)), Attempt: 99999, Token: 99999, Epoch: 99})
 	}
 	if n := len(j.Head()); n > valueBytes {
 		t.Errorf("head has %d bytes", n)
@@ -113,12 +113,12 @@
 	for i := range 4 {
 		j.Bind(i, &Binding{})
 	}
-	if got := j.NextWaiting(0); got != -1 {
+	if got := j.NextPending(0); got != -1 {
 		t.Errorf("all are bound, got %d", got)
 	}
 	j.Unbind(2)
 	j.Unbind(1)
-	if a, b := j.NextWaiting(0), j.NextWaiting(2); a != 1 || b != 2 {
+	if a, b := j.NextPending(0), j.NextPending(2); a != 1 || b != 2 {
 		t.Errorf("got %d and %d", a, b)
 	}
 }
@@ -137,9 +137,9 @@
 	mirror.Claim(0, &Binding{Machine: "m", Attempt: 1})
 	mirror.Claim(1, &Binding{Machine: "m", Attempt: 2})
 	home.Attempt = 2
-	home.Bind(0, &Binding{Machine: "m", Attempt: 1, Term: 7, Session: 3})
+	home.Bind(0, &Binding{Machine: "m", Attempt: 1, Token: 7, Epoch: 3})
 	sync()
-	if b := mirror.Bound[0]; b == nil || !b.Stored || b.Term != 7 || b.Session != 3 {
+	if b := mirror.Bound[0]; b == nil || !b.Stored || b.Token != 7 || b.Epoch != 3 {
 		t.Errorf("stored binding is %+v", b)
 	}
 	if mirror.Bound[1] != nil {
@@ -153,8 +153,8 @@
 		t.Error("a late claim stands for a binding")
 	}
 	mirror.Claim(3, &Binding{Machine: "m", Attempt: 3})
-	mirror.DropClaims()
-	if mirror.Waiting() != 3 {
-		t.Errorf("%d tasks wait", mirror.Waiting())
+	mirror.DropUnstored()
+	if mirror.PendingTasks() != 3 {
+		t.Errorf("%d tasks wait", mirror.PendingTasks())
 	}
 }
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -100,10 +100,10 @@
 	return 1
 }
 
-// Split divides the job's chunks into smaller ones of at most size tasks, if what leaves
+// SplitChunks divides the job's chunks into smaller ones of at most size tasks, if what leaves
 // the head by that fits into writes keys; it reports whether the chunks are that small.
 // Chunks that have keys of their own already stay there until they change.
-func (j *Job) Split(size, writes int) bool {
+func (j *Job) SplitChunks(size, writes int) bool {
 	if j.ChunkSize <= size {
 		return true
 	}
@@ -226,8 +226,8 @@
 	return true
 }
 
-// Retouch marks chunks as changed again after a write that did not happen.
-func (j *Job) Retouch(writes []ChunkWrite) {
+// RevertWrites marks chunks as changed again after a write that did not happen.
+func (j *Job) RevertWrites(writes []ChunkWrite) {
 	j.dirty[0] = true
 	for _, w := range writes {
 		if w.Value == nil {
@@ -243,8 +243,8 @@
 	}
 }
 
-// MarkStored notes that a chunk has a key of its own in the store.
-func (j *Job) MarkStored(k ChunkKey) { j.stored[k] = true }
+// NoteStoredKey notes that a chunk has a key of its own in the store.
+func (j *Job) NoteStoredKey(k ChunkKey) { j.stored[k] = true }
 
 // Dirty tells whether something waits to be stored.
 func (j *Job) Dirty() bool { return len(j.dirty) > 0 }
@@ -252,8 +252,8 @@
 // DirtyChunks counts the keys that wait to be stored.
 func (j *Job) DirtyChunks() int { return len(j.dirty) }
 
-// DirtyAt tells whether task i waits to be stored.
-func (j *Job) DirtyAt(i int) bool { return j.dirty[i/j.ChunkSize] }
+// TaskDirty tells whether task i waits to be stored.
+func (j *Job) TaskDirty(i int) bool { return j.dirty[i/j.ChunkSize] }
 
-// Touch marks task i as changed.
-func (j *Job) Touch(i int) { j.dirty[i/j.ChunkSize] = true }
+// MarkDirty marks task i as changed.
+func (j *Job) MarkDirty(i int) { j.dirty[i/j.ChunkSize] = true }
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -55,7 +55,7 @@
 		s.t.Fatalf("%d writes, at most %d are allowed", len(out), s.writes)
 	}
 	if fails {
-		s.job.Retouch(out)
+		s.job.RevertWrites(out)
 		return true
 	}
 	s.head = s.job.Head()
@@ -67,7 +67,7 @@
 		}
 	}
 	for i := range s.job.Tasks {
-		if !s.job.DirtyAt(i) || i < s.job.ChunkSize {
+		if !s.job.TaskDirty(i) || i < s.job.ChunkSize {
 			s.known[i] = stateOf(s.job, i)
 		}
 	}
@@ -130,7 +130,7 @@
 		s.job.Unbind(i)
 	default:
 		s.job.Attempt++
-		s.job.Bind(i, &Binding{Machine: rapid.SampledFrom([]string{"vm-1", "vm-2"}).Draw(s.t, "machine"), Attempt: s.job.Attempt, Term: 1, Session: 1, Stored: true})
+		s.job.Bind(i, &Binding{Machine: rapid.SampledFrom([]string{"vm-1", "vm-2"}).Draw(s.t, "machine"), Attempt: s.job.Attempt, Token: 1, Epoch: 1, Stored: true})
 	}
 }
 
@@ -150,7 +150,7 @@
 			s.change()
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				split = s.job.Split(smallChunk, s.writes)
+				split = s.job.SplitChunks(smallChunk, s.writes)
 				s.flush(rapid.Bool().Draw(t, "fails"))
 			case 1:
 				s.flush(true)
@@ -208,10 +208,10 @@
 		j.Bind(i, &Binding{Machine: "vm-1", Attempt: 1})
 	}
 	parts := formerChunk / smallChunk
-	if j.Split(smallChunk, parts-2) || j.ChunkSize != formerChunk {
+	if j.SplitChunks(smallChunk, parts-2) || j.ChunkSize != formerChunk {
 		t.Error("split in spite of too few writes")
 	}
-	if !j.Split(smallChunk, parts-1) || j.ChunkSize != smallChunk {
+	if !j.SplitChunks(smallChunk, parts-1) || j.ChunkSize != smallChunk {
 		t.Error("not split")
 	}
 }
--- a/internal/core/job/ledger.go
+++ b/internal/core/job/ledger.go
@@ -2,14 +2,14 @@
 
 import "cmp"
 
-// Ref names a task of a known job.
-type Ref struct {
+// TaskRef names a task of a known job.
+type TaskRef struct {
 	Job   *Job
 	Index int
 }
 
-// CompareRefs orders tasks by job and index.
-func CompareRefs(a, b Ref) int {
+// CompareTaskRefs orders tasks by job and index.
+func CompareTaskRefs(a, b TaskRef) int {
 	return cmp.Or(cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
 }
 
@@ -17,7 +17,7 @@
 type Load struct {
 	// Need is the sum of what the bound tasks take.
 	Need  Resources
-	Tasks map[Ref]*Binding
+	Tasks map[TaskRef]*Binding
 	// Taken is Need without the tasks that have exited, as the owner of the
 	// ledger last worked it out; Fresh is unset whenever it may have changed.
 	Taken Resources
@@ -62,17 +62,17 @@
 func (l *Ledger) enter(j *Job, i int, b *Binding) {
 	load := l.loads[b.Machine]
 	if load == nil {
-		load = &Load{Tasks: map[Ref]*Binding{}}
+		load = &Load{Tasks: map[TaskRef]*Binding{}}
 		l.loads[b.Machine] = load
 	}
-	load.Tasks[Ref{j, i}] = b
+	load.Tasks[TaskRef{j, i}] = b
 	load.Need = load.Need.Plus(j.Need, 1)
 	load.Fresh = false
 }
 
 func (l *Ledger) leave(j *Job, i int, b *Binding) {
 	load := l.loads[b.Machine]
-	delete(load.Tasks, Ref{j, i})
+	delete(load.Tasks, TaskRef{j, i})
 	load.Need = load.Need.Plus(j.Need, -1)
 	load.Fresh = false
 	if len(load.Tasks) == 0 {
--- a/internal/core/job/spec.go
+++ b/internal/core/job/spec.go
@@ -71,9 +71,9 @@
 	CheckpointS float64  `json:"cp,omitempty"`
 	SaveS       float64  `json:"sv,omitempty"`
 	DeadlineS   float64  `json:"d,omitempty"`
-	// Awaits names the jobs that have to be done before any task of this one starts,
+	// Dependencies names the jobs that have to be done before any task of this one starts,
 	// without those that were done when it was accepted.
-	Awaits []string `json:"aw,omitempty"`
+	Dependencies []string `json:"aw,omitempty"`
 	// Accepted is the time of day at acceptance in milliseconds. It orders
 	// work and sets deadlines; no rule depends on it.
 	Accepted int64 `json:"a"`
@@ -85,9 +85,9 @@
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// AtOnce is how many of the job's tasks have to be on machines at the same time for it to
+// MinConcurrency is how many of the job's tasks have to be on machines at the same time for it to
 // run: an array's may come one after the other.
-func (s *Spec) AtOnce() int {
+func (s *Spec) MinConcurrency() int {
 	if s.Kind == Array {
 		return 1
 	}
@@ -122,16 +122,16 @@
 	if p.err != nil {
 		return nil, p.err
 	}
-	if len(s.withoutAwaits()) > maxBytes {
+	if len(s.withoutDependencies()) > maxBytes {
 		return nil, errors.New("description is too long")
 	}
 	return s, nil
 }
 
-// withoutAwaits is the stored form of the description without the awaited jobs.
-func (s *Spec) withoutAwaits() []byte {
+// withoutDependencies is the stored form of the description without the awaited jobs.
+func (s *Spec) withoutDependencies() []byte {
 	bare := *s
-	bare.Awaits = nil
+	bare.Dependencies = nil
 	raw, err := json.Marshal(bare)
 	if err != nil {
 		panic(err) // plain data always has a JSON form
@@ -141,11 +141,11 @@
 
 // StoredBytes is how long the stored description is, without the awaited jobs: they leave
 // the head before anything is bound.
-func (s *Spec) StoredBytes() int { return len(s.withoutAwaits()) }
+func (s *Spec) StoredBytes() int { return len(s.withoutDependencies()) }
 
-// AwaitsBytes is how long the stored list of awaited jobs is.
-func (s *Spec) AwaitsBytes() (n int) {
-	for _, id := range s.Awaits {
+// DependencyBytes is how long the stored list of awaited jobs is.
+func (s *Spec) DependencyBytes() (n int) {
+	for _, id := range s.Dependencies {
 		n += len(id) + len(`"",`)
 	}
 	return n
@@ -254,7 +254,7 @@
 	if in.DeadlineS != nil {
 		s.DeadlineS = p.number("deadline", in.DeadlineS)
 	}
-	s.Awaits = p.jobs(in.Awaits)
+	s.Dependencies = p.jobs(in.Awaits)
 	return s
 }
 
@@ -304,8 +304,8 @@
 	if s.DeadlineS > 0 {
 		out.DeadlineS = &s.DeadlineS
 	}
-	if len(s.Awaits) > 0 {
-		out.Awaits = &s.Awaits
+	if len(s.Dependencies) > 0 {
+		out.Awaits = &s.Dependencies
 	}
 	return out
 }
--- a/internal/core/job/stored.go
+++ b/internal/core/job/stored.go
@@ -59,7 +59,7 @@
 	}
 	spec := j.Spec
 	if j.Attempt > 0 {
-		spec.Awaits = nil // they were done before anything was bound
+		spec.Dependencies = nil // they were done before anything was bound
 	}
 	r := record{Spec: &spec, Nonce: j.Nonce, Attempt: j.Attempt,
 		Finished: finished.Format(0, j.chunks()), Suspect: j.Suspected, First: j.chunk(0)}
@@ -88,7 +88,7 @@
 			index[b.Machine] = m
 			out.Machines = append(out.Machines, b.Machine)
 		}
-		out.Bound = append(out.Bound, [5]uint64{uint64(i - lo), uint64(m), b.Attempt, b.Term, b.Session})
+		out.Bound = append(out.Bound, [5]uint64{uint64(i - lo), uint64(m), b.Attempt, b.Token, b.Epoch})
 	}
 	return out
 }
@@ -147,7 +147,7 @@
 	if k.Index < 1 || k.Index*size >= j.Tasks {
 		return fmt.Errorf("job %s has no chunk %s", j.ID, k)
 	}
-	j.MarkStored(k)
+	j.NoteStoredKey(k)
 	var ch chunk
 	if err := json.Unmarshal(raw, &ch); err != nil {
 		return err
@@ -175,9 +175,9 @@
 			continue
 		}
 		kept[i] = true
-		n := &Binding{Machine: ch.Machines[b[1]], Attempt: b[2], Term: b[3], Session: b[4], Stored: true}
+		n := &Binding{Machine: ch.Machines[b[1]], Attempt: b[2], Token: b[3], Epoch: b[4], Stored: true}
 		if old := j.Bound[i]; old != nil && old.Attempt == n.Attempt && old.Machine == n.Machine {
-			old.Stored, old.Term, old.Session = true, n.Term, n.Session
+			old.Stored, old.Token, old.Epoch = true, n.Token, n.Epoch
 			continue
 		}
 		j.set(i, n)
--- a/internal/core/jobupdate.go
+++ b/internal/core/jobupdate.go
@@ -80,7 +80,7 @@
 	if u.partial {
 		return
 	}
-	u.exits, j.Ended = j.Ended, nil
+	u.exits, j.UnstoredExits = j.UnstoredExits, nil
 	switch {
 	case j.Cancelled && len(j.Bound) == 0:
 		u.finalState = protocol.Cancelled
@@ -128,7 +128,7 @@
 	j := u.job
 	machines := map[string]bool{}
 	for i, b := range ordered(j.Bound) {
-		if b.Stored || u.partial && j.DirtyAt(i) {
+		if b.Stored || u.partial && j.TaskDirty(i) {
 			continue
 		}
 		u.bindings = append(u.bindings, b)
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -41,8 +41,8 @@
 // that was cancelled meanwhile will never be stored, nor started.
 func (c *Core) revertUpdate(u *jobUpdate) {
 	u.job.InFlight = false
-	u.job.Retouch(u.chunks)
-	u.job.Ended = append(u.exits, u.job.Ended...)
+	u.job.RevertWrites(u.chunks)
+	u.job.UnstoredExits = append(u.exits, u.job.UnstoredExits...)
 	if u.job.Cancelled {
 		c.unbindUnstored(u.job)
 	}
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -141,12 +141,12 @@
 func (c *Core) recoverJobs(jobs map[string]*job.Job) {
 	for _, j := range ordered(jobs) {
 		j.InFlight = false
-		j.DropClaims()
+		j.DropUnstored()
 		for _, b := range j.Bound {
 			b.Since, b.Sent, b.Stored = c.now.Steady, true, true
 		}
 		if j.Complete() || j.Cancelled {
-			j.Touch(0)
+			j.MarkDirty(0)
 		}
 	}
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -32,7 +32,7 @@
 			}
 			j := c.newJob(s)
 			for i := range s.Tasks {
-				j.Bind(i, &job.Binding{Machine: fmt.Sprintf(name, i), Attempt: 99_999, Term: 99_999, Session: 99})
+				j.Bind(i, &job.Binding{Machine: fmt.Sprintf(name, i), Attempt: 99_999, Token: 99_999, Epoch: 99})
 			}
 			j.Attempt, j.Nonce = 99_999, "node-with-a-name.1234567890.123456"
 			writes, more := j.TakeDirty(s.Tasks)
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		j := c.jobs[id]
-		awaitsBytes += j.AwaitsBytes()
+		awaitsBytes += j.DependencyBytes()
 		if pageFull(len(page.Jobs), awaitsBytes) {
 			page.More = true
 			break
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -180,7 +180,7 @@
 		c.rememberFinalState(id, state)
 		return
 	}
-	if j := c.jobs[id]; j != nil && j.Awaiting {
+	if j := c.jobs[id]; j != nil && j.Blocked {
 		c.cancelDependent(j, "") // nothing of it runs that others would have to stop
 		return
 	}
--- a/internal/core/pendingtasks.go
+++ b/internal/core/pendingtasks.go
@@ -20,7 +20,7 @@
 		}
 		used := t.usage()
 		for _, j := range ordered(t.jobs) {
-			if j.Awaiting && !j.Cancelled {
+			if j.Blocked && !j.Cancelled {
 				pending.Dependencies += j.Tasks
 				continue
 			}
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -28,7 +28,7 @@
 	hosts := withoutFailed(j, r.hostsFor(u, j))
 	p := &jobPlacement{
 		zones:    r.core.zonesOf(j),
-		picker:   placement.NewPicker(j.Effective(), hosts),
+		picker:   placement.NewPicker(j.EffectiveSpec(), hosts),
 		unstored: map[string]bool{},
 	}
 	for _, b := range j.Bound {
@@ -70,7 +70,7 @@
 	p := r.placementOf(u, j)
 	tasks := 1
 	if j.Kind == job.Gang {
-		tasks = j.Waiting()
+		tasks = j.PendingTasks()
 	}
 	need := job.Resources{}.Plus(j.Need, float64(tasks))
 	if !r.mayPlace(u, j, p, need) {
@@ -131,20 +131,20 @@
 	j.Urgent = true
 	index := -1
 	for _, host := range chosen {
-		index = j.NextWaiting(index + 1)
+		index = j.NextPending(index + 1)
 		m := c.machines.Get(host.ID)
 		j.Bind(index, &job.Binding{
 			Machine: host.ID,
 			Attempt: j.Attempt,
-			Term:    m.GrantedToken,
-			Session: m.Session,
+			Token:   m.GrantedToken,
+			Epoch:   m.Session,
 			Since:   c.now.Steady,
 		})
 		c.scheduler.claims = append(c.scheduler.claims, Claim{Machine: host.ID, Task: j.TaskID(index), Attempt: j.Attempt})
 		p.unstored[host.ID] = true
 		m.IdleSince = c.now.Steady
 	}
-	j.WaitingSince, j.ClaimedAt = c.now.Steady, c.now.Steady
+	j.PendingSince, j.ClaimedAt = c.now.Steady, c.now.Steady
 }
 
 // noteNoRoom notes that no host has room for a job. The one task at a time of a suspected job
@@ -168,7 +168,7 @@
 		return // reserveForGangs reserves for them
 	}
 	c := r.core
-	age := time.Duration(c.now.Wall-j.Since()) * time.Millisecond
+	age := time.Duration(c.now.Wall-j.EligibleSince()) * time.Millisecond
 	if !isBestEffort(j) && age >= seconds(c.policy.TimeoutS) {
 		overdue := scaling.Demand{Spec: &j.Spec, Tasks: tasks, Zones: c.constrainedZones(j)}
 		r.overdueDemand = append(r.overdueDemand, overdue)
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -70,7 +70,7 @@
 		return false
 	}
 	now, delay := r.core.now.Steady, r.core.preemptionDelay(j)
-	if j.Kind != job.Service && now-j.WaitingSince < delay {
+	if j.Kind != job.Service && now-j.PendingSince < delay {
 		return false
 	}
 	return j.PreemptedAt == 0 || now-j.PreemptedAt >= delay
@@ -176,7 +176,7 @@
 func (c *Core) victimsOn(m *worker.Machine, j *job.Job) []preemptionVictim {
 	var victims []preemptionVictim
 	for _, t := range m.Tasks {
-		id, index, _ := job.SplitTask(t.Task)
+		id, index, _ := job.ParseTaskID(t.Task)
 		victim := c.jobs[id]
 		if victim == nil || t.State != protocol.Running || victim.Kind != job.Array || !c.mayPreempt(j, victim) {
 			continue
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -13,7 +13,7 @@
 // checkDependentsEnd checks that what needs a cancelled job ends cancelled.
 func (d *randomDay) checkDependentsEnd() {
 	needsCancelled := func(id string) bool {
-		return slices.ContainsFunc(d.specs[id].Awaits, func(awaited string) bool {
+		return slices.ContainsFunc(d.specs[id].Dependencies, func(awaited string) bool {
 			s, _ := d.state(awaited)
 			return s.State == protocol.Cancelled
 		})
@@ -37,7 +37,7 @@
 
 // isReady tells whether all that a job awaits has been done for that long.
 func (d *randomDay) isReady(id string, since time.Duration) bool {
-	return !slices.ContainsFunc(d.specs[id].Awaits, func(awaited string) bool {
+	return !slices.ContainsFunc(d.specs[id].Dependencies, func(awaited string) bool {
 		s, _ := d.state(awaited)
 		return s.State != protocol.Done || d.now-d.endedAt[awaited] < since
 	})
--- a/internal/core/randomusers_test.go
+++ b/internal/core/randomusers_test.go
@@ -121,12 +121,12 @@
 
 // mayBeCancelled tells whether the user of a job, or of one that it needs, has asked for its end.
 func (d *randomDay) mayBeCancelled(id string) bool {
-	return d.cancelRequested[id] || slices.ContainsFunc(d.specs[id].Awaits, d.mayBeCancelled)
+	return d.cancelRequested[id] || slices.ContainsFunc(d.specs[id].Dependencies, d.mayBeCancelled)
 }
 
 // dependencyToldAt is when the user of a job that a job needs was told, first, that it is cancelled.
 func (d *randomDay) dependencyToldAt(id string) (at time.Duration, told bool) {
-	for _, awaited := range d.specs[id].Awaits {
+	for _, awaited := range d.specs[id].Dependencies {
 		for _, when := range []func(string) (time.Duration, bool){d.dependencyToldAt, d.toldAt} {
 			if t, is := when(awaited); is && (!told || t < at) {
 				at, told = t, true
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -15,7 +15,7 @@
 	for _, t := range m.Tasks {
 		c.reconcileTask(m, t)
 	}
-	hasChanged := func(ref job.Ref, b *job.Binding) bool {
+	hasChanged := func(ref job.TaskRef, b *job.Binding) bool {
 		evidence, t := m.Evidence(ref.Job.TaskID(ref.Index), b)
 		if evidence == worker.Present {
 			b.State = t.State
@@ -29,7 +29,7 @@
 
 // reconcileTask compares one reported task with what is known of its job.
 func (c *Core) reconcileTask(m *worker.Machine, t protocol.TaskReport) {
-	id, i, ok := job.SplitTask(t.Task)
+	id, i, ok := job.ParseTaskID(t.Task)
 	if !ok {
 		return
 	}
@@ -39,8 +39,8 @@
 		return
 	}
 	m.UseImage(j.Image, j.ImageGB, c.catalog.CacheGB(m.Type), c.now.Steady)
-	if t.State == protocol.Running && !j.Begun {
-		j.Begun = true
+	if t.State == protocol.Running && !j.Started {
+		j.Started = true
 		c.stats.Start(j.ID)
 	}
 	if j.Cancelled && t.State != protocol.Exited && m.Node == c.cfg.Node {
@@ -57,14 +57,14 @@
 
 // bindingFilter tells whether a binding is to be visited, bindingVisitor visits it.
 type (
-	bindingFilter  func(job.Ref, *job.Binding) bool
+	bindingFilter  func(job.TaskRef, *job.Binding) bool
 	bindingVisitor func(*job.Job, int, *job.Binding)
 )
 
 // eachLedBinding visits the stored bindings on a machine that match and whose jobs this node
 // leads, in order. The visitor may end them.
 func (c *Core) eachLedBinding(machine string, matches bindingFilter, visit bindingVisitor) {
-	matchesAndLeads := func(ref job.Ref, b *job.Binding) bool {
+	matchesAndLeads := func(ref job.TaskRef, b *job.Binding) bool {
 		return c.leads(ref.Job) && matches(ref, b)
 	}
 	c.eachBindingOn(machine, matchesAndLeads, visit)
@@ -77,13 +77,13 @@
 	if load == nil {
 		return
 	}
-	var refs []job.Ref
+	var refs []job.TaskRef
 	for ref, b := range load.Tasks {
 		if b.Stored && matches(ref, b) {
 			refs = append(refs, ref)
 		}
 	}
-	slices.SortFunc(refs, job.CompareRefs)
+	slices.SortFunc(refs, job.CompareTaskRefs)
 	for _, ref := range refs {
 		visit(ref.Job, ref.Index, load.Tasks[ref])
 	}
@@ -106,7 +106,7 @@
 // taskEnded records a task's end. Its room is free at once; the store learns of it before the
 // worker is told to forget the task.
 func (c *Core) taskEnded(j *job.Job, i int, m *worker.Machine, t protocol.TaskReport) {
-	j.Ended = append(j.Ended, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
+	j.UnstoredExits = append(j.UnstoredExits, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
 	switch t.Why {
 	case protocol.WhyDone:
 		c.log(Debug, "task done", "task", t.Task, "machine", m.Machine)
@@ -174,7 +174,7 @@
 	c.reconcileBinding(j, i, b, m)
 	if j.Bound[i] == b && c.isFenceDue(j, i, b, m) {
 		b.FencedAt = c.now.Steady
-		c.sendTo(m.Node, PeerMessage{Fence: &Fence{Machine: b.Machine, Above: b.Term}})
+		c.sendTo(m.Node, PeerMessage{Fence: &Fence{Machine: b.Machine, Above: b.Token}})
 	}
 }
 
@@ -182,7 +182,7 @@
 // or the task's report may be lost. Under a newer token the next report is proof.
 func (c *Core) isFenceDue(j *job.Job, i int, b *job.Binding, m *worker.Machine) bool {
 	_, reported := m.Find(j.TaskID(i), b.Attempt)
-	if reported && b.State != "" && m.Session == b.Session {
+	if reported && b.State != "" && m.Session == b.Epoch {
 		return false
 	}
 	waited := min(c.now.Steady-b.Since, c.now.Steady-b.FencedAt)
--- a/internal/core/replicajobs.go
+++ b/internal/core/replicajobs.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if j.Attempt > attempt {
-		j.WaitingSince = c.now.Steady // its leader has bound some of it
+		j.PendingSince = c.now.Steady // its leader has bound some of it
 	}
 	t := c.teamBy[j.Team]
 	if t == nil {
@@ -108,7 +108,7 @@
 // known here. One that still waited for dependencies was never bound, so it is not done: its
 // leader knew of a cancellation first.
 func finalStateAtDeletion(j *job.Job) protocol.JobState {
-	if j.Awaiting {
+	if j.Blocked {
 		return protocol.JobState{ID: j.ID, State: protocol.Cancelled}
 	}
 	return protocol.JobState{ID: j.ID, State: protocol.Done, Done: j.Tasks}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -94,7 +94,7 @@
 }
 
 func (r *round) isUrgent(j *job.Job) bool {
-	waited := r.core.now.Steady - j.WaitingSince
+	waited := r.core.now.Steady - j.PendingSince
 	return j.AboveNormal() && !j.Suspected && waited > r.core.reportInterval()
 }
 
@@ -128,7 +128,7 @@
 
 // isOverdue tells whether a job has waited for the time-out of its team.
 func (r *round) isOverdue(j *job.Job) bool {
-	return !j.Suspected && r.core.now.Steady-j.WaitingSince > seconds(r.core.policy.TimeoutS)
+	return !j.Suspected && r.core.now.Steady-j.PendingSince > seconds(r.core.policy.TimeoutS)
 }
 
 // sortJobs puts jobs in the order in which they are served.
@@ -152,7 +152,7 @@
 func (r *round) schedulingKey(j *job.Job) int64 {
 	timeoutS := r.core.policy.TimeoutS
 	gotNothing := len(j.Bound)+j.Done.Len() == 0
-	waitedMillis := float64(r.core.now.Wall - j.Since())
+	waitedMillis := float64(r.core.now.Wall - j.EligibleSince())
 	switch {
 	case gotNothing && waitedMillis > starvationTimeouts*timeoutS*1000:
 		return 0
@@ -168,9 +168,9 @@
 	c := r.core
 	patience := bestEffortPatience * seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
-	case isBestEffort(j) && c.now.Steady-j.WaitingSince < patience:
+	case isBestEffort(j) && c.now.Steady-j.PendingSince < patience:
 		return scaling.BestEffort
-	case c.now.Wall-j.Since() > (j.LatestStart()-j.Since())/2:
+	case c.now.Wall-j.EligibleSince() > (j.LatestStart()-j.EligibleSince())/2:
 		return scaling.AtRisk
 	case u.usage.CPUs+j.Need.CPUs <= u.team.CPUs:
 		return scaling.Guaranteed
--- a/internal/core/scaling/plan.go
+++ b/internal/core/scaling/plan.go
@@ -188,7 +188,7 @@
 func (p *planner) chooseZone(d Demand, hosts []*placement.Host) *zoneChoice {
 	choice := &zoneChoice{spec: d.Spec, tasks: placement.Zones{}}
 	maps.Copy(choice.tasks, d.Zones)
-	if !d.Spec.OneZone || len(d.Zones) > 0 || d.Spec.AtOnce() == 1 {
+	if !d.Spec.OneZone || len(d.Zones) > 0 || d.Spec.MinConcurrency() == 1 {
 		return choice
 	}
 	room, price := p.roomByZone(d, hosts), p.priceByZone(d)
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -13,7 +13,7 @@
 // checkStart checks the rules at the moment of a start.
 func (w *world) checkStart(f *fakeWorker, task string) {
 	w.starts[task]++
-	id, _, _ := job.SplitTask(task)
+	id, _, _ := job.ParseTaskID(task)
 	for other, g := range w.workers {
 		for _, t := range g.Tasks {
 			if t.Task == task && t.State != protocol.Exited {
@@ -38,7 +38,7 @@
 // unfinished names a job that a job awaits and that is not done, or nothing.
 func (w *world) unfinished(id string) string {
 	if s := w.specs[id]; s != nil {
-		for _, awaited := range s.Awaits {
+		for _, awaited := range s.Dependencies {
 			if s, _ := w.state(awaited); s.State != protocol.Done {
 				return awaited
 			}
@@ -103,7 +103,7 @@
 // loadOf is what tasks take of a machine, those of one team or of all.
 func (w *world) loadOf(f *fakeWorker, team string) (sum job.Resources) {
 	for _, t := range f.Tasks {
-		id, _, _ := job.SplitTask(t.Task)
+		id, _, _ := job.ParseTaskID(t.Task)
 		if s := w.specs[id]; s != nil && t.State != protocol.Exited && (team == "" || s.Team == team) {
 			sum = sum.Plus(s.Need, 1)
 		}
@@ -114,7 +114,7 @@
 // hasRoom tells whether machines have room for what a job needs at once, and its team is
 // under its limit.
 func (w *world) hasRoom(s *job.Spec) bool {
-	n, zones := s.AtOnce(), w.zonesWith(s.ID)
+	n, zones := s.MinConcurrency(), w.zonesWith(s.ID)
 	for _, t := range w.cfg[w.names[0]].Params.Teams {
 		if t.Name == s.Team && t.CPUsMax > 0 && w.inUse(t.Name)+float64(n)*s.Need.CPUs > t.CPUsMax {
 			return false
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -49,7 +49,7 @@
 			if ok && task.State == protocol.Running && w.now >= end {
 				f.Tasks[i].State, f.Tasks[i].Why = protocol.Exited, protocol.WhyDone
 				w.complete(task.Task)
-				if id, _, _ := job.SplitTask(task.Task); w.broken[id] || w.faulty[f.Machine] {
+				if id, _, _ := job.ParseTaskID(task.Task); w.broken[id] || w.faulty[f.Machine] {
 					f.Tasks[i].Why = protocol.WhyError
 				}
 				changed = true
@@ -193,7 +193,7 @@
 				w.checkStart(f, cmd.Task)
 				f.Tasks = append(f.Tasks, protocol.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: protocol.Running})
 				f.running[key] = w.now + w.runTime(cmd.Task)
-				if id, _, _ := job.SplitTask(cmd.Task); w.broken[id] || w.faulty[f.Machine] {
+				if id, _, _ := job.ParseTaskID(cmd.Task); w.broken[id] || w.faulty[f.Machine] {
 					f.running[key] = w.now + time.Second
 				}
 			}
@@ -254,7 +254,7 @@
 
 // runTime is how long a task runs: a replica for good, what has been done before no time.
 func (w *world) runTime(task string) time.Duration {
-	id, n, _ := job.SplitTask(task)
+	id, n, _ := job.ParseTaskID(task)
 	s := w.specs[id]
 	switch {
 	case w.completed[task]:
@@ -272,7 +272,7 @@
 func (w *world) checkGangPeers(f *fakeWorker) (changed bool) {
 	p := w.cfg[w.names[0]].Params.Workers
 	for i, t := range f.Tasks {
-		id, _, _ := job.SplitTask(t.Task)
+		id, _, _ := job.ParseTaskID(t.Task)
 		s, key := w.specs[id], taskAttempt{t.Task, t.Attempt}
 		if s == nil || s.Kind != job.Gang || t.State == protocol.Exited || w.completed[t.Task] {
 			continue
@@ -301,7 +301,7 @@
 // the results are kept: one that is started again has nothing left to do.
 func (w *world) complete(task string) {
 	w.completed[task] = true
-	id, _, _ := job.SplitTask(task)
+	id, _, _ := job.ParseTaskID(task)
 	if s := w.specs[id]; s != nil && s.Kind == job.Gang {
 		for n := range s.Tasks {
 			w.completed[s.TaskID(n)] = true
@@ -329,7 +329,7 @@
 // rejectionOf tells why a worker refuses a start: there is no room, or the task is there with
 // another attempt.
 func (w *world) rejectionOf(f *fakeWorker, task string) string {
-	id, _, _ := job.SplitTask(task)
+	id, _, _ := job.ParseTaskID(task)
 	s := w.specs[id]
 	if s == nil {
 		return ""
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -59,7 +59,7 @@
 	if m == nil {
 		return
 	}
-	if m.GrantedToken != b.Term || m.Session != b.Session {
+	if m.GrantedToken != b.Token || m.Session != b.Epoch {
 		// It would be refused, but the controller that had the machine may start it by what
 		// the store shows meanwhile: only a report resolves it.
 		c.reconcileBinding(j, i, b, m)
@@ -70,8 +70,8 @@
 		Machine:  b.Machine,
 		Task:     j.TaskID(i),
 		Attempt:  b.Attempt,
-		Token:    b.Term,
-		Epoch:    b.Session,
+		Token:    b.Token,
+		Epoch:    b.Epoch,
 		Need:     j.Need,
 		Revision: j.Version,
 	}})
@@ -79,7 +79,7 @@
 
 // handleRefusal ends a binding whose start was never forwarded and never will be.
 func (c *Core) handleRefusal(r Refusal) {
-	id, i, ok := job.SplitTask(r.Task)
+	id, i, ok := job.ParseTaskID(r.Task)
 	j := c.jobs[id]
 	if !ok || j == nil || !c.leads(j) {
 		return
@@ -140,7 +140,7 @@
 	if m == nil {
 		return false
 	}
-	binding := job.Binding{Machine: s.Machine, Attempt: s.Attempt, Term: s.Token, Session: s.Epoch}
+	binding := job.Binding{Machine: s.Machine, Attempt: s.Attempt, Token: s.Token, Epoch: s.Epoch}
 	evidence, _ := m.Evidence(s.Task, &binding)
 	return evidence == worker.Absent
 }
@@ -173,7 +173,7 @@
 
 // isOfCancelledJob tells whether a task is of a cancelled job.
 func (c *Core) isOfCancelledJob(task string) bool {
-	id, _, _ := job.SplitTask(task)
+	id, _, _ := job.ParseTaskID(task)
 	return c.cancelled(id)
 }
 
@@ -188,7 +188,7 @@
 		if t.State == protocol.Exited {
 			continue
 		}
-		if id, _, ok := job.SplitTask(t.Task); ok && c.jobs[id] != nil {
+		if id, _, ok := job.ParseTaskID(t.Task); ok && c.jobs[id] != nil {
 			free = free.Plus(c.jobs[id].Need, -1)
 		}
 	}
@@ -197,7 +197,7 @@
 
 // storeHasBinding tells whether the replica shows an attempt bound to a machine.
 func (c *Core) storeHasBinding(machine string, attempt taskAttempt) bool {
-	id, i, ok := job.SplitTask(attempt.task)
+	id, i, ok := job.ParseTaskID(attempt.task)
 	j := c.jobs[id]
 	if !ok || j == nil {
 		return false
@@ -223,7 +223,7 @@
 // kind: its tasks run on until they are stopped. A job that is not in the replica may be one
 // that is being read again.
 func (c *Core) isReplicaCurrent(attempt taskAttempt) bool {
-	id, _, _ := job.SplitTask(attempt.task)
+	id, _, _ := job.ParseTaskID(attempt.task)
 	j := c.jobs[id]
 	if j == nil {
 		return c.ended.isDone(id) || c.ended.revision(id) > 0
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -55,7 +55,7 @@
 
 // mustRestartGang tells whether a gang has lost a task or is about to lose one.
 func (c *Core) mustRestartGang(j *job.Job) bool {
-	if j.Waiting() > 0 && j.Done.Len() == 0 {
+	if j.PendingTasks() > 0 && j.Done.Len() == 0 {
 		return true
 	}
 	for _, b := range j.Bound {
--- a/internal/core/submissioncheck.go
+++ b/internal/core/submissioncheck.go
@@ -37,7 +37,7 @@
 	if t == nil {
 		return errUnknownTeam
 	}
-	if !withinLimit(t, job.Resources{}.Plus(spec.Need, float64(spec.AtOnce()))) {
+	if !withinLimit(t, job.Resources{}.Plus(spec.Need, float64(spec.MinConcurrency()))) {
 		return errOverTeamLimit
 	}
 	if spec.Zone != "" && !slices.Contains(s.zones, spec.Zone) {
@@ -47,7 +47,7 @@
 	if zones == 0 {
 		return errNoMachineType
 	}
-	spreads := spec.Spread && spec.AtOnce() > 1
+	spreads := spec.Spread && spec.MinConcurrency() > 1
 	if spreads && (spec.OneZone || zones == 1) {
 		return errOneZoneOnly
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -38,7 +38,7 @@
 		c.rejectSubmission(m.Req, spec.ID, r)
 		return
 	}
-	if len(spec.Awaits) > 0 {
+	if len(spec.Dependencies) > 0 {
 		c.submitDependent(m.Req, t, spec)
 		return
 	}
@@ -116,7 +116,7 @@
 		"cpus", spec.Need.CPUs,
 		"memory", spec.Need.MemoryGB,
 		"estimate", spec.EstimateS,
-		"awaits", spec.Awaits)
+		"awaits", spec.Dependencies)
 }
 
 // broadcastAccepted tells every controller of an accepted job at once, ahead of the watch: the
--- a/internal/core/submitdependencies.go
+++ b/internal/core/submitdependencies.go
@@ -24,15 +24,15 @@
 // submitDependent accepts a job that awaits others, once it is known what has become of them.
 func (c *Core) submitDependent(req uint64, t *team, spec *job.Spec) {
 	switch {
-	case slices.Contains(spec.Awaits, spec.ID):
+	case slices.Contains(spec.Dependencies, spec.ID):
 		c.rejectSubmission(req, spec.ID, errAwaitsItself)
-	case spec.AwaitsBytes() > c.limits.maxDependencyBytes():
+	case spec.DependencyBytes() > c.limits.maxDependencyBytes():
 		c.rejectSubmission(req, spec.ID, errAwaitsTooMany)
 	case !c.upgrade.complete():
 		c.replyUnavailable(req) // a leader of the version before would start it at once
 	default:
-		check := &dependencyCheck{core: c, req: req, team: t, spec: spec, unresolved: len(spec.Awaits)}
-		for _, id := range slices.Clone(spec.Awaits) {
+		check := &dependencyCheck{core: c, req: req, team: t, spec: spec, unresolved: len(spec.Dependencies)}
+		for _, id := range slices.Clone(spec.Dependencies) {
 			check.lookUp(id)
 		}
 		c.sendAcceptanceLookups()
@@ -75,7 +75,7 @@
 
 // drop removes a job that is done from those that the submission awaits.
 func (d *dependencyCheck) drop(id string) {
-	d.spec.Awaits = slices.DeleteFunc(d.spec.Awaits, func(awaited string) bool { return awaited == id })
+	d.spec.Dependencies = slices.DeleteFunc(d.spec.Dependencies, func(awaited string) bool { return awaited == id })
 }
 
 // resolved answers the submission after the last awaited job.
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -24,9 +24,9 @@
 	if w.unanswered {
 		return
 	}
-	due := func(ref job.Ref, b *job.Binding) bool { return c.dueForUnreachableLeader(ref, b, w, m) }
+	due := func(ref job.TaskRef, b *job.Binding) bool { return c.dueForUnreachableLeader(ref, b, w, m) }
 	c.eachBindingOn(id, due, func(j *job.Job, i int, b *job.Binding) {
-		start, decided := c.startLedgers.find(id, b.Term, taskAttempt{j.TaskID(i), b.Attempt})
+		start, decided := c.startLedgers.find(id, b.Token, taskAttempt{j.TaskID(i), b.Attempt})
 		if !decided {
 			c.startForLeader(j, i, b)
 			return
@@ -34,17 +34,17 @@
 		// Whether the start has come to the worker is not known: a newer token shows it, as
 		// the leader would ask for.
 		if !start.refused && c.now.Steady-start.at > 2*c.reportInterval() {
-			c.fence(Fence{Machine: id, Above: b.Term})
+			c.fence(Fence{Machine: id, Above: b.Token})
 		}
 	})
 }
 
 // dueForUnreachableLeader tells whether a bound task is to be started by this node. The tasks of
 // a gang are started once all of them are bound.
-func (c *Core) dueForUnreachableLeader(ref job.Ref, b *job.Binding, w *agentSession, m *worker.Machine) bool {
+func (c *Core) dueForUnreachableLeader(ref job.TaskRef, b *job.Binding, w *agentSession, m *worker.Machine) bool {
 	j := ref.Job
 	incompleteGang := j.Kind == job.Gang && len(j.Bound) < j.Tasks
-	if b.Term != w.token || b.Session != w.epoch || j.Cancelled || incompleteGang || !c.partitionedFromLeader(j) {
+	if b.Token != w.token || b.Epoch != w.epoch || j.Cancelled || incompleteGang || !c.partitionedFromLeader(j) {
 		return false
 	}
 	evidence, _ := m.Evidence(j.TaskID(ref.Index), b)
@@ -58,8 +58,8 @@
 		Machine:  b.Machine,
 		Task:     j.TaskID(i),
 		Attempt:  b.Attempt,
-		Token:    b.Term,
-		Epoch:    b.Session,
+		Token:    b.Token,
+		Epoch:    b.Epoch,
 		Need:     j.Need,
 		Revision: c.replica.revision,
 	})
@@ -74,7 +74,7 @@
 		if t.State != protocol.Exited {
 			continue
 		}
-		id, i, ok := job.SplitTask(t.Task)
+		id, i, ok := job.ParseTaskID(t.Task)
 		j := c.jobs[id]
 		if !ok || j == nil || t.Attempt > j.StoredAttempt || !c.partitionedFromLeader(j) {
 			continue
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -45,8 +45,8 @@
 func (c *Core) cancellationOverdue(j *job.Job, patience time.Duration) bool {
 	known := c.now.Steady - j.CancelledAt
 	total := time.Duration(0)
-	if j.CancelAsked > 0 {
-		total = time.Duration(c.now.Wall-j.CancelAsked) * time.Millisecond
+	if j.CancelRequestedAt > 0 {
+		total = time.Duration(c.now.Wall-j.CancelRequestedAt) * time.Millisecond
 	}
 	return known > patience ||
 		total > patience*3/2 && known > c.silenceLimit() ||
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -85,7 +85,7 @@
 	if c.storesTightChunks() {
 		tight := c.limits.tightChunkSize(spec.StoredBytes(), c.machines.LongestName())
 		if tight < size {
-			return job.NewSized(spec, tight, c.now.Steady)
+			return job.NewWithChunkSize(spec, tight, c.now.Steady)
 		}
 	}
 	return job.New(spec, size, c.now.Steady)
@@ -101,7 +101,7 @@
 	if j.ChunkSize <= size {
 		return
 	}
-	if j.Split(size, c.limits.chunksPerTxn(headChanges)) {
+	if j.SplitChunks(size, c.limits.chunksPerTxn(headChanges)) {
 		c.counts.SplitJobs++
 		c.log(Debug, "job chunks split", "job", j.ID, "chunk_size", j.ChunkSize)
 	}
--- a/internal/core/worker/evidence.go
+++ b/internal/core/worker/evidence.go
@@ -25,13 +25,13 @@
 // the task that was made under a newer token or in a newer epoch is proof: a start that is
 // still on its way will be refused by the worker.
 func (m *Machine) Evidence(task string, b *job.Binding) (Evidence, protocol.TaskReport) {
-	if t, ok := m.Find(task, b.Attempt); ok && m.Session == b.Session {
+	if t, ok := m.Find(task, b.Attempt); ok && m.Session == b.Epoch {
 		if t.State == protocol.Exited {
 			return Exited, t
 		}
 		return Present, t
 	}
-	if m.Session > b.Session || m.Session == b.Session && m.Token > b.Term {
+	if m.Session > b.Epoch || m.Session == b.Epoch && m.Token > b.Token {
 		return Absent, protocol.TaskReport{}
 	}
 	return Inconclusive, protocol.TaskReport{}
--- a/internal/core/worker/machine_test.go
+++ b/internal/core/worker/machine_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEvidenceIsOnlyWhatAReportProves(t *testing.T) {
-	b := &job.Binding{Machine: "m", Attempt: 3, Term: 5, Session: 2}
+	b := &job.Binding{Machine: "m", Attempt: 3, Token: 5, Epoch: 2}
 	task := func(attempt uint64, state string) []protocol.TaskReport {
 		return []protocol.TaskReport{{Task: "req-1/0", Attempt: attempt, State: state}}
 	}
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -100,7 +100,7 @@
 // Nobody waits for the stored end of a job that was cancelled before it could begin: a cascade
 // of hundreds would hold up all starts.
 func writeRank(j *job.Job) int {
-	if j.Cancelled && j.Awaiting {
+	if j.Cancelled && j.Blocked {
 		return rankRest
 	}
 	ends := j.Complete() || j.Cancelled
