--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -15,7 +15,7 @@
 func TestAnnouncedCancellationBlocksStarts(t *testing.T) {
 	told := Cancellation{Job: "req-free-1", Revision: 3}
 	start := Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Epoch: 1}
-	for name, toldFirst := range map[string]bool{"the broadcast comes first": true, "the start comes first": false} {
+	for name, toldFirst := range map[string]bool{"the announcement comes first": true, "the start comes first": false} {
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
 		c.tokens.acquired[1] = true
@@ -90,7 +90,7 @@
 		c.noteCancellation(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
 	}
 	if len(c.announcements.byJob) > maxAnnouncements || len(c.announcements.order) > maxAnnouncements {
-		t.Errorf("%d broadcasts are kept", len(c.announcements.byJob))
+		t.Errorf("%d announcements are kept", len(c.announcements.byJob))
 	}
 	c.peers.setConnected("b", true)
 	c.effects = nil
@@ -100,7 +100,7 @@
 		t.Errorf("a message has %d cancellations", len(m.Message.Cancellations))
 	}
 	if b := c.newHeartbeat(); len(b.Unacknowledged) != 2 {
-		t.Errorf("it owes news to %v", b.Unacknowledged)
+		t.Errorf("unacknowledged by %v", b.Unacknowledged)
 	}
 }
 
@@ -139,10 +139,10 @@
 			w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 			accepted(t, w.submit("e", "req-free-1", 40, ""))
 			w.started("req-free-1", 40)
-			given := 0
+			returned := 0
 			w.onEffect = func(_ string, e Effect) {
 				if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
-					given++
+					returned++
 				}
 			}
 			begin := w.now
@@ -151,8 +151,8 @@
 				t.Errorf("the user waits for %v", w.now-begin)
 			}
 			w.run(w.cancelDeadline(), nil)
-			if n := w.onMachines("req-free-1"); n > 0 || given > 0 {
-				t.Errorf("%d tasks are left, %d times a machine was given back", n, given)
+			if n := w.onMachines("req-free-1"); n > 0 || returned > 0 {
+				t.Errorf("%d tasks are left, %d times a machine was returned", n, returned)
 			}
 		})
 	}
--- a/internal/core/canceltiming_test.go
+++ b/internal/core/canceltiming_test.go
@@ -34,7 +34,7 @@
 		"shorter than the lease":  func(w *world) time.Duration { return w.lease() * 3 / 4 },
 		"just under cancel_s":     func(w *world) time.Duration { return w.cancelDeadline() - time.Second },
 		"just over cancel_s":      func(w *world) time.Duration { return w.cancelDeadline() + time.Second },
-		"hang and mute":           func(w *world) time.Duration { return w.lease() / 2 },
+		"hang and silent":         func(w *world) time.Duration { return w.lease() / 2 },
 		"then report to one more": func(w *world) time.Duration { return w.lease() / 2 },
 	}
 	for hang, long := range hangs {
@@ -53,7 +53,7 @@
 					for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 						if d := long(w); d > 0 && hung < 8 && w.loadOf(w.workers[id], "").CPUs > 0 {
 							w.hang(id, d)
-							w.silentWorkers[id] = hang == "hang and mute"
+							w.silentWorkers[id] = hang == "hang and silent"
 							w.workerCannotReach[link{leader, id}] = hang == "then report to one more"
 							hung++
 						}
@@ -95,7 +95,7 @@
 		if tasks == 0 {
 			tasks = 2
 		}
-		for _, home := range []bool{true, false} {
+		for _, atLeader := range []bool{true, false} {
 			for tenths := -4; tenths < 12; tenths++ {
 				w := newWorldOf(t, fiveNodes).ready()
 				w.allowRacingStarts, w.taskTime, w.maxMachines = true, 6*time.Second, 80
@@ -119,7 +119,7 @@
 					w.run(time.Duration(max(0, tenths))*100*time.Millisecond, nil)
 				}
 				node := w.leaderOf("free")
-				if !home {
+				if !atLeader {
 					node = w.anotherNode(node)
 				}
 				body := []byte(submission(id, "free", tasks, more))
@@ -164,7 +164,7 @@
 				w.run(2*time.Second, nil)
 				for _, n := range w.names {
 					if s := stateOf(t, w.status(n, id)); s.State != told.State {
-						t.Errorf("%s, %d tenths, home %v: told %s, and %s by %s", name, tenths, home, told.State, s.State, n)
+						t.Errorf("%s, %d tenths, at leader %v: told %s, and %s by %s", name, tenths, atLeader, told.State, s.State, n)
 					}
 					if s := stateOf(t, w.request(n, func(req uint64) Command { return Submit{Req: req, Body: body} })); s.State != told.State {
 						t.Errorf("%s: a repeat is answered %s after %s", name, s.State, told.State)
@@ -187,12 +187,12 @@
 		w.allowRacingStarts = true
 		accepted(t, w.submit("a", "req-blue-1", 1, ""))
 		w.started("req-blue-1", 1)
-		home := w.cores["a"].teamBy["blue"].leader
+		leader := w.cores["a"].teamBy["blue"].leader
 		w.run(4200*time.Millisecond+time.Duration(tenths)*100*time.Millisecond, nil)
 		for _, f := range w.workers {
-			f.node = slices.Index(w.names, home) // it hears of the end by a report
+			f.node = slices.Index(w.names, leader) // it learns of the end by a report
 		}
-		w.slowWatcher = home
+		w.slowWatcher = leader
 		w.hold(everyLink)
 		var a Answer
 		for range 5 { // it waits until another controller knows
@@ -224,10 +224,10 @@
 	const id = "req-free-1"
 	w := newWorldOf(t, fiveNodes).ready()
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	home, writes, met := w.leaderOf("free"), 0, false
+	leader, writes, met := w.leaderOf("free"), 0, false
 	w.onEffect = func(node string, e Effect) {
 		txn, is := e.(StoreTxn)
-		if !is || node != home || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
+		if !is || node != leader || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
 			return
 		}
 		if writes++; met || len(txn.Txn.If) < 4 {
@@ -236,7 +236,7 @@
 		met = true
 		r := w.decide(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
 			Then: []protocol.Change{putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(id), cancelRecord{})}})
-		w.send(home, PeerMessageReceived{Node: w.anotherNode(home), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
+		w.send(leader, PeerMessageReceived{Node: w.anotherNode(leader), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
 	}
 	accepted(t, w.submit("a", id, 40, ""))
 	if !w.run(20*time.Second, func() bool { return met }) {
--- a/internal/core/isolation_test.go
+++ b/internal/core/isolation_test.go
@@ -59,6 +59,6 @@
 	c.storeOK = true
 	c.checkIsolation()
 	if away("vm-3", "z1") {
-		t.Error("sent on although the state service is back")
+		t.Error("sent on although the store is back")
 	}
 }
--- a/internal/core/leaderchange_test.go
+++ b/internal/core/leaderchange_test.go
@@ -36,7 +36,7 @@
 			accepted(t, w.submit(w.serving(), "req-free-9", 3, ""))
 			w.run(80*time.Second, nil)
 			if n := changes(); n < 10 {
-				t.Fatalf("the home has changed %d times", n)
+				t.Fatalf("the leader has changed %d times", n)
 			}
 			if len(w.cancellationToldAt) > 0 && w.onMachines("req-free-3") > 0 {
 				t.Error("what was cancelled runs")
@@ -56,11 +56,11 @@
 // every leader that follows, and the capacity is used again soon after.
 func TestLeaderChangeAtTeamLimit(t *testing.T) {
 	for name, unasked := range map[string]func(w *world, id string){
-		"hang":      func(w *world, id string) { w.hang(id, 14*time.Second) },
-		"are cut":   func(w *world, id string) { w.cutWorkers[id] = true },
-		"are mute":  func(w *world, id string) { w.silentWorkers[id] = true },
-		"are deaf":  func(w *world, id string) { w.unreachableWorkers[id] = true },
-		"are taken": func(w *world, id string) { delete(w.workers, id) },
+		"hang":            func(w *world, id string) { w.hang(id, 14*time.Second) },
+		"are cut":         func(w *world, id string) { w.cutWorkers[id] = true },
+		"are silent":      func(w *world, id string) { w.silentWorkers[id] = true },
+		"are unreachable": func(w *world, id string) { w.unreachableWorkers[id] = true },
+		"are taken":       func(w *world, id string) { delete(w.workers, id) },
 	} {
 		for _, twice := range []bool{false, true} {
 			t.Run(fmt.Sprintf("machines %s, twice %v", name, twice), func(t *testing.T) {
@@ -83,9 +83,9 @@
 						unasked(w, id)
 					}
 				}
-				home := w.leaderOf("red")
-				w.crash(home)
-				w.expire(home)
+				leader := w.leaderOf("red")
+				w.crash(leader)
+				w.expire(leader)
 				w.run(time.Second, nil)
 				a := w.cancelJob(w.serving(), first)
 				if a.Status != http.StatusOK {
@@ -105,7 +105,7 @@
 				w.run(w.lease(), nil) // the world checks the limit with every start
 				w.recover()
 				if !w.run(90*time.Second, func() bool { return w.inUse("red") == 16 }) {
-					t.Errorf("90 s after all troubles the team uses %v of 16 CPUs", w.inUse("red"))
+					t.Errorf("90 s after all faults the team uses %v of 16 CPUs", w.inUse("red"))
 				}
 			})
 		}
--- a/internal/core/machinereturns_test.go
+++ b/internal/core/machinereturns_test.go
@@ -25,10 +25,10 @@
 		w.expire(n)
 	}
 	w.run(time.Second, nil)
-	given := 0
+	returned := 0
 	w.onEffect = func(node string, e Effect) {
 		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
-			given++
+			returned++
 		}
 	}
 	w.outage = false
@@ -36,8 +36,8 @@
 		w.boot(n)
 	}
 	w.run(w.cancelDeadline(), nil)
-	if given > 0 || w.onMachines(cancelledJob) > 0 {
-		t.Errorf("%d times a machine was given back, %d tasks are left", given, w.onMachines(cancelledJob))
+	if returned > 0 || w.onMachines(cancelledJob) > 0 {
+		t.Errorf("%d times a machine was returned, %d tasks are left", returned, w.onMachines(cancelledJob))
 	}
 }
 
@@ -53,16 +53,16 @@
 	w.run(reportIntervals(2), nil)
 	w.confirmCancellation()
 	w.run(w.cancelDeadline(), nil)
-	given := 0
+	returned := 0
 	w.onEffect = func(_ string, e Effect) {
 		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && l.Text != "machine returned" {
-			given++
+			returned++
 		}
 	}
 	accepted(t, w.submit(w.nodeWithStore(), "req-free-2", 30, ""))
 	w.heal()
 	w.run(w.cancelDeadline(), nil)
-	if given > 0 {
-		t.Errorf("machines are given back %d times", given)
+	if returned > 0 {
+		t.Errorf("machines are returned %d times", returned)
 	}
 }
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -37,7 +37,7 @@
 			w.stopAllFor(w.lease() * 3 / 2)
 			w.run(w.lease()*3/2+time.Second, nil)
 			if !w.sessions(machines) {
-				t.Fatal("no session has risen")
+				t.Fatal("no epoch has risen")
 			}
 			if !w.run(3*time.Minute, w.finished("req-free-1", "req-red-2")) {
 				t.Error("jobs do not end")
@@ -63,8 +63,8 @@
 				ids = append(ids, id)
 				w.hold(everyLink)
 				w.run(300*time.Millisecond, nil)
-				home, renter := w.cores["a"].teamBy["free"].leader, w.cores["a"].fleet.leader
-				for _, node := range []string{home, renter, w.names[n%5]} {
+				leader, fleetLeader := w.cores["a"].teamBy["free"].leader, w.cores["a"].fleet.leader
+				for _, node := range []string{leader, fleetLeader, w.names[n%5]} {
 					if w.cores[node] != nil {
 						w.crash(node)
 						w.run(pause, nil)
--- a/internal/core/simpartitions_test.go
+++ b/internal/core/simpartitions_test.go
@@ -24,7 +24,7 @@
 }
 
 // loadedWorld has five controllers, that many machines, and an array of long tasks that fills them.
-func loadedWorld(t *testing.T, machines int, id string) (w *world, home string) {
+func loadedWorld(t *testing.T, machines int, id string) (w *world, leader string) {
 	t.Helper()
 	w = idleWorld(t, machines)
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
@@ -40,7 +40,7 @@
 			return n
 		}
 	}
-	w.t.Fatal("no controller has the state service")
+	w.t.Fatal("no controller has the store")
 	return ""
 }
 
@@ -48,8 +48,8 @@
 func everyLink(string, string) bool { return true }
 
 // anotherNode names a controller other than the given one.
-func (w *world) anotherNode(home string) string {
-	return w.names[(slices.Index(w.names, home)+1)%len(w.names)]
+func (w *world) anotherNode(node string) string {
+	return w.names[(slices.Index(w.names, node)+1)%len(w.names)]
 }
 
 // freeze makes a controller stand still, whose lease then expires.
@@ -120,8 +120,8 @@
 func (w *world) countLeaderChanges(team string) func() int {
 	seen, last := 0, w.leaderOf(team)
 	w.scheduled = append(w.scheduled, func() bool {
-		if home := w.leaderOf(team); home != "" && home != last {
-			seen, last = seen+1, home
+		if leader := w.leaderOf(team); leader != "" && leader != last {
+			seen, last = seen+1, leader
 		}
 		return false
 	})
--- a/internal/core/storerefusal_test.go
+++ b/internal/core/storerefusal_test.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// storeRefusal is a day on which the state service refuses a controller alone, another one
-// confirms a cancellation, and then it is down for all.
+// storeRefusal is a scenario in which the store refuses a controller alone, another one confirms
+// a cancellation, and then the store is down for all.
 type storeRefusal struct {
-	// links and cloud say how these are from the refusal on.
+	// links names the faults of links from the refusal on; cloud is "well" or the cloud
+	// refuses to take machines back.
 	links, cloud string
-	// gap is how long after the refusal the outage begins, atOnce that the user
-	// cancels before it and not right before the outage.
-	gap    time.Duration
+	// gap is how long after the refusal the outage begins.
+	gap time.Duration
+	// atOnce makes the user cancel with the refusal and not right before the outage.
 	atOnce bool
-	// renter takes the renter for the one that is refused, and not the team's home.
-	renter bool
-	// machines, tasks and more are the job's; by default it fills all machines.
+	// fleetLeader makes the store refuse the leader of the fleet and not that of the team.
+	fleetLeader bool
+	// machines, tasks and more describe the job; by default it fills all machines.
 	machines, tasks int
 	more            string
-	// before, refused and outage are what else happens: before the job is submitted,
-	// with the refusal and with the outage.
+	// before, refused and outage are further faults: before the job is submitted, with the
+	// refusal and with the outage.
 	before, refused func(w *world)
 	outage          func(w *world, old, told string)
-	// gone, if set, is how long after the outage began the last task has to be gone at the
-	// latest, kept that no machine may be given back for it.
+	// gone, if set, is how long after the beginning of the outage the last task may run.
 	gone time.Duration
+	// kept is set where no machine may be returned.
 	kept bool
 }
 
@@ -39,7 +40,7 @@
 	"from it":       func(w *world, old string) { w.refuse(func(f, _ string) bool { return f == old }) },
 	"to it slow":    func(w *world, old string) { w.hold(func(_, t string) bool { return t == old }) },
 	"its own gone":  func(w *world, old string) { w.refuse(func(f, t string) bool { return f == old || t == old }) },
-	// A third controller passes on what is said to it.
+	// An intermediary passes its messages on.
 	"to it over a third": func(w *world, old string) { w.refuse(func(f, t string) bool { return t == old && f != "e" }) },
 	"gone":               func(w *world, _ string) { w.refuse(everyLink) },
 }
@@ -53,7 +54,7 @@
 	machines := max(d.machines, 20)
 	w := idleWorld(t, machines)
 	w.allowRacingStarts, w.taskTime = true, 4*w.cancelDeadline()
-	given, released := 0, map[string]int{}
+	returned, released := 0, map[string]int{}
 	w.onEffect = func(node string, e Effect) {
 		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
 			for _, m := range r.Machines {
@@ -61,7 +62,7 @@
 			}
 		}
 		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
-			given++
+			returned++
 		}
 	}
 	if d.before != nil {
@@ -72,7 +73,7 @@
 		w.started(cancelledJob, max(d.tasks, 2*machines))
 	}
 	old := w.cores["b"].teamBy["free"].leader
-	if d.renter {
+	if d.fleetLeader {
 		old = w.cores["b"].fleet.leader
 	}
 	linkFaults[d.links](w, old)
@@ -98,12 +99,12 @@
 		t.Errorf("%d tasks run on %v after the outage began", w.onMachines(cancelledJob), d.gone)
 	}
 	w.run(w.cancelDeadline()*3/2, nil)
-	if d.kept && given > 0 {
-		t.Errorf("machines are given back %d times for tasks that end when they are told to", given)
+	if d.kept && returned > 0 {
+		t.Errorf("machines are returned %d times for tasks that end when they are told to", returned)
 	}
 	for m, n := range released {
 		if n > 1 {
-			t.Errorf("%s is given back %d times", m, n)
+			t.Errorf("%s is released %d times", m, n)
 		}
 	}
 	w.endOutage()
@@ -111,7 +112,7 @@
 	w.heal()
 	w.run(w.cancelDeadline(), nil)
 	if len(w.cancellationToldAt) > 0 {
-		t.Error("the day ended before the time allowed")
+		t.Error("the scenario ended before the deadline")
 	}
 }
 
@@ -165,8 +166,8 @@
 		}
 	}
 	for name, d := range map[string]storeRefusal{
-		"it is the renter": {renter: true},
-		"nothing":          {},
+		"it is the fleet leader": {fleetLeader: true},
+		"nothing":                {},
 		"the one that told crashes and is back at once": {outage: func(w *world, _, told string) {
 			w.crash(told)
 			w.run(100*time.Millisecond, nil)
@@ -189,7 +190,7 @@
 		"machines hang": {outage: func(w *world, old, _ string) {
 			each(w, old, func(f *fakeWorker) { f.dead = true })
 		}},
-		"machines are deaf": {outage: func(w *world, old, _ string) {
+		"machines are unreachable": {outage: func(w *world, old, _ string) {
 			each(w, old, func(f *fakeWorker) { w.unreachableWorkers[f.Machine] = true })
 		}},
 		"machines change controllers": {outage: func(w *world, old, _ string) { w.unreachableNodes[old] = true }},
--- a/internal/core/zoneoutage_test.go
+++ b/internal/core/zoneoutage_test.go
@@ -48,7 +48,7 @@
 					kept++
 				}
 			}
-			if kept < 4 { // some were on machines that are given back for the cancelled job
+			if kept < 4 { // some were on machines that are returned for the cancelled job
 				t.Errorf("%d of 8 tasks in the zone went on", kept)
 			}
 			if !w.run(8*time.Minute, w.finished("req-free-1", "req-free-3", "req-free-4", "req-free-5")) {
@@ -78,34 +78,34 @@
 	const lease = 16 * time.Second
 	quiet := 2 * lease // more than the usual silence
 	for name, k := range map[string]struct {
-		heard  []string // controllers that are heard
-		alive  []int    // machines that are heard
-		quiet  time.Duration
-		givenB int // machines given up in z2
+		inContact []string // controllers in contact
+		reporting []int    // machines that report
+		quiet     time.Duration
+		returned  int // machines given up in z2
 	}{
-		"zone is dark":                         {heard: []string{"b"}, quiet: quiet, givenB: 0},
-		"dark for too long":                    {heard: []string{"b"}, quiet: (zoneOutageLeases + 1) * lease, givenB: 10},
-		"its controller is heard":              {heard: []string{"b", "c"}, quiet: quiet, givenB: 10},
-		"one of its machines is heard by us":   {heard: []string{"b"}, alive: []int{15}, quiet: quiet, givenB: 9},
-		"machines of the renter's own zone go": {heard: []string{"c"}, quiet: quiet, givenB: 10},
+		"zone is cut off":                   {inContact: []string{"b"}, quiet: quiet, returned: 0},
+		"cut off for too long":              {inContact: []string{"b"}, quiet: (zoneOutageLeases + 1) * lease, returned: 10},
+		"its controller is in contact":      {inContact: []string{"b", "c"}, quiet: quiet, returned: 10},
+		"one of its machines reports":       {inContact: []string{"b"}, reporting: []int{15}, quiet: quiet, returned: 9},
+		"machines of the leader's own zone": {inContact: []string{"c"}, quiet: quiet, returned: 10},
 	} {
 		c := fleetLeaderInZ1(t)
 		c.now.Steady += k.quiet
-		for _, n := range k.heard {
+		for _, n := range k.inContact {
 			c.peers.get(n).lastContact = c.now.Steady
 		}
-		delete(c.members.live, "b") // what is not heard has lost its lease
+		delete(c.members.live, "b") // a controller without contact has lost its lease
 		delete(c.members.live, "c")
-		for _, i := range k.alive {
+		for _, i := range k.reporting {
 			c.machines.RecordContact(c.machines.Get(fmt.Sprintf("vm-9%03d", i)), false, c.now.Steady)
 		}
 		c.reconcileInventory()
-		given := map[string]int{}
+		returned := map[string]int{}
 		for id := range c.autoscaler.returnReasons {
-			given[c.machines.Get(id).Zone]++
+			returned[c.machines.Get(id).Zone]++
 		}
-		if given["z2"] != k.givenB || given["z1"] != 10 {
-			t.Errorf("%s: given up %v", name, given)
+		if returned["z2"] != k.returned || returned["z1"] != 10 {
+			t.Errorf("%s: given up %v", name, returned)
 		}
 	}
 }
@@ -124,6 +124,6 @@
 	}
 	c.handleReturnRequest(ReturnRequest{Machine: "vm-9015", Reason: "cancelled task does not end"})
 	if c.autoscaler.returnReasons["vm-9015"] == "" {
-		t.Error("a cancelled task is left on a machine of a dark zone")
+		t.Error("a cancelled task is left on a machine of a zone that is cut off")
 	}
 }
