--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -18,7 +18,7 @@
 	for name, toldFirst := range map[string]bool{"the announcement comes first": true, "the start comes first": false} {
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
-		c.tokens.acquired[1] = true
+		c.agents.tokens.acquired[1] = true
 		w := newAgentSession(1, 1, "")
 		c.agents.add("vm", w)
 		m := c.addMachine("vm")
@@ -26,12 +26,12 @@
 		if toldFirst {
 			c.handleCancellations("b", []Cancellation{told})
 		}
-		c.forwardStart("b", start)
+		c.agents.forwardStart("b", start)
 		if waits := len(w.queuedStarts) > 0; waits == toldFirst {
 			t.Errorf("%s: the start waits: %v", name, waits)
 		}
 		c.handleCancellations("b", []Cancellation{told})
-		c.deliverTo("vm", w)
+		c.agents.deliverTo("vm", w)
 		if len(w.queuedStarts) > 0 || len(w.pendingStarts) > 0 {
 			t.Errorf("%s: %d starts wait, %d were sent", name, len(w.queuedStarts), len(w.pendingStarts))
 		}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -18,7 +18,7 @@
 // each machine and one job to every ten.
 func busyCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
-	c.now.Steady, c.replica.loaded, c.tokens.current = time.Second, true, 1
+	c.now.Steady, c.replica.loaded, c.agents.tokens.current = time.Second, true, 1
 	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50}}})
 	for _, t := range c.teams {
 		t.leading, t.leader, t.version, t.CPUsMax = true, "a", 1, 0
@@ -155,7 +155,7 @@
 // in ten that has accelerators and runs a gang's task.
 func mixedCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
-	c.now.Steady, c.replica.loaded, c.tokens.current = time.Second, true, 1
+	c.now.Steady, c.replica.loaded, c.agents.tokens.current = time.Second, true, 1
 	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{
 		{Name: "small", CPUs: 8, MemoryGB: 64, CacheGB: 50, Price: 1, SpotPrice: 0.4},
 		{Name: "large", CPUs: 48, GPUs: 8, MemoryGB: 288, CacheGB: 50, Price: 20, SpotPrice: 8}}})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -46,11 +46,9 @@
 	handoffs handoffReplica
 
 	// Machines.
-	catalog      catalog.Catalog
-	machines     *worker.Registry
-	agents       agentSessions
-	startLedgers startLedgers
-	tokens       fencingTokens
+	catalog  catalog.Catalog
+	machines *worker.Registry
+	agents   *agentController
 	// orphanLookups names the jobs of reported tasks that are being looked up in the store.
 	orphanLookups map[string]bool
 	// pendingObservations waits for being passed on to the other controllers.
@@ -103,9 +101,6 @@
 		dependencies:   newDependencies(),
 		handoffs:       newHandoffReplica(),
 		machines:       worker.NewRegistry(),
-		agents:         newAgentSessions(),
-		startLedgers:   newStartLedgers(),
-		tokens:         newFencingTokens(),
 		orphanLookups:  map[string]bool{},
 		returns:        newMachineReturns(),
 		rebalancer:     newRebalancer(),
@@ -116,6 +111,7 @@
 		autoscaler:     newAutoscaler(),
 		stats:          jobstats.New(),
 	}
+	c.agents = newAgentController(c)
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
 	}
@@ -154,7 +150,7 @@
 	case JobStatistics:
 		c.reply(m.Req, http.StatusOK, c.statisticsReport())
 	case Heartbeat:
-		c.handleHeartbeat(m)
+		c.agents.handleHeartbeat(m)
 	case StoreReply:
 		c.handleStoreReply(m)
 	case SnapshotLoaded:
@@ -176,7 +172,7 @@
 	case PeerDisconnected:
 		c.peers.setConnected(m.Node, false)
 	case DeliveryResult:
-		c.handleDelivery(m)
+		c.agents.handleDelivery(m)
 	case CatalogReceived:
 		c.handleCatalog(m)
 	case InventoryReceived:
@@ -228,9 +224,9 @@
 		c.repeatAnnouncements()
 		c.checkFreshness()
 		c.reconcileAll()
-		c.retryPendingRaises()
-		c.expireSessions()
-		c.expireStartDecisions()
+		c.agents.retryPendingRaises()
+		c.agents.expireSessions()
+		c.agents.expireStartDecisions()
 	}
 	if c.replica.loaded {
 		c.checkDependencies()
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -8,39 +8,39 @@
 )
 
 // queueCommand queues a stop or forget for an agent. Stops go out at the end of the step.
-func (c *Core) queueCommand(o TaskCommand) {
-	session := c.agents.session(o.Machine)
+func (a *agentController) queueCommand(o TaskCommand) {
+	session := a.session(o.Machine)
 	if session == nil {
 		return
 	}
 	session.queuedCommands[taskAttempt{o.Command.Task, o.Command.Attempt}] = o.Command
 	if o.Command.Op == protocol.OpStop {
-		c.agents.scheduleDelivery(o.Machine)
+		a.scheduleDelivery(o.Machine)
 	}
 }
 
 // deliverAll sends the starts and stops that this step has queued.
-func (c *Core) deliverAll() {
-	for machine := range ordered(c.agents.dueDeliveries) {
-		if session := c.agents.session(machine); session != nil {
-			c.deliverTo(machine, session)
+func (a *agentController) deliverAll() {
+	for machine := range ordered(a.dueDeliveries) {
+		if session := a.session(machine); session != nil {
+			a.deliverTo(machine, session)
 		}
-		delete(c.agents.dueDeliveries, machine)
+		delete(a.dueDeliveries, machine)
 	}
 }
 
 // deliverTo sends what is queued for an agent. One delivery is under way at a time.
-func (c *Core) deliverTo(machine string, session *agentSession) {
+func (a *agentController) deliverTo(machine string, session *agentSession) {
 	idle := len(session.queuedStarts) == 0 && len(session.queuedCommands) == 0 && !session.probeDue
 	if session.delivering || idle {
 		return
 	}
-	c.dropCancelledStarts(session)
+	a.dropCancelledStarts(session)
 	commands := append(session.takeCommands(), session.queuedStarts...)
 	session.queuedStarts = nil
 	session.delivering = true
 	session.probeDue = false
-	c.emit(Deliver{
+	a.core.emit(Deliver{
 		Machine: machine,
 		Address: session.address,
 		Orders:  protocol.Orders{Token: session.token, Session: session.epoch, Commands: commands},
@@ -49,9 +49,9 @@
 
 // dropCancelledStarts drops queued starts of jobs that have been cancelled since: a stop that
 // goes out with a start would be carried out before it.
-func (c *Core) dropCancelledStarts(session *agentSession) {
+func (a *agentController) dropCancelledStarts(session *agentSession) {
 	session.queuedStarts = slices.DeleteFunc(session.queuedStarts, func(start protocol.Command) bool {
-		drop := c.isOfCancelledJob(start.Task)
+		drop := a.isOfCancelledJob(start.Task)
 		if drop {
 			delete(session.pendingStarts, taskAttempt{start.Task, start.Attempt})
 		}
@@ -62,14 +62,14 @@
 // handleDelivery takes the outcome of a delivery. Without an answer its starts may yet be
 // carried out, so the agent's token is raised above theirs. Starts that were turned down
 // never are.
-func (c *Core) handleDelivery(d DeliveryResult) {
-	session := c.agents.session(d.Machine)
+func (a *agentController) handleDelivery(d DeliveryResult) {
+	session := a.session(d.Machine)
 	if session == nil {
 		return
 	}
 	session.delivering = false
 	if d.Report != nil && d.Report.Machine == d.Machine && d.Report.Token <= session.token {
-		c.handleReport(session, *d.Report, true)
+		a.handleReport(session, *d.Report, true)
 	}
 	if !d.Executed {
 		for _, command := range d.Orders.Commands {
@@ -77,22 +77,22 @@
 		}
 	}
 	if d.Report == nil {
-		c.deliveryUnanswered(session, d)
+		a.deliveryUnanswered(session, d)
 		return
 	}
 	if !d.Executed {
-		c.refuseStarts(d)
+		a.refuseStarts(d)
 	}
-	c.deliverTo(d.Machine, session)
+	a.deliverTo(d.Machine, session)
 }
 
 // deliveryUnanswered fences the starts of a delivery that got no answer. Without a start
 // nothing is unresolved: a machine that hangs costs one token, not one for each probe.
-func (c *Core) deliveryUnanswered(session *agentSession, d DeliveryResult) {
+func (a *agentController) deliveryUnanswered(session *agentSession, d DeliveryResult) {
 	session.unanswered = true
-	c.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.Orders.Commands))
+	a.core.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.Orders.Commands))
 	if slices.ContainsFunc(d.Orders.Commands, isStart) {
-		c.fence(Fence{Machine: d.Machine, Above: d.Orders.Token})
+		a.fence(Fence{Machine: d.Machine, Above: d.Orders.Token})
 	}
 }
 
@@ -100,19 +100,19 @@
 
 // refuseStarts tells the leaders of starts that the agent has turned down with all that was
 // delivered beside them.
-func (c *Core) refuseStarts(d DeliveryResult) {
+func (a *agentController) refuseStarts(d DeliveryResult) {
 	for _, command := range d.Orders.Commands {
 		if !isStart(command) {
 			continue
 		}
 		id, _, _ := job.ParseTaskID(command.Task)
-		j := c.jobs[id]
+		j := a.core.jobs[id]
 		if j == nil {
 			continue
 		}
-		if t := c.teamBy[j.Team]; t != nil {
+		if t := a.core.teamBy[j.Team]; t != nil {
 			refusal := Refusal{Machine: d.Machine, Task: command.Task, Attempt: command.Attempt}
-			c.sendTo(t.leader, PeerMessage{Refusal: &refusal})
+			a.core.sendTo(t.leader, PeerMessage{Refusal: &refusal})
 		}
 	}
 }
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -129,7 +129,7 @@
 	})
 	if m.tokenLease != m.lease {
 		m.tokenLease = m.lease
-		c.acquireToken()
+		c.agents.acquireToken()
 	}
 }
 
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -125,13 +125,13 @@
 			c.noteRemoteClaim(k)
 		}
 	case m.Start != nil:
-		c.forwardStart(from, *m.Start)
+		c.agents.forwardStart(from, *m.Start)
 	case m.Refusal != nil:
 		c.handleRefusal(*m.Refusal)
 	case m.Command != nil:
-		c.queueCommand(*m.Command)
+		c.agents.queueCommand(*m.Command)
 	case m.Fence != nil:
-		c.fence(*m.Fence)
+		c.agents.fence(*m.Fence)
 	case m.ReturnRequest != nil:
 		c.handleReturnRequest(*m.ReturnRequest)
 	case m.Heartbeat != nil:
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -64,7 +64,7 @@
 			}
 			task := ref.Job.TaskID(ref.Index)
 			evidence, t := m.Evidence(task, b)
-			start, decided := c.startLedgers.find(id, b.Token, taskAttempt{task, b.Attempt})
+			start, decided := c.agents.startLedgers.find(id, b.Token, taskAttempt{task, b.Attempt})
 			if evidence == worker.Exited || evidence == worker.Absent || decided && start.refused {
 				out = append(out, relay.Entry{
 					Job:     ref.Job.ID,
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -54,7 +54,7 @@
 // controllers in the order of the ranking; this node binds the tasks of the teams that it
 // leads and leaves the room of the others to their leaders.
 func (c *Core) schedule() {
-	defer c.deliverAll()
+	defer c.agents.deliverAll()
 	if !c.replica.loaded || !c.catalog.Loaded() || !c.scheduler.startRound(c.now.Steady, c.reportInterval()/30) {
 		return
 	}
--- a/internal/core/silence.go
+++ b/internal/core/silence.go
@@ -26,3 +26,10 @@
 	attempts := 1 + c.members.missing()
 	return 2*c.reportInterval() + time.Duration(attempts)*(protocol.ReportTimeout+protocol.ReportPause)
 }
+
+// reportOverdue tells whether a machine's reports don't come, though it may answer direct
+// calls. Such a machine is probed, so that the ends of its tasks are known, and gets nothing
+// new, which would be lost when its lease ends (docs/incidents/mute.md).
+func (c *Core) reportOverdue(m *worker.Machine) bool {
+	return c.now.Steady-m.LastReport >= 2*c.reportInterval()+c.reportInterval()/2
+}
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -309,7 +309,7 @@
 	batch := w.inbox[node]
 	w.inbox[node] = nil
 	effects := c.Step(Now{Steady: w.now, Wall: w.now.Milliseconds()}, batch)
-	for token := range c.tokens.acquired {
+	for token := range c.agents.tokens.acquired {
 		w.checkToken(node, token)
 	}
 	for _, e := range effects {
@@ -345,7 +345,7 @@
 	if !w.run(20*time.Second, func() bool {
 		for _, n := range w.names {
 			c := w.cores[n]
-			if c == nil || !c.replica.loaded || !c.catalog.Loaded() || c.tokens.current == 0 || c.fleet.leader == "" {
+			if c == nil || !c.replica.loaded || !c.catalog.Loaded() || c.agents.tokens.current == 0 || c.fleet.leader == "" {
 				return false
 			}
 		}
--- a/internal/core/startledger_test.go
+++ b/internal/core/startledger_test.go
@@ -49,15 +49,15 @@
 		c := newWorld(t).cores["a"]
 		c.replica.revision = 9
 		c.agents.add("vm", newAgentSession(1, 0, ""))
-		c.startLedgers.record(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Revision: 5}, false, c.now.Steady)
+		c.agents.startLedgers.record(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Revision: 5}, false, c.now.Steady)
 		if k.state != "" {
 			c.rememberFinalState("req-free-1", protocol.JobState{ID: "req-free-1", State: k.state})
 		}
 		if k.gone {
 			c.noteEnd("req-free-1", 8)
 		}
-		c.expireStartDecisions()
-		if _, kept := c.startLedgers.find("vm", 1, taskAttempt{"req-free-1/0", 1}); kept != k.kept {
+		c.agents.expireStartDecisions()
+		if _, kept := c.agents.startLedgers.find("vm", 1, taskAttempt{"req-free-1/0", 1}); kept != k.kept {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 	}
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -56,12 +56,12 @@
 	w.run(8*time.Second, func() bool { return len(c.agents.byMachine) > 0 })
 	for id, k := range c.agents.all() {
 		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: k.token, Epoch: k.epoch, Need: job.Resources{CPUs: 1}}
-		if why := c.refusalReasonFor(&s); why != "" {
+		if why := c.agents.refusalReasonFor(&s); why != "" {
 			t.Errorf("healthy: %s", why)
 		}
 		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: k.token}})
 		w.step("a")
-		if why := c.refusalReasonFor(&s); why == "" {
+		if why := c.agents.refusalReasonFor(&s); why == "" {
 			t.Error("a worker without an answer takes starts")
 		}
 		return
@@ -84,13 +84,13 @@
 	} {
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
-		c.tokens.acquired[3], c.tokens.acquired[5] = true, true
+		c.agents.tokens.acquired[3], c.agents.tokens.acquired[5] = true, true
 		w := newAgentSession(5, 2, "")
 		c.agents.add("vm", w)
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node, m.Session = "vm", "small", "a", 2
 		s.Machine, s.Task, s.Attempt = "vm", "req-free-1/0", 1
-		c.forwardStart("b", s)
+		c.agents.forwardStart("b", s)
 		if waits := len(w.queuedStarts) > 0; waits != (name == "as it is") {
 			t.Errorf("%s: it waits to be delivered: %v", name, waits)
 		}
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -34,103 +34,103 @@
 
 // acquireToken takes the next token from the counter in the store, by one conditional write,
 // for all agents that wait for one.
-func (c *Core) acquireToken() {
-	if c.tokens.acquiring {
+func (a *agentController) acquireToken() {
+	if a.tokens.acquiring {
 		return
 	}
-	c.tokens.acquiring = true
-	c.get(keyToken, func(r StoreReply) {
+	a.tokens.acquiring = true
+	a.core.get(keyToken, func(r StoreReply) {
 		var counter tokenCounter
 		switch r.Outcome {
 		case Missing:
 		case Applied:
 			if err := json.Unmarshal(r.Item.Value, &counter); err != nil {
-				c.tokenUnavailable()
+				a.tokenUnavailable()
 				return
 			}
 		default:
-			c.tokenUnavailable()
+			a.tokenUnavailable()
 			return
 		}
-		c.writeToken(counter.Token+1, r.Item.Version)
+		a.writeToken(counter.Token+1, r.Item.Version)
 	})
 }
 
 // writeToken writes a token to the counter if that still has the given version.
-func (c *Core) writeToken(token, version uint64) {
-	next := tokenCounter{Token: token, Node: c.cfg.Node, Incarnation: c.members.incarnation}
+func (a *agentController) writeToken(token, version uint64) {
+	next := tokenCounter{Token: token, Node: a.core.cfg.Node, Incarnation: a.core.members.incarnation}
 	txn := protocol.Txn{
 		If:   []protocol.Condition{{Key: keyToken, Version: version}},
 		Then: []protocol.Change{putJSON(keyToken, next)},
 	}
-	c.compareAndSwap(txn, true, func(r StoreReply) {
-		c.tokens.acquiring = false
+	a.core.compareAndSwap(txn, true, func(r StoreReply) {
+		a.tokens.acquiring = false
 		switch r.Outcome {
 		case Applied:
-			c.tokenAcquired(token)
+			a.tokenAcquired(token)
 		case Conflict, Unknown:
 			// Another node has the token, or nobody knows who has: take the next.
-			c.acquireToken()
+			a.acquireToken()
 		default:
-			c.tokenUnavailable()
+			a.tokenUnavailable()
 		}
 	})
 }
 
 // tokenUnavailable sends the waiting agents to other controllers.
-func (c *Core) tokenUnavailable() {
-	c.tokens.acquiring = false
-	for _, heartbeat := range c.tokens.takeWaitingHeartbeats() {
-		c.replyUnavailable(heartbeat.Req)
+func (a *agentController) tokenUnavailable() {
+	a.tokens.acquiring = false
+	for _, heartbeat := range a.tokens.takeWaitingHeartbeats() {
+		a.core.replyUnavailable(heartbeat.Req)
 	}
 }
 
 // tokenAcquired makes a token the current one, for all agents that wait for it.
-func (c *Core) tokenAcquired(token uint64) {
-	c.tokens.current = token
-	c.tokens.acquired[token] = true
-	c.log(Info, "fencing token acquired", "token", token)
-	waiting := c.tokens.takeWaitingHeartbeats()
-	for machine, above := range ordered(c.tokens.pendingRaises) {
-		if session := c.agents.session(machine); session != nil && session.token <= above {
-			c.raiseToken(machine, session)
+func (a *agentController) tokenAcquired(token uint64) {
+	a.tokens.current = token
+	a.tokens.acquired[token] = true
+	a.core.log(Info, "fencing token acquired", "token", token)
+	waiting := a.tokens.takeWaitingHeartbeats()
+	for machine, above := range ordered(a.tokens.pendingRaises) {
+		if session := a.session(machine); session != nil && session.token <= above {
+			a.raiseToken(machine, session)
 		}
 	}
-	clear(c.tokens.pendingRaises)
+	clear(a.tokens.pendingRaises)
 	for _, heartbeat := range waiting {
-		c.handleHeartbeat(heartbeat)
+		a.handleHeartbeat(heartbeat)
 	}
 }
 
 // raiseToken moves an agent to the current token and tells it at once.
-func (c *Core) raiseToken(machine string, session *agentSession) {
-	session.setToken(c.tokens.current)
+func (a *agentController) raiseToken(machine string, session *agentSession) {
+	session.setToken(a.tokens.current)
 	session.probeDue = true
 	// Leaders must not bind under the token before any more.
-	if m := c.machines.Get(machine); m != nil {
-		c.shareObservation(Observation{Node: c.cfg.Node, Token: session.token, Report: m.Report})
+	if m := a.core.machines.Get(machine); m != nil {
+		a.core.shareObservation(Observation{Node: a.core.cfg.Node, Token: session.token, Report: m.Report})
 	}
-	c.deliverTo(machine, session)
+	a.deliverTo(machine, session)
 }
 
 // fence raises an agent's token above one under which a start is unresolved.
-func (c *Core) fence(f Fence) {
-	session := c.agents.session(f.Machine)
+func (a *agentController) fence(f Fence) {
+	session := a.session(f.Machine)
 	if session == nil || session.token > f.Above {
 		return
 	}
-	if c.tokens.current > f.Above && c.tokens.current > session.token {
-		c.raiseToken(f.Machine, session)
+	if a.tokens.current > f.Above && a.tokens.current > session.token {
+		a.raiseToken(f.Machine, session)
 		return
 	}
-	c.tokens.pendingRaises[f.Machine] = max(c.tokens.pendingRaises[f.Machine], f.Above)
-	c.acquireToken()
+	a.tokens.pendingRaises[f.Machine] = max(a.tokens.pendingRaises[f.Machine], f.Above)
+	a.acquireToken()
 }
 
 // retryPendingRaises asks for a token again if it was not to be had before: the leaders that
 // asked for a fence may not be heard any more.
-func (c *Core) retryPendingRaises() {
-	if len(c.tokens.pendingRaises) > 0 {
-		c.acquireToken()
+func (a *agentController) retryPendingRaises() {
+	if len(a.tokens.pendingRaises) > 0 {
+		a.acquireToken()
 	}
 }
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -44,7 +44,7 @@
 	highest := func() uint64 {
 		most := uint64(0)
 		for _, c := range w.cores {
-			most = max(most, c.tokens.current)
+			most = max(most, c.agents.tokens.current)
 		}
 		return most
 	}
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -26,7 +26,7 @@
 	}
 	due := func(ref job.TaskRef, b *job.Binding) bool { return c.dueForUnreachableLeader(ref, b, w, m) }
 	c.eachBindingOn(id, due, func(j *job.Job, i int, b *job.Binding) {
-		start, decided := c.startLedgers.find(id, b.Token, taskAttempt{j.TaskID(i), b.Attempt})
+		start, decided := c.agents.startLedgers.find(id, b.Token, taskAttempt{j.TaskID(i), b.Attempt})
 		if !decided {
 			c.startForLeader(j, i, b)
 			return
@@ -34,7 +34,7 @@
 		// Whether the start has come to the worker is not known: a newer token shows it, as
 		// the leader would ask for.
 		if !start.refused && c.now.Steady-start.at > 2*c.reportInterval() {
-			c.fence(Fence{Machine: id, Above: b.Token})
+			c.agents.fence(Fence{Machine: id, Above: b.Token})
 		}
 	})
 }
@@ -54,7 +54,7 @@
 // startForLeader forwards the start of a task that its leader may not be able to ask for.
 func (c *Core) startForLeader(j *job.Job, i int, b *job.Binding) {
 	c.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
-	c.forwardStart(c.teamBy[j.Team].leader, Start{
+	c.agents.forwardStart(c.teamBy[j.Team].leader, Start{
 		Machine:  b.Machine,
 		Task:     j.TaskID(i),
 		Attempt:  b.Attempt,
