--- /dev/null
+++ b/internal/federation/transport/listen.go
@@ -0,0 +1,145 @@
+//lint:file-ignore SA1019 net/http has no way yet to serve HTTP/2 on one connection that was accepted and checked before.
+
+package transport
+
+import (
+	"bufio"
+	"context"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"slices"
+	"time"
+
+	"golang.org/x/net/http2"
+
+	"pepperlever/internal/core"
+	"pepperlever/internal/federation"
+)
+
+const (
+	// acceptRetryDelay is the pause after a connection could not be accepted.
+	acceptRetryDelay = 200 * time.Millisecond
+	// maxStreams bounds the streams on a connection.
+	maxStreams = 4
+)
+
+// notPeerError refuses a certificate that names no peer.
+type notPeerError struct {
+	names []string
+	site  federation.Site
+}
+
+// Error names the site of the certificate and this one.
+func (e notPeerError) Error() string {
+	return fmt.Sprintf("site %v is no peer of %s", e.names, e.site)
+}
+
+func (l *Links) serve(ctx context.Context, listener net.Listener) error {
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
+	for {
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return ctx.Err()
+		}
+		if err != nil {
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		go l.accept(ctx, conn)
+	}
+}
+
+// accept serves one connection of a site that proves who it is.
+func (l *Links) accept(ctx context.Context, raw net.Conn) {
+	current := l.generation()
+	timeout := idleTimeout(current.cfg)
+	conn := tls.Server(raw, &tls.Config{
+		MinVersion:   tls.VersionTLS13,
+		Certificates: []tls.Certificate{current.secrets.own},
+		ClientAuth:   tls.RequireAndVerifyClientCert,
+		ClientCAs:    current.secrets.authority,
+		NextProtos:   []string{http2.NextProtoTLS},
+	})
+	defer conn.Close()
+	handshakeCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	if err := conn.HandshakeContext(handshakeCtx); err != nil {
+		l.Refused.Add(1)
+		slog.Error("connection refused", "from", raw.RemoteAddr().String(), "error", err)
+		return
+	}
+	done := make(chan struct{})
+	defer close(done)
+	go func() { // old certificates do not outlive a change
+		select {
+		case <-current.changed:
+			conn.Close()
+		case <-done:
+		}
+	}()
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.receive(w, r, current) })
+	server := &http2.Server{MaxConcurrentStreams: maxStreams, ReadIdleTimeout: 2 * timeout, PingTimeout: timeout}
+	server.ServeConn(conn, &http2.ServeConnOpts{Context: ctx, Handler: handler})
+}
+
+// sender is the peer that a certificate names.
+func sender(cert *x509.Certificate, cfg *federation.Config) (federation.Site, error) {
+	for _, peer := range cfg.Peers {
+		if slices.Contains(cert.DNSNames, string(peer.Site)) {
+			return peer.Site, nil
+		}
+	}
+	return "", notPeerError{cert.DNSNames, cfg.Site}
+}
+
+// receive reads one site's messages for as long as its stream lasts.
+func (l *Links) receive(w http.ResponseWriter, r *http.Request, current generation) {
+	from, err := sender(r.TLS.PeerCertificates[0], current.cfg)
+	if err != nil || r.URL.Path != streamPath {
+		l.Refused.Add(1)
+		slog.Error("stream refused", "error", err)
+		http.Error(w, fmt.Sprint(err), http.StatusForbidden)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+	controller := http.NewResponseController(w)
+	if err := controller.Flush(); err != nil {
+		return
+	}
+	lines := bufio.NewReaderSize(r.Body, maxLineBytes)
+	for {
+		line, err := readLine(lines)
+		if err != nil && !errors.Is(err, errLineTooLong) {
+			return
+		}
+		if err == nil {
+			err = l.receiveLine(line, from, current)
+		}
+		if err != nil && l.refuse(w, controller, from, err) != nil {
+			return
+		}
+	}
+}
+
+// receiveLine passes a message on.
+func (l *Links) receiveLine(line []byte, from federation.Site, current generation) error {
+	message, err := parseMessage(line, from, current)
+	if err != nil {
+		return err
+	}
+	l.emit(core.SiteMessageReceived{Message: message})
+	return nil
+}
+
+// refuse answers a line that is not accepted with the reason; the others go on.
+func (l *Links) refuse(w http.ResponseWriter, controller *http.ResponseController, from federation.Site, reason error) error {
+	l.Refused.Add(1)
+	slog.Error("message from site refused", "site", from, "error", reason)
+	fmt.Fprintln(w, reason)
+	return controller.Flush()
+}
