--- a/internal/core/besteffort.go
+++ b/internal/core/besteffort.go
@@ -34,15 +34,15 @@
 }
 
 // isSpotOnly tells whether a job is kept off machines that have cheaper spot ones.
-func (r *round) isSpotOnly(u *candidate, j *job.Job) bool {
-	return j.Spot && r.core.policy.Spot && r.entitlement(u, j) == scaling.BestEffort
+func (r *round) isSpotOnly(queue *teamQueue, j *job.Job) bool {
+	return j.Spot && r.core.policy.Spot && r.entitlement(queue, j) == scaling.BestEffort
 }
 
 // hostsFor lists the hosts for a job. Best-effort work that may use spot machines is kept off
 // ordinary ones: it would keep them from emptying, at several times the price. Its short tasks
 // may fill the gaps beside other work.
-func (r *round) hostsFor(u *candidate, j *job.Job) []*placement.Host {
-	if !r.isSpotOnly(u, j) {
+func (r *round) hostsFor(queue *teamQueue, j *job.Job) []*placement.Host {
+	if !r.isSpotOnly(queue, j) {
 		return r.openHosts
 	}
 	short := j.EstimateS <= r.core.catalog.ShortestBootS()
--- a/internal/core/fairness/hmrf.go
+++ b/internal/core/fairness/fairness.go
@@ -1,4 +1,4 @@
-// Package fairness ranks teams by H-MRF, long-term multi-resource fairness.
+// Package fairness ranks teams by H-MRF, a long-term fairness over several resources.
 package fairness
 
 // Vector holds an amount of each resource: CPUs, GPUs and memory.
@@ -41,8 +41,9 @@
 		if r.Base[i] <= 0 {
 			continue
 		}
-		if d := r.Use[i] / r.Base[i]; !asked || d < least {
-			least, asked = d, true
+		degree := r.Use[i] / r.Base[i]
+		if !asked || degree < least {
+			least, asked = degree, true
 		}
 	}
 	if !asked {
@@ -62,44 +63,51 @@
 // Shares splits capacity by weight. Teams without any guarantee share equally.
 func Shares(capacity Vector, weights []float64) []Vector {
 	total := 0.0
-	for _, w := range weights {
-		total += w
+	for _, weight := range weights {
+		total += weight
 	}
-	out := make([]Vector, len(weights))
-	for i, w := range weights {
+	shares := make([]Vector, len(weights))
+	for i, weight := range weights {
 		part := 1 / float64(len(weights))
 		if total > 0 {
-			part = w / total
+			part = weight / total
 		}
-		out[i] = Vector{}.Add(capacity, part)
+		shares[i] = Vector{}.Add(capacity, part)
 	}
-	return out
+	return shares
 }
 
-// tolerance makes two degrees or uses equal that differ by rounding only.
-const tolerance = 1e-9
+const (
+	// tolerance makes two degrees or uses equal that differ by rounding only.
+	tolerance = 1e-9
+	// notOverdue is added to the degree of teams that are not overdue, so that they come after
+	// all that are.
+	notOverdue = 1e12
+)
 
-// Next picks the team whose turn it is among teams, or -1 when there is none.
-// skip marks teams that do not take part.
+// Next picks the team to be served next among teams, or -1 when there is none: an overdue one,
+// or else the one that sharing costs most, or else the one that has used least. skip marks
+// teams that do not take part.
 func Next(teams []Team, skip []bool, capacity Vector) int {
-	if i := lowest(teams, skip, overdueKey); i >= 0 && teams[i].Overdue {
+	if i := lowest(teams, skip, overdueDegree); i >= 0 && teams[i].Overdue {
 		return i
 	}
-	if i := lowest(teams, skip, degreeKey); i >= 0 && teams[i].Record.Degree() < 1-tolerance {
+	if i := lowest(teams, skip, degree); i >= 0 && teams[i].Record.Degree() < 1-tolerance {
 		return i
 	}
-	least := lowest(teams, skip, func(t *Team) float64 { return sumUse(t, capacity) })
+	least := lowest(teams, skip, func(t *Team) float64 { return t.totalUse(capacity) })
 	if least < 0 {
 		return -1
 	}
-	bound := sumUse(&teams[least], capacity) + tolerance
-	tied := make([]bool, len(teams))
+	bound := teams[least].totalUse(capacity) + tolerance
+	skipOthers := make([]bool, len(teams))
 	for i := range teams {
-		tied[i] = skip[i] || sumUse(&teams[i], capacity) > bound
+		skipOthers[i] = skip[i] || teams[i].totalUse(capacity) > bound
 	}
-	return lowest(teams, tied, func(t *Team) float64 { return dominant(t, capacity) })
+	return lowest(teams, skipOthers, func(t *Team) float64 { return t.dominantUse(capacity) })
 }
 
+// lowest finds the first team with the lowest key, or -1 when all are skipped.
 func lowest(teams []Team, skip []bool, key func(*Team) float64) int {
 	best := -1
 	for i := range teams {
@@ -110,16 +118,19 @@
 	return best
 }
 
-func overdueKey(t *Team) float64 {
+// degree is a team's sharing degree.
+func degree(t *Team) float64 { return t.Record.Degree() }
+
+// overdueDegree puts overdue teams before all others, by their degree.
+func overdueDegree(t *Team) float64 {
 	if t.Overdue {
 		return t.Record.Degree()
 	}
-	return t.Record.Degree() + 1e12
+	return t.Record.Degree() + notOverdue
 }
 
-func degreeKey(t *Team) float64 { return t.Record.Degree() }
-
-func sumUse(t *Team, capacity Vector) float64 {
+// totalUse sums up the parts of the capacity that a team uses of each resource.
+func (t *Team) totalUse(capacity Vector) float64 {
 	sum := 0.0
 	for i, c := range capacity {
 		if c > 0 {
@@ -129,7 +140,9 @@
 	return sum
 }
 
-func dominant(t *Team, capacity Vector) float64 {
+// dominantUse is the largest part of the capacity that a team uses of any resource, by its
+// weight.
+func (t *Team) dominantUse(capacity Vector) float64 {
 	most := 0.0
 	for i, c := range capacity {
 		if c > 0 {
--- a/internal/core/gangreservations.go
+++ b/internal/core/gangreservations.go
@@ -21,9 +21,9 @@
 // one would never find as many as it needs.
 func (r *round) reserveForGangs() {
 	var waiting []*job.Job
-	for _, u := range r.candidates {
-		for _, j := range u.jobs {
-			if r.mayReserveForGang(u, j) {
+	for _, queue := range r.queues {
+		for _, j := range queue.jobs {
+			if r.mayReserveForGang(queue, j) {
 				waiting = append(waiting, j)
 			}
 		}
@@ -44,7 +44,7 @@
 // mayReserveForGang tells whether hosts may be reserved for a job now. A gang that its team's
 // limit has no room for may not: it would hold all that comes free, and other teams would wait
 // beside empty machines.
-func (r *round) mayReserveForGang(u *candidate, j *job.Job) bool {
+func (r *round) mayReserveForGang(queue *teamQueue, j *job.Job) bool {
 	if j.Kind != job.Gang || len(j.Bound) > 0 || isBestEffort(j) {
 		return false
 	}
@@ -52,7 +52,7 @@
 		return false
 	}
 	whole := job.Resources{}.Plus(j.Need, float64(j.PendingTasks()))
-	return withinLimit(u.team, u.usage.Plus(whole, 1))
+	return withinLimit(queue.team, queue.usage.Plus(whole, 1))
 }
 
 // gangReservationTime is the time of day, in milliseconds, from which hosts are reserved for a
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -21,11 +21,11 @@
 }
 
 // placementOf starts a job's part in the round, or goes on with it.
-func (r *round) placementOf(u *candidate, j *job.Job) *jobPlacement {
-	if p := u.plans[j.ID]; p != nil {
+func (r *round) placementOf(queue *teamQueue, j *job.Job) *jobPlacement {
+	if p := queue.plans[j.ID]; p != nil {
 		return p
 	}
-	hosts := withoutFailed(j, r.hostsFor(u, j))
+	hosts := withoutFailed(j, r.hostsFor(queue, j))
 	p := &jobPlacement{
 		zones:    r.core.zonesOf(j),
 		picker:   placement.NewPicker(j.EffectiveSpec(), hosts),
@@ -36,19 +36,19 @@
 			p.unstored[b.Machine] = true
 		}
 	}
-	u.plans[j.ID] = p
+	queue.plans[j.ID] = p
 	return p
 }
 
 // placeNext places one allocation of a team: a task, or a whole gang. Jobs that find no room
 // make way for the team's next one of the same priority.
-func (r *round) placeNext(u *candidate) (job.Resources, bool) {
-	priority := u.jobs[0].Rank()
-	for len(u.jobs) > 0 && u.jobs[0].Rank() == priority {
-		j := u.jobs[0]
-		need, placed := r.tryPlace(u, j)
-		if !placed || r.unplaced(j, u.plans[j.ID]) == 0 {
-			u.jobs = u.jobs[1:]
+func (r *round) placeNext(queue *teamQueue) (job.Resources, bool) {
+	priority := queue.jobs[0].Rank()
+	for len(queue.jobs) > 0 && queue.jobs[0].Rank() == priority {
+		j := queue.jobs[0]
+		need, placed := r.tryPlace(queue, j)
+		if !placed || r.unplaced(j, queue.plans[j.ID]) == 0 {
+			queue.jobs = queue.jobs[1:]
 		}
 		if placed {
 			return need, true
@@ -58,31 +58,31 @@
 }
 
 // tryPlace places one allocation of a job, and tells what it takes.
-func (r *round) tryPlace(u *candidate, j *job.Job) (job.Resources, bool) {
-	if r.unschedulable.covers(j, r.isSpotOnly(u, j), r.priorReservations) {
+func (r *round) tryPlace(queue *teamQueue, j *job.Job) (job.Resources, bool) {
+	if r.unschedulable.covers(j, r.isSpotOnly(queue, j), r.priorReservations) {
 		waiting := r.core.startAllowance(j)
-		if withinLimit(u.team, u.usage.Plus(j.Need, 1)) {
+		if withinLimit(queue.team, queue.usage.Plus(j.Need, 1)) {
 			r.noteUnschedulable(j, waiting)
 		}
-		r.noteUnplaced(u, j, waiting)
+		r.noteUnplaced(queue, j, waiting)
 		return job.Resources{}, false
 	}
-	p := r.placementOf(u, j)
+	p := r.placementOf(queue, j)
 	tasks := 1
 	if j.Kind == job.Gang {
 		tasks = j.PendingTasks()
 	}
 	need := job.Resources{}.Plus(j.Need, float64(tasks))
-	if !r.mayPlace(u, j, p, need) {
+	if !r.mayPlace(queue, j, p, need) {
 		return job.Resources{}, false
 	}
 	chosen := p.choose(j, tasks, r.unplaced(j, p), r.openHosts)
 	if chosen == nil {
-		r.noteNoRoom(u, j, p)
+		r.noteNoRoom(queue, j, p)
 		return job.Resources{}, false
 	}
-	u.usage = u.usage.Plus(need, 1)
-	r.bindAll(u, j, p, chosen)
+	queue.usage = queue.usage.Plus(need, 1)
+	r.bindAll(queue, j, p, chosen)
 	return need, true
 }
 
@@ -92,11 +92,11 @@
 
 // mayPlace checks the team's limit. Bindings that are not settled count. The machines of
 // bindings that are not stored yet stay within the conditions that one transaction may have.
-func (r *round) mayPlace(u *candidate, j *job.Job, p *jobPlacement, need job.Resources) bool {
+func (r *round) mayPlace(queue *teamQueue, j *job.Job, p *jobPlacement, need job.Resources) bool {
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
 		return false // the old attempt has to be gone first
 	}
-	return withinLimit(u.team, u.usage.Plus(need, 1)) && len(p.unstored) < r.core.limits.maxConditions()-freeConditions
+	return withinLimit(queue.team, queue.usage.Plus(need, 1)) && len(p.unstored) < r.core.limits.maxConditions()-freeConditions
 }
 
 // unplaced is the number of tasks of a job that the round has not placed yet.
@@ -121,8 +121,8 @@
 
 // bindAll binds the next waiting tasks of a job to the chosen hosts, if this node leads the
 // team.
-func (r *round) bindAll(u *candidate, j *job.Job, p *jobPlacement, chosen []*placement.Host) {
-	if !u.team.leading {
+func (r *round) bindAll(queue *teamQueue, j *job.Job, p *jobPlacement, chosen []*placement.Host) {
+	if !queue.team.leading {
 		p.elsewhere += len(chosen)
 		return
 	}
@@ -149,13 +149,13 @@
 
 // noteNoRoom notes that no host has room for a job. The one task at a time of a suspected job
 // asks for no machines, unless none could hold it.
-func (r *round) noteNoRoom(u *candidate, j *job.Job, p *jobPlacement) {
+func (r *round) noteNoRoom(queue *teamQueue, j *job.Job, p *jobPlacement) {
 	if j.Suspected && anyCanHold(&j.Spec, r.openHosts) {
 		return
 	}
-	r.noteUnplaced(u, j, r.unplaced(j, p))
+	r.noteUnplaced(queue, j, r.unplaced(j, p))
 	r.noteUnschedulable(j, r.unplaced(j, p))
-	r.unschedulable.add(j, r.isSpotOnly(u, j))
+	r.unschedulable.add(j, r.isSpotOnly(queue, j))
 }
 
 // noteUnschedulable notes that a job found no room. The first with tasks of a size has a host
@@ -205,25 +205,25 @@
 }
 
 // noteUnplaced notes demand of a number of tasks for scaling out, up to the team's limit.
-func (r *round) noteUnplaced(u *candidate, j *job.Job, tasks int) {
+func (r *round) noteUnplaced(queue *teamQueue, j *job.Job, tasks int) {
 	c := r.core
 	r.gpuStarved = r.gpuStarved || j.Need.GPUs > 0
-	entitlement := r.entitlement(u, j)
+	entitlement := r.entitlement(queue, j)
 	if entitlement == scaling.BestEffort {
 		tasks = bestEffortTasks(j, tasks, c.catalog.LongestBootS())
 	}
-	fit := tasksWithinLimit(u.team, u.usage, j.Need, tasks)
+	fit := tasksWithinLimit(queue.team, queue.usage, j.Need, tasks)
 	if fit == 0 {
 		return
 	}
-	u.usage = u.usage.Plus(j.Need, float64(fit))
+	queue.usage = queue.usage.Plus(j.Need, float64(fit))
 	c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, scaling.Demand{
 		Spec:        &j.Spec,
 		Tasks:       fit,
 		Entitlement: entitlement,
 		Zones:       c.constrainedZones(j),
 	})
-	if u.team.leading {
+	if queue.team.leading {
 		r.starved = append(r.starved, j)
 	}
 }
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -14,9 +14,10 @@
 // round is one round of scheduling: what is to be placed, the hosts, and what has been found
 // out on the way. It reads the cluster from core and changes bindings there.
 type round struct {
-	core       *Core
-	candidates []*candidate
-	// ranking holds the candidates' teams as the ranking sees them.
+	core *Core
+	// queues are the waiting jobs by team.
+	queues []*teamQueue
+	// ranking holds the teams of the queues as the ranking sees them.
 	ranking []fairness.Team
 	// hosts are all schedulable machines, openHosts those with free CPUs.
 	hosts, openHosts []*placement.Host
@@ -43,8 +44,8 @@
 	}
 }
 
-// candidate is one team's part in a round of scheduling.
-type candidate struct {
+// teamQueue is one team's part in a round of scheduling.
+type teamQueue struct {
 	team *team
 	// jobs wait for room, in the order in which they are served.
 	jobs []*job.Job
@@ -88,8 +89,8 @@
 // interval. Then it may use reserved hosts. Until then it takes the gaps beside them, before
 // all others, so that large tasks keep what is reserved for them.
 func (r *round) hasUrgentWork() bool {
-	return slices.ContainsFunc(r.candidates, func(u *candidate) bool {
-		return slices.ContainsFunc(u.jobs, r.isUrgent)
+	return slices.ContainsFunc(r.queues, func(queue *teamQueue) bool {
+		return slices.ContainsFunc(queue.jobs, r.isUrgent)
 	})
 }
 
@@ -98,25 +99,25 @@
 	return j.AboveNormal() && !j.Suspected && waited > r.core.reportInterval()
 }
 
-// collectCandidates lists the teams that wait, with their jobs in order.
-func (r *round) collectCandidates() {
+// collectQueues lists the teams that wait, with their jobs in order.
+func (r *round) collectQueues() {
 	weights := teamWeights(r.core.teams)
 	for i, t := range r.core.teams {
-		u := &candidate{team: t, usage: t.usage(), plans: map[string]*jobPlacement{}}
+		queue := &teamQueue{team: t, usage: t.usage(), plans: map[string]*jobPlacement{}}
 		for _, j := range t.jobs {
 			if r.mayStartNow(j) {
-				u.jobs = append(u.jobs, j)
+				queue.jobs = append(queue.jobs, j)
 			}
 		}
-		if len(u.jobs) == 0 {
+		if len(queue.jobs) == 0 {
 			continue
 		}
-		r.sortJobs(u.jobs)
-		r.candidates = append(r.candidates, u)
+		r.sortJobs(queue.jobs)
+		r.queues = append(r.queues, queue)
 		r.ranking = append(r.ranking, fairness.Team{
 			Record:  t.ranked,
 			Weight:  max(weights[i], 1),
-			Overdue: slices.ContainsFunc(u.jobs, r.isOverdue),
+			Overdue: slices.ContainsFunc(queue.jobs, r.isOverdue),
 		})
 	}
 }
@@ -164,7 +165,7 @@
 
 // entitlement is the right of a job that found no room to expensive machines: the strongest
 // once half of its slack has gone by.
-func (r *round) entitlement(u *candidate, j *job.Job) scaling.Entitlement {
+func (r *round) entitlement(queue *teamQueue, j *job.Job) scaling.Entitlement {
 	c := r.core
 	patience := bestEffortPatience * seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
@@ -172,7 +173,7 @@
 		return scaling.BestEffort
 	case c.now.Wall-j.EligibleSince() > (j.LatestStart()-j.EligibleSince())/2:
 		return scaling.AtRisk
-	case u.usage.CPUs+j.Need.CPUs <= u.team.CPUs:
+	case queue.usage.CPUs+j.Need.CPUs <= queue.team.CPUs:
 		return scaling.Guaranteed
 	}
 	return scaling.Standard
@@ -182,14 +183,14 @@
 // on until no team has anything that fits.
 func (r *round) place() {
 	total := r.core.totalCapacity()
-	finished := make([]bool, len(r.candidates))
+	finished := make([]bool, len(r.queues))
 	for {
 		i := fairness.Next(r.ranking, r.skipLowerPriorities(finished), total)
 		if i < 0 {
 			return
 		}
-		need, placed := r.placeNext(r.candidates[i])
-		finished[i] = len(r.candidates[i].jobs) == 0
+		need, placed := r.placeNext(r.queues[i])
+		finished[i] = len(r.queues[i].jobs) == 0
 		if placed {
 			ranked := &r.ranking[i]
 			ranked.Overdue = false
@@ -202,14 +203,14 @@
 // that waits anywhere: a job of a lower one would be stopped for it.
 func (r *round) skipLowerPriorities(finished []bool) []bool {
 	highest := len(protocol.Priorities)
-	for i, u := range r.candidates {
+	for i, queue := range r.queues {
 		if !finished[i] {
-			highest = min(highest, u.jobs[0].Rank())
+			highest = min(highest, queue.jobs[0].Rank())
 		}
 	}
 	skip := slices.Clone(finished)
-	for i, u := range r.candidates {
-		skip[i] = finished[i] || u.jobs[0].Rank() > highest
+	for i, queue := range r.queues {
+		skip[i] = finished[i] || queue.jobs[0].Rank() > highest
 	}
 	return skip
 }
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -60,8 +60,8 @@
 	}
 	c.scheduler.pendingDemand = nil
 	r := newRound(c)
-	r.collectCandidates()
-	if !c.updateReservations() && len(r.candidates) == 0 {
+	r.collectQueues()
+	if !c.updateReservations() && len(r.queues) == 0 {
 		return
 	}
 	r.run()
