--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -14,7 +14,7 @@
 // fleetSizes are what the costs of one step are compared at.
 var fleetSizes = []int{100, 1400, 2800}
 
-// busyCore is a controller that is home of every team, with one running task on
+// busyCore is a controller that is leader of every team, with one running task on
 // each machine and one job to every ten.
 func busyCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
@@ -75,7 +75,7 @@
 func BenchmarkRound(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, _ int) {
 		t := c.teams[0]
-		t.leading = false // a plan for another home changes nothing, so rounds stay alike
+		t.leading = false // a plan for another leader changes nothing, so rounds stay alike
 		for n := range 10 {
 			j := job.New(job.Spec{ID: fmt.Sprintf("req-9%d", n), Team: t.Name, Tasks: 20, Need: job.Resources{CPUs: 2}, Spot: true}, 64, 0)
 			j.Version = 1
@@ -295,7 +295,7 @@
 	}
 }
 
-// BenchmarkList is the cloud's list of all machines, and what the renter makes of it.
+// BenchmarkList is the cloud's list of all machines, and what the leader of the fleet makes of it.
 func BenchmarkList(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, _ int) {
 		c.fleet.leading = true
@@ -310,7 +310,7 @@
 			c.reconcileInventory()
 		}
 		if len(c.autoscaler.returnReasons) > 0 {
-			b.Fatal("a machine is given up")
+			b.Fatal("a machine is returned")
 		}
 	})
 }
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -6,16 +6,16 @@
 	"pepperlever/internal/core/job"
 )
 
-// Two homes that choose the same room at once must not both keep it, nor both
-// give it up.
-func TestOfTwoClaimsOnOneRoomOneYields(t *testing.T) {
+// TestOneOfTwoConflictingClaimsHolds checks that two leaders that choose the same room at once
+// neither both keep it nor both give it up.
+func TestOneOfTwoConflictingClaimsHolds(t *testing.T) {
 	w := newWorld(t).ready()
 	w.submit("a", "req-red-1", 1, "")
 	w.started("req-red-1", 1) // two of a machine's four CPUs are in use
 	c := w.cores["a"]
 	blue, free := claimant(c, "req-blue-9"), claimant(c, "req-free-9")
 	if !c.claimHolds(blue, 0, blue.Bound[0]) || c.claimHolds(free, 0, free.Bound[0]) {
-		t.Error("the better right and no other must keep the room")
+		t.Error("the claim with precedence and no other must hold")
 	}
 }
 
--- /dev/null
+++ b/internal/core/gangreservations_test.go
@@ -0,0 +1,57 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pepperlever/internal/core/job"
+)
+
+// TestLargeGangBeginsWithinFourMinutesBehindAStreamOfSmallOnes has gangs of one task come all the
+// time, each of which fits on a machine as it comes free.
+func TestLargeGangBeginsWithinFourMinutesBehindAStreamOfSmallOnes(t *testing.T) {
+	w := gpuWorld(t, 4, 12)
+	w.taskTime = 40 * time.Second
+	for n := range 200 {
+		accepted(t, w.submit("a", fmt.Sprintf("req-free-%d", n), 1, gangFields))
+		if n == 12 {
+			accepted(t, w.submit("b", "req-blue-large", 5, gangFields))
+		}
+		w.run(time.Second, nil)
+		if w.startsOf("req-blue-large") == 5 {
+			break
+		}
+	}
+	if n := w.startsOf("req-blue-large"); n != 5 {
+		t.Fatalf("%d of 5 tasks of the large gang were started in four minutes", n)
+	}
+	w.startedOnce()
+}
+
+// TestTwoLargeGangsDoNotDeadlock checks that gangs that want the same zone do not hold half of it
+// each.
+func TestTwoLargeGangsDoNotDeadlock(t *testing.T) {
+	w := gpuWorld(t, 2, 12)
+	w.taskTime = 30 * time.Second
+	ids := []string{"req-free-1", "req-blue-1", "req-free-2", "req-blue-2"}
+	for _, id := range ids {
+		accepted(t, w.submit("a", id, 6, gangFields))
+	}
+	if !w.run(4*time.Minute, w.finished(ids...)) {
+		t.Fatal("gangs do not end")
+	}
+	w.startedOnce()
+}
+
+// TestGangReservationTimeGrowsWithSize checks that hosts are reserved for gangs after a time that
+// grows with their size, and for the largest after three time-outs.
+func TestGangReservationTimeGrowsWithSize(t *testing.T) {
+	c := newWorld(t).cores["a"]
+	for tasks, timeouts := range map[int]float64{1: 0, 2: 3.0 / 16, 4: 15.0 / 16, 8: 3, 100: 3} {
+		j := job.New(job.Spec{Tasks: tasks, Kind: job.Gang, Accepted: 1000}, 64, 0)
+		if got, want := gangReservationTime(j, c.policy.TimeoutS)-1000, int64(timeouts*c.policy.TimeoutS*1000); got != want {
+			t.Errorf("%d tasks: after %d ms, want %d", tasks, got, want)
+		}
+	}
+}
--- a/internal/core/headroom/headroom_test.go
+++ b/internal/core/headroom/headroom_test.go
@@ -13,9 +13,10 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// Room is kept for two of the largest jobs, but never for more than a quarter of what a
-// class has: a single service of thousands must not idle as many places again.
-func TestSpareRoomIsBounded(t *testing.T) {
+// TestHeadroomIsBounded checks that room is reserved for two of the largest jobs, but never for
+// more than a quarter of what a class has: a single service of thousands must not idle as many
+// places again.
+func TestHeadroomIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Class
 		sum, largest := 0, 0
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -17,7 +17,7 @@
 func TestOldShuffledAndShortListsCostNoMachineThatReports(t *testing.T) {
 	const fleet = 2000
 	rng := rand.New(rand.NewPCG(3, 4))
-	c := renter(t, fleet, time.Minute)
+	c := newFleetLeader(t, fleet, time.Minute)
 	all := slices.SortedFunc(maps.Values(c.autoscaler.inventory), func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
 	report := c.reportInterval()
 	for round := range uint64(40) {
@@ -38,9 +38,9 @@
 // The cloud's list lags: a machine may report while it is listed as booting, or
 // not listed at all.
 func TestMachineThatReportsWhileItIsListedAsBootingIsUsedAndKept(t *testing.T) {
-	c := renter(t, 1, 10*time.Minute)
-	c.comesUp("vm-9000")
-	c.comesUp("vm-unheard-of")
+	c := newFleetLeader(t, 1, 10*time.Minute)
+	comeUp(c, "vm-9000")
+	comeUp(c, "vm-unheard-of")
 	c.reconcileInventory()
 	for _, id := range []string{"vm-9000", "vm-unheard-of"} {
 		if why := c.autoscaler.returnReasons[id]; why != "" {
--- a/internal/core/jobzones_test.go
+++ b/internal/core/jobzones_test.go
@@ -72,7 +72,7 @@
 func TestSpreadReplicasGetMachinesInAllZones(t *testing.T) {
 	w := newWorldOf(t, fiveNodes).ready()
 	w.allowRacingStarts = true
-	accepted(t, w.submit("b", "req-free-2", 6, serviceMore))
+	accepted(t, w.submit("b", "req-free-2", 6, serviceFields))
 	w.run(40*time.Second, nil)
 	if zones := w.zonesWith("req-free-2"); zones["z1"] != 3 || zones["z2"] != 3 || w.rented > 12 {
 		t.Errorf("replicas are in %v, %d machines were rented", zones, w.rented)
--- a/internal/core/placement/picker_test.go
+++ b/internal/core/placement/picker_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The picker weighs hosts once for many tasks; it must still use all the room
-// there is, and take the best hosts first.
+// TestPickerFillsTheBestHostsFirstAndMissesNone checks that ranking hosts once for many tasks
+// still uses all the room there is, the best hosts first.
 func TestPickerFillsTheBestHostsFirstAndMissesNone(t *testing.T) {
 	var hosts []*Host
 	for i := range 6 {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -17,7 +17,7 @@
 	return &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: cpus, MemoryGB: 1}}
 }
 
-func TestRulesOfPlacementHold(t *testing.T) {
+func TestAllowedFollowsThePlacementRules(t *testing.T) {
 	zoned, typed, oneZone, spread := spec(1, 1), spec(1, 1), spec(1, 4), spec(1, 5)
 	zoned.Zone, typed.Types, oneZone.OneZone, spread.Spread = "b", []string{}, true, true
 	spot := host("spot", "a", 4)
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestMachineAboutToLeaveTakesOnlyWhatEndsInTime(t *testing.T) {
+func TestHostAboutToGoTakesOnlyWhatEndsInTime(t *testing.T) {
 	h := host("m", "a", 8)
 	h.RemainingS = 10
 	long, short := spec(1, 1), spec(1, 1)
@@ -88,22 +88,22 @@
 	}
 }
 
-func TestDearHostsEmptyWhileOthersHaveRoom(t *testing.T) {
-	dear, cheap := host("dear", "a", 8), host("cheap", "a", 32)
-	dear.PricePremium, dear.Free.CPUs = 1, 1 // nearly full, so the better fit
-	hosts := []*Host{dear, cheap}
+func TestExpensiveHostsAreTheLastChoiceWhileOthersHaveRoom(t *testing.T) {
+	expensive, cheap := host("expensive", "a", 8), host("cheap", "a", 32)
+	expensive.PricePremium, expensive.Free.CPUs = 1, 1 // nearly full, so the better fit
+	hosts := []*Host{expensive, cheap}
 	DeprioritizeSurplus(hosts, 0.1)
 	if h := Choose(spec(1, 1), hosts, nil); h != cheap {
 		t.Errorf("task went to %s", h.ID)
 	}
 	cheap.Free.CPUs = 0
-	if h := Choose(spec(1, 1), hosts, nil); h != dear {
+	if h := Choose(spec(1, 1), hosts, nil); h != expensive {
 		t.Error("a drained host is no choice at all")
 	}
 }
 
-// Thousands of tiny tasks on one machine would make its report longer than a
-// request may be, and the machine could not be heard any more.
+// TestMachineTakesNoMoreTasksThanItsReportCanHold checks that tiny tasks on one machine do not
+// make its report longer than a request may be.
 func TestMachineTakesNoMoreTasksThanItsReportCanHold(t *testing.T) {
 	s := &job.Spec{ID: "req-000001", Need: job.Resources{CPUs: 0.001}}
 	h := &Host{Capacity: job.Resources{CPUs: 64}, Free: job.Resources{CPUs: 64}, RemainingS: -1}
@@ -121,9 +121,9 @@
 
 func (i imageOn) HasImage(name string) bool { return name == string(i) }
 
-// Nearly all that urgent work waited for on the large fleets was the fetch of its
-// image.
-func TestUrgentWorkGoesWhereItsImageIsEvenToADrainedHost(t *testing.T) {
+// TestUrgentWorkFollowsItsImageEvenToASurplusHost checks that work that waits for little else than
+// its fetch goes where its image is.
+func TestUrgentWorkFollowsItsImageEvenToASurplusHost(t *testing.T) {
 	for priority, want := range map[string]string{"critical": "warm", "urgent": "warm", "normal": "cold", "low": "cold"} {
 		warm, cold := host("warm", "a", 32), host("cold", "a", 4)
 		warm.Images, warm.PricePremium, warm.RelativeSize = imageOn("i"), 1, 1
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"pepperlever/internal/core/job"
 )
@@ -22,15 +23,15 @@
 	r.preempt()
 }
 
-// A guest's long tasks for idle time used to hold the large machines while builds
-// waited for minutes; four builds in ten were in time.
-func TestWorkForIdleTimeYieldsToWorkThatFindsNoRoom(t *testing.T) {
+// TestBestEffortWorkIsPreemptedForStarvedWork checks that long best-effort tasks make way for work
+// of higher priority that finds no room, and no other tasks do.
+func TestBestEffortWorkIsPreemptedForStarvedWork(t *testing.T) {
 	for name, k := range map[string]struct {
 		victims, waiting, want int
 	}{
-		"idle work to normal work":   {3, 2, 2},
-		"idle work to idle work":     {3, 3, 0},
-		"normal work to urgent work": {2, 1, 0},
+		"best-effort work for normal work":      {3, 2, 2},
+		"best-effort work for best-effort work": {3, 3, 0},
+		"normal work for urgent work":           {2, 1, 0},
 	} {
 		c := busyCore(10)
 		for _, j := range c.jobs {
@@ -50,3 +51,20 @@
 		}
 	}
 }
+
+// TestArraysArePreemptedForReplicasWithoutRoom checks that arrays are stopped where no room could
+// be reserved for replicas, and no more of them than needed.
+func TestArraysArePreemptedForReplicasWithoutRoom(t *testing.T) {
+	w := gpuWorld(t, 8, 0)
+	w.taskTime = time.Hour
+	accepted(t, w.submit("b", "req-free-batch", 60, `,"vcpus":1.0`))
+	w.started("req-free-batch", 32)
+	accepted(t, w.submit("c", "req-free-watch", 6, serviceFields))
+	w.run(4*time.Second, nil)
+	if got := w.onMachines("req-free-watch"); got != 6 {
+		t.Errorf("%d of 6 replicas are up after 4 s", got)
+	}
+	if got := w.onMachines("req-free-batch"); got < 16 {
+		t.Errorf("%d tasks of the array are left, more were stopped than room was made for", got)
+	}
+}
--- a/internal/core/scaling/plan_test.go
+++ b/internal/core/scaling/plan_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestMachinesOnTheirWayAreNotRentedAgain(t *testing.T) {
+func TestPendingMachinesAreNotRentedAgain(t *testing.T) {
 	room := job.Resources{CPUs: 32, MemoryGB: 128}
 	coming := []*placement.Host{{Type: "large", Zone: "a", Spot: true, Free: room, Capacity: room, RemainingS: -1}}
 	if got := Plan([]Demand{demand(16, 2, true)}, coming, nil, offers(), 9); len(got) != 0 {
@@ -46,10 +46,11 @@
 	}
 }
 
-// Ordinary machines rented for every short backlog made up most of the price.
-func TestDearMachinesAreForWorkThatWouldBeLate(t *testing.T) {
-	dear := offers()[:1]
-	dear[0].MinEntitlement = Guaranteed
+// TestExpensiveMachinesAreForWorkThatWouldBeLate checks that a short backlog alone rents no
+// ordinary machines.
+func TestExpensiveMachinesAreForWorkThatWouldBeLate(t *testing.T) {
+	expensive := offers()[:1]
+	expensive[0].MinEntitlement = Guaranteed
 	guaranteed, pressed := demand(2, 2, true), demand(2, 2, true)
 	guaranteed.Entitlement, pressed.Entitlement = Guaranteed, AtRisk
 	for name, c := range map[string]struct {
@@ -61,7 +62,7 @@
 		"would be late":    {pressed, 1},
 		"may not use spot": {demand(2, 2, false), 1},
 	} {
-		if got := Plan([]Demand{c.demand}, nil, nil, dear, 9); len(got) != c.orders {
+		if got := Plan([]Demand{c.demand}, nil, nil, expensive, 9); len(got) != c.orders {
 			t.Errorf("%s: got %+v", name, got)
 		}
 	}
@@ -73,28 +74,27 @@
 	}
 }
 
-// Machines used to be rented for work that had idle work stopped at the same
-// moment: hundreds came, found nothing to do and went back.
-func TestRoomOfIdleWorkIsNotRentedAgainForOtherWork(t *testing.T) {
-	yielding := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1,
+// TestPreemptibleRoomIsNotRentedAgain checks that no machines are rented for work that has best-
+// effort work stopped at the same moment.
+func TestPreemptibleRoomIsNotRentedAgain(t *testing.T) {
+	preemptible := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1,
 		Capacity: job.Resources{CPUs: 64, MemoryGB: 256}, Free: job.Resources{CPUs: 64, MemoryGB: 256}}}
 	d := demand(16, 2, true)
 	for right, want := range map[Entitlement]int{BestEffort: 1, Standard: 0, AtRisk: 0} {
 		d.Entitlement = right
-		if got := Plan([]Demand{d}, nil, yielding, offers(), 9); len(got) != want {
+		if got := Plan([]Demand{d}, nil, preemptible, offers(), 9); len(got) != want {
 			t.Errorf("right %d: %d orders, want %d", right, len(got), want)
 		}
 	}
 }
 
-// Machines were rented where they are cheapest, whatever zone the other tasks of the job are
-// in: a service that is to be spread waited for its second replica for ever, and machines
-// of the wrong zone came and went.
+// TestRentsWhereTheTasksMayGo checks that machines are rented in the zones that the other tasks of
+// the job allow, not where they are cheapest.
 func TestRentsWhereTheTasksMayGo(t *testing.T) {
 	small := protocol.MachineType{Name: "small", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.4}
-	dear := small
-	dear.Price, dear.SpotPrice = 2, 0.8
-	both := []Offer{{Type: small, Zone: "a"}, {Type: dear, Zone: "b"}}
+	expensive := small
+	expensive.Price, expensive.SpotPrice = 2, 0.8
+	both := []Offer{{Type: small, Zone: "a"}, {Type: expensive, Zone: "b"}}
 	coming := func() []*placement.Host {
 		return []*placement.Host{{Zone: "a", Type: "small", Free: job.Resources{CPUs: 4, MemoryGB: 16}, RemainingS: -1}}
 	}
@@ -127,9 +127,9 @@
 	}
 }
 
-// Nor is the room counted where stopping idle work would lose more than the work that waits:
-// nothing was stopped for it there and nothing rented, for as long as the idle tasks ran.
-func TestRoomOfIdleWorkCountsOnlyWhereItIsStopped(t *testing.T) {
+// TestPreemptibleRoomCountsOnlyWhereWorkIsStopped checks that the room of best-effort work does
+// not count where stopping it would lose more than the work that waits.
+func TestPreemptibleRoomCountsOnlyWhereWorkIsStopped(t *testing.T) {
 	size := job.Resources{CPUs: 64, MemoryGB: 256}
 	for name, c := range map[string]struct {
 		loss, perCPU float64
@@ -144,8 +144,8 @@
 	} {
 		d := demand(16, 2, true)
 		d.Spec.EstimateS, d.Spec.Kind, d.Spec.Tasks, d.Entitlement = 30, c.kind, 2, Standard
-		yielding := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1, Capacity: size, Free: size, PreemptionLoss: c.loss, PreemptionLossPerCPU: c.perCPU}}
-		if got := Plan([]Demand{d}, nil, yielding, offers(), 9); len(got) != c.orders {
+		preemptible := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1, Capacity: size, Free: size, PreemptionLoss: c.loss, PreemptionLossPerCPU: c.perCPU}}
+		if got := Plan([]Demand{d}, nil, preemptible, offers(), 9); len(got) != c.orders {
 			t.Errorf("%s: %d orders, want %d", name, len(got), c.orders)
 		}
 	}
--- a/internal/core/spot_test.go
+++ b/internal/core/spot_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// spotLoss starts a long task and lets lose act on its machine; it tells how
-// long the task's second start took.
-func spotLoss(t *testing.T, lose func(w *world, f *fakeWorker)) time.Duration {
+// restartDelay starts a long task and lets lose act on its machine; it tells how long the
+// task's second start took.
+func restartDelay(t *testing.T, lose func(w *world, f *fakeWorker)) time.Duration {
 	t.Helper()
 	w := newWorld(t).ready()
 	w.submit("a", "req-blue-1", 1, `,"guessS":400.0`)
@@ -32,10 +32,10 @@
 	return w.now - from
 }
 
-// A machine that was taken back used to be missed only after its silence, and
-// its tasks with it.
-func TestTasksOfAMachineTakenBackOnNoticeStartElsewhereAtOnce(t *testing.T) {
-	late := spotLoss(t, func(w *world, f *fakeWorker) {
+// TestTasksOfAReclaimedMachineRestartElsewhereAtOnce checks that the notice of a machine's end is
+// enough: its silence is not waited for.
+func TestTasksOfAReclaimedMachineRestartElsewhereAtOnce(t *testing.T) {
+	late := restartDelay(t, func(w *world, f *fakeWorker) {
 		notice := 1.0
 		f.NoticeS = &notice
 		w.report(f)
@@ -46,8 +46,10 @@
 	}
 }
 
-func TestTaskThatCannotEndBeforeItsMachineGoesMovesAtOnce(t *testing.T) {
-	late := spotLoss(t, func(w *world, f *fakeWorker) {
+// TestTaskThatCannotEndBeforeReclaimMovesAtOnce checks that a task that would be cut short is
+// moved while its machine still runs.
+func TestTaskThatCannotEndBeforeReclaimMovesAtOnce(t *testing.T) {
+	late := restartDelay(t, func(w *world, f *fakeWorker) {
 		notice := 30.0
 		f.NoticeS = &notice
 		w.report(f)
@@ -57,10 +59,11 @@
 	}
 }
 
-// Without a notice the cloud's list tells sooner than the machine's silence.
-func TestSilentMachineThatIsNoLongerListedIsGivenUpSooner(t *testing.T) {
-	hung := spotLoss(t, func(_ *world, f *fakeWorker) { f.dead = true })
-	taken := spotLoss(t, func(w *world, f *fakeWorker) {
+// TestUnlistedSilentMachineIsReturnedSooner checks that without a notice the cloud's list tells
+// sooner than the machine's silence.
+func TestUnlistedSilentMachineIsReturnedSooner(t *testing.T) {
+	hung := restartDelay(t, func(_ *world, f *fakeWorker) { f.dead = true })
+	taken := restartDelay(t, func(w *world, f *fakeWorker) {
 		f.dead = true
 		w.unlisted = f.Machine
 	})
--- a/internal/core/zoneoutage_test.go
+++ b/internal/core/zoneoutage_test.go
@@ -62,7 +62,7 @@
 // ten machines of each zone.
 func fleetLeaderInZ1(t *testing.T) *Core {
 	t.Helper()
-	c := renter(t, 0, 0)
+	c := newFleetLeader(t, 0, 0)
 	c.cfg.Zone = "z1"
 	c.cfg.Peers[0].Zone, c.cfg.Peers[1].Zone = "z1", "z2"
 	for i := range 20 {
