--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -96,10 +96,12 @@
 	s.order = kept
 }
 
-// acknowledge notes that a controller knows of a job's cancellation.
-func (s *announcementSet) acknowledge(job, node string) {
-	if a := s.byJob[job]; a != nil {
-		a.acknowledgedBy[node] = true
+// acknowledge notes that a controller knows of the cancellations of jobs.
+func (s *announcementSet) acknowledge(node string, jobs ...string) {
+	for _, job := range jobs {
+		if a := s.byJob[job]; a != nil {
+			a.acknowledgedBy[node] = true
+		}
 	}
 }
 
@@ -128,6 +130,17 @@
 	return false
 }
 
+// unacknowledgedBy names those of the given controllers that are not known to know of some
+// cancellation.
+func (s *announcementSet) unacknowledgedBy(nodes []string, peers *peerTable) (out []string) {
+	for _, node := range nodes {
+		if s.hasUnacknowledged(node, peers) {
+			out = append(out, node)
+		}
+	}
+	return out
+}
+
 // unacknowledged counts the cancellations that some controller is not known to know.
 func (s *announcementSet) unacknowledged(peers *peerTable) (n int) {
 	for _, a := range s.byJob {
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -95,7 +95,7 @@
 	c.peers.setConnected("b", true)
 	c.effects = nil
 	c.now.Steady = time.Minute
-	c.announceAgainTo("b")
+	c.repeatAnnouncements()
 	if m := c.effects[0].(SendPeer); len(m.Message.Cancellations) != cancellationsPerMessage {
 		t.Errorf("a message has %d cancellations", len(m.Message.Cancellations))
 	}
@@ -177,7 +177,7 @@
 	w.crash("d")
 	w.run(2*time.Second, nil)
 	b := w.cores["b"]
-	if !b.announcements.has(cancelledJob) || b.knownToAnother(b.announcements.of(cancelledJob)) {
+	if !b.announcements.has(cancelledJob) || b.reach.knownToAnother(b.announcements.of(cancelledJob)) {
 		t.Fatal("b is not the only one that knows")
 	}
 	for _, make1 := range []func(req uint64) Command{
--- a/internal/core/announcing.go
+++ b/internal/core/announcing.go
@@ -57,28 +57,20 @@
 		}
 		c.noteCancellation(k)
 		known = append(known, k.Job)
-		c.announcements.acknowledge(k.Job, node)
+		c.announcements.acknowledge(node, k.Job)
 	}
 	if len(known) > 0 {
 		c.sendTo(node, PeerMessage{Acknowledged: known})
 	}
 }
 
-// handleAcknowledgements notes of which jobs a controller has said that it knows them to be
-// cancelled.
-func (c *Core) handleAcknowledgements(node string, jobs []string) {
-	for _, id := range jobs {
-		c.announcements.acknowledge(id, node)
-	}
-}
-
 // announceCancel tells all other controllers of a cancellation that this node has stored or
 // is asked about, ahead of their watches, which may be refused or end with the store at any
 // moment. No user is told before another controller knows: otherwise nobody would know
 // if this node failed and the store with it.
 func (c *Core) announceCancel(id string) {
 	a := c.announcements.of(id)
-	if a == nil || c.knownToAnother(a) {
+	if a == nil || c.reach.knownToAnother(a) {
 		return
 	}
 	c.broadcast(PeerMessage{Cancellations: []Cancellation{a.Cancellation}})
@@ -104,7 +96,7 @@
 func (c *Core) answerAnnounced() {
 	for id, a := range ordered(c.announcements.unconfirmed) {
 		outcome := lookup.Unavailable
-		if c.knownToAnother(a) {
+		if c.reach.knownToAnother(a) {
 			outcome = lookup.Final
 			delete(c.announcements.unconfirmed, id)
 		}
@@ -121,38 +113,18 @@
 	}
 }
 
-// knownToAnother tells whether a second controller knows of a cancellation, or there is none.
-// One of an older release can't say so: it is left to its watch.
-func (c *Core) knownToAnother(a *cancelAnnouncement) bool {
-	alone := true
-	for node, p := range c.peers.states {
-		inContact := c.inDirectContact(node)
-		if a.knownTo(node, c.peers) || inContact && p.lastHeartbeatID == "" {
-			return true
-		}
-		live := c.members.isLive(node)
-		alone = alone && !live && !inContact
-	}
-	return alone
-}
-
 // repeatAnnouncements announces cancellations again to all that are not known to know, until
-// they do, over every route there is. Stops are repeated until reports show the end.
+// they do, over every route there is. For a report interval they are left to the first
+// announcement and to the watches. Stops are repeated until reports show the end.
 func (c *Core) repeatAnnouncements() {
-	c.announcements.expire(c.now.Steady, announcementLifetime*c.cancelDeadline())
+	c.announcements.expire(c.now.Steady, announcementLifetime*c.times.cancelDeadline())
 	for _, node := range c.peers.names {
-		c.announceAgainTo(node)
+		due := c.announcements.dueFor(node, c.peers, c.now.Steady, c.reportInterval())
+		if len(due) > 0 {
+			c.route(node, PeerMessage{Cancellations: due})
+		}
 	}
 	if c.every(&c.timers.stopReported, c.reportInterval()) {
 		c.stopReportedTasks()
 	}
 }
-
-// announceAgainTo tells a controller the cancellations that it is not known to know. For a
-// report interval they are left to the first announcement and to its watch.
-func (c *Core) announceAgainTo(node string) {
-	due := c.announcements.dueFor(node, c.peers, c.now.Steady, c.reportInterval())
-	if len(due) > 0 {
-		c.route(node, PeerMessage{Cancellations: due})
-	}
-}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -2,7 +2,6 @@
 
 import (
 	"strings"
-	"time"
 
 	"github.com/segmentio/encoding/json"
 
@@ -103,15 +102,12 @@
 	evidence, _ := m.Evidence(task, b)
 	if evidence == worker.Inconclusive && c.announcements.has(j.ID) {
 		_, found := m.Find(task, b.Attempt)
-		recent := c.inDirectContact(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
+		recent := c.reach.inDirectContact(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
 		return found || !recent || c.isUnaware(j.ID, b.Machine)
 	}
 	return evidence == worker.Inconclusive || evidence == worker.Present
 }
 
-// cancelDeadline is the time that a cancellation may take.
-func (c *Core) cancelDeadline() time.Duration { return seconds(c.cfg.Params.Workers.CancelS) }
-
 // isUnaware tells whether a machine's controller is not known to know of a cancellation, so
 // that nobody may be stopping the job's tasks there.
 func (c *Core) isUnaware(id, machine string) bool {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,6 +19,7 @@
 type Core struct {
 	cfg    *settings.Settings
 	policy settings.Policy
+	times  workerTimes
 
 	now     Now
 	effects []Effect
@@ -60,6 +61,7 @@
 	lookups     lookup.Queue
 
 	peers *peerTable
+	reach *reachability
 	// storeOK tells whether the store answers this node.
 	storeOK   bool
 	freshness freshnessTracker
@@ -87,6 +89,7 @@
 	c := &Core{
 		cfg:            cfg,
 		policy:         policy,
+		times:          workerTimes{cfg},
 		pendingReplies: pendingReplies{},
 		members:        newMembership(cfg.Node, incarnation, cfg.Peers),
 		limits:         storeLimits{settings: &cfg.Params.State},
@@ -106,12 +109,13 @@
 		rebalancer:     newRebalancer(),
 		peers:          newPeerTable(cfg),
 		storeOK:        true,
-		relay:          newStoreRelay(),
 		scheduler:      newScheduler(),
 		autoscaler:     newAutoscaler(),
 		stats:          jobstats.New(),
 	}
 	c.agents = newAgentController(c)
+	c.relay = newStoreRelay(&c.limits, c.members.size(), c.times.reportInterval())
+	c.reach = &reachability{clock: &c.now, members: &c.members, peers: c.peers, relay: c.relay}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
 	}
@@ -251,7 +255,7 @@
 	}
 }
 
-func (c *Core) reportInterval() time.Duration { return seconds(c.cfg.Params.Workers.ReportS) }
+func (c *Core) reportInterval() time.Duration { return c.times.reportInterval() }
 
 func (c *Core) catalogInterval() time.Duration {
 	if !c.catalog.Loaded() {
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -39,12 +39,8 @@
 	sentAt time.Duration
 }
 
-const (
-	// heartbeatsKept is by how many heartbeats an acknowledgement may be late.
-	heartbeatsKept = 16
-	// leaseDrift is how much longer than its lease a worker may go on by its own clock.
-	leaseDrift = 1.001
-)
+// heartbeatsKept is by how many heartbeats an acknowledgement may be late.
+const heartbeatsKept = 16
 
 // nextHeartbeatID returns a unique ID for the heartbeat that is sent now.
 func (f *freshnessTracker) nextHeartbeatID(incarnation string, now time.Duration) string {
@@ -113,22 +109,9 @@
 	}
 }
 
-// freshUntil is the time up to which this node knows of every confirmed cancellation.
-func (c *Core) freshUntil() time.Duration { return c.freshness.until(c.now.Steady, c.peers) }
-
-// stalenessBound is for how long a controller may miss cancellations before its workers have
-// to be left to their leases, so that cancelled tasks end in time: the lease, with the
-// drift of clocks, and a report interval are left.
-func (c *Core) stalenessBound() time.Duration {
-	lease := time.Duration(leaseDrift * float64(c.leaseTime()))
-	return max(c.reportInterval(), c.cancelDeadline()-lease-c.reportInterval())
-}
-
-func (c *Core) leaseTime() time.Duration { return seconds(c.cfg.Params.Workers.LeaseS) }
-
 // checkLease tells the operator of settings that leave too little time.
 func (c *Core) checkLease() {
-	if c.stalenessBound() > c.reportInterval() {
+	if c.times.coverLease() {
 		return
 	}
 	c.log(Error, "cancel_s is shorter than the worker lease and two report intervals",
@@ -142,8 +125,9 @@
 // return the machines, so workers are turned away only while the cloud refuses to act. In
 // a zone that is cut off they must not be, since that would end the work there.
 func (c *Core) checkFreshness() {
-	f, bound := &c.freshness, c.stalenessBound()
-	gap := c.now.Steady - c.freshUntil()
+	f, bound := &c.freshness, c.times.stalenessBound()
+	freshUntil := f.until(c.now.Steady, c.peers)
+	gap := c.now.Steady - freshUntil
 	if gap > bound/4 && c.storeOK && c.every(&f.nextStoreCheck, c.reportInterval()) {
 		anyAnswer := protocol.Txn{If: []protocol.Condition{{Key: keyNode + c.cfg.Node}}}
 		c.compareAndSwap(anyAnswer, false, func(StoreReply) {})
@@ -158,5 +142,5 @@
 	if f.stale {
 		message = "workers turned away: cancellations may be unknown and the cloud refuses to act"
 	}
-	c.log(Info, message, "fresh_until", c.freshUntil().Round(time.Second))
+	c.log(Info, message, "fresh_until", freshUntil.Round(time.Second))
 }
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -45,7 +45,7 @@
 		c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady)
 		c.now.Steady = later
 		d.happens(c)
-		if got := c.freshUntil(); got != d.want {
+		if got := c.freshness.until(c.now.Steady, c.peers); got != d.want {
 			t.Errorf("%s: fresh until %v, want %v", name, got, d.want)
 		}
 	}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -129,7 +129,7 @@
 		silence := a.core.now.Steady - session.lastReportAt
 		elsewhere := m != nil && m.Node != a.core.cfg.Node
 		switch {
-		case elsewhere || silence > a.core.leaseTime()+2*a.core.reportInterval() || a.core.cordons.isTerminated(machine):
+		case elsewhere || silence > a.core.times.lease()+2*a.core.reportInterval() || a.core.cordons.isTerminated(machine):
 			a.remove(machine)
 		case m != nil && a.isProbeDue(session, m):
 			session.lastProbeAt = a.core.now.Steady
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -64,7 +64,7 @@
 	if c.autoscaler.isCordoning(m.Machine) {
 		return false
 	}
-	if m.IsUnreachable() || !c.hasContact(m.Node) || c.reportOverdue(m) {
+	if m.IsUnreachable() || !c.reach.hasContact(m.Node) || c.reportOverdue(m) {
 		return false
 	}
 	if c.failureScore(m) >= cordonThreshold {
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -98,7 +98,7 @@
 // report to it; only then is a machine's silence the machine's own.
 func (c *Core) knowsAllMachines() bool {
 	for node := range c.members.live {
-		if !c.knowsMachinesOf(node) {
+		if !c.reach.knowsMachinesOf(node) {
 			return false
 		}
 	}
@@ -136,7 +136,7 @@
 			continue
 		}
 		controllers++
-		if c.hasContact(p.Node) {
+		if c.reach.hasContact(p.Node) {
 			return false
 		}
 	}
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -50,11 +50,7 @@
 
 // checkIsolation follows whether this node is isolated.
 func (c *Core) checkIsolation() {
-	isolated := !c.storeOK && len(c.peers.names) > 0
-	for _, node := range c.peers.names {
-		isolated = isolated && !c.inDirectContact(node)
-	}
-	if c.isolation.update(isolated, c.now.Steady) {
+	if c.isolation.update(!c.storeOK && c.reach.isolated(), c.now.Steady) {
 		c.log(Info, "controller is isolated", "effect", "redirects each worker once if more than one zone reports here")
 	}
 }
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -28,23 +28,12 @@
 		PendingWrites:    c.writeBudget.due,
 		ID:               c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady),
 		Acknowledgements: c.peers.heartbeatIDs(c.members.roster),
-		Unacknowledged:   c.nodesWithUnacknowledged(),
-		Unreachable:      c.unreachablePeers(),
+		Unacknowledged:   c.announcements.unacknowledgedBy(c.members.roster, c.peers),
+		Unreachable:      c.reach.unreachable(),
 		Disconnected:     disconnected,
 	}
 }
 
-// nodesWithUnacknowledged names the controllers that this node has cancellations for which
-// they have not acknowledged.
-func (c *Core) nodesWithUnacknowledged() (out []string) {
-	for _, node := range c.members.roster {
-		if c.announcements.hasUnacknowledged(node, c.peers) {
-			out = append(out, node)
-		}
-	}
-	return out
-}
-
 // ownRecords returns the records of the teams that this node leads. From now on it ranks
 // by them, as the receivers do.
 func (c *Core) ownRecords() map[string]fairness.Record {
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -5,11 +5,6 @@
 	"maps"
 )
 
-// inDirectContact tells whether a message of a controller has come lately, directly or over
-// an intermediary. Starts for the machines of one that is silent are lost, and
-// its workers need seconds to turn to another.
-func (c *Core) inDirectContact(node string) bool { return c.peers.inContact(node, c.now.Steady) }
-
 // sendTo sends a message to a node, this one included.
 func (c *Core) sendTo(node string, m PeerMessage) {
 	if node == c.cfg.Node {
@@ -141,6 +136,6 @@
 	case m.Cancellations != nil:
 		c.handleCancellations(from, m.Cancellations)
 	case m.Acknowledged != nil:
-		c.handleAcknowledgements(from, m.Acknowledged)
+		c.announcements.acknowledge(from, m.Acknowledged...)
 	}
 }
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -1,19 +1,38 @@
 package core
 
-import "pepperlever/internal/core/job"
+import (
+	"time"
+
+	"pepperlever/internal/core/job"
+)
+
+// reachability tells which controllers this node is in contact with, directly or through the
+// store relay, and which it is partitioned from. It has no state of its own.
+type reachability struct {
+	clock   *Now
+	members *membership
+	peers   *peerTable
+	relay   *storeRelay
+}
+
+// inDirectContact tells whether a message of a controller has come lately, directly or over
+// an intermediary. Starts for the machines of one that is silent are lost, and
+// its workers need seconds to turn to another.
+func (r *reachability) inDirectContact(node string) bool {
+	return r.peers.inContact(node, r.clock.Steady)
+}
 
 // isUnreachable tells whether a controller lives, by its lease in the store, and no message of
 // it comes here.
-func (c *Core) isUnreachable(node string) bool {
-	live := c.members.isLive(node)
-	return live && !c.inDirectContact(node)
+func (r *reachability) isUnreachable(node string) bool {
+	return r.members.isLive(node) && !r.inDirectContact(node)
 }
 
-// unreachablePeers lists the live controllers that this node gets no messages from.
-func (c *Core) unreachablePeers() []string {
+// unreachable lists the live controllers that this node gets no messages from.
+func (r *reachability) unreachable() []string {
 	var out []string
-	for _, node := range c.members.roster {
-		if c.isUnreachable(node) {
+	for _, node := range r.members.roster {
+		if r.isUnreachable(node) {
 			out = append(out, node)
 		}
 	}
@@ -22,42 +41,68 @@
 
 // partitionedFrom tells whether messages between this node and a live controller may be
 // lost, one way or both.
-func (c *Core) partitionedFrom(node string) bool {
-	if live := c.members.isLive(node); !live || c.peers.get(node) == nil {
+func (r *reachability) partitionedFrom(node string) bool {
+	if !r.members.isLive(node) || r.peers.get(node) == nil {
 		return false
 	}
-	return c.peers.cannotHear(node) || !c.inDirectContact(node)
+	return r.peers.cannotHear(node) || !r.inDirectContact(node)
 }
 
 // partitioned tells whether this node is partitioned from any controller.
-func (c *Core) partitioned() bool {
-	for node := range c.members.live {
-		if c.partitionedFrom(node) {
+func (r *reachability) partitioned() bool {
+	for node := range r.members.live {
+		if r.partitionedFrom(node) {
 			return true
 		}
 	}
 	return false
 }
 
-// partitionedFromLeader tells whether a job's leader is a controller that this node is
-// partitioned from, so that this node has to act for it on the machines that it serves.
-func (c *Core) partitionedFromLeader(j *job.Job) bool {
-	t := c.teamBy[j.Team]
-	return t != nil && !t.leading && c.partitionedFrom(t.leader)
+// isolated tells whether no message of any peer comes here. A node without peers is not isolated.
+func (r *reachability) isolated() bool {
+	for _, node := range r.peers.names {
+		if r.inDirectContact(node) {
+			return false
+		}
+	}
+	return len(r.peers.names) > 0
 }
 
 // hasContact tells whether heartbeats of a controller come here, by messages or by the store
 // relay. What is bound to the machines of one without contact is not started.
-func (c *Core) hasContact(node string) bool {
-	if c.inDirectContact(node) {
-		return true
-	}
-	patience := c.reportInterval() + 2*c.relayInterval()
-	return c.isUnreachable(node) && c.relay.heartbeatWithin(node, c.now.Steady, patience)
+func (r *reachability) hasContact(node string) bool {
+	return r.inDirectContact(node) ||
+		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.clock.Steady, r.relayPatience())
+}
+
+// relayPatience is the longest expected time between two heartbeats by the store relay.
+func (r *reachability) relayPatience() time.Duration {
+	return r.relay.reportInterval + 2*r.relay.interval()
 }
 
 // knowsMachinesOf tells whether this node knows which machines a controller serves: from a
 // controller that is known by the store relay alone, only once its pages name them.
-func (c *Core) knowsMachinesOf(node string) bool {
-	return c.inDirectContact(node) || c.hasContact(node) && c.relay.namesMachines(node)
+func (r *reachability) knowsMachinesOf(node string) bool {
+	return r.inDirectContact(node) || r.hasContact(node) && r.relay.namesMachines(node)
+}
+
+// knownToAnother tells whether a second controller knows of a cancellation, or there is none.
+// One of an older release can't say so: it is left to its watch.
+func (r *reachability) knownToAnother(a *cancelAnnouncement) bool {
+	alone := true
+	for node, p := range r.peers.states {
+		inContact := r.inDirectContact(node)
+		if a.knownTo(node, r.peers) || inContact && p.lastHeartbeatID == "" {
+			return true
+		}
+		alone = alone && !inContact && !r.members.isLive(node)
+	}
+	return alone
+}
+
+// partitionedFromLeader tells whether a job's leader is a controller that this node is
+// partitioned from, so that this node has to act for it on the machines that it serves.
+func (c *Core) partitionedFromLeader(j *job.Job) bool {
+	t := c.teamBy[j.Team]
+	return t != nil && !t.leading && c.reach.partitionedFrom(t.leader)
 }
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -151,7 +151,7 @@
 // workers alone; it looks idle to the others, who would send it their workers again and again,
 // each to be without a controller for seconds.
 func (c *Core) recordArrival(machine, node string) {
-	unreached, pause := c.rebalancer.recordArrival(machine, node, c.now.Steady, c.leaseTime())
+	unreached, pause := c.rebalancer.recordArrival(machine, node, c.now.Steady, c.times.lease())
 	if unreached != "" {
 		c.log(Info, "controller cannot be reached by workers", "node", unreached, "does", "sends it none", "for", pause)
 	}
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"time"
-
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/relay"
@@ -10,28 +8,17 @@
 	"pepperlever/internal/protocol"
 )
 
-const (
-	// relayWriteShare is the part of the store's limit on changes that the pages of all
-	// controllers may take together.
-	relayWriteShare = 1.0 / 4
-	// noticeStepSeconds is to how many seconds the time of a termination notice is rounded:
-	// a page that changed every second would be written every second.
-	noticeStepSeconds = 5
-)
-
-// relayInterval is the pause between two writes of pages, each of about two pages.
-func (c *Core) relayInterval() time.Duration {
-	share := relayWriteShare * c.limits.writeRate()
-	return max(c.reportInterval()/5, seconds(2*float64(c.members.size())/share))
-}
+// noticeStepSeconds is to how many seconds the time of a termination notice is rounded: a page
+// that changed every second would be written every second.
+const noticeStepSeconds = 5
 
 // updateRelay acts for the leaders that this node is partitioned from, and publishes to them.
 func (c *Core) updateRelay() {
-	partitioned := c.partitioned()
+	partitioned := c.reach.partitioned()
 	if partitioned && c.every(&c.relay.nextStartCheck, c.reportInterval()/30) {
 		c.actForUnreachableLeaders()
 	}
-	if !c.every(&c.relay.nextPublish, c.relayInterval()) || c.relay.writing || c.members.lease == 0 {
+	if !c.every(&c.relay.nextPublish, c.relay.interval()) || c.relay.writing || c.members.lease == 0 {
 		return
 	}
 	var want map[string]json.RawMessage
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -36,7 +36,7 @@
 		Rows:              c.stats.Rows(c.now.Steady),
 		LongestUnanswered: c.stats.LongestUnanswered(),
 		Unacknowledged:    c.announcements.unacknowledged(c.peers),
-		Staleness:         c.now.Steady - c.freshUntil(),
+		Staleness:         c.now.Steady - c.freshness.until(c.now.Steady, c.peers),
 		Pending:           c.pendingTasks(),
 		Counters:          c.counts,
 	}
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -7,10 +7,20 @@
 	"pepperlever/internal/core/relay"
 )
 
+const (
+	// relayWriteShare is the part of the store's limit on changes that the pages of all
+	// controllers may take together.
+	relayWriteShare = 1.0 / 4
+	pagesPerWrite   = 2
+)
+
 // storeRelay exchanges messages through the store with live controllers that this node is
 // partitioned from: each controller publishes pages under keys of its own, and reads
 // those of the others.
 type storeRelay struct {
+	limits         *storeLimits
+	controllers    int
+	reportInterval time.Duration
 	// nextPublish is when the pages are compared with the store again, nextStartCheck when
 	// bindings of unreachable leaders are looked at again.
 	nextPublish, nextStartCheck time.Duration
@@ -34,7 +44,20 @@
 	NodeHeartbeat
 }
 
-func newStoreRelay() *storeRelay { return &storeRelay{inboxes: map[string]*relayInbox{}} }
+func newStoreRelay(limits *storeLimits, controllers int, reportInterval time.Duration) *storeRelay {
+	return &storeRelay{
+		limits:         limits,
+		controllers:    controllers,
+		reportInterval: reportInterval,
+		inboxes:        map[string]*relayInbox{},
+	}
+}
+
+// interval is the pause between two writes of pages, each of about pagesPerWrite pages.
+func (r *storeRelay) interval() time.Duration {
+	share := relayWriteShare * r.limits.writeRate()
+	return max(r.reportInterval/5, seconds(pagesPerWrite*float64(r.controllers)/share))
+}
 
 func pageKey(node, page string) string { return keyRelay + node + "/" + page }
 
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -18,11 +18,11 @@
 // machines that it is responsible for: what it knows of the others may be old.
 func (c *Core) returnUnstoppedMachine(j *job.Job, machine string) {
 	unaware := c.isUnaware(j.ID, machine)
-	patience := c.cancelDeadline() / 2
+	patience := c.times.cancelDeadline() / 2
 	if unaware && !c.storeOK {
 		// The cloud may fail next, and nothing else is left. While the store answers it is
 		// too early: a controller that is cut off redirects its workers meanwhile.
-		patience = min(patience, c.stalenessBound()*3/4)
+		patience = min(patience, c.times.stalenessBound()*3/4)
 	}
 	known := c.now.Steady - j.CancelledAt
 	responsible := c.isResponsibleFor(j, machine)
@@ -50,7 +50,7 @@
 	}
 	return known > patience ||
 		total > patience*3/2 && known > c.silenceLimit() ||
-		total > c.cancelDeadline()*3/4
+		total > c.times.cancelDeadline()*3/4
 }
 
 // isResponsibleFor tells whether it is for this node to have a machine returned for a task of
@@ -67,7 +67,7 @@
 		return true
 	}
 	live := c.members.isLive(m.Node)
-	return c.leads(j) && (c.hasContact(m.Node) || !live)
+	return c.leads(j) && (c.reach.hasContact(m.Node) || !live)
 }
 
 // fleetLeaderUnavailable tells whether the fleet may have no leader, and a cordon for the
@@ -80,7 +80,7 @@
 // its own part of a sixteenth of the deadline, since the cloud takes few requests.
 func (c *Core) releaseDelay() time.Duration {
 	position := c.members.position()
-	return c.cancelDeadline() / 16 * time.Duration(position) / time.Duration(c.members.size())
+	return c.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(c.members.size())
 }
 
 // releaseWithoutLeader releases a machine without the fleet's leader.
@@ -104,7 +104,7 @@
 	if !c.returns.request(machine, c.now.Steady, c.reportInterval()) {
 		return
 	}
-	if c.fleet.leader != "" && c.inDirectContact(c.fleet.leader) {
+	if c.fleet.leader != "" && c.reach.inDirectContact(c.fleet.leader) {
 		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: reason}})
 		return
 	}
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -86,7 +86,7 @@
 	own := &c.writeBudget.due
 	all := *own
 	for node, pending := range c.peers.pendingWrites() {
-		if c.hasContact(node) {
+		if c.reach.hasContact(node) {
 			for rank, changes := range pending {
 				all[rank] += changes
 			}
