--- a/internal/federation/compare_test.go
+++ b/internal/federation/compare_test.go
@@ -20,18 +20,18 @@
 		"receiver forgot a job that may not again": {"once", "b", 0, Cancelled},
 	} {
 		w := newSim(t.Errorf)
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0, false, fine) // the sites compare their records
 		}
 		w.drain("c")
 		w.submit("a", "req-1", c.class)
 		records, jobs := w.sites[c.restored].snapshot()
-		w.roots["req-1"].givenUp = true // two copies of the truth may make it run twice
+		w.userJobs["req-1"].givenUp = true // two copies of the truth may make it run twice
 		for range 3 {
 			w.now += time.Second
 			w.tick("a", fine)
 			w.tick("b", fine)
-			for len(w.flying) > 0 {
+			for len(w.inFlight) > 0 {
 				w.deliver(0, false, fine)
 			}
 		}
@@ -41,8 +41,8 @@
 		w.restore(c.restored, records, jobs)
 		w.play(20 * time.Second)
 		s := w.sites[c.restored]
-		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.coordinator.peer(other).suspendedReason == "" || s.warned == 0 {
-			t.Errorf("%s: goes on, %d warnings", name, s.warned)
+		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.coordinator.peer(other).suspendedReason == "" || s.loggedErrors == 0 {
+			t.Errorf("%s: goes on, %d warnings", name, s.loggedErrors)
 		}
 		if len(s.records.Incoming)+len(s.records.Outgoing) > 0 {
 			t.Errorf("%s: it hands off all the same: %v", name, s.records)
@@ -52,13 +52,13 @@
 		}
 		w.play(20 * time.Second)
 		if c.final == Cancelled {
-			if _, away := w.sites["a"].records.Outgoing["req-1"]; !away || w.roots["req-1"].final != "" {
-				t.Errorf("%s: it is at home again, or %q", name, w.roots["req-1"].final)
+			if _, away := w.sites["a"].records.Outgoing["req-1"]; !away || w.userJobs["req-1"].final != "" {
+				t.Errorf("%s: it is at home again, or %q", name, w.userJobs["req-1"].final)
 			}
 			w.cancel("a", "req-1")
 		}
-		w.settle()
-		if got := w.roots["req-1"].final; got != c.final {
+		w.finish()
+		if got := w.userJobs["req-1"].final; got != c.final {
 			t.Errorf("%s: it is %q in the end", name, got)
 		}
 	}
--- a/internal/federation/interleaving_test.go
+++ b/internal/federation/interleaving_test.go
@@ -14,13 +14,13 @@
 // TestMain fixes the seed of the property tests; -rapid.seed and -rapid.checks search further.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// Three sites, any order of messages, cuts, ends of gateways and of state services,
+// Three sites, any order of messages, cuts, restarts of coordinators, outages of stores,
 // writes without an answer or applied late, cancels and operators: one right to
 // run, one final answer, and everything ends once the troubles do.
 func TestAnyInterleavingKeepsOneOwnerAndOneAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSim(t.Fatalf)
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0, false, fine) // the sites compare their records
 		}
 		site := rapid.SampledFrom(siteNames)
@@ -39,10 +39,10 @@
 			w.tick(site.Draw(t, "site"), fates.Draw(t, "fate"))
 		}
 		deliver := func(t *rapid.T) {
-			if len(w.flying) == 0 {
+			if len(w.inFlight) == 0 {
 				t.Skip("nothing flies")
 			}
-			w.deliver(rapid.IntRange(0, len(w.flying)-1).Draw(t, "message"), rapid.Bool().Draw(t, "again"), fates.Draw(t, "fate"))
+			w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message"), rapid.Bool().Draw(t, "again"), fates.Draw(t, "fate"))
 		}
 		seldom := func(t *rapid.T, f func()) {
 			if rapid.IntRange(0, 7).Draw(t, "seldom") == 0 {
@@ -63,15 +63,15 @@
 				}
 			},
 			"lose": func(t *rapid.T) {
-				if len(w.flying) == 0 {
+				if len(w.inFlight) == 0 {
 					t.Skip("nothing flies")
 				}
-				i := rapid.IntRange(0, len(w.flying)-1).Draw(t, "message")
-				w.flying = append(w.flying[:i], w.flying[i+1:]...)
+				i := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message")
+				w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 			},
 			"run": func(t *rapid.T) {
 				n, id := job(t)
-				if w.sites[n].jobs[id].root != id {
+				if w.sites[n].jobs[id].userJobID != id {
 					w.run(n, id)
 				} else { // jobs that run at once are never handed off
 					seldom(t, func() { w.run(n, id) })
@@ -79,7 +79,7 @@
 			},
 			"cancel": func(t *rapid.T) {
 				n, id := job(t)
-				if w.sites[n].jobs[id].root == id { // users know their own jobs
+				if w.sites[n].jobs[id].userJobID == id { // users know their own jobs
 					seldom(t, func() { w.cancel(n, id) })
 				}
 			},
@@ -100,6 +100,6 @@
 				clear(w.down)
 			},
 		})
-		w.settle()
+		w.finish()
 	})
 }
--- a/internal/federation/recordwrites.go
+++ b/internal/federation/recordwrites.go
@@ -7,17 +7,17 @@
 
 func epochSubject(to Site) subject { return subject("epoch/" + to) }
 
-func outgoingSubject(job string) subject { return subject("away/" + job) }
+func outgoingSubject(job string) subject { return subject("outgoing/" + job) }
 
 func incomingSubject(id IncomingID) subject {
-	return subject(fmt.Sprintf("taken/%s/%d", id.Origin, id.Epoch))
+	return subject(fmt.Sprintf("incoming/%s/%d", id.Origin, id.Epoch))
 }
 
-func lowWaterMarkSubject(origin Site) subject { return subject("floor/" + origin) }
+func lowWaterMarkSubject(origin Site) subject { return subject("low-water-mark/" + origin) }
 
-func lastEpochSubject(to Site) subject { return subject("last/" + to) }
+func lastEpochSubject(to Site) subject { return subject("last-epoch/" + to) }
 
-func drainedSubject(site Site) subject { return subject("drain/" + site) }
+func drainedSubject(site Site) subject { return subject("drained/" + site) }
 
 // pendingWrite is a write without an answer.
 type pendingWrite struct {
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -12,18 +12,18 @@
 type sim struct {
 	now   time.Duration
 	sites map[Site]*simSite
-	// flying are the messages on their way, held those that come when all is over.
-	flying, held []Message
-	// roots holds for each job of a user what has become of it.
-	roots map[string]*root
-	fail  func(format string, args ...any)
+	// inFlight are the messages on their way, heldBack those that come when all is over.
+	inFlight, heldBack []Message
+	// userJobs holds for each job of a user what has become of it.
+	userJobs map[string]*userJob
+	fail     func(format string, args ...any)
 	// cut holds back what passes between two sites, in one direction.
 	cut map[[2]Site]bool
-	// down holds the sites whose state service answers nothing.
+	// down holds the sites whose store answers nothing.
 	down map[Site]bool
 }
 
-type root struct {
+type userJob struct {
 	runs    int
 	final   string // at the origin, once it is
 	givenUp bool
@@ -35,27 +35,27 @@
 	coordinator *Coordinator
 	records     Records
 	jobs        map[string]*simJob
-	// home is the version of the gateway's home key; writes of an earlier one fail.
-	home int
+	// leaderVersion is the version of the leader's key; writes of an earlier one fail.
+	leaderVersion int
 	// late are writes that may yet be applied.
 	late []lateWrite
 	seed uint64
-	// warned counts the lines that ask an operator to do something.
-	warned  int
-	answers []Answer
+	// loggedErrors counts the lines that ask an operator to do something.
+	loggedErrors int
+	answers      []Answer
 }
 
 type lateWrite struct {
-	write Write
-	home  int
+	write         Write
+	leaderVersion int
 }
 
 type simJob struct {
-	root, class string
-	final       string
-	away        Epoch
-	running     bool
-	path        []Site
+	userJobID, class string
+	final            string
+	outgoingEpoch    Epoch
+	running          bool
+	path             []Site
 }
 
 var siteNames = []Site{"a", "b", "c"}
@@ -77,7 +77,7 @@
 }
 
 func newSim(fail func(format string, args ...any)) *sim {
-	w := &sim{sites: map[Site]*simSite{}, roots: map[string]*root{}, fail: fail, cut: map[[2]Site]bool{}, down: map[Site]bool{}}
+	w := &sim{sites: map[Site]*simSite{}, userJobs: map[string]*userJob{}, fail: fail, cut: map[[2]Site]bool{}, down: map[Site]bool{}}
 	for _, n := range siteNames {
 		w.sites[n] = &simSite{name: n, cfg: simConfig(n), jobs: map[string]*simJob{},
 			records: Records{}.copy()}
@@ -88,10 +88,10 @@
 	return w
 }
 
-// boot starts a site's gateway, or starts it again.
+// boot starts a site's coordinator, or starts it again.
 func (w *sim) boot(n Site) {
 	s := w.sites[n]
-	s.home++
+	s.leaderVersion++
 	s.seed++
 	s.coordinator = New(s.cfg, s.seed)
 	w.step(n, RecordsLoaded{s.records.copy()})
@@ -102,9 +102,9 @@
 
 const (
 	fine       fate = iota
-	unanswered      // applied, not told
-	lost            // not applied, not told
-	late            // not told, applied later or never
+	unanswered      // applied, no answer
+	lost            // not applied, no answer
+	late            // no answer, applied later or never
 )
 
 // step hands inputs to a site and carries the effects out, writes as planned.
@@ -128,16 +128,16 @@
 				}
 			case Log:
 				if e.IsError {
-					s.warned++
+					s.loggedErrors++
 				}
 			case Answer:
 				s.answers = append(s.answers, e)
 			case Send:
 				if !w.cut[[2]Site{n, e.Message.To}] {
-					w.flying = append(w.flying, e.Message)
+					w.inFlight = append(w.inFlight, e.Message)
 				}
 			case CancelLocal:
-				w.cancelHere(n, e.LocalID)
+				w.cancelLocal(n, e.LocalID)
 			}
 		}
 	}
@@ -150,32 +150,32 @@
 	}
 	switch f {
 	case unanswered:
-		w.apply(s, wr, s.home)
+		w.apply(s, wr, s.leaderVersion)
 		return Unknown
 	case lost:
 		return Unknown
 	case late:
-		s.late = append(s.late, lateWrite{wr, s.home})
+		s.late = append(s.late, lateWrite{wr, s.leaderVersion})
 		return Unknown
 	}
-	if w.apply(s, wr, s.home) {
+	if w.apply(s, wr, s.leaderVersion) {
 		return Applied
 	}
 	return Conflict
 }
 
-// apply is the state service: one transaction under its conditions.
-func (w *sim) apply(s *simSite, wr Write, home int) bool {
-	if home != s.home {
+// apply is the store: one transaction under its conditions.
+func (w *sim) apply(s *simSite, wr Write, leaderVersion int) bool {
+	if leaderVersion != s.leaderVersion {
 		return false
 	}
 	switch wr := wr.(type) {
 	case CreateOutgoing:
 		j := s.jobs[wr.JobID]
-		if j == nil || j.final != "" || j.away != 0 || j.running || wr.Outgoing.Epoch != s.records.LastEpochs[wr.Outgoing.To]+1 {
+		if j == nil || j.final != "" || j.outgoingEpoch != 0 || j.running || wr.Outgoing.Epoch != s.records.LastEpochs[wr.Outgoing.To]+1 {
 			return false
 		}
-		s.records.LastEpochs[wr.Outgoing.To], j.away = wr.Outgoing.Epoch, wr.Outgoing.Epoch
+		s.records.LastEpochs[wr.Outgoing.To], j.outgoingEpoch = wr.Outgoing.Epoch, wr.Outgoing.Epoch
 		s.records.Outgoing[wr.JobID] = wr.Outgoing
 	case MarkCancelRequested:
 		a, ok := s.records.Outgoing[wr.JobID]
@@ -189,9 +189,9 @@
 			return false
 		}
 		delete(s.records.Outgoing, wr.JobID)
-		s.jobs[wr.JobID].away = 0
+		s.jobs[wr.JobID].outgoingEpoch = 0
 		if wr.Operator != "" {
-			w.roots[s.jobs[wr.JobID].root].givenUp = true
+			w.userJobs[s.jobs[wr.JobID].userJobID].givenUp = true
 		}
 		if wr.Cancelled {
 			w.end(s, wr.JobID, Cancelled)
@@ -201,7 +201,7 @@
 			return false
 		}
 		delete(s.records.Outgoing, wr.JobID)
-		s.jobs[wr.JobID].away = 0
+		s.jobs[wr.JobID].outgoingEpoch = 0
 		w.end(s, wr.JobID, wr.FinalState)
 	case DecideIncoming:
 		if _, ok := s.records.Incoming[wr.ID]; ok || wr.ID.Epoch <= s.records.LowWaterMarks[wr.ID.Origin] {
@@ -210,7 +210,7 @@
 		s.records.Incoming[wr.ID] = wr.Incoming
 		if wr.Incoming.Accepted {
 			from := w.sites[wr.ID.Origin].jobs[wr.Ticket.JobID]
-			s.jobs[wr.Incoming.LocalID] = &simJob{root: from.root, class: from.class, path: wr.Ticket.Path}
+			s.jobs[wr.Incoming.LocalID] = &simJob{userJobID: from.userJobID, class: from.class, path: wr.Ticket.Path}
 		}
 	case FinishIncoming:
 		k, ok := s.records.Incoming[wr.ID]
@@ -251,19 +251,19 @@
 		w.fail("%s at %s was %s and becomes %s", job, s.name, j.final, state)
 	}
 	j.final, j.running = state, false
-	if r := w.roots[j.root]; j.root == job {
+	if r := w.userJobs[j.userJobID]; j.userJobID == job {
 		r.final = state
 	}
 }
 
 // submit hands a job of a user in at a site.
 func (w *sim) submit(n Site, id, class string) {
-	w.roots[id] = &root{}
-	w.sites[n].jobs[id] = &simJob{root: id, class: class}
+	w.userJobs[id] = &userJob{}
+	w.sites[n].jobs[id] = &simJob{userJobID: id, class: class}
 }
 
 // mayRun tells whether a site holds the right to a job.
-func (j *simJob) mayRun() bool { return j.final == "" && j.away == 0 }
+func (j *simJob) mayRun() bool { return j.final == "" && j.outgoingEpoch == 0 }
 
 // run starts a job where it is, or ends it as done.
 func (w *sim) run(n Site, id string) {
@@ -271,7 +271,7 @@
 	j := s.jobs[id]
 	switch {
 	case j.running: // it goes on, whatever the records say
-		w.roots[j.root].runs++
+		w.userJobs[j.userJobID].runs++
 		w.end(s, id, Done)
 	case j.mayRun():
 		j.running = true
@@ -299,12 +299,12 @@
 	w.boot(n)
 }
 
-// cancelHere is the site's own cancellation of a job that it has accepted.
-func (w *sim) cancelHere(n Site, id string) {
+// cancelLocal is the site's own cancellation of a job that it has accepted.
+func (w *sim) cancelLocal(n Site, id string) {
 	j := w.sites[n].jobs[id]
 	switch {
 	case j == nil || j.final != "":
-	case j.away != 0:
+	case j.outgoingEpoch != 0:
 		w.step(n, CancelRequested{JobID: id})
 	default:
 		w.end(w.sites[n], id, Cancelled)
@@ -314,7 +314,7 @@
 // cancel is a user's request at the site where the job was handed in.
 func (w *sim) cancel(n Site, id string) {
 	j := w.sites[n].jobs[id]
-	if j.final == "" && j.away == 0 {
+	if j.final == "" && j.outgoingEpoch == 0 {
 		w.end(w.sites[n], id, Cancelled)
 	} else if j.final == "" {
 		w.step(n, CancelRequested{Req: 1, JobID: id})
@@ -324,15 +324,15 @@
 
 // deliver hands the i-th message over, and keeps it when it comes again.
 func (w *sim) deliver(i int, again bool, f fate) {
-	m := w.flying[i]
+	m := w.inFlight[i]
 	if !again {
-		w.flying = slices.Delete(w.flying, i, i+1)
+		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 	}
 	w.stepWith(m.To, f, MessageReceived{Message: m})
 }
 
 // tick lets a second pass at a site: its jobs that wait may go elsewhere, and ends
-// that are not noted yet are told to the gateway.
+// that are not noted yet are reported to the coordinator.
 func (w *sim) tick(n Site, f fate) {
 	s := w.sites[n]
 	var wait JobsWaiting
@@ -357,7 +357,7 @@
 	if len(s.late) > 0 {
 		l := s.late[0]
 		s.late = s.late[1:]
-		if w.apply(s, l.write, l.home) {
+		if w.apply(s, l.write, l.leaderVersion) {
 			w.step(n, RecordsLoaded{s.records.copy()}) // its watch tells
 		}
 	}
@@ -369,11 +369,11 @@
 	for _, n := range siteNames {
 		for id, j := range w.sites[n].jobs {
 			if j.mayRun() || j.running {
-				holders[j.root] = append(holders[j.root], fmt.Sprintf("%s at %s", id, n))
+				holders[j.userJobID] = append(holders[j.userJobID], fmt.Sprintf("%s at %s", id, n))
 			}
 		}
 	}
-	for id, r := range w.roots {
+	for id, r := range w.userJobs {
 		if r.givenUp {
 			continue
 		}
@@ -395,9 +395,9 @@
 	}
 }
 
-// settle ends all troubles, and plays until every job has its final state and no
+// finish ends all faults, and plays until every job has its final state and no
 // hand-off is open.
-func (w *sim) settle() {
+func (w *sim) finish() {
 	clear(w.cut)
 	clear(w.down)
 	for range 400 {
@@ -409,12 +409,12 @@
 				w.run(n, id)
 			}
 		}
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0, false, fine)
 		}
-		if w.settled() && len(w.held) > 0 {
-			w.flying, w.held = w.held, nil // late, and harmless
-		} else if w.settled() {
+		if w.finished() && len(w.heldBack) > 0 {
+			w.inFlight, w.heldBack = w.heldBack, nil // late, and harmless
+		} else if w.finished() {
 			return
 		}
 	}
@@ -425,7 +425,7 @@
 	w.fail("hand-offs do not end: %+v", state)
 }
 
-func (w *sim) settled() bool {
+func (w *sim) finished() bool {
 	for _, s := range w.sites {
 		for _, j := range s.jobs {
 			if j.final == "" {
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// trouble is what befalls one message of a hand-off, or a site at that moment.
-var troubles = map[string]func(w *sim, i int){
-	"lost":  func(w *sim, i int) { w.flying = append(w.flying[:i], w.flying[i+1:]...) },
+// faults are what can happen to a message of a hand-off, or to a site at that moment.
+var faults = map[string]func(w *sim, i int){
+	"lost":  func(w *sim, i int) { w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...) },
 	"twice": func(w *sim, i int) { w.deliver(i, true, fine); w.deliver(i, false, fine) },
 	"held past all that follows": func(w *sim, i int) {
-		w.held = append(w.held, w.flying[i])
-		w.flying = append(w.flying[:i], w.flying[i+1:]...)
+		w.heldBack = append(w.heldBack, w.inFlight[i])
+		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	},
-	"write carried out, not told":  func(w *sim, i int) { w.deliver(i, false, unanswered) },
+	"write applied, no answer":     func(w *sim, i int) { w.deliver(i, false, unanswered) },
 	"write lost":                   func(w *sim, i int) { w.deliver(i, false, lost) },
 	"write late":                   func(w *sim, i int) { w.deliver(i, false, late) },
-	"receiver ends before":         func(w *sim, i int) { w.boot(w.flying[i].To) },
-	"receiver ends after":          func(w *sim, i int) { to := w.flying[i].To; w.deliver(i, false, fine); w.boot(to) },
-	"sender ends":                  func(w *sim, i int) { w.boot(w.flying[i].From) },
-	"both end":                     func(w *sim, i int) { m := w.flying[i]; w.boot(m.From); w.boot(m.To) },
-	"link cut there for a while":   func(w *sim, i int) { m := w.flying[i]; w.cutFor(m.From, m.To, 30*time.Second) },
-	"link cut back for a while":    func(w *sim, i int) { m := w.flying[i]; w.cutFor(m.To, m.From, 30*time.Second) },
-	"link cut for less than a try": func(w *sim, i int) { m := w.flying[i]; w.cutFor(m.From, m.To, time.Second) },
-	"receiver's store out":         func(w *sim, i int) { w.downFor(w.flying[i].To, 20*time.Second) },
-	"sender's store out":           func(w *sim, i int) { w.downFor(w.flying[i].From, 20*time.Second) },
+	"receiver ends before":         func(w *sim, i int) { w.boot(w.inFlight[i].To) },
+	"receiver ends after":          func(w *sim, i int) { to := w.inFlight[i].To; w.deliver(i, false, fine); w.boot(to) },
+	"sender ends":                  func(w *sim, i int) { w.boot(w.inFlight[i].From) },
+	"both end":                     func(w *sim, i int) { m := w.inFlight[i]; w.boot(m.From); w.boot(m.To) },
+	"link cut there for a while":   func(w *sim, i int) { m := w.inFlight[i]; w.cutFor(m.From, m.To, 30*time.Second) },
+	"link cut back for a while":    func(w *sim, i int) { m := w.inFlight[i]; w.cutFor(m.To, m.From, 30*time.Second) },
+	"link cut for less than a try": func(w *sim, i int) { m := w.inFlight[i]; w.cutFor(m.From, m.To, time.Second) },
+	"receiver's store out":         func(w *sim, i int) { w.downFor(w.inFlight[i].To, 20*time.Second) },
+	"sender's store out":           func(w *sim, i int) { w.downFor(w.inFlight[i].From, 20*time.Second) },
 	"cancelled by its user":        func(w *sim, _ int) { w.cancelAnywhere("req-1") },
 	"cancelled, and the link cut": func(w *sim, i int) {
-		m := w.flying[i]
+		m := w.inFlight[i]
 		w.cancelAnywhere("req-1")
 		w.cutFor(m.From, m.To, 30*time.Second)
 	},
 	"job ends at that very moment": func(w *sim, _ int) { w.runAll(); w.runAll() },
-	"receiver drained":             func(w *sim, i int) { w.drain(w.flying[i].To) },
+	"receiver drained":             func(w *sim, i int) { w.drain(w.inFlight[i].To) },
 }
 
 // Every message of a hand-off, offered, run and closed, or refused, in turn meets
-// every trouble, in either direction.
+// every fault, in either direction.
 func TestEveryStageSurvivesEveryFault(t *testing.T) {
 	cases, runs, answers := 0, 0, 0
 	for _, refused := range []bool{false, true} {
-		for name, trouble := range troubles {
+		for name, fault := range faults {
 			for stage := 0; ; stage++ {
 				where := fmt.Sprintf("%s at message %d, refused %v", name, stage, refused)
 				w := newSim(func(format string, args ...any) { t.Errorf(where+": "+format, args...) })
@@ -53,11 +53,11 @@
 				if !w.until(stage) {
 					break
 				}
-				trouble(w, 0)
-				w.settle()
+				fault(w, 0)
+				w.finish()
 				cases++
-				runs += w.roots["req-1"].runs
-				if w.roots["req-1"].final != "" {
+				runs += w.userJobs["req-1"].runs
+				if w.userJobs["req-1"].final != "" {
 					answers++
 				}
 			}
@@ -78,19 +78,19 @@
 		for _, s := range siteNames {
 			w.tick(s, fine)
 		}
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0, false, fine)
 		}
 		if w.sites["a"].records.Outgoing["req-1"].Accepted {
 			w.cancel("a", "req-1")
 		}
 	}
-	if r := w.roots["req-1"]; r.final != Cancelled || r.runs > 0 {
+	if r := w.userJobs["req-1"]; r.final != Cancelled || r.runs > 0 {
 		t.Errorf("it is %q after %d runs", r.final, r.runs)
 	}
 }
 
-// What an origin has closed is told one by one, and goes from the receiver's records
+// What an origin has closed is reported one by one, and goes from the receiver's records
 // once all before it is closed, wherever it lies.
 func TestClosedHandOffsAreReportedAndForgotten(t *testing.T) {
 	m := newRoutingCoordinator(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
@@ -103,7 +103,7 @@
 		}
 	}
 	if !closed {
-		t.Error("an epoch that is closed beside an open one is told again and again")
+		t.Error("an epoch that is closed beside an open one is reported again and again")
 	}
 	r := Records{}.copy()
 	r.LowWaterMarks["b"] = 5
@@ -115,11 +115,11 @@
 		}
 	}
 	if len(drop) != 1 || drop[0] != (IncomingID{"b", 3}) {
-		t.Errorf("forgets %v of what lies below the floor", drop)
+		t.Errorf("forgets %v of what lies below the low-water mark", drop)
 	}
 }
 
-// until plays without trouble until the n-th message is on its way, and tells
+// until plays without faults until the n-th message is on its way, and tells
 // whether there is one.
 func (w *sim) until(n int) bool {
 	for range 60 {
@@ -127,23 +127,23 @@
 		for _, s := range siteNames {
 			w.tick(s, fine)
 		}
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			if n == 0 {
 				return true
 			}
 			n--
 			w.deliver(0, false, fine)
 		}
-		w.runAway()
+		w.runOutgoing()
 	}
 	return false
 }
 
-// runAway runs the jobs that were handed to another site; runAll runs all.
-func (w *sim) runAway() {
+// runOutgoing runs the jobs that were handed to another site; runAll runs all.
+func (w *sim) runOutgoing() {
 	for _, n := range siteNames {
 		for _, id := range sortedJobs(w.sites[n]) {
-			if w.sites[n].jobs[id].root != id {
+			if w.sites[n].jobs[id].userJobID != id {
 				w.run(n, id)
 			}
 		}
@@ -158,7 +158,7 @@
 	}
 }
 
-// cutFor holds a link back for some time; downFor a state service.
+// cutFor holds a link back for some time; downFor a store.
 func (w *sim) cutFor(from, to Site, d time.Duration) {
 	w.cut[[2]Site{from, to}] = true
 	w.play(d)
@@ -178,10 +178,10 @@
 		for _, s := range siteNames {
 			w.tick(s, fine)
 		}
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0, false, fine)
 		}
-		w.runAway()
+		w.runOutgoing()
 	}
 }
 
