--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,15 +17,7 @@
 
 // Core is the single owner of all state of a controller.
 type Core struct {
-	cfg    *settings.Settings
-	policy settings.Policy
-	times  workerTimes
-
-	now     Now
-	effects []Effect
-	// ids numbers requests to the store and names what has to be unique in this run.
-	ids            sequence
-	pendingReplies pendingReplies
+	*environment
 
 	// Replica of the store.
 	replica replica
@@ -87,31 +79,28 @@
 // New makes a core. The incarnation must differ between runs of the process.
 func New(cfg *settings.Settings, policy settings.Policy, incarnation string) *Core {
 	c := &Core{
-		cfg:            cfg,
-		policy:         policy,
-		times:          workerTimes{cfg},
-		pendingReplies: pendingReplies{},
-		members:        newMembership(cfg.Node, incarnation, cfg.Peers),
-		limits:         storeLimits{settings: &cfg.Params.State},
-		replica:        newReplica(),
-		ended:          newEndedJobs(),
-		fleet:          &shard{name: "fleet", key: keyFleet},
-		teamBy:         map[string]*team{},
-		jobs:           map[string]*job.Job{},
-		cordons:        cordons{},
-		intents:        map[string]*rentalIntent{},
-		announcements:  newAnnouncementSet(),
-		dependencies:   newDependencies(),
-		handoffs:       newHandoffReplica(),
-		machines:       worker.NewRegistry(),
-		orphanLookups:  map[string]bool{},
-		returns:        newMachineReturns(),
-		rebalancer:     newRebalancer(),
-		peers:          newPeerTable(cfg),
-		storeOK:        true,
-		scheduler:      newScheduler(),
-		autoscaler:     newAutoscaler(),
-		stats:          jobstats.New(),
+		environment:   newEnvironment(cfg, policy),
+		members:       newMembership(cfg.Node, incarnation, cfg.Peers),
+		limits:        storeLimits{settings: &cfg.Params.State},
+		replica:       newReplica(),
+		ended:         newEndedJobs(),
+		fleet:         &shard{name: "fleet", key: keyFleet},
+		teamBy:        map[string]*team{},
+		jobs:          map[string]*job.Job{},
+		cordons:       cordons{},
+		intents:       map[string]*rentalIntent{},
+		announcements: newAnnouncementSet(),
+		dependencies:  newDependencies(),
+		handoffs:      newHandoffReplica(),
+		machines:      worker.NewRegistry(),
+		orphanLookups: map[string]bool{},
+		returns:       newMachineReturns(),
+		rebalancer:    newRebalancer(),
+		peers:         newPeerTable(cfg),
+		storeOK:       true,
+		scheduler:     newScheduler(),
+		autoscaler:    newAutoscaler(),
+		stats:         jobstats.New(),
 	}
 	c.agents = newAgentController(c)
 	c.relay = newStoreRelay(&c.limits, c.members.size(), c.times.reportInterval())
@@ -200,16 +189,6 @@
 	}
 }
 
-// every reports whether the duty due at *next is due now, and if so sets its
-// next time.
-func (c *Core) every(next *time.Duration, interval time.Duration) bool {
-	if c.now.Steady < *next {
-		return false
-	}
-	*next = c.now.Steady + interval
-	return true
-}
-
 func (c *Core) periodic() {
 	report := c.reportInterval()
 	c.updateUsageRecords()
@@ -266,11 +245,5 @@
 
 func (c *Core) listInterval() time.Duration { return seconds(c.cfg.Params.Cloud.ListLagS) / 2 }
 
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
-
-func (c *Core) log(level Level, text string, attrs ...any) {
-	c.emit(Log{Level: level, Text: text, Attrs: attrs})
-}
-
 // seconds turns a figure of the settings into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -21,18 +21,18 @@
 func (r *rejection) Error() string { return r.reason }
 
 // reply answers a request.
-func (c *Core) reply(req uint64, status int, body any) {
-	c.emit(Answer{Req: req, Status: status, Body: body})
+func (e *environment) reply(req uint64, status int, body any) {
+	e.emit(Answer{Req: req, Status: status, Body: body})
 }
 
 // replyRejected turns a request down.
-func (c *Core) replyRejected(req uint64, r *rejection) {
-	c.reply(req, r.status, protocol.Problem{Error: r.reason})
+func (e *environment) replyRejected(req uint64, r *rejection) {
+	e.reply(req, r.status, protocol.Problem{Error: r.reason})
 }
 
 // replyUnavailable answers at once that the node cannot tell now.
-func (c *Core) replyUnavailable(req uint64) {
-	c.emit(Answer{
+func (e *environment) replyUnavailable(req uint64) {
+	e.emit(Answer{
 		Req:        req,
 		Status:     http.StatusServiceUnavailable,
 		RetryAfter: retryAfter,
@@ -44,22 +44,22 @@
 var errUnknownJob = &rejection{http.StatusNotFound, "no such job"}
 
 // replyLookup answers with what was found out about a job.
-func (c *Core) replyLookup(req uint64, result lookup.Result) {
+func (e *environment) replyLookup(req uint64, result lookup.Result) {
 	switch result.Outcome {
 	case lookup.Active, lookup.Final:
-		c.reply(req, http.StatusOK, result.State)
+		e.reply(req, http.StatusOK, result.State)
 	case lookup.Absent:
-		c.replyRejected(req, errUnknownJob)
+		e.replyRejected(req, errUnknownJob)
 	default:
-		c.replyUnavailable(req)
+		e.replyUnavailable(req)
 	}
 }
 
 // userTxn and userGet are compareAndSwap and get for requests that a user waits for.
-func (c *Core) userTxn(t protocol.Txn, done func(StoreReply)) {
-	c.emit(StoreTxn{ID: c.expectReply(done), Txn: t, Quick: true})
+func (e *environment) userTxn(t protocol.Txn, done func(StoreReply)) {
+	e.emit(StoreTxn{ID: e.expectReply(done), Txn: t, Quick: true})
 }
 
-func (c *Core) userGet(key string, done func(StoreReply)) {
-	c.emit(StoreGet{ID: c.expectReply(done), Key: key, Quick: true})
+func (e *environment) userGet(key string, done func(StoreReply)) {
+	e.emit(StoreGet{ID: e.expectReply(done), Key: key, Quick: true})
 }
--- a/internal/core/storerequests.go
+++ b/internal/core/storerequests.go
@@ -30,13 +30,6 @@
 	return request, pending
 }
 
-// expectReply numbers a request to the store whose reply goes to handle.
-func (c *Core) expectReply(handle func(StoreReply)) uint64 {
-	id := c.ids.next()
-	c.pendingReplies[id] = pendingReply{sentAt: c.now.Steady, handle: handle}
-	return id
-}
-
 // handleStoreReply hands a reply to whoever waits for it.
 func (c *Core) handleStoreReply(reply StoreReply) {
 	request, pending := c.pendingReplies.take(reply.ID)
@@ -47,12 +40,19 @@
 	request.handle(reply)
 }
 
+// expectReply numbers a request to the store whose reply goes to handle.
+func (e *environment) expectReply(handle func(StoreReply)) uint64 {
+	id := e.ids.next()
+	e.pendingReplies[id] = pendingReply{sentAt: e.now.Steady, handle: handle}
+	return id
+}
+
 // compareAndSwap runs a transaction and hands its outcome to handle. Urgent ones go first.
-func (c *Core) compareAndSwap(txn protocol.Txn, urgent bool, handle func(StoreReply)) {
-	c.emit(StoreTxn{ID: c.expectReply(handle), Txn: txn, Urgent: urgent})
+func (e *environment) compareAndSwap(txn protocol.Txn, urgent bool, handle func(StoreReply)) {
+	e.emit(StoreTxn{ID: e.expectReply(handle), Txn: txn, Urgent: urgent})
 }
 
 // get reads a key and hands the reply to handle.
-func (c *Core) get(key string, handle func(StoreReply)) {
-	c.emit(StoreGet{ID: c.expectReply(handle), Key: key})
+func (e *environment) get(key string, handle func(StoreReply)) {
+	e.emit(StoreGet{ID: e.expectReply(handle), Key: key})
 }
