--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -25,9 +25,9 @@
 	c := r.core
 	zonesByJob := map[string]placement.Zones{}
 	moved := false
-	c.eachLedBinding(h.ID, c.isMovableReplica, func(j *job.Job, index int, b *job.Binding) {
+	c.eachLedBinding(h.ID, r.isMovableReplica, func(j *job.Job, index int, b *job.Binding) {
 		if zonesByJob[j.ID] == nil {
-			zonesByJob[j.ID] = c.zonesOf(j)
+			zonesByJob[j.ID] = r.zonesOf(j)
 		}
 		zones := zonesByJob[j.ID]
 		zones[h.Zone]--
@@ -46,7 +46,8 @@
 
 // isMovableReplica tells whether a task is a replica that needs no accelerators and has run
 // for a while.
-func (c *Core) isMovableReplica(ref job.TaskRef, b *job.Binding) bool {
+func (r *round) isMovableReplica(ref job.TaskRef, b *job.Binding) bool {
+	c := r.core
 	m := c.machines.Get(b.Machine)
 	if ref.Job.Kind != job.Service || ref.Job.Need.GPUs > 0 || m == nil {
 		return false
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -9,10 +9,11 @@
 	"pepperlever/internal/core/worker"
 )
 
-// schedulableHosts lists the machines that can take tasks. Every controller makes the same
+// listHosts lists the machines that can take tasks. Every controller makes the same
 // list from the same replica, so their plans differ little. The list is valid until the next
 // call.
-func (c *Core) schedulableHosts() []*placement.Host {
+func (r *round) listHosts() []*placement.Host {
+	c := r.core
 	kinds := c.catalog.Kinds()
 	names := c.machines.Names()
 	buffer := slices.Grow(c.scheduler.hostBuffer[:0], len(names))
@@ -23,7 +24,7 @@
 		if !known || !c.isSchedulable(m) {
 			continue
 		}
-		buffer = append(buffer, c.hostOf(name, m, traits))
+		buffer = append(buffer, r.hostOf(name, m, traits))
 		hosts = append(hosts, &buffer[len(buffer)-1])
 	}
 	c.scheduler.hostBuffer = buffer
@@ -31,7 +32,8 @@
 }
 
 // hostOf describes a machine for placing.
-func (c *Core) hostOf(name string, m *worker.Machine, traits catalog.KindTraits) placement.Host {
+func (r *round) hostOf(name string, m *worker.Machine, traits catalog.KindTraits) placement.Host {
+	c := r.core
 	host := placement.Host{
 		ID:               name,
 		Type:             m.Type,
@@ -74,10 +76,10 @@
 }
 
 // zonesOf counts the bound tasks of a job by zone.
-func (c *Core) zonesOf(j *job.Job) placement.Zones {
+func (r *round) zonesOf(j *job.Job) placement.Zones {
 	zones := placement.Zones{}
 	for _, b := range j.Bound {
-		if m := c.machines.Get(b.Machine); m != nil {
+		if m := r.core.machines.Get(b.Machine); m != nil {
 			zones[m.Zone]++
 		} else {
 			zones[placement.UnknownZone]++
@@ -87,11 +89,11 @@
 }
 
 // constrainedZones is zonesOf for a job whose next tasks depend on it, nil for others.
-func (c *Core) constrainedZones(j *job.Job) placement.Zones {
+func (r *round) constrainedZones(j *job.Job) placement.Zones {
 	if !j.OneZone && !j.Spread {
 		return nil
 	}
-	return c.zonesOf(j)
+	return r.zonesOf(j)
 }
 
 // withoutFailed leaves out the hosts that a job has failed on since it last succeeded, unless
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -1,6 +1,8 @@
 package core
 
 import (
+	"time"
+
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/protocol"
 )
@@ -32,7 +34,7 @@
 // them, and after an end of all controllers every machine is new to it.
 func (c *Core) reconcileInventory() {
 	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceLimit()
-	c.forgetUnlisted()
+	c.autoscaler.forgetUnlisted(c.cordons)
 	outages := c.updateZoneOutages()
 	for _, listed := range ordered(c.autoscaler.inventory) {
 		c.reconcileListed(listed, settled && !outages[listed.Zone])
@@ -46,11 +48,11 @@
 }
 
 // forgetUnlisted forgets the times of machines that have been returned.
-func (c *Core) forgetUnlisted() {
-	for name := range c.autoscaler.firstSeen {
-		if !c.autoscaler.isListed(name) && c.cordons.isTerminated(name) {
-			delete(c.autoscaler.firstSeen, name)
-			delete(c.autoscaler.provisioning.observed, name)
+func (a *autoscaler) forgetUnlisted(cordoned cordons) {
+	for name := range a.firstSeen {
+		if !a.isListed(name) && cordoned.isTerminated(name) {
+			delete(a.firstSeen, name)
+			delete(a.provisioning.observed, name)
 		}
 	}
 }
@@ -80,13 +82,14 @@
 // reconcileKnown returns a machine that has reported before and is gone or of no use.
 func (c *Core) reconcileKnown(name string, m *worker.Machine, zoneOutage bool) {
 	quiet := c.now.Steady - m.LastContact
+	listLag := unlistedLags * seconds(c.cfg.Params.Cloud.ListLagS)
 	leftAlone := zoneOutage && quiet < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
 	case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 		c.returnMachine(name, reasonReclaimed)
 	case quiet > c.silenceLimit() && !leftAlone && c.knowsAllMachines():
 		c.returnMachine(name, reasonSilent)
-	case quiet > 2*c.reportInterval() && c.isUnlisted(name):
+	case quiet > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, listLag):
 		c.returnMachine(name, reasonUnlisted)
 	}
 	if c.failureScore(m) >= cordonThreshold {
@@ -153,14 +156,10 @@
 	return true
 }
 
-// isUnlisted tells whether the cloud has taken a machine back: a list may be late or older
-// than the one before, but what has been listed stays so until it is gone.
-func (c *Core) isUnlisted(name string) bool {
-	if c.autoscaler.isListed(name) {
-		return false
-	}
-	age := c.autoscaler.inventoryAt - c.autoscaler.firstSeenAt(name, c.now.Steady)
-	return age > unlistedLags*seconds(c.cfg.Params.Cloud.ListLagS)
+// isUnlisted tells whether the cloud has taken a machine back: a list may be late by a lag or
+// older than the one before, but what has been listed stays so until it is gone.
+func (a *autoscaler) isUnlisted(name string, now, lag time.Duration) bool {
+	return !a.isListed(name) && a.inventoryAt-a.firstSeenAt(name, now) > lag
 }
 
 // handleReturnRequest takes another controller's request to return a machine.
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -27,7 +27,7 @@
 	}
 	hosts := withoutFailed(j, r.hostsFor(queue, j))
 	p := &jobPlacement{
-		zones:    r.core.zonesOf(j),
+		zones:    r.zonesOf(j),
 		picker:   placement.NewPicker(j.EffectiveSpec(), hosts),
 		unstored: map[string]bool{},
 	}
@@ -170,12 +170,12 @@
 	c := r.core
 	age := time.Duration(c.now.Wall-j.EligibleSince()) * time.Millisecond
 	if !isBestEffort(j) && age >= seconds(c.policy.TimeoutS) {
-		overdue := scaling.Demand{Spec: &j.Spec, Tasks: tasks, Zones: c.constrainedZones(j)}
+		overdue := scaling.Demand{Spec: &j.Spec, Tasks: tasks, Zones: r.constrainedZones(j)}
 		r.overdueDemand = append(r.overdueDemand, overdue)
 	}
 	isReserved := slices.ContainsFunc(r.reservedNeeds, func(reserved job.Resources) bool { return j.Need.Fits(reserved) })
 	if !isReserved {
-		r.reserveHosts(scaling.Demand{Spec: &j.Spec, Tasks: 1, Zones: c.constrainedZones(j)})
+		r.reserveHosts(scaling.Demand{Spec: &j.Spec, Tasks: 1, Zones: r.constrainedZones(j)})
 	}
 }
 
@@ -221,7 +221,7 @@
 		Spec:        &j.Spec,
 		Tasks:       fit,
 		Entitlement: entitlement,
-		Zones:       c.constrainedZones(j),
+		Zones:       r.constrainedZones(j),
 	})
 	if queue.team.leading {
 		r.starved = append(r.starved, j)
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -40,12 +40,12 @@
 // work is stopped only where the operator asks for it. No more work is lost than room is made
 // for.
 func (r *round) preempt() {
-	hosts := r.core.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
+	hosts := r.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
 		return r.core.policy.Preemption || isBestEffort(victim)
 	})
 	var hostsForServices []*placement.Host
 	if slices.ContainsFunc(r.starved, func(j *job.Job) bool { return j.Kind == job.Service }) {
-		hostsForServices = r.core.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
+		hostsForServices = r.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
 			return victim.Kind == job.Array && !victim.AboveNormal()
 		})
 	}
@@ -69,7 +69,7 @@
 	if j.Kind == job.Gang {
 		return false
 	}
-	now, delay := r.core.now.Steady, r.core.preemptionDelay(j)
+	now, delay := r.core.now.Steady, r.preemptionDelay(j)
 	if j.Kind != job.Service && now-j.PendingSince < delay {
 		return false
 	}
@@ -79,11 +79,11 @@
 // preemptionDelay is how long a job waits before room is made for it, or more of it: urgent
 // ones as long as it takes to hear what has ended meanwhile. For services the first is made at
 // once.
-func (c *Core) preemptionDelay(j *job.Job) time.Duration {
+func (r *round) preemptionDelay(j *job.Job) time.Duration {
 	if j.AboveNormal() {
-		return c.reportInterval() / 6
+		return r.core.reportInterval() / 6
 	}
-	return c.reportInterval()
+	return r.core.reportInterval()
 }
 
 // preemptFor stops tasks on hosts to make room for a job, and returns the hosts concerned.
@@ -105,9 +105,9 @@
 }
 
 // preemptibleHosts lists the hosts that stay and have work on them that may be stopped.
-func (c *Core) preemptibleHosts(hosts []*placement.Host, isVictim func(*job.Job) bool) []*placement.Host {
+func (r *round) preemptibleHosts(hosts []*placement.Host, isVictim func(*job.Job) bool) []*placement.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
-		return h.RemainingS >= 0 || !c.machines.HasBindingsOf(h.ID, isVictim)
+		return h.RemainingS >= 0 || !r.core.machines.HasBindingsOf(h.ID, isVictim)
 	})
 }
 
@@ -117,7 +117,7 @@
 	options := r.preemptionOptions(j, hosts)
 	slices.SortStableFunc(options, func(a, b preemptionOption) int { return cmp.Compare(a.loss, b.loss) })
 	var chosen []preemptionOption
-	zones, tasks := r.core.zonesOf(j), r.core.startAllowance(j)
+	zones, tasks := r.zonesOf(j), r.core.startAllowance(j)
 	for _, option := range options {
 		if len(chosen) < tasks && placement.ZoneAllowed(&j.Spec, option.host.Zone, zones) {
 			zones[option.host.Zone]++
@@ -143,7 +143,7 @@
 		if m == nil || perZone[h.Zone] >= maxPerZone || !canEverHold(&j.Spec, h) {
 			continue
 		}
-		if victims, loss := c.victimsFor(j, h, m); victims != nil && loss < maxLoss {
+		if victims, loss := r.victimsFor(j, h, m); victims != nil && loss < maxLoss {
 			options = append(options, preemptionOption{h, victims, loss})
 			perZone[h.Zone]++
 		}
@@ -159,8 +159,8 @@
 // victimsFor lists the tasks on a machine that would have to be stopped for one task of a job,
 // those with the least loss first, with the loss of all of them, or nil when stopping all is
 // not enough.
-func (c *Core) victimsFor(j *job.Job, h *placement.Host, m *worker.Machine) ([]preemptionVictim, float64) {
-	candidates := c.victimsOn(m, j)
+func (r *round) victimsFor(j *job.Job, h *placement.Host, m *worker.Machine) ([]preemptionVictim, float64) {
+	candidates := r.victimsOn(m, j)
 	slices.SortFunc(candidates, func(a, b preemptionVictim) int { return cmp.Compare(a.loss, b.loss) })
 	free, loss := h.Free, 0.0
 	for i, v := range candidates {
@@ -173,12 +173,13 @@
 }
 
 // victimsOn lists the tasks on a machine that may be stopped for a job.
-func (c *Core) victimsOn(m *worker.Machine, j *job.Job) []preemptionVictim {
+func (r *round) victimsOn(m *worker.Machine, j *job.Job) []preemptionVictim {
+	c := r.core
 	var victims []preemptionVictim
 	for _, t := range m.Tasks {
 		id, index, _ := job.ParseTaskID(t.Task)
 		victim := c.jobs[id]
-		if victim == nil || t.State != protocol.Running || victim.Kind != job.Array || !c.mayPreempt(j, victim) {
+		if victim == nil || t.State != protocol.Running || victim.Kind != job.Array || !r.mayPreempt(j, victim) {
 			continue
 		}
 		b := victim.Bound[index]
@@ -188,23 +189,24 @@
 		if b.StopSent > 0 && c.now.Steady-b.StopSent < c.reportInterval() {
 			continue
 		}
-		loss := c.preemptionLoss(victim, m, t.Task, t.Attempt)
+		loss := preemptionLoss(victim, m, t.Task, t.Attempt, c.now.Steady)
 		victims = append(victims, preemptionVictim{victim, index, b, loss})
 	}
 	return victims
 }
 
 // preemptionLoss is the work that is lost where a task is stopped, in CPU seconds.
-func (c *Core) preemptionLoss(j *job.Job, m *worker.Machine, task string, attempt uint64) float64 {
+func preemptionLoss(j *job.Job, m *worker.Machine, task string, attempt uint64, now time.Duration) float64 {
 	if j.CheckpointS > 0 {
 		return j.Need.CPUs * j.SaveS
 	}
-	return j.Need.CPUs * m.RunningTime(task, attempt, c.now.Steady).Seconds()
+	return j.Need.CPUs * m.RunningTime(task, attempt, now).Seconds()
 }
 
 // mayPreempt is the users' rule on stopping tasks of victim for those of j, within what the
 // operator allows.
-func (c *Core) mayPreempt(j, victim *job.Job) bool {
+func (r *round) mayPreempt(j, victim *job.Job) bool {
+	c := r.core
 	if victim.Rank() > j.Rank() {
 		return c.policy.Preemption || isBestEffort(victim) || j.Kind == job.Service && !victim.AboveNormal()
 	}
@@ -227,7 +229,7 @@
 		if load == nil || m.ReclaimAt > 0 || !c.isSchedulable(m) {
 			continue
 		}
-		preemptible, loss, lossPerCPU := c.bestEffortLoad(m, load)
+		preemptible, loss, lossPerCPU := bestEffortLoad(m, load, c.now.Steady)
 		if preemptible.CPUs == 0 {
 			continue
 		}
@@ -249,14 +251,14 @@
 
 // bestEffortLoad is what best-effort tasks take on a machine, and the least work that is lost
 // where one of them is stopped, in all and for each CPU.
-func (c *Core) bestEffortLoad(m *worker.Machine, load *job.Load) (preemptible job.Resources, loss, lossPerCPU float64) {
+func bestEffortLoad(m *worker.Machine, load *job.Load, now time.Duration) (preemptible job.Resources, loss, lossPerCPU float64) {
 	loss, lossPerCPU = math.Inf(1), math.Inf(1)
 	for ref, b := range load.Tasks {
 		if !isBestEffort(ref.Job) {
 			continue
 		}
 		preemptible = preemptible.Plus(ref.Job.Need, 1)
-		taskLoss := c.preemptionLoss(ref.Job, m, ref.Job.TaskID(ref.Index), b.Attempt)
+		taskLoss := preemptionLoss(ref.Job, m, ref.Job.TaskID(ref.Index), b.Attempt, now)
 		loss = min(loss, taskLoss)
 		lossPerCPU = min(lossPerCPU, taskLoss/max(ref.Job.Need.CPUs, minCPUs))
 	}
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -19,7 +19,7 @@
 // preemptFor has a round make room for a job that found none.
 func preemptFor(c *Core, j *job.Job) {
 	r := newRound(c)
-	r.hosts, r.starved = c.schedulableHosts(), []*job.Job{j}
+	r.hosts, r.starved = r.listHosts(), []*job.Job{j}
 	r.preempt()
 }
 
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -111,15 +111,16 @@
 	return newest[len(newest)/2].took
 }
 
-// provisioningDeadline is for how long a machine is expected to come up: meanwhile no other is
+// deadline is for how long a machine is expected to come up: meanwhile no other is
 // rented in its place.
-func (c *Core) provisioningDeadline(typ string) time.Duration {
-	return 2 * max(c.autoscaler.provisioning.typical[typ], c.catalog.BootTime(typ))
+func (p *provisioningTimes) deadline(typ string, types catalog.Catalog) time.Duration {
+	return 2 * max(p.typical[typ], types.BootTime(typ))
 }
 
 // provisioningTimeout is the age at which a machine that is not up is returned.
 func (c *Core) provisioningTimeout(typ string) time.Duration {
-	return c.provisioningDeadline(typ) + c.provisioningDeadline(typ)/2 + c.silenceLimit()
+	deadline := c.autoscaler.provisioning.deadline(typ, c.catalog)
+	return deadline + deadline/2 + c.silenceLimit()
 }
 
 // noteProvisioningFailure notes that a machine did not come up. After a few in a row the offer
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -58,7 +58,7 @@
 		"no guarantee":                           {normal, above, false},
 		"equal priority of the same team":        {normal, normal, false},
 	} {
-		if got := c.mayPreempt(k.starved, k.victim); got != k.want {
+		if got := newRound(c).mayPreempt(k.starved, k.victim); got != k.want {
 			t.Errorf("%s: got %v", name, got)
 		}
 	}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -77,7 +77,7 @@
 	if r.hasUrgentWork() {
 		s.reservedFor = nil
 	}
-	r.hosts = r.core.schedulableHosts()
+	r.hosts = r.listHosts()
 	for _, need := range s.reservedFor {
 		r.priorReservations[need] = true
 	}
@@ -182,7 +182,7 @@
 // place lets the ranking pick a team, gives the team's first job that fits a place, and goes
 // on until no team has anything that fits.
 func (r *round) place() {
-	total := r.core.totalCapacity()
+	total := totalCapacity(r.core.machines, r.core.catalog)
 	finished := make([]bool, len(r.queues))
 	for {
 		i := fairness.Next(r.ranking, r.skipLowerPriorities(finished), total)
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -108,15 +108,15 @@
 		if m.OK {
 			c.storeTerminated(batch)
 		} else {
-			c.retryRelease(batch)
+			c.autoscaler.retryRelease(batch)
 		}
 	}
 }
 
 // retryRelease has machines released again that the cloud or the store did not take.
-func (c *Core) retryRelease(names []string) {
+func (a *autoscaler) retryRelease(names []string) {
 	for _, name := range names {
-		delete(c.autoscaler.releasing, name)
+		delete(a.releasing, name)
 	}
 }
 
@@ -128,7 +128,7 @@
 	}
 	c.compareAndSwap(txn, true, func(r StoreReply) {
 		if r.Outcome != Applied {
-			c.retryRelease(names)
+			c.autoscaler.retryRelease(names)
 			return
 		}
 		for _, name := range names {
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -25,7 +25,7 @@
 // second, the cheapest machines first.
 func (c *Core) scaleOut() {
 	demand := c.scheduler.pendingDemand
-	if c.awaitsRental() || len(demand) == 0 {
+	if awaitsRental(c.intents) || len(demand) == 0 {
 		return
 	}
 	pending := c.pendingCapacity()
@@ -42,8 +42,8 @@
 }
 
 // awaitsRental tells whether the cloud has yet to answer a rental.
-func (c *Core) awaitsRental() bool {
-	for _, intent := range c.intents {
+func awaitsRental(intents map[string]*rentalIntent) bool {
+	for _, intent := range intents {
 		if intent.Machines == nil {
 			return true
 		}
@@ -56,7 +56,7 @@
 	pending := pendingMachines{core: c, seen: map[string]bool{}}
 	for _, l := range ordered(c.autoscaler.inventory) {
 		age := c.now.Steady - c.autoscaler.firstSeen[l.ID]
-		if l.State == protocol.Booting && age < c.provisioningDeadline(l.Type) {
+		if l.State == protocol.Booting && age < c.autoscaler.provisioning.deadline(l.Type, c.catalog) {
 			pending.add(l.ID, l.Type, l.Zone, l.Spot)
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 		for _, id := range intent.Machines {
 			age := c.now.Steady - c.autoscaler.firstSeenAt(id, c.now.Steady)
-			if age < c.provisioningDeadline(rental.Type) {
+			if age < c.autoscaler.provisioning.deadline(rental.Type, c.catalog) {
 				pending.add(id, rental.Type, rental.Zone, rental.Spot)
 			}
 		}
@@ -87,7 +87,7 @@
 // add enters a machine, unless it is known already, cordoned, or of an unknown type.
 func (p *pendingMachines) add(id, typ, zone string, spot bool) {
 	t, known := p.core.catalog.Lookup(typ)
-	_, cordoned := p.core.cordons[id]
+	cordoned := p.core.cordons.has(id)
 	if !known || cordoned || p.seen[id] || p.core.machines.Get(id) != nil {
 		return
 	}
@@ -113,12 +113,12 @@
 			work += float64(d.Tasks) * d.Spec.Need.CPUs * d.Spec.EstimateS
 		}
 	}
-	cpus := c.totalCapacity()[0]
+	cpus := totalCapacity(c.machines, c.catalog)[0]
 	for _, h := range pending {
 		cpus += h.Capacity.CPUs
 	}
 	switch {
-	case cpus == 0 && c.mayHaveSpot():
+	case cpus == 0 && c.policy.Spot && c.autoscaler.mayHaveSpot(c.catalog, c.now.Steady):
 		return 0 // spot machines first: the next round knows how many come
 	case cpus == 0:
 		return endlessBacklog
@@ -127,13 +127,10 @@
 }
 
 // mayHaveSpot tells whether the cloud may have any spot machine.
-func (c *Core) mayHaveSpot() bool {
-	if !c.policy.Spot {
-		return false
-	}
-	for name, t := range c.catalog.All() {
+func (a *autoscaler) mayHaveSpot(types catalog.Catalog, now time.Duration) bool {
+	for name, t := range types.All() {
 		for _, zone := range t.Zones {
-			if !c.autoscaler.isBackedOff(offerKey{name, zone, true}, c.now.Steady) {
+			if !a.isBackedOff(offerKey{name, zone, true}, now) {
 				return true
 			}
 		}
--- a/internal/core/usagerecords.go
+++ b/internal/core/usagerecords.go
@@ -3,8 +3,10 @@
 import (
 	"time"
 
+	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/core/worker"
 )
 
 // usageRecordInterval is how often usage records are exchanged, as the design says.
@@ -18,7 +20,7 @@
 		return
 	}
 	c.timers.last = c.now.Steady
-	shares := fairness.Shares(c.totalCapacity(), teamWeights(c.teams))
+	shares := fairness.Shares(totalCapacity(c.machines, c.catalog), teamWeights(c.teams))
 	window := c.now.Wall / int64(c.policy.WindowS*1000)
 	for i, t := range c.teams {
 		if !t.leading {
@@ -55,10 +57,10 @@
 }
 
 // totalCapacity is what all known machines have together.
-func (c *Core) totalCapacity() fairness.Vector {
+func totalCapacity(machines *worker.Registry, types catalog.Catalog) fairness.Vector {
 	var sum job.Resources
-	for _, name := range c.machines.Names() {
-		sum = sum.Plus(c.catalog.Capacity(c.machines.Get(name).Type), 1)
+	for _, name := range machines.Names() {
+		sum = sum.Plus(types.Capacity(machines.Get(name).Type), 1)
 	}
 	return vector(sum)
 }
