--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -53,8 +53,8 @@
 	unconfirmed map[string]*cancelAnnouncement
 }
 
-func newAnnouncementSet() *announcementSet {
-	return &announcementSet{
+func newAnnouncementSet() announcementSet {
+	return announcementSet{
 		byJob:       map[string]*cancelAnnouncement{},
 		unconfirmed: map[string]*cancelAnnouncement{},
 	}
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -24,13 +24,13 @@
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node = "vm", "small", "a"
 		if toldFirst {
-			c.handleCancellations("b", []Cancellation{told})
+			c.announcements.receive("b", []Cancellation{told})
 		}
 		c.agents.forwardStart("b", start)
 		if waits := len(w.queuedStarts) > 0; waits == toldFirst {
 			t.Errorf("%s: the start waits: %v", name, waits)
 		}
-		c.handleCancellations("b", []Cancellation{told})
+		c.announcements.receive("b", []Cancellation{told})
 		c.agents.deliverTo("vm", w)
 		if len(w.queuedStarts) > 0 || len(w.pendingStarts) > 0 {
 			t.Errorf("%s: %d starts wait, %d were sent", name, len(w.queuedStarts), len(w.pendingStarts))
@@ -48,7 +48,7 @@
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-free-1", 3, ""))
 	c := New(testSettings("a"), w.cores["a"].policy, "a")
-	c.handleCancellations("b", []Cancellation{{Job: "req-free-1", Revision: 99}})
+	c.announcements.receive("b", []Cancellation{{Job: "req-free-1", Revision: 99}})
 	c.onPut(w.kv[jobKey("req-free-1")])
 	if j := c.jobs["req-free-1"]; j == nil || !j.Cancelled {
 		t.Errorf("it is taken for a live one: %+v", j)
@@ -87,7 +87,7 @@
 func TestAnnouncementsAreBounded(t *testing.T) {
 	c := newWorld(t).cores["a"]
 	for i := range 2 * maxAnnouncements {
-		c.noteCancellation(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
+		c.announcements.note(Cancellation{Job: fmt.Sprintf("req-many-%d", i), Revision: 9})
 	}
 	if len(c.announcements.byJob) > maxAnnouncements || len(c.announcements.order) > maxAnnouncements {
 		t.Errorf("%d announcements are kept", len(c.announcements.byJob))
@@ -95,7 +95,7 @@
 	c.peers.setConnected("b", true)
 	c.effects = nil
 	c.now.Steady = time.Minute
-	c.repeatAnnouncements()
+	c.announcements.repeat()
 	if m := c.effects[0].(SendPeer); len(m.Message.Cancellations) != cancellationsPerMessage {
 		t.Errorf("a message has %d cancellations", len(m.Message.Cancellations))
 	}
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -66,8 +66,8 @@
 // cancelStored passes on a cancellation that is stored and answers its user.
 func (c *Core) cancelStored(m Cancel, revision uint64) {
 	c.log(Debug, "job cancelled", "job", m.ID)
-	c.noteCancellation(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
-	c.announceCancel(m.ID)
+	c.announcements.note(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
+	c.announcements.announce(m.ID)
 	c.lookUp(m.ID, func(result lookup.Result) { c.replyLookup(m.Req, result) })
 }
 
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -25,7 +25,7 @@
 	}
 	id := strings.TrimPrefix(item.Key, keyCancel)
 	c.replica.cancelRequests[id] = record.RequestedAt
-	c.noteCancellation(Cancellation{Job: id, Revision: item.Version, RequestedAt: record.RequestedAt})
+	c.announcements.note(Cancellation{Job: id, Revision: item.Version, RequestedAt: record.RequestedAt})
 	return nil
 }
 
@@ -83,7 +83,7 @@
 			c.stopTask(j, i, b, 0)
 		}
 		if c.mayStillRun(j, i, b) {
-			c.returnUnstoppedMachine(j, b.Machine)
+			c.returns.returnUnstopped(j, b.Machine)
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,7 +30,7 @@
 	intents map[string]*rentalIntent
 	ended   endedJobs
 	// announcements holds the cancellations that are announced to the other controllers.
-	announcements *announcementSet
+	announcements *announcer
 	upgrade       upgradeTracker
 	// limits are those of the store on what this controller writes.
 	limits       storeLimits
@@ -73,7 +73,7 @@
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, heartbeat, share, observations, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics, stopReported time.Duration
+	last, heartbeat, share, observations, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics time.Duration
 }
 
 // New makes a core. The incarnation must differ between runs of the process.
@@ -89,12 +89,10 @@
 		jobs:          map[string]*job.Job{},
 		cordons:       cordons{},
 		intents:       map[string]*rentalIntent{},
-		announcements: newAnnouncementSet(),
 		dependencies:  newDependencies(),
 		handoffs:      newHandoffReplica(),
 		machines:      worker.NewRegistry(),
 		orphanLookups: map[string]bool{},
-		returns:       newMachineReturns(),
 		rebalancer:    newRebalancer(),
 		peers:         newPeerTable(cfg),
 		storeOK:       true,
@@ -103,7 +101,9 @@
 		stats:         jobstats.New(),
 	}
 	c.agents = newAgentController(c)
-	c.relay = newStoreRelay(&c.limits, c.members.size(), c.times.reportInterval())
+	c.announcements = newAnnouncer(c)
+	c.relay = newStoreRelay(c)
+	c.returns = newMachineReturns(c)
 	c.reach = &reachability{clock: &c.now, members: &c.members, peers: c.peers, relay: c.relay}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
@@ -192,7 +192,7 @@
 func (c *Core) periodic() {
 	report := c.reportInterval()
 	c.updateUsageRecords()
-	c.answerAnnounced()
+	c.announcements.resolveLookups()
 	c.answerDeferredStatus()
 	if c.every(&c.timers.heartbeat, report/3) {
 		c.sendHeartbeat()
@@ -204,7 +204,7 @@
 		c.electLeaders()
 	}
 	if c.replica.loaded && c.every(&c.timers.reconcile, report/3) {
-		c.repeatAnnouncements()
+		c.announcements.repeat()
 		c.checkFreshness()
 		c.reconcileAll()
 		c.agents.retryPendingRaises()
@@ -214,7 +214,7 @@
 	if c.replica.loaded {
 		c.checkDependencies()
 		c.inheritUrgency()
-		c.updateRelay()
+		c.relay.update()
 		c.checkIsolation()
 	}
 	if c.every(&c.timers.catalog, c.catalogInterval()) {
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -97,7 +97,7 @@
 	}
 	c.revertUpdate(u)
 	if slices.Contains(failed, cancelKey(j.ID)) {
-		c.noteCancellation(Cancellation{Job: j.ID, Revision: r.Revision})
+		c.announcements.note(Cancellation{Job: j.ID, Revision: r.Revision})
 	}
 	if slices.Contains(failed, outgoingKey(j.ID)) {
 		c.onHandedOff(j)
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -59,7 +59,7 @@
 func (c *Core) resolveEnded(request lookup.Request) {
 	id := request.JobID
 	state, _ := c.ended.state(id)
-	if c.deferUntilAnnounced(request) {
+	if c.announcements.deferLookup(request) {
 		return
 	}
 	request.Resolve(lookup.Result{Outcome: lookup.Final, State: state})
@@ -184,6 +184,6 @@
 		c.cancelDependent(j, "") // nothing of it runs that others would have to stop
 		return
 	}
-	c.noteCancellation(Cancellation{Job: id, Revision: revision})
-	c.announceCancel(id)
+	c.announcements.note(Cancellation{Job: id, Revision: revision})
+	c.announcements.announce(id)
 }
--- a/internal/core/machinereturns.go
+++ b/internal/core/machinereturns.go
@@ -5,6 +5,7 @@
 // machineReturns tracks the machines that this node wants returned because a cancelled task
 // does not end on them, or because nothing is heard of them.
 type machineReturns struct {
+	core *Core
 	// requestedAt is when the fleet's leader was last asked to return a machine.
 	requestedAt map[string]time.Duration
 	// releasedAt is when this node last decided to release a machine itself.
@@ -15,29 +16,15 @@
 	pending []string
 }
 
-func newMachineReturns() *machineReturns {
+func newMachineReturns(core *Core) *machineReturns {
 	return &machineReturns{
+		core:        core,
 		requestedAt: map[string]time.Duration{},
 		releasedAt:  map[string]time.Duration{},
 		confirmed:   map[string]bool{},
 	}
 }
 
-// request tells whether the return of a machine is to be requested now: at most once
-// an interval.
-func (r *machineReturns) request(machine string, now, interval time.Duration) bool {
-	return repeatAfter(r.requestedAt, machine, now, interval)
-}
-
-// release queues a machine for release, at most once an interval, and tells whether it did.
-func (r *machineReturns) release(machine string, now, interval time.Duration) bool {
-	if !repeatAfter(r.releasedAt, machine, now, interval) {
-		return false
-	}
-	r.pending = append(r.pending, machine)
-	return true
-}
-
 // repeatAfter tells whether an interval has passed since a machine's last entry, and if so
 // makes a new one.
 func repeatAfter(last map[string]time.Duration, machine string, now, interval time.Duration) bool {
@@ -48,13 +35,6 @@
 	return true
 }
 
-// takePending empties the queue of machines to be released.
-func (r *machineReturns) takePending() []string {
-	out := r.pending
-	r.pending = nil
-	return out
-}
-
 // confirm notes that the cloud has taken a machine, if this node has released it.
 func (r *machineReturns) confirm(machine string) {
 	if _, released := r.releasedAt[machine]; released {
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -134,7 +134,7 @@
 	case m.Federation != nil:
 		c.handleFederationNote(from, *m.Federation)
 	case m.Cancellations != nil:
-		c.handleCancellations(from, m.Cancellations)
+		c.announcements.receive(from, m.Cancellations)
 	case m.Acknowledged != nil:
 		c.announcements.acknowledge(from, m.Acknowledged...)
 	}
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -77,7 +77,7 @@
 
 // relayPatience is the longest expected time between two heartbeats by the store relay.
 func (r *reachability) relayPatience() time.Duration {
-	return r.relay.reportInterval + 2*r.relay.interval()
+	return r.relay.core.reportInterval() + 2*r.relay.interval()
 }
 
 // knowsMachinesOf tells whether this node knows which machines a controller serves: from a
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -128,7 +128,7 @@
 // unproven is fenced, what must go is stopped, and what does not go is returned with its
 // machine.
 func (c *Core) reconcileAll() {
-	c.reapplyRelayEntries()
+	c.relay.reapplyEntries()
 	for _, t := range c.teams {
 		if !t.leading {
 			c.stopCancelledJobs(t)
@@ -138,7 +138,7 @@
 			c.reconcileJob(j)
 		}
 	}
-	c.flushReleases()
+	c.returns.flush()
 }
 
 func (c *Core) reconcileJob(j *job.Job) {
@@ -166,7 +166,7 @@
 	}
 	m := c.machines.Get(b.Machine)
 	if c.isSilent(m, b) {
-		c.requestReturn(b.Machine, reasonUnknownMachine)
+		c.returns.request(b.Machine, reasonUnknownMachine)
 	}
 	if m == nil {
 		return
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -12,46 +12,46 @@
 // that changed every second would be written every second.
 const noticeStepSeconds = 5
 
-// updateRelay acts for the leaders that this node is partitioned from, and publishes to them.
-func (c *Core) updateRelay() {
-	partitioned := c.reach.partitioned()
-	if partitioned && c.every(&c.relay.nextStartCheck, c.reportInterval()/30) {
-		c.actForUnreachableLeaders()
+// update acts for the leaders that this node is partitioned from, and publishes to them.
+func (r *storeRelay) update() {
+	partitioned := r.core.reach.partitioned()
+	if partitioned && r.core.every(&r.nextStartCheck, r.core.reportInterval()/30) {
+		r.actForUnreachableLeaders()
 	}
-	if !c.every(&c.relay.nextPublish, c.relay.interval()) || c.relay.writing || c.members.lease == 0 {
+	if !r.core.every(&r.nextPublish, r.interval()) || r.writing || r.core.members.lease == 0 {
 		return
 	}
 	var want map[string]json.RawMessage
 	if partitioned {
-		want = relay.Pages(c.nextRelayHeartbeat(), c.relayEntries(), c.machinesHeardHere(), c.limits.relayPageBytes())
+		want = relay.Pages(r.nextHeartbeat(), r.entries(), r.servedMachines(), r.core.limits.relayPageBytes())
 	}
-	c.publishRelay(c.relay.publication.Diff(want, c.limits.maxRelayPages()))
+	r.publish(r.publication.Diff(want, r.core.limits.maxRelayPages()))
 }
 
-// nextRelayHeartbeat makes a heartbeat for a page.
-func (c *Core) nextRelayHeartbeat() json.RawMessage {
-	number := c.ids.next()
-	b := c.newHeartbeat()
-	b.Records = c.ownRecords()
+// nextHeartbeat makes a heartbeat for a page.
+func (r *storeRelay) nextHeartbeat() json.RawMessage {
+	number := r.core.ids.next()
+	b := r.core.newHeartbeat()
+	b.Records = r.core.ownRecords()
 	return mustMarshal(relayHeartbeat{Sequence: number, NodeHeartbeat: b})
 }
 
-// relayEntries lists the outcome of tasks on this node's machines whose leaders may not hear
+// entries lists the outcome of tasks on this node's machines whose leaders may not hear
 // of it, for as long as the store shows them bound.
-func (c *Core) relayEntries() []relay.Entry {
+func (r *storeRelay) entries() []relay.Entry {
 	var out []relay.Entry
-	for id := range c.agents.all() {
-		m, load := c.machines.Get(id), c.machines.Load(id)
-		if m == nil || m.Node != c.cfg.Node || load == nil {
+	for id := range r.core.agents.all() {
+		m, load := r.core.machines.Get(id), r.core.machines.Load(id)
+		if m == nil || m.Node != r.core.cfg.Node || load == nil {
 			continue
 		}
 		for ref, b := range load.Tasks {
-			if !b.Stored || !c.partitionedFromLeader(ref.Job) {
+			if !b.Stored || !r.core.partitionedFromLeader(ref.Job) {
 				continue
 			}
 			task := ref.Job.TaskID(ref.Index)
 			evidence, t := m.Evidence(task, b)
-			start, decided := c.agents.startLedgers.find(id, b.Token, taskAttempt{task, b.Attempt})
+			start, decided := r.core.agents.startLedgers.find(id, b.Token, taskAttempt{task, b.Attempt})
 			if evidence == worker.Exited || evidence == worker.Absent || decided && start.refused {
 				out = append(out, relay.Entry{
 					Job:     ref.Job.ID,
@@ -66,17 +66,17 @@
 	return out
 }
 
-// machinesHeardHere lists the machines that report to this node.
-func (c *Core) machinesHeardHere() map[relay.MachineKind][]string {
+// servedMachines lists the machines that report to this node.
+func (r *storeRelay) servedMachines() map[relay.MachineKind][]string {
 	out := map[relay.MachineKind][]string{}
-	for id, w := range c.agents.all() {
-		m := c.machines.Get(id)
-		if m == nil || m.Node != c.cfg.Node || c.now.Steady-m.LastContact > 2*c.reportInterval() {
+	for id, w := range r.core.agents.all() {
+		m := r.core.machines.Get(id)
+		if m == nil || m.Node != r.core.cfg.Node || r.core.now.Steady-m.LastContact > 2*r.core.reportInterval() {
 			continue
 		}
 		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: w.token, Epoch: m.Session}
 		if m.ReclaimAt > 0 {
-			left := (m.ReclaimAt - c.now.Steady).Seconds()
+			left := (m.ReclaimAt - r.core.now.Steady).Seconds()
 			kind.NoticeS = max(1, int(left/noticeStepSeconds)*noticeStepSeconds)
 		}
 		out[kind] = append(out[kind], id)
@@ -84,27 +84,27 @@
 	return out
 }
 
-// publishRelay writes changes of this node's pages, attached to its lease, so that they
+// publish writes changes of this node's pages, attached to its lease, so that they
 // expire with this node.
-func (c *Core) publishRelay(changes []relay.Change) {
+func (r *storeRelay) publish(changes []relay.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	var txn protocol.Txn
 	for _, ch := range changes {
-		key := pageKey(c.cfg.Node, ch.Page)
+		key := pageKey(r.core.cfg.Node, ch.Page)
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: ch.Version})
 		if ch.Value == nil {
 			txn.Then = append(txn.Then, protocol.Change{Delete: key})
 		} else {
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: ch.Value, Lease: c.members.lease})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: ch.Value, Lease: r.core.members.lease})
 		}
 	}
-	c.relay.writing = true
-	c.compareAndSwap(txn, true, func(r StoreReply) {
-		c.relay.writing = false
-		if r.Outcome == Applied {
-			c.relay.publication.Confirm(changes, r.Revision)
+	r.writing = true
+	r.core.compareAndSwap(txn, true, func(reply StoreReply) {
+		r.writing = false
+		if reply.Outcome == Applied {
+			r.publication.Confirm(changes, reply.Revision)
 		}
 	})
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -140,7 +140,7 @@
 	case isLeaderKey(key):
 		err = c.onLeaderPut(item)
 	case strings.HasPrefix(key, keyRelay):
-		err = c.onRelayPagePut(item)
+		err = c.relay.onPagePut(item)
 	case strings.HasPrefix(key, keyFederation):
 		err = c.onFederationPut(item)
 	case strings.HasPrefix(key, keyNode):
@@ -175,7 +175,7 @@
 	case isLeaderKey(key):
 		c.onLeaderDelete(key, revision)
 	case strings.HasPrefix(key, keyRelay):
-		c.onRelayPageDelete(key, revision)
+		c.relay.onPageDelete(key, revision)
 	case strings.HasPrefix(key, keyFederation):
 		c.onFederationDelete(key, revision)
 	case strings.HasPrefix(key, keyNode):
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -16,11 +16,9 @@
 
 // storeRelay exchanges messages through the store with live controllers that this node is
 // partitioned from: each controller publishes pages under keys of its own, and reads
-// those of the others.
+// those of the others. For leaders among them it starts and forgets tasks here.
 type storeRelay struct {
-	limits         *storeLimits
-	controllers    int
-	reportInterval time.Duration
+	core *Core
 	// nextPublish is when the pages are compared with the store again, nextStartCheck when
 	// bindings of unreachable leaders are looked at again.
 	nextPublish, nextStartCheck time.Duration
@@ -44,19 +42,15 @@
 	NodeHeartbeat
 }
 
-func newStoreRelay(limits *storeLimits, controllers int, reportInterval time.Duration) *storeRelay {
-	return &storeRelay{
-		limits:         limits,
-		controllers:    controllers,
-		reportInterval: reportInterval,
-		inboxes:        map[string]*relayInbox{},
-	}
+func newStoreRelay(core *Core) *storeRelay {
+	return &storeRelay{core: core, inboxes: map[string]*relayInbox{}}
 }
 
 // interval is the pause between two writes of pages, each of about pagesPerWrite pages.
 func (r *storeRelay) interval() time.Duration {
-	share := relayWriteShare * r.limits.writeRate()
-	return max(r.reportInterval/5, seconds(pagesPerWrite*float64(r.controllers)/share))
+	share := relayWriteShare * r.core.limits.writeRate()
+	controllers := float64(r.core.members.size())
+	return max(r.core.reportInterval()/5, seconds(pagesPerWrite*controllers/share))
 }
 
 func pageKey(node, page string) string { return keyRelay + node + "/" + page }
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -11,46 +11,46 @@
 // reasonTaskNotStopped is why a machine with a cancelled task is returned.
 const reasonTaskNotStopped = "cancelled task does not end"
 
-// returnUnstoppedMachine has a machine returned on which a task of a cancelled job does not
+// returnUnstopped has a machine returned on which a task of a cancelled job does not
 // end: by the fleet's leader or by a cordon, or by this node itself while neither may help.
 //
 // A node that has just learned of a cancellation goes by its time of day only for the
 // machines that it is responsible for: what it knows of the others may be old.
-func (c *Core) returnUnstoppedMachine(j *job.Job, machine string) {
-	unaware := c.isUnaware(j.ID, machine)
-	patience := c.times.cancelDeadline() / 2
-	if unaware && !c.storeOK {
+func (r *machineReturns) returnUnstopped(j *job.Job, machine string) {
+	unaware := r.core.isUnaware(j.ID, machine)
+	patience := r.core.times.cancelDeadline() / 2
+	if unaware && !r.core.storeOK {
 		// The cloud may fail next, and nothing else is left. While the store answers it is
 		// too early: a controller that is cut off redirects its workers meanwhile.
-		patience = min(patience, c.times.stalenessBound()*3/4)
+		patience = min(patience, r.core.times.stalenessBound()*3/4)
 	}
-	known := c.now.Steady - j.CancelledAt
-	responsible := c.isResponsibleFor(j, machine)
-	if unaware && known > patience || responsible && c.cancellationOverdue(j, patience) {
-		c.requestReturn(machine, reasonTaskNotStopped)
+	known := r.core.now.Steady - j.CancelledAt
+	responsible := r.isResponsibleFor(j, machine)
+	if unaware && known > patience || responsible && r.isOverdue(j, patience) {
+		r.request(machine, reasonTaskNotStopped)
 	}
-	if !c.fleetLeaderUnavailable() {
+	if !r.fleetLeaderUnavailable() {
 		return
 	}
-	patience += c.releaseDelay()
-	if known > patience || responsible && c.cancellationOverdue(j, patience) {
-		c.releaseWithoutLeader(machine)
+	patience += r.releaseDelay()
+	if known > patience || responsible && r.isOverdue(j, patience) {
+		r.releaseWithoutLeader(machine)
 	}
 }
 
-// cancellationOverdue tells whether a cancellation has taken longer than patience here.
+// isOverdue tells whether a cancellation has taken longer than patience here.
 // Controllers that have restarted begin to count anew, so they go by the time of day of
 // the request too, once reports had time to come, or three quarters of the deadline
 // are over.
-func (c *Core) cancellationOverdue(j *job.Job, patience time.Duration) bool {
-	known := c.now.Steady - j.CancelledAt
+func (r *machineReturns) isOverdue(j *job.Job, patience time.Duration) bool {
+	known := r.core.now.Steady - j.CancelledAt
 	total := time.Duration(0)
 	if j.CancelRequestedAt > 0 {
-		total = time.Duration(c.now.Wall-j.CancelRequestedAt) * time.Millisecond
+		total = time.Duration(r.core.now.Wall-j.CancelRequestedAt) * time.Millisecond
 	}
 	return known > patience ||
-		total > patience*3/2 && known > c.silenceLimit() ||
-		total > c.times.cancelDeadline()*3/4
+		total > patience*3/2 && known > r.core.silenceLimit() ||
+		total > r.core.times.cancelDeadline()*3/4
 }
 
 // isResponsibleFor tells whether it is for this node to have a machine returned for a task of
@@ -58,62 +58,67 @@
 // leader is too for machines whose controller it is in contact with, or that no live
 // controller serves. It leaves alone those of a live controller that it has no
 // contact with: their tasks may have ended long ago.
-func (c *Core) isResponsibleFor(j *job.Job, machine string) bool {
-	m := c.machines.Get(machine)
+func (r *machineReturns) isResponsibleFor(j *job.Job, machine string) bool {
+	m := r.core.machines.Get(machine)
 	if m == nil {
-		return c.leads(j)
+		return r.core.leads(j)
 	}
-	if m.Node == c.cfg.Node && c.agents.session(machine) != nil {
+	if m.Node == r.core.cfg.Node && r.core.agents.session(machine) != nil {
 		return true
 	}
-	live := c.members.isLive(m.Node)
-	return c.leads(j) && (c.reach.hasContact(m.Node) || !live)
+	live := r.core.members.isLive(m.Node)
+	return r.core.leads(j) && (r.core.reach.hasContact(m.Node) || !live)
 }
 
 // fleetLeaderUnavailable tells whether the fleet may have no leader, and a cordon for the
 // next one can't be stored. Then whoever knows of a cancellation releases machines itself.
 // To the others it is as if the cloud had taken them without notice; the fleet's
 // leader finds that out from the inventory.
-func (c *Core) fleetLeaderUnavailable() bool { return !c.storeOK || c.fleet.leader == "" }
+func (r *machineReturns) fleetLeaderUnavailable() bool {
+	return !r.core.storeOK || r.core.fleet.leader == ""
+}
 
 // releaseDelay keeps controllers from all releasing the same machine at once: each waits for
 // its own part of a sixteenth of the deadline, since the cloud takes few requests.
-func (c *Core) releaseDelay() time.Duration {
-	position := c.members.position()
-	return c.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(c.members.size())
+func (r *machineReturns) releaseDelay() time.Duration {
+	position := r.core.members.position()
+	return r.core.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(r.core.members.size())
 }
 
 // releaseWithoutLeader releases a machine without the fleet's leader.
-func (c *Core) releaseWithoutLeader(machine string) {
-	if c.returns.release(machine, c.now.Steady, c.reportInterval()) {
-		c.log(Info, "machine released without the fleet leader", "machine", machine, "reason", reasonTaskNotStopped)
+func (r *machineReturns) releaseWithoutLeader(machine string) {
+	if !repeatAfter(r.releasedAt, machine, r.core.now.Steady, r.core.reportInterval()) {
+		return
 	}
+	r.core.log(Info, "machine released without the fleet leader", "machine", machine, "reason", reasonTaskNotStopped)
+	r.pending = append(r.pending, machine)
 }
 
-// flushReleases asks the cloud to take the machines that this node releases itself.
-func (c *Core) flushReleases() {
-	for machines := range slices.Chunk(c.returns.takePending(), protocol.MaxRelease) {
-		c.emit(ReleaseMachines{Machines: machines})
+// flush asks the cloud to take the machines that this node releases itself.
+func (r *machineReturns) flush() {
+	for machines := range slices.Chunk(r.pending, protocol.MaxRelease) {
+		r.core.emit(ReleaseMachines{Machines: machines})
 	}
+	r.pending = nil
 }
 
-// requestReturn asks the fleet's leader to return a machine with all that is on it. Where the
+// request asks the fleet's leader to return a machine with all that is on it. Where the
 // leader can't be reached, a cordon in the store tells it of a cancelled task. Any
 // controller may write that, since it costs no more than the machine.
-func (c *Core) requestReturn(machine, reason string) {
-	if !c.returns.request(machine, c.now.Steady, c.reportInterval()) {
+func (r *machineReturns) request(machine, reason string) {
+	if !repeatAfter(r.requestedAt, machine, r.core.now.Steady, r.core.reportInterval()) {
 		return
 	}
-	if c.fleet.leader != "" && c.reach.inDirectContact(c.fleet.leader) {
-		c.sendTo(c.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: reason}})
+	if r.core.fleet.leader != "" && r.core.reach.inDirectContact(r.core.fleet.leader) {
+		r.core.sendTo(r.core.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: reason}})
 		return
 	}
-	if c.cordons.has(machine) || reason == reasonUnknownMachine {
+	if r.core.cordons.has(machine) || reason == reasonUnknownMachine {
 		return
 	}
-	c.log(Info, "machine cordoned to be returned", "machine", machine, "reason", reason)
+	r.core.log(Info, "machine cordoned to be returned", "machine", machine, "reason", reason)
 	key := keyCordon + machine
-	c.compareAndSwap(protocol.Txn{
+	r.core.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{{Key: key}},
 		Then: []protocol.Change{putJSON(key, cordonRecord{Reason: reason})},
 	}, true, func(StoreReply) {})
