--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,4 +1,3 @@
-// Package store speaks to the state service.
 package store
 
 import (
@@ -14,6 +13,9 @@
 	"pepperlever/internal/protocol"
 )
 
+// maxConnections bounds the connections of a client.
+const maxConnections = 32
+
 // client does single requests.
 type client struct {
 	http *httpclient.Client
@@ -21,7 +23,7 @@
 }
 
 func newClient(addr string, timeout time.Duration) *client {
-	return &client{addr: addr, http: httpclient.New(timeout, 32)}
+	return &client{addr: addr, http: httpclient.New(timeout, maxConnections)}
 }
 
 func (c *client) call(method, path string, body, out any) (int, error) {
@@ -30,54 +32,63 @@
 
 // txn does a transaction.
 func (c *client) txn(t protocol.Txn) core.StoreReply {
-	var r protocol.TxnResult
+	var result protocol.TxnResult
 	if t.If == nil {
 		t.If = []protocol.Condition{}
 	}
-	status, err := c.call(fasthttp.MethodPost, protocol.PathTxn, t, &r)
-	out := core.StoreReply{Revision: r.Revision, Failed: r.Failed}
+	status, err := c.call(fasthttp.MethodPost, protocol.PathTxn, t, &result)
+	reply := core.StoreReply{Revision: result.Revision, Failed: result.Failed}
 	switch {
 	case errors.Is(err, httpclient.ErrUnsent):
-		out.Outcome, out.Unavailable = core.Refused, true
+		reply.Outcome, reply.Unavailable = core.Refused, true
 	case err != nil:
-		out.Outcome = core.Unknown
+		reply.Outcome = core.Unknown
 	case status == fasthttp.StatusOK:
-		out.Outcome = core.Applied
+		reply.Outcome = core.Applied
 	case status == fasthttp.StatusConflict:
-		out.Outcome = core.Conflict
-	case status == fasthttp.StatusBadRequest && strings.Contains(r.Error, "lease"):
-		out.Outcome = core.NoLease
+		reply.Outcome = core.Conflict
+	case status == fasthttp.StatusBadRequest && strings.Contains(result.Error, "lease"):
+		reply.Outcome = core.NoLease
 	case status == fasthttp.StatusBadRequest:
-		slog.Error("state service calls a transaction malformed", "error", r.Error, "changes", len(t.Then), "conditions", len(t.If), "largest value", largestValue(t))
-		out.Outcome, out.Oversized = core.Refused, true
+		logMalformed(t, result.Error)
+		reply.Outcome, reply.Oversized = core.Refused, true
 	default:
-		out.Outcome, out.Unavailable = core.Refused, status == fasthttp.StatusServiceUnavailable
-		out.RateLimited = status == fasthttp.StatusTooManyRequests
+		reply.Outcome = core.Refused
+		reply.Unavailable = status == fasthttp.StatusServiceUnavailable
+		reply.RateLimited = status == fasthttp.StatusTooManyRequests
 	}
-	return out
+	return reply
+}
+
+func logMalformed(t protocol.Txn, reason string) {
+	slog.Error("store rejected transaction as malformed",
+		"error", reason,
+		"changes", len(t.Then),
+		"conditions", len(t.If),
+		"largest_value", largestValue(t))
 }
 
 // largestValue is the length of the longest value that a transaction writes.
 func largestValue(t protocol.Txn) (n int) {
-	for _, ch := range t.Then {
-		n = max(n, len(ch.Value))
+	for _, change := range t.Then {
+		n = max(n, len(change.Value))
 	}
 	return n
 }
 
 // get reads one key.
 func (c *client) get(key string) core.StoreReply {
-	var kv protocol.KeyValue
-	status, err := c.call(fasthttp.MethodGet, protocol.PathKV+"/"+key, nil, &kv)
-	out := core.StoreReply{Outcome: core.Refused, Item: kv, Revision: kv.Revision}
+	var item protocol.KeyValue
+	status, err := c.call(fasthttp.MethodGet, protocol.PathKV+"/"+key, nil, &item)
+	reply := core.StoreReply{Outcome: core.Refused, Item: item, Revision: item.Revision}
 	switch {
 	case err != nil:
 	case status == fasthttp.StatusServiceUnavailable:
-		out.Unavailable = true
+		reply.Unavailable = true
 	case status == fasthttp.StatusOK:
-		out.Outcome = core.Applied
+		reply.Outcome = core.Applied
 	case status == fasthttp.StatusNotFound:
-		out.Outcome = core.Missing
+		reply.Outcome = core.Missing
 	}
-	return out
+	return reply
 }
--- /dev/null
+++ b/internal/store/health.go
@@ -0,0 +1,48 @@
+package store
+
+import (
+	"log/slog"
+	"sync"
+	"time"
+
+	"pepperlever/internal/core"
+)
+
+// health tells the core when the key-value store stops or starts to answer.
+type health struct {
+	emit func(core.Command)
+
+	mu         sync.Mutex
+	down       bool
+	lastAnswer time.Time
+}
+
+// note takes whether a request was answered. The key-value store is down once none was for
+// longer than the grace period.
+func (h *health) note(answered bool, grace time.Duration) {
+	if !h.update(answered, grace) {
+		return
+	}
+	if answered {
+		slog.Info("store is reachable again")
+	} else {
+		slog.Info("store is unreachable")
+	}
+	h.emit(core.StoreHealth{OK: answered})
+}
+
+// update reports whether the state has changed.
+func (h *health) update(answered bool, grace time.Duration) (changed bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := time.Now()
+	if answered || h.lastAnswer.IsZero() {
+		h.lastAnswer = now
+	}
+	down := !answered && now.Sub(h.lastAnswer) > grace
+	changed = down != h.down && (down || answered)
+	if changed {
+		h.down = down
+	}
+	return changed
+}
--- a/internal/store/pressure.go
+++ b/internal/store/pressure.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// pressure notices that the state service takes fewer changes than its present limit
-// says. It tells so once.
+// pressure notices that the key-value store takes fewer changes than its present limit
+// says. It reports that once.
 type pressure struct {
 	mu     sync.Mutex
 	window time.Duration
-	// since is when the present window began; taken and refused count the changes of it.
-	since          time.Time
-	taken, refused int
-	noticed        bool
+	// windowStart is when the present window began.
+	windowStart time.Time
+	// accepted and refused count the changes of the window.
+	accepted, refused int
+	noticed           bool
 }
 
-// refusedShare is which share of the changes of a window has to be refused for want of
-// room. Controllers that write at the same moment are refused now and then within the
+// refusedShare is which share of the changes of a window has to be refused because of the
+// rate. Controllers that write at the same moment are refused now and then within the
 // limit, too, but each of them waits and tries again.
 const refusedShare = 0.5
 
@@ -29,15 +30,16 @@
 	if p.noticed || changes == 0 {
 		return false
 	}
-	if now.Sub(p.since) > p.window {
-		p.since, p.taken, p.refused = now, 0, 0
+	if now.Sub(p.windowStart) > p.window {
+		p.windowStart, p.accepted, p.refused = now, 0, 0
 	}
 	if refused {
 		p.refused += changes
 	} else {
-		p.taken += changes
+		p.accepted += changes
 	}
-	full := now.Sub(p.since) > p.window/2
-	p.noticed = oversized || full && float64(p.refused) > refusedShare*float64(p.taken+p.refused)
+	full := now.Sub(p.windowStart) > p.window/2
+	mostRefused := float64(p.refused) > refusedShare*float64(p.accepted+p.refused)
+	p.noticed = oversized || full && mostRefused
 	return p.noticed
 }
