--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -11,6 +11,7 @@
 // announcer announces cancellations to the other controllers, acts on those that they
 // announce, and holds users back until another controller knows.
 type announcer struct {
+	*environment
 	core *Core
 	announcementSet
 	// nextStop is when the tasks of cancelled jobs in reports are stopped again.
@@ -18,7 +19,7 @@
 }
 
 func newAnnouncer(core *Core) *announcer {
-	return &announcer{core: core, announcementSet: newAnnouncementSet()}
+	return &announcer{environment: core.environment, core: core, announcementSet: newAnnouncementSet()}
 }
 
 // note notes a cancellation that the store holds, whoever told of it: this node's own write,
@@ -48,7 +49,7 @@
 	var known []string
 	for _, k := range cancellations {
 		if !job.ValidID(k.Job) || k.Revision == 0 {
-			a.core.log(Error, "malformed cancellation ignored", "node", node, "job", k.Job)
+			a.log(Error, "malformed cancellation ignored", "node", node, "job", k.Job)
 			continue
 		}
 		a.note(k)
@@ -99,7 +100,7 @@
 		result := lookup.Result{Outcome: outcome, State: protocol.JobState{ID: id, State: protocol.Cancelled}}
 		rest := cancelled.waiting[:0]
 		for _, request := range cancelled.waiting {
-			if outcome == lookup.Final || lookup.Expired(request, a.core.now.Steady) {
+			if outcome == lookup.Final || lookup.Expired(request, a.now.Steady) {
 				request.Resolve(result)
 			} else {
 				rest = append(rest, request)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,6 +18,7 @@
 // Core is the single owner of all state of a controller.
 type Core struct {
 	*environment
+	*messenger
 
 	// Replica of the store.
 	replica replica
@@ -44,19 +45,16 @@
 	agents   *agentController
 	// orphanLookups names the jobs of reported tasks that are being looked up in the store.
 	orphanLookups map[string]bool
-	// pendingObservations waits for being passed on to the other controllers.
-	pendingObservations []Observation
-	// heartbeatAt is when this node last gave a sign of life.
+	// heartbeatAt is when this node last sent its heartbeat.
 	heartbeatAt time.Duration
 	rebalancer  rebalancer
 	writeBudget writeBudget
 	lookups     lookup.Queue
 
-	peers *peerTable
 	reach *reachability
 	// storeOK tells whether the store answers this node.
 	storeOK   bool
-	freshness freshnessTracker
+	freshness *freshnessTracker
 	relay     *storeRelay
 	isolation isolationDetector
 	returns   *machineReturns
@@ -73,7 +71,7 @@
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, heartbeat, share, observations, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics time.Duration
+	last, heartbeat, share, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics time.Duration
 }
 
 // New makes a core. The incarnation must differ between runs of the process.
@@ -94,17 +92,18 @@
 		machines:      worker.NewRegistry(),
 		orphanLookups: map[string]bool{},
 		rebalancer:    newRebalancer(),
-		peers:         newPeerTable(cfg),
 		storeOK:       true,
 		scheduler:     newScheduler(),
 		autoscaler:    newAutoscaler(),
 		stats:         jobstats.New(),
 	}
+	c.messenger = &messenger{environment: c.environment, peers: newPeerTable(cfg)}
 	c.agents = newAgentController(c)
 	c.announcements = newAnnouncer(c)
 	c.relay = newStoreRelay(c)
 	c.returns = newMachineReturns(c)
-	c.reach = &reachability{clock: &c.now, members: &c.members, peers: c.peers, relay: c.relay}
+	c.reach = &reachability{environment: c.environment, members: &c.members, peers: c.peers, relay: c.relay}
+	c.freshness = &freshnessTracker{environment: c.environment, peers: c.peers}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
 	}
@@ -197,15 +196,13 @@
 	if c.every(&c.timers.heartbeat, report/3) {
 		c.sendHeartbeat()
 	}
-	if len(c.pendingObservations) > 0 && c.every(&c.timers.observations, report/30) {
-		c.flushObservations()
-	}
+	c.flushObservations(report / 30)
 	if c.replica.loaded && c.every(&c.members.nextElection, report/6) {
 		c.electLeaders()
 	}
 	if c.replica.loaded && c.every(&c.timers.reconcile, report/3) {
 		c.announcements.repeat()
-		c.checkFreshness()
+		c.freshness.check(c.storeOK)
 		c.reconcileAll()
 		c.agents.retryPendingRaises()
 		c.agents.expireSessions()
@@ -234,8 +231,6 @@
 	}
 }
 
-func (c *Core) reportInterval() time.Duration { return c.times.reportInterval() }
-
 func (c *Core) catalogInterval() time.Duration {
 	if !c.catalog.Loaded() {
 		return c.reportInterval() / 3
--- a/internal/core/environment.go
+++ b/internal/core/environment.go
@@ -46,3 +46,6 @@
 func (e *environment) log(level Level, text string, attrs ...any) {
 	e.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
+
+// reportInterval is the pause between two heartbeats of a worker.
+func (e *environment) reportInterval() time.Duration { return e.times.reportInterval() }
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -15,6 +15,8 @@
 // left for it. Neither compares clocks: what counts is when this node sent its own
 // request or heartbeat.
 type freshnessTracker struct {
+	*environment
+	peers *peerTable
 	// provenAt is when the newest request to the store was sent that is such a proof.
 	provenAt time.Duration
 	// pending is an answered request whose revision the replica has yet to reach.
@@ -43,16 +45,17 @@
 const heartbeatsKept = 16
 
 // nextHeartbeatID returns a unique ID for the heartbeat that is sent now.
-func (f *freshnessTracker) nextHeartbeatID(incarnation string, now time.Duration) string {
+func (f *freshnessTracker) nextHeartbeatID(incarnation string) string {
 	f.sentCount++
 	id := fmt.Sprintf("%s.%d", incarnation, f.sentCount)
-	f.sent[f.sentCount%heartbeatsKept] = sentHeartbeat{id, now}
+	f.sent[f.sentCount%heartbeatsKept] = sentHeartbeat{id, f.now.Steady}
 	return id
 }
 
 // noteAcknowledgements takes what a peer's heartbeat acknowledges of this node's. A peer
 // that has not read the stored state yet can't tell what an earlier run of it has confirmed.
-func (f *freshnessTracker) noteAcknowledgements(p *peerState, self string, b *NodeHeartbeat) {
+func (f *freshnessTracker) noteAcknowledgements(p *peerState, b *NodeHeartbeat) {
+	self := f.cfg.Node
 	if b.Revision == 0 || slices.Contains(b.Unacknowledged, self) {
 		return
 	}
@@ -87,8 +90,8 @@
 }
 
 // until is the time up to which this node knows of every confirmed cancellation.
-func (f *freshnessTracker) until(now time.Duration, peers *peerTable) time.Duration {
-	return max(peers.freshUntil(now), f.provenAt)
+func (f *freshnessTracker) until() time.Duration {
+	return max(f.peers.freshUntil(f.now.Steady), f.provenAt)
 }
 
 // setStale notes whether workers have to be turned away, and tells whether that has changed.
@@ -110,30 +113,30 @@
 }
 
 // checkLease tells the operator of settings that leave too little time.
-func (c *Core) checkLease() {
-	if c.times.coverLease() {
+func (f *freshnessTracker) checkLease() {
+	if f.times.coverLease() {
 		return
 	}
-	c.log(Error, "cancel_s is shorter than the worker lease and two report intervals",
-		"cancel_s", c.cfg.Params.Workers.CancelS,
-		"lease_s", c.cfg.Params.Workers.LeaseS,
+	f.log(Error, "cancel_s is shorter than the worker lease and two report intervals",
+		"cancel_s", f.cfg.Params.Workers.CancelS,
+		"lease_s", f.cfg.Params.Workers.LeaseS,
 		"effect", "a controller that is cut off turns its workers away at once")
 }
 
-// checkFreshness turns workers away while a cancellation may have been confirmed that this
+// check turns workers away while a cancellation may have been confirmed that this
 // node does not know of and that nobody else can enforce: other controllers would
 // return the machines, so workers are turned away only while the cloud refuses to act. In
 // a zone that is cut off they must not be, since that would end the work there.
-func (c *Core) checkFreshness() {
-	f, bound := &c.freshness, c.times.stalenessBound()
-	freshUntil := f.until(c.now.Steady, c.peers)
-	gap := c.now.Steady - freshUntil
-	if gap > bound/4 && c.storeOK && c.every(&f.nextStoreCheck, c.reportInterval()) {
-		anyAnswer := protocol.Txn{If: []protocol.Condition{{Key: keyNode + c.cfg.Node}}}
-		c.compareAndSwap(anyAnswer, false, func(StoreReply) {})
+func (f *freshnessTracker) check(storeOK bool) {
+	bound := f.times.stalenessBound()
+	freshUntil := f.until()
+	gap := f.now.Steady - freshUntil
+	if gap > bound/4 && storeOK && f.every(&f.nextStoreCheck, f.reportInterval()) {
+		anyAnswer := protocol.Txn{If: []protocol.Condition{{Key: keyNode + f.cfg.Node}}}
+		f.compareAndSwap(anyAnswer, false, func(StoreReply) {})
 	}
-	if gap > bound/2 && c.every(&f.nextCloudCheck, c.reportInterval()) {
-		c.emit(FetchCatalog{})
+	if gap > bound/2 && f.every(&f.nextCloudCheck, f.reportInterval()) {
+		f.emit(FetchCatalog{})
 	}
 	if !f.setStale(f.cloudOutage && gap > bound) {
 		return
@@ -142,5 +145,5 @@
 	if f.stale {
 		message = "workers turned away: cancellations may be unknown and the cloud refuses to act"
 	}
-	c.log(Info, message, "fresh_until", freshUntil.Round(time.Second))
+	f.log(Info, message, "fresh_until", freshUntil.Round(time.Second))
 }
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -42,10 +42,10 @@
 	} {
 		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
 		c.replica.revision, c.now.Steady = 5, sent
-		c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady)
+		c.freshness.nextHeartbeatID(c.members.incarnation)
 		c.now.Steady = later
 		d.happens(c)
-		if got := c.freshness.until(c.now.Steady, c.peers); got != d.want {
+		if got := c.freshness.until(); got != d.want {
 			t.Errorf("%s: fresh until %v, want %v", name, got, d.want)
 		}
 	}
--- a/internal/core/machinereturns.go
+++ b/internal/core/machinereturns.go
@@ -5,6 +5,7 @@
 // machineReturns tracks the machines that this node wants returned because a cancelled task
 // does not end on them, or because nothing is heard of them.
 type machineReturns struct {
+	*environment
 	core *Core
 	// requestedAt is when the fleet's leader was last asked to return a machine.
 	requestedAt map[string]time.Duration
@@ -18,6 +19,7 @@
 
 func newMachineReturns(core *Core) *machineReturns {
 	return &machineReturns{
+		environment: core.environment,
 		core:        core,
 		requestedAt: map[string]time.Duration{},
 		releasedAt:  map[string]time.Duration{},
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -26,7 +26,7 @@
 		Revision:         c.replica.revision,
 		StoreOK:          c.storeOK,
 		PendingWrites:    c.writeBudget.due,
-		ID:               c.freshness.nextHeartbeatID(c.members.incarnation, c.now.Steady),
+		ID:               c.freshness.nextHeartbeatID(c.members.incarnation),
 		Acknowledgements: c.peers.heartbeatIDs(c.members.roster),
 		Unacknowledged:   c.announcements.unacknowledgedBy(c.members.roster, c.peers),
 		Unreachable:      c.reach.unreachable(),
@@ -54,7 +54,7 @@
 		return
 	}
 	p.applyHeartbeat(&b)
-	c.freshness.noteAcknowledgements(p, c.cfg.Node, &b)
+	c.freshness.noteAcknowledgements(p, &b)
 	for name, r := range b.Records {
 		if t := c.teamBy[name]; t != nil && !t.leading {
 			t.record, t.ranked = r, r
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -6,7 +6,7 @@
 
 // shareObservation passes an observation to every controller, this one included.
 func (c *Core) shareObservation(o Observation) {
-	c.pendingObservations = append(c.pendingObservations, o)
+	c.queueObservation(o)
 	c.applyObservation(o)
 }
 
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -1,9 +1,6 @@
 package core
 
-import (
-	"iter"
-	"maps"
-)
+import "maps"
 
 // sendTo sends a message to a node, this one included.
 func (c *Core) sendTo(node string, m PeerMessage) {
@@ -14,37 +11,6 @@
 	c.route(node, m)
 }
 
-// route sends a message to a peer, over an intermediary while there is no connection to it.
-// What finds no route is dropped: nothing depends on a message's arrival.
-func (c *Core) route(node string, m PeerMessage) {
-	p := c.peers.get(node)
-	if p == nil {
-		return
-	}
-	if p.connected {
-		c.emit(SendPeer{Nodes: []string{node}, Message: m})
-		return
-	}
-	if m.To != "" {
-		return // it has come from an intermediary, and is not passed on twice
-	}
-	m.To, m.From = node, c.cfg.Node
-	if via := c.peers.intermediary(node); via != "" {
-		c.emit(SendPeer{Nodes: []string{via}, Message: m})
-	}
-}
-
-// broadcast sends a message to every other controller.
-func (c *Core) broadcast(m PeerMessage) {
-	connected, disconnected := c.peers.connections()
-	for _, node := range disconnected {
-		c.route(node, m)
-	}
-	if len(connected) > 0 {
-		c.emit(SendPeer{Nodes: connected, Message: m})
-	}
-}
-
 // peerConnected sends a controller that can be reached again all reports that it missed.
 func (c *Core) peerConnected(node string) {
 	c.peers.setConnected(node, true)
@@ -62,42 +28,7 @@
 	}
 }
 
-// flushObservations passes on what was observed since the last time: one message for many
-// reports costs each controller far less than one for each.
-func (c *Core) flushObservations() {
-	for part := range batchObservations(c.pendingObservations) {
-		c.broadcast(PeerMessage{Observations: part})
-	}
-	c.pendingObservations = nil
-}
-
-const (
-	// tasksPerMessage bounds the size of a message: the reports of machines with hundreds
-	// of small tasks each would exceed the longest line that a peer reads.
-	tasksPerMessage = 1024
-	// tasksPerReport is how many tasks take as much room as a report without tasks.
-	tasksPerReport = 8
-)
-
-// batchObservations splits observations into messages. One report is never split.
-func batchObservations(all []Observation) iter.Seq[[]Observation] {
-	return func(yield func([]Observation) bool) {
-		from, size := 0, 0
-		for i, o := range all {
-			n := tasksPerReport + len(o.Report.Tasks)
-			if size += n; size > tasksPerMessage && i > from {
-				if !yield(all[from:i]) {
-					return
-				}
-				from, size = i, n
-			}
-		}
-		if from < len(all) {
-			yield(all[from:])
-		}
-	}
-}
-
+// handlePeerMessage dispatches a message of another controller, or passes it on.
 func (c *Core) handlePeerMessage(in PeerMessageReceived) {
 	m, from := in.Message, in.Node
 	if m.To != "" && m.To != c.cfg.Node {
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -9,7 +9,7 @@
 // reachability tells which controllers this node is in contact with, directly or through the
 // store relay, and which it is partitioned from. It has no state of its own.
 type reachability struct {
-	clock   *Now
+	*environment
 	members *membership
 	peers   *peerTable
 	relay   *storeRelay
@@ -19,7 +19,7 @@
 // an intermediary. Starts for the machines of one that is silent are lost, and
 // its workers need seconds to turn to another.
 func (r *reachability) inDirectContact(node string) bool {
-	return r.peers.inContact(node, r.clock.Steady)
+	return r.peers.inContact(node, r.now.Steady)
 }
 
 // isUnreachable tells whether a controller lives, by its lease in the store, and no message of
@@ -72,12 +72,12 @@
 // relay. What is bound to the machines of one without contact is not started.
 func (r *reachability) hasContact(node string) bool {
 	return r.inDirectContact(node) ||
-		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.clock.Steady, r.relayPatience())
+		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.now.Steady, r.relayPatience())
 }
 
 // relayPatience is the longest expected time between two heartbeats by the store relay.
 func (r *reachability) relayPatience() time.Duration {
-	return r.relay.core.reportInterval() + 2*r.relay.interval()
+	return r.reportInterval() + 2*r.relay.interval()
 }
 
 // knowsMachinesOf tells whether this node knows which machines a controller serves: from a
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -15,10 +15,10 @@
 // update acts for the leaders that this node is partitioned from, and publishes to them.
 func (r *storeRelay) update() {
 	partitioned := r.core.reach.partitioned()
-	if partitioned && r.core.every(&r.nextStartCheck, r.core.reportInterval()/30) {
+	if partitioned && r.every(&r.nextStartCheck, r.reportInterval()/30) {
 		r.actForUnreachableLeaders()
 	}
-	if !r.core.every(&r.nextPublish, r.interval()) || r.writing || r.core.members.lease == 0 {
+	if !r.every(&r.nextPublish, r.interval()) || r.writing || r.core.members.lease == 0 {
 		return
 	}
 	var want map[string]json.RawMessage
@@ -30,7 +30,7 @@
 
 // nextHeartbeat makes a heartbeat for a page.
 func (r *storeRelay) nextHeartbeat() json.RawMessage {
-	number := r.core.ids.next()
+	number := r.ids.next()
 	b := r.core.newHeartbeat()
 	b.Records = r.core.ownRecords()
 	return mustMarshal(relayHeartbeat{Sequence: number, NodeHeartbeat: b})
@@ -42,7 +42,7 @@
 	var out []relay.Entry
 	for id := range r.core.agents.all() {
 		m, load := r.core.machines.Get(id), r.core.machines.Load(id)
-		if m == nil || m.Node != r.core.cfg.Node || load == nil {
+		if m == nil || m.Node != r.cfg.Node || load == nil {
 			continue
 		}
 		for ref, b := range load.Tasks {
@@ -71,12 +71,12 @@
 	out := map[relay.MachineKind][]string{}
 	for id, w := range r.core.agents.all() {
 		m := r.core.machines.Get(id)
-		if m == nil || m.Node != r.core.cfg.Node || r.core.now.Steady-m.LastContact > 2*r.core.reportInterval() {
+		if m == nil || m.Node != r.cfg.Node || r.now.Steady-m.LastContact > 2*r.reportInterval() {
 			continue
 		}
 		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: w.token, Epoch: m.Session}
 		if m.ReclaimAt > 0 {
-			left := (m.ReclaimAt - r.core.now.Steady).Seconds()
+			left := (m.ReclaimAt - r.now.Steady).Seconds()
 			kind.NoticeS = max(1, int(left/noticeStepSeconds)*noticeStepSeconds)
 		}
 		out[kind] = append(out[kind], id)
@@ -92,7 +92,7 @@
 	}
 	var txn protocol.Txn
 	for _, ch := range changes {
-		key := pageKey(r.core.cfg.Node, ch.Page)
+		key := pageKey(r.cfg.Node, ch.Page)
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: ch.Version})
 		if ch.Value == nil {
 			txn.Then = append(txn.Then, protocol.Change{Delete: key})
@@ -101,7 +101,7 @@
 		}
 	}
 	r.writing = true
-	r.core.compareAndSwap(txn, true, func(reply StoreReply) {
+	r.compareAndSwap(txn, true, func(reply StoreReply) {
 		r.writing = false
 		if reply.Outcome == Applied {
 			r.publication.Confirm(changes, reply.Revision)
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -12,7 +12,7 @@
 // onPagePut takes in a page of another controller.
 func (r *storeRelay) onPagePut(item protocol.KeyValue) error {
 	node, name := splitPageKey(item.Key)
-	if node == r.core.cfg.Node {
+	if node == r.cfg.Node {
 		r.publication.Observe(name, item.Value, item.Version)
 	}
 	if r.core.peers.get(node) == nil {
@@ -39,7 +39,7 @@
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return err
 	}
-	inbox.lastHeartbeat = r.core.now.Steady
+	inbox.lastHeartbeat = r.now.Steady
 	r.core.handleNodeHeartbeat(node, b.NodeHeartbeat)
 	for _, page := range ordered(inbox.pages) {
 		r.applyMachines(node, page)
@@ -49,7 +49,7 @@
 
 func (r *storeRelay) onPageDelete(key string, revision uint64) {
 	node, name := splitPageKey(key)
-	if node == r.core.cfg.Node {
+	if node == r.cfg.Node {
 		r.publication.Observe(name, nil, revision)
 	}
 	r.remove(node, name)
@@ -79,7 +79,7 @@
 	if m.Session < kind.Epoch {
 		// A new epoch has none of the tasks of the one before.
 		fresh := protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Session: kind.Epoch}
-		m.Update(fresh, r.core.now.Steady)
+		m.Update(fresh, r.now.Steady)
 		r.core.machines.InvalidateLoad(id)
 	}
 	if m.Node != node || m.GrantedToken != kind.Token {
@@ -87,9 +87,9 @@
 		r.core.requestRound()
 	}
 	if kind.NoticeS > 0 && m.ReclaimAt == 0 {
-		m.ReclaimAt = r.core.now.Steady + seconds(float64(kind.NoticeS))
+		m.ReclaimAt = r.now.Steady + seconds(float64(kind.NoticeS))
 	}
-	r.core.machines.RecordContact(m, false, r.core.now.Steady)
+	r.core.machines.RecordContact(m, false, r.now.Steady)
 }
 
 // applyEntries ends the bindings of this node's teams whose outcome a page tells. Of a
@@ -120,8 +120,8 @@
 	}
 	task := j.TaskID(e.Index)
 	if e.Reason == "" {
-		m.FullAt = r.core.now.Steady
-		r.core.log(Debug, "task was not started", "task", task, "machine", e.Machine)
+		m.FullAt = r.now.Steady
+		r.log(Debug, "task was not started", "task", task, "machine", e.Machine)
 		r.core.unbind(j, e.Index)
 		return
 	}
@@ -138,7 +138,7 @@
 	for _, inbox := range ordered(r.inboxes) {
 		for _, page := range ordered(inbox.pages) {
 			if err := r.applyEntries(page); err != nil {
-				r.core.log(Error, "malformed relay page", "error", err.Error())
+				r.log(Error, "malformed relay page", "error", err.Error())
 			}
 		}
 	}
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -74,7 +74,7 @@
 	c.dependencies.endReload()
 	c.freshness.replicaAdvanced(c.replica.revision)
 	if !c.replica.loaded {
-		c.checkLease()
+		c.freshness.checkLease()
 	}
 	c.replica.loaded = true
 	c.log(Info, "state loaded", "keys", len(m.Items), "revision", m.Revision)
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -36,7 +36,7 @@
 		Rows:              c.stats.Rows(c.now.Steady),
 		LongestUnanswered: c.stats.LongestUnanswered(),
 		Unacknowledged:    c.announcements.unacknowledged(c.peers),
-		Staleness:         c.now.Steady - c.freshness.until(c.now.Steady, c.peers),
+		Staleness:         c.now.Steady - c.freshness.until(),
 		Pending:           c.pendingTasks(),
 		Counters:          c.counts,
 	}
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -18,6 +18,7 @@
 // partitioned from: each controller publishes pages under keys of its own, and reads
 // those of the others. For leaders among them it starts and forgets tasks here.
 type storeRelay struct {
+	*environment
 	core *Core
 	// nextPublish is when the pages are compared with the store again, nextStartCheck when
 	// bindings of unreachable leaders are looked at again.
@@ -43,14 +44,14 @@
 }
 
 func newStoreRelay(core *Core) *storeRelay {
-	return &storeRelay{core: core, inboxes: map[string]*relayInbox{}}
+	return &storeRelay{environment: core.environment, core: core, inboxes: map[string]*relayInbox{}}
 }
 
 // interval is the pause between two writes of pages, each of about pagesPerWrite pages.
 func (r *storeRelay) interval() time.Duration {
 	share := relayWriteShare * r.core.limits.writeRate()
 	controllers := float64(r.core.members.size())
-	return max(r.core.reportInterval()/5, seconds(pagesPerWrite*controllers/share))
+	return max(r.reportInterval()/5, seconds(pagesPerWrite*controllers/share))
 }
 
 func pageKey(node, page string) string { return keyRelay + node + "/" + page }
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -10,7 +10,7 @@
 // that this node is partitioned from.
 func (r *storeRelay) actForUnreachableLeaders() {
 	for id, w := range r.core.agents.all() {
-		if m := r.core.machines.Get(id); m != nil && m.Node == r.core.cfg.Node {
+		if m := r.core.machines.Get(id); m != nil && m.Node == r.cfg.Node {
 			r.startForUnreachableLeaders(id, w, m)
 			r.forgetForUnreachableLeaders(m)
 		}
@@ -33,7 +33,7 @@
 		}
 		// Whether the start has come to the worker is not known: a newer token shows it, as
 		// the leader would ask for.
-		if !start.refused && r.core.now.Steady-start.at > 2*r.core.reportInterval() {
+		if !start.refused && r.now.Steady-start.at > 2*r.reportInterval() {
 			r.core.agents.fence(Fence{Machine: id, Above: b.Token})
 		}
 	})
@@ -53,7 +53,7 @@
 
 // startForLeader forwards the start of a task that its leader may not be able to ask for.
 func (r *storeRelay) startForLeader(j *job.Job, i int, b *job.Binding) {
-	r.core.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
+	r.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
 	r.core.agents.forwardStart(r.core.teamBy[j.Team].leader, Start{
 		Machine:  b.Machine,
 		Task:     j.TaskID(i),
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -18,13 +18,13 @@
 // machines that it is responsible for: what it knows of the others may be old.
 func (r *machineReturns) returnUnstopped(j *job.Job, machine string) {
 	unaware := r.core.isUnaware(j.ID, machine)
-	patience := r.core.times.cancelDeadline() / 2
+	patience := r.times.cancelDeadline() / 2
 	if unaware && !r.core.storeOK {
 		// The cloud may fail next, and nothing else is left. While the store answers it is
 		// too early: a controller that is cut off redirects its workers meanwhile.
-		patience = min(patience, r.core.times.stalenessBound()*3/4)
+		patience = min(patience, r.times.stalenessBound()*3/4)
 	}
-	known := r.core.now.Steady - j.CancelledAt
+	known := r.now.Steady - j.CancelledAt
 	responsible := r.isResponsibleFor(j, machine)
 	if unaware && known > patience || responsible && r.isOverdue(j, patience) {
 		r.request(machine, reasonTaskNotStopped)
@@ -43,14 +43,14 @@
 // the request too, once reports had time to come, or three quarters of the deadline
 // are over.
 func (r *machineReturns) isOverdue(j *job.Job, patience time.Duration) bool {
-	known := r.core.now.Steady - j.CancelledAt
+	known := r.now.Steady - j.CancelledAt
 	total := time.Duration(0)
 	if j.CancelRequestedAt > 0 {
-		total = time.Duration(r.core.now.Wall-j.CancelRequestedAt) * time.Millisecond
+		total = time.Duration(r.now.Wall-j.CancelRequestedAt) * time.Millisecond
 	}
 	return known > patience ||
 		total > patience*3/2 && known > r.core.silenceLimit() ||
-		total > r.core.times.cancelDeadline()*3/4
+		total > r.times.cancelDeadline()*3/4
 }
 
 // isResponsibleFor tells whether it is for this node to have a machine returned for a task of
@@ -63,7 +63,7 @@
 	if m == nil {
 		return r.core.leads(j)
 	}
-	if m.Node == r.core.cfg.Node && r.core.agents.session(machine) != nil {
+	if m.Node == r.cfg.Node && r.core.agents.session(machine) != nil {
 		return true
 	}
 	live := r.core.members.isLive(m.Node)
@@ -82,22 +82,22 @@
 // its own part of a sixteenth of the deadline, since the cloud takes few requests.
 func (r *machineReturns) releaseDelay() time.Duration {
 	position := r.core.members.position()
-	return r.core.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(r.core.members.size())
+	return r.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(r.core.members.size())
 }
 
 // releaseWithoutLeader releases a machine without the fleet's leader.
 func (r *machineReturns) releaseWithoutLeader(machine string) {
-	if !repeatAfter(r.releasedAt, machine, r.core.now.Steady, r.core.reportInterval()) {
+	if !repeatAfter(r.releasedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
-	r.core.log(Info, "machine released without the fleet leader", "machine", machine, "reason", reasonTaskNotStopped)
+	r.log(Info, "machine released without the fleet leader", "machine", machine, "reason", reasonTaskNotStopped)
 	r.pending = append(r.pending, machine)
 }
 
 // flush asks the cloud to take the machines that this node releases itself.
 func (r *machineReturns) flush() {
 	for machines := range slices.Chunk(r.pending, protocol.MaxRelease) {
-		r.core.emit(ReleaseMachines{Machines: machines})
+		r.emit(ReleaseMachines{Machines: machines})
 	}
 	r.pending = nil
 }
@@ -106,7 +106,7 @@
 // leader can't be reached, a cordon in the store tells it of a cancelled task. Any
 // controller may write that, since it costs no more than the machine.
 func (r *machineReturns) request(machine, reason string) {
-	if !repeatAfter(r.requestedAt, machine, r.core.now.Steady, r.core.reportInterval()) {
+	if !repeatAfter(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
 	if r.core.fleet.leader != "" && r.core.reach.inDirectContact(r.core.fleet.leader) {
@@ -116,9 +116,9 @@
 	if r.core.cordons.has(machine) || reason == reasonUnknownMachine {
 		return
 	}
-	r.core.log(Info, "machine cordoned to be returned", "machine", machine, "reason", reason)
+	r.log(Info, "machine cordoned to be returned", "machine", machine, "reason", reason)
 	key := keyCordon + machine
-	r.core.compareAndSwap(protocol.Txn{
+	r.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{{Key: key}},
 		Then: []protocol.Change{putJSON(key, cordonRecord{Reason: reason})},
 	}, true, func(StoreReply) {})
