--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -215,7 +216,7 @@
 			l.Items = append(l.Items, protocol.KeyValue{Key: jobKey(id), Value: j.Head(), Version: 2})
 		}
 		for n := range machines / 10 {
-			l.Items = append(l.Items, protocol.KeyValue{Key: fmt.Sprintf("%svm-9%05d", keyCordon, n), Value: mustMarshal(cordonRecord{Terminated: true}), Version: 2})
+			l.Items = append(l.Items, protocol.KeyValue{Key: fmt.Sprintf("%svm-9%05d", keyCordon, n), Value: mustjson.Marshal(cordonRecord{Terminated: true}), Version: 2})
 		}
 		for b.Loop() {
 			fresh := New(c.cfg, settings.DefaultPolicy(), "y")
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -41,7 +41,7 @@
 		if j.Suspected && c.leads(j) {
 			c.log(Info, "job is no longer suspected of a mistake", "job", j.ID)
 		}
-		j.ClearSuspicion()
+		j.MarkProven()
 		return
 	}
 	m.RecordFailure(j.ID)
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -8,6 +8,7 @@
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/federation"
+	"pepperlever/internal/mustjson"
 )
 
 // maxOfferedJobs is how many waiting jobs the coordinator is told of at a time; more come next
@@ -81,7 +82,7 @@
 		Zone:           j.Zone,
 		Types:          j.Types,
 		InfeasibleHere: infeasible,
-		Body:           mustMarshal(spec.Submission()),
+		Body:           mustjson.Marshal(spec.Submission()),
 	}
 	if id, incoming := federation.ParseLocalID(j.ID); incoming {
 		offer.Path = c.handoffs.Incoming[id].Path
--- a/internal/core/federationoperators.go
+++ b/internal/core/federationoperators.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"pepperlever/internal/federation"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -100,6 +101,6 @@
 		c.reply(to.req, status, body)
 		return
 	}
-	reply := &OperatorReply{Req: to.req, Status: status, Body: mustMarshal(body)}
+	reply := &OperatorReply{Req: to.req, Status: status, Body: mustjson.Marshal(body)}
 	c.route(to.node, PeerMessage{Federation: &FederationNote{Reply: reply}})
 }
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -3,67 +3,31 @@
 import (
 	"maps"
 	"slices"
-	"strconv"
-	"strings"
 
 	"github.com/segmentio/encoding/json"
-)
-
-// ChunkKey names a stored chunk of a job besides the first, which is in the head.
-type ChunkKey struct {
-	// Size is how many tasks the chunk holds. It is 0 for a chunk stored before heads
-	// told the size: that one follows from the settings.
-	Size int
-	// Index is the chunk's position among those of its size.
-	Index int
-}
-
-// chunkSizeMark parts the size of a chunk from its index in the name of its key. Programs
-// from before it don't take such a name for a chunk.
-const chunkSizeMark = "x"
-
-// String is the key's last part.
-func (k ChunkKey) String() string {
-	if k.Size == 0 {
-		return strconv.Itoa(k.Index)
-	}
-	return strconv.Itoa(k.Size) + chunkSizeMark + strconv.Itoa(k.Index)
-}
 
-// ParseChunkKey reads what String wrote.
-func ParseChunkKey(text string) (k ChunkKey, ok bool) {
-	size, index, sized := strings.Cut(text, chunkSizeMark)
-	if !sized {
-		index = text
-	} else if n, err := strconv.Atoi(size); err != nil || n < 1 {
-		return ChunkKey{}, false
-	} else {
-		k.Size = n
-	}
-	n, err := strconv.Atoi(index)
-	k.Index = n
-	return k, err == nil && n > 0
-}
+	"pepperlever/internal/mustjson"
+)
 
 // layout is how a job's tasks are divided over keys of the state service.
 type layout struct {
 	// ChunkSize is the number of tasks stored under one key.
 	ChunkSize int
-	// sized tells that the head states ChunkSize.
+	// sized is set if the head states ChunkSize.
 	sized bool
-	// former is the chunk size from before the job was split, 0 if it never was. moved
+	// formerSize is the chunk size from before the job was split, 0 if it never was. migrated
 	// holds the chunks that are no longer read from keys of that size.
-	former int
-	moved  Set
-	// stored holds the keys that exist, dirty the chunks whose stored form is out of date.
-	stored map[ChunkKey]bool
-	dirty  map[int]bool
+	formerSize int
+	migrated   Set
+	// storedKeys holds the keys that exist, dirty the chunks whose stored form is out of date.
+	storedKeys map[ChunkKey]bool
+	dirty      map[int]bool
 	// specBytes is how long the stored description is, once it was asked for.
 	specBytes int
 }
 
 func newLayout(chunkSize int) layout {
-	return layout{ChunkSize: chunkSize, stored: map[ChunkKey]bool{}, dirty: map[int]bool{}}
+	return layout{ChunkSize: chunkSize, storedKeys: map[ChunkKey]bool{}, dirty: map[int]bool{}}
 }
 
 // SpecBytes is how long the stored description is.
@@ -82,14 +46,17 @@
 	return ChunkKey{Index: c}
 }
 
-// formerSize is the number of tasks under a key whose name does not tell it.
-func (l *layout) formerSize() int {
-	if l.former > 0 {
-		return l.former
+// unstatedSize is the number of tasks under a key whose name does not state it.
+func (l *layout) unstatedSize() int {
+	if l.formerSize > 0 {
+		return l.formerSize
 	}
 	return l.ChunkSize
 }
 
+// hasMigrated tells whether task i is no longer read from keys of the former size.
+func (l *layout) hasMigrated(i int) bool { return l.formerSize > 0 && l.migrated.Has(i/l.ChunkSize) }
+
 // splitSize is the largest chunk size up to most into which the present chunks divide.
 func (j *Job) splitSize(most int) int {
 	for size := min(most, j.ChunkSize); size > 1; size-- {
@@ -107,7 +74,7 @@
 	if j.ChunkSize <= size {
 		return true
 	}
-	if j.former > 0 {
+	if j.formerSize > 0 {
 		return false // two former sizes are not told apart
 	}
 	size = j.splitSize(size)
@@ -124,7 +91,7 @@
 	for part := range parts {
 		changed[part] = true
 	}
-	j.former, j.ChunkSize, j.sized, j.dirty = j.ChunkSize, size, true, changed
+	j.formerSize, j.ChunkSize, j.sized, j.dirty = j.ChunkSize, size, true, changed
 	return true
 }
 
@@ -142,8 +109,8 @@
 type ChunkWrite struct {
 	Key   ChunkKey
 	Value json.RawMessage
-	// moves is set where it is the first under its own key since the job was split.
-	moves bool
+	// migrates is set where it is the first under its own key since the job was split.
+	migrates bool
 }
 
 // TakeDirty returns the writes of at most limit changed chunks besides the
@@ -165,7 +132,7 @@
 			j.dirty[0] = true
 			return out, true
 		}
-		delete(j.stored, k)
+		delete(j.storedKeys, k)
 		out = append(out, ChunkWrite{Key: k})
 	}
 	return out, false
@@ -176,38 +143,34 @@
 	if c == 0 {
 		return ChunkWrite{}, false
 	}
-	w = ChunkWrite{Key: j.key(c), moves: j.former > 0 && !j.moved.Has(c)}
+	w = ChunkWrite{Key: j.key(c), migrates: j.formerSize > 0 && !j.migrated.Has(c)}
 	if !j.needsKey(j.bounds(c)) {
-		return w, j.stored[w.Key] || !j.sized
-	}
-	raw, err := json.Marshal(j.chunk(c))
-	if err != nil {
-		panic(err) // plain data always has a JSON form
+		return w, j.storedKeys[w.Key] || !j.sized
 	}
-	w.Value = raw
+	w.Value = mustjson.Marshal(j.chunkRecord(c))
 	return w, true
 }
 
 // noteWrite notes that a chunk is about to be stored under its own key, or in the head.
 func (j *Job) noteWrite(c int, w ChunkWrite) {
-	if j.former > 0 {
-		j.moved.Add(c)
+	if j.formerSize > 0 {
+		j.migrated.Add(c)
 	}
 	switch {
 	case c == 0:
 	case w.Value == nil:
-		delete(j.stored, w.Key)
+		delete(j.storedKeys, w.Key)
 	default:
-		j.stored[w.Key] = true
+		j.storedKeys[w.Key] = true
 	}
 }
 
 // superseded lists the keys of the former size of which nothing is read any more.
 func (j *Job) superseded() (out []ChunkKey) {
-	if j.former == 0 {
+	if j.formerSize == 0 {
 		return nil
 	}
-	for k := range j.stored {
+	for k := range j.storedKeys {
 		if k.Size == 0 && j.supersedes(k) {
 			out = append(out, k)
 		}
@@ -217,9 +180,9 @@
 }
 
 func (j *Job) supersedes(k ChunkKey) bool {
-	parts := j.former / j.ChunkSize
+	parts := j.formerSize / j.ChunkSize
 	for c := k.Index * parts; c < min(j.chunks(), (k.Index+1)*parts); c++ {
-		if !j.moved.Has(c) && j.needsKey(j.bounds(c)) {
+		if !j.migrated.Has(c) && j.needsKey(j.bounds(c)) {
 			return false
 		}
 	}
@@ -231,20 +194,20 @@
 	j.dirty[0] = true
 	for _, w := range writes {
 		if w.Value == nil {
-			j.stored[w.Key] = true // perhaps: it was not deleted
+			j.storedKeys[w.Key] = true // perhaps: it was not deleted
 		}
 		if w.Key.Size == 0 && j.sized {
 			continue // of the former size; superseded lists it again
 		}
 		j.dirty[w.Key.Index] = true
-		if w.moves {
-			j.moved.Remove(w.Key.Index)
+		if w.migrates {
+			j.migrated.Remove(w.Key.Index)
 		}
 	}
 }
 
 // NoteStoredKey notes that a chunk has a key of its own in the store.
-func (j *Job) NoteStoredKey(k ChunkKey) { j.stored[k] = true }
+func (j *Job) NoteStoredKey(k ChunkKey) { j.storedKeys[k] = true }
 
 // Dirty tells whether something waits to be stored.
 func (j *Job) Dirty() bool { return len(j.dirty) > 0 }
--- a/internal/core/job/ledger.go
+++ b/internal/core/job/ledger.go
@@ -18,28 +18,27 @@
 	// Need is the sum of what the bound tasks take.
 	Need  Resources
 	Tasks map[TaskRef]*Binding
-	// Taken is Need without the tasks that have exited, as the owner of the
-	// ledger last worked it out; Fresh is unset whenever it may have changed.
-	Taken Resources
-	Fresh bool
+	// Used is Need without the tasks that have exited, as the owner of the ledger last worked
+	// it out; UsedCurrent is unset whenever that may have changed.
+	Used        Resources
+	UsedCurrent bool
 }
 
-// Ledger holds the bindings of all known jobs by machine. A job enters it with
-// Add and leaves it with Remove; between the two each change of a binding
-// passes through it, so that no step has to walk all jobs to learn what is on a
-// machine.
+// Ledger holds the bindings of all known jobs by machine. A job enters it with Add and leaves it
+// with Remove; between the two each change of a binding passes through it, so that no step has to
+// walk all jobs to learn what is on a machine.
 type Ledger struct{ loads map[string]*Load }
 
 // NewLedger makes an empty ledger.
 func NewLedger() *Ledger { return &Ledger{loads: map[string]*Load{}} }
 
-// On is what is bound to a machine, or nil when nothing is.
-func (l *Ledger) On(machine string) *Load { return l.loads[machine] }
+// Load is what is bound to a machine, or nil when nothing is.
+func (l *Ledger) Load(machine string) *Load { return l.loads[machine] }
 
-// Touch notes that the machine itself has changed.
-func (l *Ledger) Touch(machine string) {
+// Invalidate notes that the machine itself has changed.
+func (l *Ledger) Invalidate(machine string) {
 	if load := l.loads[machine]; load != nil {
-		load.Fresh = false
+		load.UsedCurrent = false
 	}
 }
 
@@ -67,30 +66,30 @@
 	}
 	load.Tasks[TaskRef{j, i}] = b
 	load.Need = load.Need.Plus(j.Need, 1)
-	load.Fresh = false
+	load.UsedCurrent = false
 }
 
 func (l *Ledger) leave(j *Job, i int, b *Binding) {
 	load := l.loads[b.Machine]
 	delete(load.Tasks, TaskRef{j, i})
 	load.Need = load.Need.Plus(j.Need, -1)
-	load.Fresh = false
+	load.UsedCurrent = false
 	if len(load.Tasks) == 0 {
 		delete(l.loads, b.Machine) // with the rounding errors of its sum
 	}
 }
 
-// set puts a binding in place of the one before.
-func (j *Job) set(i int, b *Binding) {
-	j.clear(i)
+// setBinding puts a binding in place of the one before.
+func (j *Job) setBinding(i int, b *Binding) {
+	j.clearBinding(i)
 	j.Bound[i] = b
 	if j.ledger != nil {
 		j.ledger.enter(j, i, b)
 	}
 }
 
-// clear takes a binding away.
-func (j *Job) clear(i int) {
+// clearBinding takes a binding away.
+func (j *Job) clearBinding(i int) {
 	b := j.Bound[i]
 	if b == nil {
 		return
--- a/internal/core/job/ledger_test.go
+++ b/internal/core/job/ledger_test.go
@@ -56,7 +56,7 @@
 		t.Helper()
 		got := map[string]float64{}
 		for _, m := range machines {
-			if on := ledger.On(m); on != nil {
+			if on := ledger.Load(m); on != nil {
 				got[m] = on.Need.CPUs
 			}
 		}
--- a/internal/core/job/spec.go
+++ b/internal/core/job/spec.go
@@ -2,15 +2,9 @@
 package job
 
 import (
-	"errors"
-	"fmt"
-	"math"
 	"slices"
-	"strconv"
-	"strings"
-
-	"github.com/segmentio/encoding/json"
 
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -37,17 +31,23 @@
 	MemoryGB float64 `json:"m"`
 }
 
-// slack absorbs rounding in sums of decimal amounts.
-const slack = 1e-6
+// roundingSlack absorbs rounding in sums of decimal amounts.
+const roundingSlack = 1e-6
 
-// Fits tells whether r fits into room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPUs <= room.CPUs+slack && r.GPUs <= room.GPUs+slack && r.MemoryGB <= room.MemoryGB+slack
+// Fits tells whether r fits into the free resources.
+func (r Resources) Fits(free Resources) bool {
+	return r.CPUs <= free.CPUs+roundingSlack &&
+		r.GPUs <= free.GPUs+roundingSlack &&
+		r.MemoryGB <= free.MemoryGB+roundingSlack
 }
 
 // Plus adds n times o.
 func (r Resources) Plus(o Resources, n float64) Resources {
-	return Resources{r.CPUs + n*o.CPUs, r.GPUs + n*o.GPUs, r.MemoryGB + n*o.MemoryGB}
+	return Resources{
+		CPUs:     r.CPUs + n*o.CPUs,
+		GPUs:     r.GPUs + n*o.GPUs,
+		MemoryGB: r.MemoryGB + n*o.MemoryGB,
+	}
 }
 
 // Spec is the immutable description of a job.
@@ -80,9 +80,10 @@
 }
 
 // Allows tells whether a task of the job may run on such a machine at all.
-func (s *Spec) Allows(typ, zone string, spot bool) bool {
-	return (s.Types == nil || slices.Contains(s.Types, typ)) &&
-		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
+func (s *Spec) Allows(machineType, zone string, spot bool) bool {
+	allowsType := s.Types == nil || slices.Contains(s.Types, machineType)
+	allowsZone := s.Zone == "" || s.Zone == zone
+	return allowsType && allowsZone && (s.Spot || !spot)
 }
 
 // MinConcurrency is how many of the job's tasks have to be on machines at the same time for it to
@@ -94,218 +95,27 @@
 	return s.Tasks
 }
 
-// normal is the rank of the normal priority.
-var normal = slices.Index(protocol.Priorities, "normal")
+// normalPriority is the rank of the normal priority.
+var normalPriority = slices.Index(protocol.Priorities, "normal")
 
 // AboveNormal tells whether the job's priority is higher than normal.
-func (s *Spec) AboveNormal() bool { return s.Priority < normal }
-
-// TaskID names task i of the job.
-func (s *Spec) TaskID(i int) string { return s.ID + "/" + strconv.Itoa(i) }
-
-// Parse turns a submission into a Spec. The error says in one line which
-// field is at fault.
-func Parse(body []byte, maxBytes int) (*Spec, error) {
-	var in protocol.Submission
-	if len(body) > protocol.MaxBody {
-		return nil, errors.New("body is too large")
-	}
-	trimmed := strings.TrimLeft(string(body), " \t\r\n")
-	if !strings.HasPrefix(trimmed, "{") {
-		return nil, errors.New("body is not a JSON object")
-	}
-	if err := json.Unmarshal(body, &in); err != nil {
-		return nil, fmt.Errorf("body is not a valid submission: %w", err)
-	}
-	p := parser{in: &in}
-	s := p.spec()
-	if p.err != nil {
-		return nil, p.err
-	}
-	if len(s.withoutDependencies()) > maxBytes {
-		return nil, errors.New("description is too long")
-	}
-	return s, nil
-}
+func (s *Spec) AboveNormal() bool { return s.Priority < normalPriority }
 
-// withoutDependencies is the stored form of the description without the awaited jobs.
+// withoutDependencies is the stored form of the description without the dependencies.
 func (s *Spec) withoutDependencies() []byte {
 	bare := *s
 	bare.Dependencies = nil
-	raw, err := json.Marshal(bare)
-	if err != nil {
-		panic(err) // plain data always has a JSON form
-	}
-	return raw
+	return mustjson.Marshal(bare)
 }
 
-// StoredBytes is how long the stored description is, without the awaited jobs: they leave
-// the head before anything is bound.
+// StoredBytes is how long the stored description is, without the dependencies: they leave the
+// head before anything is bound.
 func (s *Spec) StoredBytes() int { return len(s.withoutDependencies()) }
 
-// DependencyBytes is how long the stored list of awaited jobs is.
+// DependencyBytes is how long the stored list of dependencies is.
 func (s *Spec) DependencyBytes() (n int) {
 	for _, id := range s.Dependencies {
 		n += len(id) + len(`"",`)
 	}
 	return n
 }
-
-// SubmittedID is the id of the job that a submission is of, whatever else is wrong with it,
-// or nothing.
-func SubmittedID(body []byte) string {
-	var in struct {
-		ID string `json:"uid"`
-	}
-	if len(body) > protocol.MaxBody || json.Unmarshal(body, &in) != nil || !ValidID(in.ID) {
-		return ""
-	}
-	return in.ID
-}
-
-// parser collects the first fault of a submission.
-type parser struct {
-	in  *protocol.Submission
-	err error
-}
-
-func (p *parser) fail(field, what string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("%s %s", field, what)
-	}
-}
-
-func (p *parser) text(field string, v *string) string {
-	if v == nil || *v == "" {
-		p.fail(field, "is missing")
-		return ""
-	}
-	return *v
-}
-
-func (p *parser) number(field string, v *float64) float64 {
-	if v == nil {
-		p.fail(field, "is missing")
-		return 0
-	}
-	if *v < 0 || math.IsNaN(*v) || math.IsInf(*v, 0) || *v > 1e12 {
-		p.fail(field, "is out of range")
-	}
-	return *v
-}
-
-func (p *parser) flag(field string, v *bool) bool {
-	if v == nil {
-		p.fail(field, "is missing")
-		return false
-	}
-	return *v
-}
-
-func (p *parser) choice(field string, v *string, of []string) int {
-	i := slices.Index(of, p.text(field, v))
-	if i < 0 {
-		p.fail(field, "is none of "+strings.Join(of, ", "))
-		return 0
-	}
-	return i
-}
-
-func (p *parser) spec() *Spec {
-	in := p.in
-	s := &Spec{
-		ID:       p.text("job id", in.ID),
-		Team:     p.text("team", in.Team),
-		Class:    p.text("class", in.Class),
-		Kind:     Kind(p.choice("kind", in.Kind, kinds)),
-		Priority: p.choice("priority", in.Priority, protocol.Priorities),
-		Need: Resources{
-			CPUs: p.number("cpus", in.CPUs), GPUs: p.number("gpus", in.GPUs), MemoryGB: p.number("memory", in.MemoryGB),
-		},
-		Image:       p.text("image", in.Image),
-		ImageGB:     p.number("image size", in.ImageGB),
-		OneZone:     p.flag("one-zone flag", in.OneZone),
-		Spread:      p.flag("spread flag", in.Spread),
-		Spot:        p.flag("spot flag", in.Spot),
-		EstimateS:   p.number("estimate", in.EstimateS),
-		CheckpointS: p.number("checkpoint interval", in.CheckpointS),
-		SaveS:       p.number("save time", in.SaveS),
-	}
-	if p.err == nil && !ValidID(s.ID) {
-		p.fail("job id", "is malformed")
-	}
-	switch {
-	case in.Tasks == nil:
-		p.fail("task count", "is missing")
-	case *in.Tasks < 1 || *in.Tasks > MaxTasks:
-		p.fail("task count", "is out of range")
-	default:
-		s.Tasks = int(*in.Tasks)
-	}
-	if in.Types != nil {
-		s.Types = append([]string{}, *in.Types...)
-	}
-	if slices.Contains(s.Types, "") {
-		p.fail("machine type", "is missing")
-	}
-	if in.Zone != nil {
-		s.Zone = p.text("zone", in.Zone)
-	}
-	if in.DeadlineS != nil {
-		s.DeadlineS = p.number("deadline", in.DeadlineS)
-	}
-	s.Dependencies = p.jobs(in.Awaits)
-	return s
-}
-
-// jobs are the distinct jobs that a submission names, in its order.
-func (p *parser) jobs(in *[]string) (out []string) {
-	if in == nil {
-		return nil
-	}
-	for _, id := range *in {
-		if !ValidID(id) {
-			p.fail("awaited job's id", "is malformed")
-		}
-		if !slices.Contains(out, id) {
-			out = append(out, id)
-		}
-	}
-	return out
-}
-
-// ValidID tells whether id has the form of a job id and can be part of a key.
-func ValidID(id string) bool {
-	if !strings.HasPrefix(id, protocol.JobPrefix) || len(id) > 80 || len(id) == len(protocol.JobPrefix) {
-		return false
-	}
-	for _, c := range []byte(id) {
-		ok := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.'
-		if !ok {
-			return false
-		}
-	}
-	return true
-}
-
-// Submission is the description as a user would give it; Parse gives it back.
-func (s *Spec) Submission() protocol.Submission {
-	tasks := int64(s.Tasks)
-	out := protocol.Submission{ID: &s.ID, Class: &s.Class, Team: &s.Team, Kind: &kinds[s.Kind], Priority: &protocol.Priorities[s.Priority],
-		Tasks: &tasks, CPUs: &s.Need.CPUs, GPUs: &s.Need.GPUs, MemoryGB: &s.Need.MemoryGB, Image: &s.Image, ImageGB: &s.ImageGB,
-		OneZone: &s.OneZone, Spread: &s.Spread, Spot: &s.Spot,
-		EstimateS: &s.EstimateS, CheckpointS: &s.CheckpointS, SaveS: &s.SaveS}
-	if s.Types != nil {
-		out.Types = &s.Types
-	}
-	if s.Zone != "" {
-		out.Zone = &s.Zone
-	}
-	if s.DeadlineS > 0 {
-		out.DeadlineS = &s.DeadlineS
-	}
-	if len(s.Dependencies) > 0 {
-		out.Awaits = &s.Dependencies
-	}
-	return out
-}
--- a/internal/core/job/stored.go
+++ b/internal/core/job/stored.go
@@ -6,40 +6,63 @@
 	"slices"
 
 	"github.com/segmentio/encoding/json"
+
+	"pepperlever/internal/mustjson"
 )
 
-// record is the stored form of the head, chunk that of each further chunk.
-type record struct {
-	Spec     *Spec  `json:"s"`
-	Nonce    string `json:"w,omitempty"`
-	Attempt  uint64 `json:"n"`
-	Finished string `json:"f,omitempty"`
-	Suspect  bool   `json:"x,omitempty"`
-	// ChunkSize is missing in heads that were stored before it was, Former and Moved in
-	// those of jobs that were never split.
-	ChunkSize int    `json:"z,omitempty"`
-	Former    int    `json:"y,omitempty"`
-	Moved     string `json:"v,omitempty"`
-	First     *chunk `json:"c"`
+// headRecord is the stored form of the head.
+type headRecord struct {
+	Spec    *Spec  `json:"s"`
+	Nonce   string `json:"w,omitempty"`
+	Attempt uint64 `json:"n"`
+	// DoneChunks holds the chunks that have no key since all of their tasks are done.
+	DoneChunks string `json:"f,omitempty"`
+	Suspected  bool   `json:"x,omitempty"`
+	// ChunkSize is missing in heads that do not state it, FormerSize and Migrated in those of
+	// jobs that were never split.
+	ChunkSize  int          `json:"z,omitempty"`
+	FormerSize int          `json:"y,omitempty"`
+	Migrated   string       `json:"v,omitempty"`
+	First      *chunkRecord `json:"c"`
+}
+
+// chunkRecord is the stored form of a chunk. Bindings name their machines by index.
+type chunkRecord struct {
+	Done     string          `json:"d,omitempty"`
+	Machines []string        `json:"m,omitempty"`
+	Bindings []bindingRecord `json:"b,omitempty"`
 }
 
-type chunk struct {
-	Done     string      `json:"d,omitempty"`
-	Machines []string    `json:"m,omitempty"`
-	Bound    [][5]uint64 `json:"b,omitempty"`
+// bindingRecord is the stored form of a binding: the fields below in this order.
+type bindingRecord [5]uint64
+
+// Fields of a bindingRecord.
+const (
+	bindingTask    = iota // relative to the chunk's first task
+	bindingMachine        // index among the chunk's machines
+	bindingAttempt
+	bindingToken
+	bindingEpoch
+)
+
+// RecordError is a stored record of a job that can't be read.
+type RecordError struct {
+	Job     string
+	Problem string
 }
 
+// Error names the job and the problem.
+func (e *RecordError) Error() string { return fmt.Sprintf("job %s: %s", e.Job, e.Problem) }
+
+// chunks is the number of chunks.
 func (j *Job) chunks() int { return (j.Tasks + j.ChunkSize - 1) / j.ChunkSize }
 
+// bounds are the first task of chunk c and the first after it.
 func (j *Job) bounds(c int) (lo, hi int) {
 	return c * j.ChunkSize, min(j.Tasks, (c+1)*j.ChunkSize)
 }
 
-func (j *Job) chunkDone(c int) bool {
-	lo, hi := j.bounds(c)
-	return j.doneWithin(lo, hi)
-}
-
+// doneWithin tells whether every task of a range is done.
 func (j *Job) doneWithin(lo, hi int) bool {
 	for i := lo; i < hi; i++ {
 		if !j.Done.Has(i) {
@@ -51,46 +74,62 @@
 
 // Head is the stored form of the job's head.
 func (j *Job) Head() json.RawMessage {
-	var finished Set
-	for c := 1; c < j.chunks(); c++ {
-		if j.chunkDone(c) {
-			finished.Add(c)
-		}
-	}
 	spec := j.Spec
 	if j.Attempt > 0 {
 		spec.Dependencies = nil // they were done before anything was bound
 	}
-	r := record{Spec: &spec, Nonce: j.Nonce, Attempt: j.Attempt,
-		Finished: finished.Format(0, j.chunks()), Suspect: j.Suspected, First: j.chunk(0)}
+	head := headRecord{
+		Spec:       &spec,
+		Nonce:      j.Nonce,
+		Attempt:    j.Attempt,
+		DoneChunks: j.doneChunks(),
+		Suspected:  j.Suspected,
+		First:      j.chunkRecord(0),
+	}
 	if j.sized {
-		r.ChunkSize, r.Former, r.Moved = j.ChunkSize, j.former, j.moved.Format(0, j.chunks())
+		head.ChunkSize = j.ChunkSize
+		head.FormerSize = j.formerSize
+		head.Migrated = j.migrated.Format(0, j.chunks())
 	}
-	raw, err := json.Marshal(r)
-	if err != nil {
-		panic(err) // plain data always has a JSON form
+	return mustjson.Marshal(head)
+}
+
+// doneChunks lists the further chunks of which every task is done.
+func (j *Job) doneChunks() string {
+	var done Set
+	for c := 1; c < j.chunks(); c++ {
+		if j.doneWithin(j.bounds(c)) {
+			done.Add(c)
+		}
 	}
-	return raw
+	return done.Format(0, j.chunks())
 }
 
-func (j *Job) chunk(c int) *chunk {
+// chunkRecord is the stored form of chunk c.
+func (j *Job) chunkRecord(c int) *chunkRecord {
 	lo, hi := j.bounds(c)
-	out := &chunk{Done: j.Done.Format(lo, hi)}
-	index := map[string]int{}
+	record := &chunkRecord{Done: j.Done.Format(lo, hi)}
+	indexes := map[string]int{}
 	for _, i := range slices.Sorted(maps.Keys(j.Bound)) {
 		if i < lo || i >= hi {
 			continue
 		}
 		b := j.Bound[i]
-		m, ok := index[b.Machine]
-		if !ok {
-			m = len(out.Machines)
-			index[b.Machine] = m
-			out.Machines = append(out.Machines, b.Machine)
+		index, listed := indexes[b.Machine]
+		if !listed {
+			index = len(record.Machines)
+			indexes[b.Machine] = index
+			record.Machines = append(record.Machines, b.Machine)
 		}
-		out.Bound = append(out.Bound, [5]uint64{uint64(i - lo), uint64(m), b.Attempt, b.Token, b.Epoch})
+		record.Bindings = append(record.Bindings, bindingRecord{
+			bindingTask:    uint64(i - lo),
+			bindingMachine: uint64(index),
+			bindingAttempt: b.Attempt,
+			bindingToken:   b.Token,
+			bindingEpoch:   b.Epoch,
+		})
 	}
-	return out
+	return record
 }
 
 // HeadNonce is the nonce of the update that wrote a stored head.
@@ -104,97 +143,122 @@
 
 // LoadHead reads the stored head.
 func (j *Job) LoadHead(raw json.RawMessage) error {
-	var r record
-	if err := json.Unmarshal(raw, &r); err != nil {
+	var head headRecord
+	if err := json.Unmarshal(raw, &head); err != nil {
 		return err
 	}
-	if r.Spec == nil || r.First == nil || r.Spec.Tasks < 1 || r.Spec.Tasks > MaxTasks || r.ChunkSize < 0 || r.Former < 0 {
-		return fmt.Errorf("job %s: stored head is incomplete", j.ID)
+	if !head.complete() {
+		return &RecordError{Job: j.ID, Problem: "stored head is incomplete"}
 	}
 	id := j.ID
-	j.Spec = *r.Spec
+	j.Spec = *head.Spec
 	j.ID = id
-	j.Nonce, j.Attempt, j.Suspected = r.Nonce, r.Attempt, r.Suspect
-	j.StoredAttempt = r.Attempt
-	if r.ChunkSize > 0 {
-		j.ChunkSize, j.sized, j.former = r.ChunkSize, true, r.Former
-		j.moved = Set{}
-		if err := j.moved.Parse(r.Moved, 0, j.chunks()); err != nil {
-			return err
-		}
+	j.Nonce, j.Attempt, j.Suspected = head.Nonce, head.Attempt, head.Suspected
+	j.StoredAttempt = head.Attempt
+	if err := j.loadLayout(&head); err != nil {
+		return err
 	}
-	var finished Set
-	if err := finished.Parse(r.Finished, 0, j.chunks()); err != nil {
+	if err := j.loadDoneChunks(head.DoneChunks); err != nil {
+		return err
+	}
+	return j.load(0, j.ChunkSize, head.First)
+}
+
+// complete tells whether a head has what every head has.
+func (h *headRecord) complete() bool {
+	if h.Spec == nil || h.First == nil || h.ChunkSize < 0 || h.FormerSize < 0 {
+		return false
+	}
+	return h.Spec.Tasks >= 1 && h.Spec.Tasks <= MaxTasks
+}
+
+// loadLayout takes the chunk sizes that a head states, if it does.
+func (j *Job) loadLayout(head *headRecord) error {
+	if head.ChunkSize == 0 {
+		return nil
+	}
+	j.ChunkSize, j.sized, j.formerSize = head.ChunkSize, true, head.FormerSize
+	j.migrated = Set{}
+	return j.migrated.Parse(head.Migrated, 0, j.chunks())
+}
+
+// loadDoneChunks notes the tasks of further chunks that are done altogether.
+func (j *Job) loadDoneChunks(ranges string) error {
+	var done Set
+	if err := done.Parse(ranges, 0, j.chunks()); err != nil {
 		return err
 	}
 	for c := 1; c < j.chunks(); c++ {
-		if finished.Has(c) {
-			lo, hi := j.bounds(c)
-			for i := lo; i < hi; i++ {
-				j.finish(i)
-			}
+		if !done.Has(c) {
+			continue
+		}
+		lo, hi := j.bounds(c)
+		for i := lo; i < hi; i++ {
+			j.finish(i)
 		}
 	}
-	return j.load(0, j.ChunkSize, r.First)
+	return nil
 }
 
 // LoadChunk reads a further stored chunk.
 func (j *Job) LoadChunk(k ChunkKey, raw json.RawMessage) error {
 	size := k.Size
 	if size == 0 {
-		size = j.formerSize()
+		size = j.unstatedSize()
 	}
 	if k.Index < 1 || k.Index*size >= j.Tasks {
-		return fmt.Errorf("job %s has no chunk %s", j.ID, k)
+		return &RecordError{Job: j.ID, Problem: "has no chunk " + k.String()}
 	}
 	j.NoteStoredKey(k)
-	var ch chunk
-	if err := json.Unmarshal(raw, &ch); err != nil {
+	var record chunkRecord
+	if err := json.Unmarshal(raw, &record); err != nil {
 		return err
 	}
-	return j.load(k.Index*size, size, &ch)
+	return j.load(k.Index*size, size, &record)
 }
 
-// superseding tells whether task i is no longer read from keys of the former size.
-func (j *Job) superseding(i int) bool { return j.former > 0 && j.moved.Has(i/j.ChunkSize) }
-
-// load takes over a stored chunk of size tasks that begins at lo.
-func (j *Job) load(lo, size int, ch *chunk) error {
+// load takes a stored chunk of size tasks that begins at task lo.
+func (j *Job) load(lo, size int, record *chunkRecord) error {
 	hi := min(j.Tasks, lo+size)
-	skips := func(i int) bool { return size == j.former && j.superseding(i) }
-	if err := j.Done.Parse(ch.Done, lo, hi); err != nil {
+	superseded := func(i int) bool { return size == j.formerSize && j.hasMigrated(i) }
+	if err := j.Done.Parse(record.Done, lo, hi); err != nil {
 		return err
 	}
-	kept := map[int]bool{}
-	for _, b := range ch.Bound {
-		i := lo + int(b[0])
-		if i >= hi || int(b[1]) >= len(ch.Machines) {
-			return fmt.Errorf("job %s: stored binding is out of bounds", j.ID)
+	bound := map[int]bool{}
+	for _, stored := range record.Bindings {
+		i := lo + int(stored[bindingTask])
+		if i >= hi || int(stored[bindingMachine]) >= len(record.Machines) {
+			return &RecordError{Job: j.ID, Problem: "stored binding is out of bounds"}
 		}
-		if skips(i) {
+		if superseded(i) {
 			continue
 		}
-		kept[i] = true
-		n := &Binding{Machine: ch.Machines[b[1]], Attempt: b[2], Token: b[3], Epoch: b[4], Stored: true}
-		if old := j.Bound[i]; old != nil && old.Attempt == n.Attempt && old.Machine == n.Machine {
-			old.Stored, old.Token, old.Epoch = true, n.Token, n.Epoch
-			continue
-		}
-		j.set(i, n)
+		bound[i] = true
+		j.loadBinding(i, record.Machines[stored[bindingMachine]], stored)
 	}
 	for i := range j.Bound {
-		if i >= lo && i < hi && !kept[i] && !skips(i) {
-			j.clear(i)
+		if i >= lo && i < hi && !bound[i] && !superseded(i) {
+			j.clearBinding(i)
 		}
 	}
 	return nil
 }
 
+// loadBinding takes a stored binding of task i.
+func (j *Job) loadBinding(i int, machine string, stored bindingRecord) {
+	attempt, token, epoch := stored[bindingAttempt], stored[bindingToken], stored[bindingEpoch]
+	if known := j.Bound[i]; known != nil && known.Attempt == attempt && known.Machine == machine {
+		known.Stored, known.Token, known.Epoch = true, token, epoch
+		return
+	}
+	j.setBinding(i, &Binding{Machine: machine, Attempt: attempt, Token: token, Epoch: epoch, Stored: true})
+}
+
 // Cancel makes every stored chunk come up for deletion once nothing is bound.
 func (j *Job) Cancel() {
 	j.Cancelled = true
 	j.dirty[0] = true
-	for k := range j.stored {
+	for k := range j.storedKeys {
 		if k == j.key(k.Index) {
 			j.dirty[k.Index] = true
 		}
--- a/internal/core/jobupdate_test.go
+++ b/internal/core/jobupdate_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -22,7 +23,7 @@
 		}
 		c.onHeadRead(u, StoreReply{
 			Outcome: Applied,
-			Item:    protocol.KeyValue{Value: mustMarshal(map[string]string{"w": nonce}), Version: 99},
+			Item:    protocol.KeyValue{Value: mustjson.Marshal(map[string]string{"w": nonce}), Version: 99},
 		})
 		if team.leading != own || own && j.Version != 99 {
 			t.Errorf("%s: still leader %v, at version %d", name, team.leading, j.Version)
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -5,6 +5,7 @@
 	"strings"
 
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -64,5 +65,5 @@
 
 // putJSON is the change that stores a value in its JSON form.
 func putJSON(key string, value any) protocol.Change {
-	return protocol.Change{Put: key, Value: mustMarshal(value)}
+	return protocol.Change{Put: key, Value: mustjson.Marshal(value)}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -4,6 +4,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"pepperlever/internal/core/job"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -78,7 +79,7 @@
 	s.electing = true
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{s.leaderCondition()},
-		Then: []protocol.Change{{Put: s.key, Value: mustMarshal(leader), Lease: node.Lease}},
+		Then: []protocol.Change{{Put: s.key, Value: mustjson.Marshal(leader), Lease: node.Lease}},
 	}, true, func(StoreReply) { s.electing = false })
 }
 
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -7,6 +7,7 @@
 
 	"github.com/segmentio/encoding/json"
 
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 	"pepperlever/internal/settings"
 )
@@ -109,7 +110,7 @@
 	own := nodeRecord{Incarnation: m.incarnation, Lease: m.lease, Federation: federation}
 	return protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: m.live[m.self].version}},
-		Then: []protocol.Change{{Put: key, Value: mustMarshal(own), Lease: m.lease}},
+		Then: []protocol.Change{{Put: key, Value: mustjson.Marshal(own), Lease: m.lease}},
 	}
 }
 
--- a/internal/core/outgoinghandoffs_test.go
+++ b/internal/core/outgoinghandoffs_test.go
@@ -8,6 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"pepperlever/internal/federation"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -100,7 +101,7 @@
 // The scheduler does not even try to place an outgoing job.
 func TestOutgoingJobIsNotPlaced(t *testing.T) {
 	w, f := newFederatedWorld(t)
-	w.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustMarshal(federation.Outgoing{Epoch: 1, To: "far"})})
+	w.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustjson.Marshal(federation.Outgoing{Epoch: 1, To: "far"})})
 	f.play(time.Second, func() bool { return false })
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
@@ -133,7 +134,7 @@
 		"a hand-off after a cancellation": {more: remoteZoneOnly, before: func(w *world) { w.putUnwatched(cancelKey("req-red-1"), struct{}{}) },
 			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
 		"a hand-off after a drain by another": {more: remoteZoneOnly, before: func(w *world) {
-			w.change(protocol.Change{Put: drainedKey("far"), Value: mustMarshal(struct{}{})})
+			w.change(protocol.Change{Put: drainedKey("far"), Value: mustjson.Marshal(struct{}{})})
 		}, holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
 	} {
 		w, f := newFederatedWorld(t)
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"github.com/segmentio/encoding/json"
-
 	"pepperlever/internal/core/fairness"
 	"pepperlever/internal/protocol"
 )
@@ -48,12 +46,3 @@
 type usageRecord struct {
 	Record fairness.Record `json:"r"`
 }
-
-// mustMarshal gives the JSON form of plain data.
-func mustMarshal(v any) json.RawMessage {
-	out, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // plain data always has a JSON form
-	}
-	return out
-}
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -11,6 +11,8 @@
 	"slices"
 
 	"github.com/segmentio/encoding/json"
+
+	"pepperlever/internal/mustjson"
 )
 
 // Page is the value of one key.
@@ -70,10 +72,10 @@
 func Pages(heartbeat json.RawMessage, entries []Entry, machines map[MachineKind][]string, limit int) map[string]json.RawMessage {
 	out := map[string]json.RawMessage{}
 	for n, p := range entryPages(heartbeat, entries, limit) {
-		out[fmt.Sprint("f", n)] = marshalPage(p)
+		out[fmt.Sprint("f", n)] = mustjson.Marshal(p)
 	}
 	for n, p := range machinePages(machines, limit) {
-		out[fmt.Sprint("m", n)] = marshalPage(p)
+		out[fmt.Sprint("m", n)] = mustjson.Marshal(p)
 	}
 	return out
 }
@@ -195,11 +197,3 @@
 	last := &p.Machines[len(p.Machines)-1]
 	last.Machines = append(last.Machines, id)
 }
-
-func marshalPage(p *Page) json.RawMessage {
-	out, err := json.Marshal(p)
-	if err != nil {
-		panic(err) // plain data always has a JSON form
-	}
-	return out
-}
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -5,6 +5,7 @@
 
 	"pepperlever/internal/core/relay"
 	"pepperlever/internal/core/worker"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -33,7 +34,7 @@
 	number := r.ids.next()
 	b := r.core.newHeartbeat()
 	b.Records = r.core.ownRecords()
-	return mustMarshal(relayHeartbeat{Sequence: number, NodeHeartbeat: b})
+	return mustjson.Marshal(relayHeartbeat{Sequence: number, NodeHeartbeat: b})
 }
 
 // entries lists the outcome of tasks on this node's machines whose leaders may not hear
--- a/internal/core/remotesite_test.go
+++ b/internal/core/remotesite_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"pepperlever/internal/federation"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/protocol"
 )
 
@@ -93,5 +94,5 @@
 // putUnwatched writes a key of which the watch does not know yet.
 func (w *world) putUnwatched(key string, v any) {
 	w.revision++
-	w.kv[key] = protocol.KeyValue{Key: key, Value: mustMarshal(v), Version: w.revision}
+	w.kv[key] = protocol.KeyValue{Key: key, Value: mustjson.Marshal(v), Version: w.revision}
 }
--- a/internal/core/worker/registry.go
+++ b/internal/core/worker/registry.go
@@ -89,10 +89,10 @@
 func (r *Registry) UntrackBindings(j *job.Job) { r.bindings.Remove(j) }
 
 // Load is what is bound to a machine, or nil when nothing is.
-func (r *Registry) Load(name string) *job.Load { return r.bindings.On(name) }
+func (r *Registry) Load(name string) *job.Load { return r.bindings.Load(name) }
 
 // InvalidateLoad has the room on a machine worked out anew, since its report has changed.
-func (r *Registry) InvalidateLoad(name string) { r.bindings.Touch(name) }
+func (r *Registry) InvalidateLoad(name string) { r.bindings.Invalidate(name) }
 
 // HasBindings tells whether a machine has bindings of any team.
 func (r *Registry) HasBindings(name string) bool { return r.Load(name) != nil }
@@ -132,17 +132,17 @@
 	if load == nil {
 		return job.Resources{}
 	}
-	if load.Fresh {
-		return load.Taken
+	if load.UsedCurrent {
+		return load.Used
 	}
-	load.Taken, load.Fresh = load.Need, true
+	load.Used, load.UsedCurrent = load.Need, true
 	if m.ExitedTasks == 0 {
-		return load.Taken
+		return load.Used
 	}
 	for ref, b := range load.Tasks {
 		if t, ok := m.Find(ref.Job.TaskID(ref.Index), b.Attempt); ok && t.State == protocol.Exited {
-			load.Taken = load.Taken.Plus(ref.Job.Need, -1)
+			load.Used = load.Used.Plus(ref.Job.Need, -1)
 		}
 	}
-	return load.Taken
+	return load.Used
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -19,6 +19,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"pepperlever/internal/core"
+	"pepperlever/internal/mustjson"
 	"pepperlever/internal/settings"
 	"pepperlever/internal/stream"
 )
@@ -55,11 +56,7 @@
 
 // Send queues a message; what does not fit is dropped with the whole stream.
 func (p *Peers) Send(m core.SendPeer) {
-	line, err := json.Marshal(m.Message)
-	if err != nil {
-		panic(err) // messages are plain data
-	}
-	line = append(line, '\n')
+	line := append(mustjson.Marshal(m.Message), '\n')
 	for _, node := range m.Nodes {
 		if l := p.streams[node]; l != nil {
 			l.outgoing.Send(line)
