--- a/internal/emulator/programs.go
+++ b/internal/emulator/programs.go
@@ -41,7 +41,6 @@
 // Start runs a task's program with its output in a file, and kills it when the
 // task is stopped.
 func (p *programRunner) Start(machine string, job *protocol.Submission, task string, attempt uint64, done func(ok bool)) func() {
-	id, index, _ := strings.Cut(task, "/")
 	end := func(ok bool) {
 		go func() { // the caller holds the site
 			p.site.mu.Lock()
@@ -49,27 +48,13 @@
 			done(ok)
 		}()
 	}
-	dir := p.site.Outputs(id)
-	name := filepath.Join(dir, fmt.Sprintf("%s-%d.log", index, attempt))
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		slog.Error("task output cannot be stored", "task", task, "error", err)
-		end(false)
-		return func() {}
-	}
-	out, err := os.Create(name)
+	out, err := p.createOutput(task, attempt)
 	if err != nil {
 		slog.Error("task output cannot be stored", "task", task, "error", err)
 		end(false)
 		return func() {}
 	}
-	run, err := filepath.Abs(p.path(*job.Image))
-	if err != nil {
-		run = p.path(*job.Image)
-	}
-	cmd := exec.Command(run)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = dir, out, out
-	cmd.Env = append(os.Environ(), "PEPPERLEVER_JOB="+id, "PEPPERLEVER_TASK="+index, "PEPPERLEVER_MACHINE="+machine,
-		fmt.Sprintf("PEPPERLEVER_ATTEMPT=%d", attempt), fmt.Sprintf("PEPPERLEVER_TASKS=%d", *job.Tasks))
+	cmd := p.command(machine, job, task, attempt, out)
 	if err := cmd.Start(); err != nil {
 		slog.Error("task program cannot be started", "task", task, "error", err)
 		out.Close()
@@ -87,3 +72,33 @@
 		}
 	}
 }
+
+// createOutput makes the file that an attempt of a task writes its output to.
+func (p *programRunner) createOutput(task string, attempt uint64) (*os.File, error) {
+	id, index, _ := strings.Cut(task, "/")
+	dir := p.site.Outputs(id)
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return nil, err
+	}
+	return os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.log", index, attempt)))
+}
+
+// command is the program of a task, which runs in the folder of its output and finds its
+// task in the environment.
+func (p *programRunner) command(machine string, job *protocol.Submission, task string, attempt uint64, out *os.File) *exec.Cmd {
+	id, index, _ := strings.Cut(task, "/")
+	run, err := filepath.Abs(p.path(*job.Image))
+	if err != nil {
+		run = p.path(*job.Image)
+	}
+	cmd := exec.Command(run)
+	cmd.Dir = p.site.Outputs(id)
+	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Env = append(os.Environ(),
+		"PEPPERLEVER_JOB="+id,
+		"PEPPERLEVER_TASK="+index,
+		"PEPPERLEVER_MACHINE="+machine,
+		fmt.Sprintf("PEPPERLEVER_ATTEMPT=%d", attempt),
+		fmt.Sprintf("PEPPERLEVER_TASKS=%d", *job.Tasks))
+	return cmd
+}
