--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -21,8 +21,8 @@
 	c.scheduler.claims = nil
 }
 
-// noteRemoteClaim notes room that another leader is about to bind.
-func (c *Core) noteRemoteClaim(claim Claim) {
+// handleClaim notes room that another leader is about to bind.
+func (c *Core) handleClaim(claim Claim) {
 	id, index, ok := job.ParseTaskID(claim.Task)
 	if j := c.jobs[id]; ok && j != nil && !c.leads(j) {
 		j.Claim(index, &job.Binding{Machine: claim.Machine, Attempt: claim.Attempt, Since: c.now.Steady})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,7 +28,7 @@
 	fleet   *shard
 	jobs    map[string]*job.Job
 	cordons cordons
-	intents map[string]*rentalIntent
+	intents rentalIntents
 	ended   endedJobs
 	// announcements holds the cancellations that are announced to the other controllers.
 	announcements *announcer
@@ -71,7 +71,12 @@
 
 // timers hold the next time of each periodic duty.
 type timers struct {
-	last, heartbeat, share, record, reconcile, autoscaler, forget, catalog, inventory, vacate, statistics time.Duration
+	// usageUpdated is when the usage records were last updated.
+	usageUpdated time.Duration
+
+	heartbeat, share, record, reconcile time.Duration
+	autoscaler, forget, catalog         time.Duration
+	inventory, evacuation, statistics   time.Duration
 }
 
 // New makes a core. The incarnation must differ between runs of the process.
@@ -86,7 +91,7 @@
 		teamBy:        map[string]*team{},
 		jobs:          map[string]*job.Job{},
 		cordons:       cordons{},
-		intents:       map[string]*rentalIntent{},
+		intents:       rentalIntents{},
 		dependencies:  newDependencies(),
 		handoffs:      newHandoffReplica(),
 		machines:      worker.NewRegistry(),
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -64,8 +64,8 @@
 	w.run(10*time.Second, nil)
 	c := w.cores[w.leaderOf("red")]
 	j, team := c.jobs["req-red-2"], c.teamBy["red"]
-	if !j.Blocked || c.startAllowance(j) != 0 || c.waitingNeed(team) != (job.Resources{}) {
-		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingNeed(team))
+	if !j.Blocked || c.startAllowance(j) != 0 || c.waitingResources(team) != (job.Resources{}) {
+		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingResources(team))
 	}
 	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d scaling.Demand) bool { return d.Spec.ID == j.ID }) {
 		t.Error("machines are rented for it")
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -10,7 +10,7 @@
 // have been placed there before anything that needs the accelerators was known.
 func (r *round) evacuateGPUHosts() {
 	c := r.core
-	if !r.gpuStarved || !c.every(&c.timers.vacate, c.reportInterval()) {
+	if !r.gpuStarved || !c.every(&c.timers.evacuation, c.reportInterval()) {
 		return
 	}
 	for _, h := range r.hosts {
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -48,7 +48,7 @@
 		c.onPut(*m.Accepted)
 	case m.Claims != nil:
 		for _, k := range m.Claims {
-			c.noteRemoteClaim(k)
+			c.handleClaim(k)
 		}
 	case m.Start != nil:
 		c.agents.forwardStart(from, *m.Start)
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -96,7 +96,8 @@
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
 		return false // the old attempt has to be gone first
 	}
-	return withinLimit(queue.team, queue.usage.Plus(need, 1)) && len(p.unstored) < r.core.limits.maxConditions()-freeConditions
+	maxUnstored := r.core.limits.maxConditions() - freeConditions
+	return withinLimit(queue.team, queue.usage.Plus(need, 1)) && len(p.unstored) < maxUnstored
 }
 
 // unplaced is the number of tasks of a job that the round has not placed yet.
@@ -140,7 +141,8 @@
 			Epoch:   m.Session,
 			Since:   c.now.Steady,
 		})
-		c.scheduler.claims = append(c.scheduler.claims, Claim{Machine: host.ID, Task: j.TaskID(index), Attempt: j.Attempt})
+		claim := Claim{Machine: host.ID, Task: j.TaskID(index), Attempt: j.Attempt}
+		c.scheduler.claims = append(c.scheduler.claims, claim)
 		p.unstored[host.ID] = true
 		m.IdleSince = c.now.Steady
 	}
@@ -173,7 +175,9 @@
 		overdue := scaling.Demand{Spec: &j.Spec, Tasks: tasks, Zones: r.constrainedZones(j)}
 		r.overdueDemand = append(r.overdueDemand, overdue)
 	}
-	isReserved := slices.ContainsFunc(r.reservedNeeds, func(reserved job.Resources) bool { return j.Need.Fits(reserved) })
+	isReserved := slices.ContainsFunc(r.reservedNeeds, func(reserved job.Resources) bool {
+		return j.Need.Fits(reserved)
+	})
 	if !isReserved {
 		r.reserveHosts(scaling.Demand{Spec: &j.Spec, Tasks: 1, Zones: r.constrainedZones(j)})
 	}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -251,7 +251,11 @@
 
 // bestEffortLoad is what best-effort tasks take on a machine, and the least work that is lost
 // where one of them is stopped, in all and for each CPU.
-func bestEffortLoad(m *worker.Machine, load *job.Load, now time.Duration) (preemptible job.Resources, loss, lossPerCPU float64) {
+func bestEffortLoad(
+	m *worker.Machine,
+	load *job.Load,
+	now time.Duration,
+) (preemptible job.Resources, loss, lossPerCPU float64) {
 	loss, lossPerCPU = math.Inf(1), math.Inf(1)
 	for ref, b := range load.Tasks {
 		if !isBestEffort(ref.Job) {
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxObservations is how many of the newest rentals of a type are weighed.
-	maxObservations = 32
+	// maxProvisioningSamples is how many of the newest rentals of a type are weighed.
+	maxProvisioningSamples = 32
 	// maxProvisioningFactor is how many times the nominal boot time may become typical. Past
 	// it machines are taken not to come at all.
 	maxProvisioningFactor = 4
@@ -54,9 +54,9 @@
 	return true
 }
 
-// provisioningObservation is one rented machine: when it was rented, and how long it took to
+// provisioningSample is one rented machine: when it was rented, and how long it took to
 // come up or has taken so far.
-type provisioningObservation struct{ at, took time.Duration }
+type provisioningSample struct{ at, took time.Duration }
 
 // noteProvisioned notes how long a machine took from its rental to its first report.
 func (c *Core) noteProvisioned(r *protocol.Report) {
@@ -71,19 +71,23 @@
 
 // updateProvisioningTimes takes the median over the newest rentals of each type as typical.
 func (a *autoscaler) updateProvisioningTimes(now time.Duration, machines *worker.Registry, types catalog.Catalog) {
-	observations := a.observations(now, machines, types)
+	samples := a.provisioningSamples(now, machines, types)
 	for name := range types.All() {
 		nominal := types.BootTime(name)
-		observed := median(observations[name])
+		observed := median(samples[name])
 		a.provisioning.typical[name] = min(max(nominal, observed), maxProvisioningFactor*nominal)
 	}
 }
 
-// observations lists by type how long machines took to come up. Machines that are overdue
+// provisioningSamples lists by type how long machines took to come up. Machines that are overdue
 // count with their age: when most are late, the rest will be too, and when a few are, the
 // others tell that they hardly come.
-func (a *autoscaler) observations(now time.Duration, machines *worker.Registry, types catalog.Catalog) map[string][]provisioningObservation {
-	observations := map[string][]provisioningObservation{}
+func (a *autoscaler) provisioningSamples(
+	now time.Duration,
+	machines *worker.Registry,
+	types catalog.Catalog,
+) map[string][]provisioningSample {
+	samples := map[string][]provisioningSample{}
 	for name, rentedAt := range ordered(a.firstSeen) {
 		age := now - rentedAt
 		m := machines.Get(name)
@@ -91,23 +95,23 @@
 		took, isUp := a.provisioning.observed[name]
 		switch {
 		case isUp && m != nil:
-			observations[m.Type] = append(observations[m.Type], provisioningObservation{rentedAt, took})
+			samples[m.Type] = append(samples[m.Type], provisioningSample{rentedAt, took})
 		case isUp || m != nil || !isListed || listed.State != protocol.Booting:
 		case age > types.BootTime(listed.Type):
-			observations[listed.Type] = append(observations[listed.Type], provisioningObservation{rentedAt, age})
+			samples[listed.Type] = append(samples[listed.Type], provisioningSample{rentedAt, age})
 		}
 	}
-	return observations
+	return samples
 }
 
 // median is the median time of the newest rentals, 0 without any.
-func median(all []provisioningObservation) time.Duration {
+func median(all []provisioningSample) time.Duration {
 	if len(all) == 0 {
 		return 0
 	}
-	slices.SortFunc(all, func(a, b provisioningObservation) int { return cmp.Compare(b.at, a.at) })
-	newest := all[:min(len(all), maxObservations)]
-	slices.SortFunc(newest, func(a, b provisioningObservation) int { return cmp.Compare(a.took, b.took) })
+	slices.SortFunc(all, func(a, b provisioningSample) int { return cmp.Compare(b.at, a.at) })
+	newest := all[:min(len(all), maxProvisioningSamples)]
+	slices.SortFunc(newest, func(a, b provisioningSample) int { return cmp.Compare(a.took, b.took) })
 	return newest[len(newest)/2].took
 }
 
@@ -132,5 +136,10 @@
 	}
 	boot := c.catalog.BootTime(l.Type)
 	pause := c.autoscaler.backOff(key, c.now.Steady, boot, maxBackoffBoots*boot)
-	c.log(Info, "offer backed off after failed provisioning", "type", l.Type, "zone", l.Zone, "spot", l.Spot, "backoff", pause)
+	c.log(Info, "offer backed off after failed provisioning",
+		"type", l.Type,
+		"zone", l.Zone,
+		"spot", l.Spot,
+		"backoff", pause,
+	)
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -7,6 +7,34 @@
 	"pepperlever/internal/protocol"
 )
 
+// rentalIntents holds the rentals that are not complete, by name.
+type rentalIntents map[string]*rentalIntent
+
+// awaitAnswer tells whether the cloud has yet to answer a rental.
+func (r rentalIntents) awaitAnswer() bool {
+	for _, intent := range r {
+		if intent.Machines == nil {
+			return true
+		}
+	}
+	return false
+}
+
+// put takes a rental from the store. The leader of the fleet knows its rentals before the store
+// does, so one that it does not know has been dropped.
+func (r rentalIntents) put(name string, intent *rentalIntent, version uint64, leading bool) {
+	if known := r[name]; known != nil {
+		if known.version < version {
+			known.version, known.Machines = version, intent.Machines
+		}
+		return
+	}
+	intent.version = version
+	if !leading {
+		r[name] = intent
+	}
+}
+
 // startRental stores the rental before it asks the cloud, so that a later leader of the fleet
 // can repeat it under the same name.
 func (c *Core) startRental(order scaling.Order) {
@@ -58,13 +86,19 @@
 	}
 }
 
+// offerOf names the offer that a rental is of.
 func offerOf(r protocol.Rental) offerKey { return offerKey{r.Type, r.Zone, r.Spot} }
 
 // noteRented pauses an offer of which the cloud has no more.
 func (c *Core) noteRented(m RentalResult) {
 	key := offerOf(m.Rental)
-	c.log(Info, "machines rented", "type", key.typ, "zone", key.zone, "spot", key.spot,
-		"requested", m.Rental.Count, "received", len(m.Machines))
+	c.log(Info, "machines rented",
+		"type", key.typ,
+		"zone", key.zone,
+		"spot", key.spot,
+		"requested", m.Rental.Count,
+		"received", len(m.Machines),
+	)
 	if len(m.Machines) < m.Rental.Count {
 		c.backOffOffer(key)
 	} else {
@@ -127,17 +161,3 @@
 		}
 	})
 }
-
-// onIntentPut takes a rental from the store.
-func (c *Core) onIntentPut(name string, intent *rentalIntent, version uint64) {
-	if known := c.intents[name]; known != nil {
-		if known.version < version {
-			known.version, known.Machines = version, intent.Machines
-		}
-		return
-	}
-	intent.version = version
-	if !c.fleet.leading {
-		c.intents[name] = intent
-	}
-}
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -153,7 +153,7 @@
 	case strings.HasPrefix(key, keyIntent):
 		intent := &rentalIntent{}
 		if err = json.Unmarshal(item.Value, intent); err == nil {
-			c.onIntentPut(strings.TrimPrefix(key, keyIntent), intent, item.Version)
+			c.intents.put(strings.TrimPrefix(key, keyIntent), intent, item.Version, c.fleet.leading)
 		}
 	case strings.HasPrefix(key, keyVersion):
 		err = c.onVersionPut(item)
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -228,7 +228,9 @@
 			out = append(out, candidate)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b serviceHost) int { return cmp.Compare(a.arrayMilliCPUs, b.arrayMilliCPUs) })
+	slices.SortStableFunc(out, func(a, b serviceHost) int {
+		return cmp.Compare(a.arrayMilliCPUs, b.arrayMilliCPUs)
+	})
 	return out
 }
 
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -25,7 +25,7 @@
 // second, the cheapest machines first.
 func (c *Core) scaleOut() {
 	demand := c.scheduler.pendingDemand
-	if awaitsRental(c.intents) || len(demand) == 0 {
+	if c.intents.awaitAnswer() || len(demand) == 0 {
 		return
 	}
 	pending := c.pendingCapacity()
@@ -41,16 +41,6 @@
 	}
 }
 
-// awaitsRental tells whether the cloud has yet to answer a rental.
-func awaitsRental(intents map[string]*rentalIntent) bool {
-	for _, intent := range intents {
-		if intent.Machines == nil {
-			return true
-		}
-	}
-	return false
-}
-
 // pendingCapacity lists the machines that are rented but do not report yet.
 func (c *Core) pendingCapacity() []*placement.Host {
 	pending := pendingMachines{core: c, seen: map[string]bool{}}
--- a/internal/core/usagerecords.go
+++ b/internal/core/usagerecords.go
@@ -15,11 +15,11 @@
 // updateUsageRecords adds the time since the last step to the records of the teams that this
 // node leads.
 func (c *Core) updateUsageRecords() {
-	elapsed := c.now.Steady - c.timers.last
+	elapsed := c.now.Steady - c.timers.usageUpdated
 	if elapsed < usageRecordInterval/8 {
 		return
 	}
-	c.timers.last = c.now.Steady
+	c.timers.usageUpdated = c.now.Steady
 	shares := fairness.Shares(totalCapacity(c.machines, c.catalog), teamWeights(c.teams))
 	window := c.now.Wall / int64(c.policy.WindowS*1000)
 	for i, t := range c.teams {
@@ -27,7 +27,7 @@
 			continue
 		}
 		usage := t.usage()
-		demand := usage.Plus(c.waitingNeed(t), 1)
+		demand := usage.Plus(c.waitingResources(t), 1)
 		counted := min(elapsed, usageRecordInterval).Seconds()
 		t.record.Advance(window, counted, vector(usage), vector(demand), shares[i])
 	}
@@ -74,8 +74,8 @@
 	return sum
 }
 
-// waitingNeed is what the tasks of a team that may be placed now ask for.
-func (c *Core) waitingNeed(t *team) job.Resources {
+// waitingResources is what the tasks of a team that may be placed now ask for.
+func (c *Core) waitingResources(t *team) job.Resources {
 	var sum job.Resources
 	for _, j := range t.jobs {
 		sum = sum.Plus(j.Need, float64(c.startAllowance(j)))
