--- a/internal/core/agentcontroller.go
+++ b/internal/core/agentcontroller.go
@@ -1,5 +1,12 @@
 package core
 
+import (
+	"iter"
+	"time"
+
+	"pepperlever/internal/core/worker"
+)
+
 // agentController is this node's part as the controller of machines: it answers the heartbeats
 // of their agents, delivers commands to them, and fences what it can't be sure of. All that it
 // sends to an agent is under the fencing token of the agent's session.
@@ -8,6 +15,8 @@
 	agentSessions
 	tokens       fencingTokens
 	startLedgers startLedgers
+	// reportsTakenAt is when takeReported was last called.
+	reportsTakenAt time.Duration
 }
 
 func newAgentController(c *Core) *agentController {
@@ -18,3 +27,29 @@
 		startLedgers:  newStartLedgers(),
 	}
 }
+
+// ownMachines visits the machines that report to this node and no newer controller, with the
+// sessions of their agents, in order.
+func (a *agentController) ownMachines() iter.Seq2[*agentSession, *worker.Machine] {
+	return func(yield func(*agentSession, *worker.Machine) bool) {
+		for machine, session := range a.all() {
+			m := a.core.machines.Get(machine)
+			if m != nil && m.Node == a.core.cfg.Node && !yield(session, m) {
+				return
+			}
+		}
+	}
+}
+
+// takeReported lists the machines that have reported since the last call, with the sequence
+// numbers of their newest reports.
+func (a *agentController) takeReported() (machines []string, seqs []uint64) {
+	for _, m := range a.ownMachines() {
+		if m.LastReport > a.reportsTakenAt {
+			machines = append(machines, m.Machine)
+			seqs = append(seqs, m.Seq)
+		}
+	}
+	a.reportsTakenAt = a.core.now.Steady
+	return machines, seqs
+}
--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -134,11 +134,7 @@
 		return
 	}
 	c := a.core
-	for machine := range c.agents.all() {
-		m := c.machines.Get(machine)
-		if m == nil || m.Node != c.cfg.Node {
-			continue
-		}
+	for _, m := range c.agents.ownMachines() {
 		for _, t := range m.Tasks {
 			id, _, ok := job.ParseTaskID(t.Task)
 			if ok && t.State != protocol.Exited && a.has(id) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -45,11 +45,9 @@
 	agents   *agentController
 	// orphanLookups names the jobs of reported tasks that are being looked up in the store.
 	orphanLookups map[string]bool
-	// heartbeatAt is when this node last sent its heartbeat.
-	heartbeatAt time.Duration
-	rebalancer  rebalancer
-	writeBudget writeBudget
-	lookups     lookup.Queue
+	rebalancer    rebalancer
+	writeBudget   writeBudget
+	lookups       lookup.Queue
 
 	reach *reachability
 	// storeOK tells whether the store answers this node.
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -9,13 +9,7 @@
 	if c.every(&c.timers.share, usageRecordInterval) {
 		b.Records = c.ownRecords()
 	}
-	for id := range c.agents.all() {
-		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node && m.LastReport > c.heartbeatAt {
-			b.HeardMachines = append(b.HeardMachines, id)
-			b.ReportSeqs = append(b.ReportSeqs, m.Seq)
-		}
-	}
-	c.heartbeatAt = c.now.Steady
+	b.HeardMachines, b.ReportSeqs = c.agents.takeReported()
 	c.broadcast(PeerMessage{Heartbeat: &b})
 }
 
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -15,10 +15,8 @@
 func (c *Core) peerConnected(node string) {
 	c.peers.setConnected(node, true)
 	var all []Observation
-	for id, w := range c.agents.all() {
-		if m := c.machines.Get(id); m != nil && m.Node == c.cfg.Node {
-			all = append(all, Observation{Node: c.cfg.Node, Token: w.token, Report: m.Report, Direct: c.reportOverdue(m)})
-		}
+	for session, m := range c.agents.ownMachines() {
+		all = append(all, Observation{Node: c.cfg.Node, Token: session.token, Report: m.Report, Direct: c.reportOverdue(m)})
 	}
 	for part := range batchObservations(all) {
 		c.route(node, PeerMessage{Observations: part})
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"slices"
+	"time"
 
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/worker"
@@ -55,38 +55,13 @@
 	}
 }
 
-// bindingFilter tells whether a binding is to be visited, bindingVisitor visits it.
-type (
-	bindingFilter  func(job.TaskRef, *job.Binding) bool
-	bindingVisitor func(*job.Job, int, *job.Binding)
-)
-
 // eachLedBinding visits the stored bindings on a machine that match and whose jobs this node
 // leads, in order. The visitor may end them.
-func (c *Core) eachLedBinding(machine string, matches bindingFilter, visit bindingVisitor) {
+func (c *Core) eachLedBinding(machine string, matches worker.BindingFilter, visit worker.BindingVisitor) {
 	matchesAndLeads := func(ref job.TaskRef, b *job.Binding) bool {
 		return c.leads(ref.Job) && matches(ref, b)
 	}
-	c.eachBindingOn(machine, matchesAndLeads, visit)
-}
-
-// eachBindingOn visits the stored bindings on a machine that match, in order. The visitor may
-// end them.
-func (c *Core) eachBindingOn(machine string, matches bindingFilter, visit bindingVisitor) {
-	load := c.machines.Load(machine)
-	if load == nil {
-		return
-	}
-	var refs []job.TaskRef
-	for ref, b := range load.Tasks {
-		if b.Stored && matches(ref, b) {
-			refs = append(refs, ref)
-		}
-	}
-	slices.SortFunc(refs, job.CompareTaskRefs)
-	for _, ref := range refs {
-		visit(ref.Job, ref.Index, load.Tasks[ref])
-	}
+	c.machines.EachStoredBinding(machine, matchesAndLeads, visit)
 }
 
 // reconcileBinding applies what the newest report proves about one binding.
@@ -172,7 +147,7 @@
 		return
 	}
 	c.reconcileBinding(j, i, b, m)
-	if j.Bound[i] == b && c.isFenceDue(j, i, b, m) {
+	if j.Bound[i] == b && isFenceDue(m, j.TaskID(i), b, c.now.Steady, c.reportInterval()) {
 		b.FencedAt = c.now.Steady
 		c.sendTo(m.Node, PeerMessage{Fence: &Fence{Machine: b.Machine, Above: b.Token}})
 	}
@@ -180,11 +155,11 @@
 
 // isFenceDue tells whether a start has gone unreported for so long that the start, its answer
 // or the task's report may be lost. Under a newer token the next report is proof.
-func (c *Core) isFenceDue(j *job.Job, i int, b *job.Binding, m *worker.Machine) bool {
-	_, reported := m.Find(j.TaskID(i), b.Attempt)
+func isFenceDue(m *worker.Machine, task string, b *job.Binding, now, reportInterval time.Duration) bool {
+	_, reported := m.Find(task, b.Attempt)
 	if reported && b.State != "" && m.Session == b.Epoch {
 		return false
 	}
-	waited := min(c.now.Steady-b.Since, c.now.Steady-b.FencedAt)
-	return b.Sent && waited > c.reportInterval()
+	waited := min(now-b.Since, now-b.FencedAt)
+	return b.Sent && waited > reportInterval
 }
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -41,9 +41,9 @@
 // of it, for as long as the store shows them bound.
 func (r *storeRelay) entries() []relay.Entry {
 	var out []relay.Entry
-	for id := range r.core.agents.all() {
-		m, load := r.core.machines.Get(id), r.core.machines.Load(id)
-		if m == nil || m.Node != r.cfg.Node || load == nil {
+	for _, m := range r.core.agents.ownMachines() {
+		id, load := m.Machine, r.core.machines.Load(m.Machine)
+		if load == nil {
 			continue
 		}
 		for ref, b := range load.Tasks {
@@ -70,17 +70,16 @@
 // servedMachines lists the machines that report to this node.
 func (r *storeRelay) servedMachines() map[relay.MachineKind][]string {
 	out := map[relay.MachineKind][]string{}
-	for id, w := range r.core.agents.all() {
-		m := r.core.machines.Get(id)
-		if m == nil || m.Node != r.cfg.Node || r.now.Steady-m.LastContact > 2*r.reportInterval() {
+	for session, m := range r.core.agents.ownMachines() {
+		if r.now.Steady-m.LastContact > 2*r.reportInterval() {
 			continue
 		}
-		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: w.token, Epoch: m.Session}
+		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: session.token, Epoch: m.Session}
 		if m.ReclaimAt > 0 {
 			left := (m.ReclaimAt - r.now.Steady).Seconds()
 			kind.NoticeS = max(1, int(left/noticeStepSeconds)*noticeStepSeconds)
 		}
-		out[kind] = append(out[kind], id)
+		out[kind] = append(out[kind], m.Machine)
 	}
 	return out
 }
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -9,24 +9,22 @@
 // actForUnreachableLeaders starts and forgets tasks on this node's machines for the leaders
 // that this node is partitioned from.
 func (r *storeRelay) actForUnreachableLeaders() {
-	for id, w := range r.core.agents.all() {
-		if m := r.core.machines.Get(id); m != nil && m.Node == r.cfg.Node {
-			r.startForUnreachableLeaders(id, w, m)
-			r.forgetForUnreachableLeaders(m)
-		}
+	for session, m := range r.core.agents.ownMachines() {
+		r.startForUnreachableLeaders(session, m)
+		r.forgetForUnreachableLeaders(m)
 	}
 }
 
 // startForUnreachableLeaders starts what is bound to a machine in the store, for leaders whose
 // messages may be lost: once, under exactly the token and epoch of the binding, as the
 // leader's own message would.
-func (r *storeRelay) startForUnreachableLeaders(id string, w *agentSession, m *worker.Machine) {
-	if w.unanswered {
+func (r *storeRelay) startForUnreachableLeaders(session *agentSession, m *worker.Machine) {
+	if session.unanswered {
 		return
 	}
-	due := func(ref job.TaskRef, b *job.Binding) bool { return r.dueForUnreachableLeader(ref, b, w, m) }
-	r.core.eachBindingOn(id, due, func(j *job.Job, i int, b *job.Binding) {
-		start, decided := r.core.agents.startLedgers.find(id, b.Token, taskAttempt{j.TaskID(i), b.Attempt})
+	due := func(ref job.TaskRef, b *job.Binding) bool { return r.dueForUnreachableLeader(ref, b, session, m) }
+	r.core.machines.EachStoredBinding(m.Machine, due, func(j *job.Job, i int, b *job.Binding) {
+		start, decided := r.core.agents.startLedgers.find(m.Machine, b.Token, taskAttempt{j.TaskID(i), b.Attempt})
 		if !decided {
 			r.startForLeader(j, i, b)
 			return
@@ -34,17 +32,17 @@
 		// Whether the start has come to the worker is not known: a newer token shows it, as
 		// the leader would ask for.
 		if !start.refused && r.now.Steady-start.at > 2*r.reportInterval() {
-			r.core.agents.fence(Fence{Machine: id, Above: b.Token})
+			r.core.agents.fence(Fence{Machine: m.Machine, Above: b.Token})
 		}
 	})
 }
 
 // dueForUnreachableLeader tells whether a bound task is to be started by this node. The tasks of
 // a gang are started once all of them are bound.
-func (r *storeRelay) dueForUnreachableLeader(ref job.TaskRef, b *job.Binding, w *agentSession, m *worker.Machine) bool {
+func (r *storeRelay) dueForUnreachableLeader(ref job.TaskRef, b *job.Binding, session *agentSession, m *worker.Machine) bool {
 	j := ref.Job
 	incompleteGang := j.Kind == job.Gang && len(j.Bound) < j.Tasks
-	if b.Token != w.token || b.Epoch != w.epoch || j.Cancelled || incompleteGang || !r.core.partitionedFromLeader(j) {
+	if b.Token != session.token || b.Epoch != session.epoch || j.Cancelled || incompleteGang || !r.core.partitionedFromLeader(j) {
 		return false
 	}
 	evidence, _ := m.Evidence(j.TaskID(ref.Index), b)
--- a/internal/core/worker/registry.go
+++ b/internal/core/worker/registry.go
@@ -111,6 +111,31 @@
 	return false
 }
 
+// BindingFilter tells whether a binding is to be visited.
+type BindingFilter func(job.TaskRef, *job.Binding) bool
+
+// BindingVisitor takes one binding, of the task index of a job.
+type BindingVisitor func(j *job.Job, index int, b *job.Binding)
+
+// EachStoredBinding visits the stored bindings on a machine that match, in order. The visitor
+// may end them.
+func (r *Registry) EachStoredBinding(name string, matches BindingFilter, visit BindingVisitor) {
+	load := r.Load(name)
+	if load == nil {
+		return
+	}
+	var refs []job.TaskRef
+	for ref, b := range load.Tasks {
+		if b.Stored && matches(ref, b) {
+			refs = append(refs, ref)
+		}
+	}
+	slices.SortFunc(refs, job.CompareTaskRefs)
+	for _, ref := range refs {
+		visit(ref.Job, ref.Index, load.Tasks[ref])
+	}
+}
+
 // longTaskName stands for the name of a task in estimates of the size of reports.
 const longTaskName = "req-000000/00000"
 
