--- a/internal/core/cancelledjobs_test.go
+++ b/internal/core/cancellations_test.go
@@ -8,6 +8,8 @@
 	"pepperlever/internal/protocol"
 )
 
+// All tasks of a cancelled job end in time, also on a machine that hangs, and every controller says
+// that the job is cancelled.
 func TestCancelledJobLeavesItsMachinesInTime(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 6, ""))
@@ -33,7 +35,8 @@
 	}
 }
 
-func TestCancelledTaskOnAHungMachineIsGoneInTimeThoughTheStoreIsDown(t *testing.T) {
+// Cancelled tasks on machines that hang end in time although the store goes down.
+func TestCancelledTasksOnHungMachinesEndDuringOutage(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 2, ""))
 	w.started("req-blue-1", 1)
@@ -51,7 +54,8 @@
 	}
 }
 
-func TestCancellationBeatsBindingsThatAreOnTheirWay(t *testing.T) {
+// Jobs are cancelled while bindings of their tasks are being written: no task is left.
+func TestCancellationsDuringBindingWrites(t *testing.T) {
 	w := newWorld(t).ready()
 	for i := range 8 {
 		id := fmt.Sprintf("req-free-%d", i)
--- a/internal/core/storerefusal_test.go
+++ b/internal/core/storerefusal_test.go
@@ -54,17 +54,7 @@
 	machines := max(d.machines, 20)
 	w := idleWorld(t, machines)
 	w.allowRacingStarts, w.taskTime = true, 4*w.cancelDeadline()
-	returned, released := 0, map[string]int{}
-	w.onEffect = func(node string, e Effect) {
-		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
-			for _, m := range r.Machines {
-				released[node+m]++
-			}
-		}
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
-			returned++
-		}
-	}
+	returns := w.countReturns()
 	if d.before != nil {
 		d.before(w)
 	}
@@ -72,7 +62,30 @@
 	if w.run(10*time.Second, nil); !w.loseDeliveries {
 		w.started(cancelledJob, max(d.tasks, 2*machines))
 	}
-	old := w.cores["b"].teamBy["free"].leader
+	old, told := d.refuseAndCancel(t, w)
+	w.outage = true
+	if d.outage != nil {
+		d.outage(w, old, told)
+	}
+	if d.gone > 0 && !w.run(d.gone, func() bool { return w.onMachines(cancelledJob) == 0 }) {
+		t.Errorf("%d tasks run on %v after the outage began", w.onMachines(cancelledJob), d.gone)
+	}
+	w.run(w.cancelDeadline()*3/2, nil)
+	returns.check(t, d.kept)
+	w.endOutage()
+	w.noCloud, w.unreachableNodes = false, map[string]bool{}
+	w.heal()
+	w.run(w.cancelDeadline(), nil)
+	if len(w.cancellationToldAt) > 0 {
+		t.Error("the scenario ended before the deadline")
+	}
+}
+
+// refuseAndCancel makes the store refuse a controller and the user cancel, and returns that
+// controller and the one that confirmed the cancellation.
+func (d storeRefusal) refuseAndCancel(t *testing.T, w *world) (old, told string) {
+	t.Helper()
+	old = w.cores["b"].teamBy["free"].leader
 	if d.fleetLeader {
 		old = w.cores["b"].fleet.leader
 	}
@@ -89,31 +102,46 @@
 	if w.onMachines(cancelledJob) == 0 && !w.loseDeliveries {
 		t.Fatal("no task is running when the user cancels")
 	}
-	told := w.confirmCancellation()
+	told = w.confirmCancellation()
 	w.run(begin+d.gap-w.now, nil)
-	w.outage = true
-	if d.outage != nil {
-		d.outage(w, old, told)
-	}
-	if d.gone > 0 && !w.run(d.gone, func() bool { return w.onMachines(cancelledJob) == 0 }) {
-		t.Errorf("%d tasks run on %v after the outage began", w.onMachines(cancelledJob), d.gone)
+	return old, told
+}
+
+// returnCounts counts how often machines are returned because cancelled tasks do not end.
+type returnCounts struct {
+	// returned counts the machines that still exist, released the releases without the
+	// leader of the fleet, by controller and machine.
+	returned int
+	released map[string]int
+}
+
+// countReturns counts returns of machines from now on.
+func (w *world) countReturns() *returnCounts {
+	counts := &returnCounts{released: map[string]int{}}
+	w.onEffect = func(node string, e Effect) {
+		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
+			for _, m := range r.Machines {
+				counts.released[node+m]++
+			}
+		}
+		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
+			counts.returned++
+		}
 	}
-	w.run(w.cancelDeadline()*3/2, nil)
-	if d.kept && returned > 0 {
-		t.Errorf("machines are returned %d times for tasks that end when they are told to", returned)
+	return counts
+}
+
+// check checks that no controller has released a machine twice, and none was returned if kept is set.
+func (r *returnCounts) check(t *testing.T, kept bool) {
+	t.Helper()
+	if kept && r.returned > 0 {
+		t.Errorf("machines are returned %d times for tasks that end when they are told to", r.returned)
 	}
-	for m, n := range released {
+	for m, n := range r.released {
 		if n > 1 {
 			t.Errorf("%s is released %d times", m, n)
 		}
 	}
-	w.endOutage()
-	w.noCloud, w.unreachableNodes = false, map[string]bool{}
-	w.heal()
-	w.run(w.cancelDeadline(), nil)
-	if len(w.cancellationToldAt) > 0 {
-		t.Error("the scenario ended before the deadline")
-	}
 }
 
 // confirmCancellation lets the user cancel until some controller confirms that the job is cancelled,
