--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -64,9 +64,11 @@
 		c.returnMachine(l.ID, reasonProvisioningFailed)
 		return
 	}
+	if !mayJudgeSilence || c.machines.Get(l.ID) != nil {
+		return
+	}
 	timeout := c.provisioningTimeout(l.Type)
-	age := c.now.Steady - c.autoscaler.firstSeen[l.ID]
-	if !mayJudgeSilence || c.machines.Get(l.ID) != nil || age <= timeout {
+	if age := c.now.Steady - c.autoscaler.firstSeen[l.ID]; age <= timeout {
 		return
 	}
 	switch {
@@ -82,14 +84,13 @@
 // reconcileKnown returns a machine that has reported before and is gone or of no use.
 func (c *Core) reconcileKnown(name string, m *worker.Machine, zoneOutage bool) {
 	quiet := c.now.Steady - m.LastContact
-	listLag := unlistedLags * seconds(c.cfg.Params.Cloud.ListLagS)
 	leftAlone := zoneOutage && quiet < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
 	case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 		c.returnMachine(name, reasonReclaimed)
 	case quiet > c.silenceLimit() && !leftAlone && c.knowsAllMachines():
 		c.returnMachine(name, reasonSilent)
-	case quiet > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, listLag):
+	case quiet > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, c.listTolerance()):
 		c.returnMachine(name, reasonUnlisted)
 	}
 	if c.failureScore(m) >= cordonThreshold {
@@ -156,10 +157,15 @@
 	return true
 }
 
-// isUnlisted tells whether the cloud has taken a machine back: a list may be late by a lag or
-// older than the one before, but what has been listed stays so until it is gone.
-func (a *autoscaler) isUnlisted(name string, now, lag time.Duration) bool {
-	return !a.isListed(name) && a.inventoryAt-a.firstSeenAt(name, now) > lag
+// listTolerance is how late the cloud's list may be.
+func (c *Core) listTolerance() time.Duration {
+	return unlistedLags * seconds(c.cfg.Params.Cloud.ListLagS)
+}
+
+// isUnlisted tells whether the cloud has taken a machine back: a list may be late or older
+// than the one before, but what has been listed stays so until it is gone.
+func (a *autoscaler) isUnlisted(name string, now, tolerance time.Duration) bool {
+	return !a.isListed(name) && a.inventoryAt-a.firstSeenAt(name, now) > tolerance
 }
 
 // handleReturnRequest takes another controller's request to return a machine.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -62,13 +62,13 @@
 func TestLargeTaskIsNotStarvedBySmallOnes(t *testing.T) {
 	hosts := []*Host{host("m1", "a", 8), host("m2", "a", 8)}
 	hosts[0].Free.CPUs, hosts[1].Free.CPUs = 2, 4
-	if kept := Reserve(spec(8, 1), 2, nil, hosts); len(kept) != 1 || kept[0].ID != "m1" {
-		t.Fatalf("kept %v, not the first of half of the hosts", kept)
+	if reserved := Reserve(spec(8, 1), 2, nil, hosts); len(reserved) != 1 || reserved[0].ID != "m1" {
+		t.Fatalf("reserved %v, not the first of half of the hosts", reserved)
 	}
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
 		t.Errorf("small task went to %v", h)
 	}
-	// In the next round it is kept before anything is placed, but for tasks as large.
+	// In the next round it is reserved before anything is placed, but for tasks as large.
 	hosts[0].Reserved, hosts[0].PriorReservation, hosts[0].Free = false, spec(8, 1).Need, hosts[0].Capacity
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
 		t.Errorf("small task went to %v", h)
