--- a/internal/core/agentcontroller.go
+++ b/internal/core/agentcontroller.go
@@ -12,6 +12,7 @@
 // sends to an agent is under the fencing token of the agent's session.
 type agentController struct {
 	core *Core
+	*environment
 	agentSessions
 	tokens       fencingTokens
 	startLedgers startLedgers
@@ -22,6 +23,7 @@
 func newAgentController(c *Core) *agentController {
 	return &agentController{
 		core:          c,
+		environment:   c.environment,
 		agentSessions: newAgentSessions(),
 		tokens:        newFencingTokens(),
 		startLedgers:  newStartLedgers(),
@@ -34,7 +36,7 @@
 	return func(yield func(*agentSession, *worker.Machine) bool) {
 		for machine, session := range a.all() {
 			m := a.core.machines.Get(machine)
-			if m != nil && m.Node == a.core.cfg.Node && !yield(session, m) {
+			if m != nil && m.Node == a.cfg.Node && !yield(session, m) {
 				return
 			}
 		}
@@ -50,6 +52,6 @@
 			seqs = append(seqs, m.Seq)
 		}
 	}
-	a.reportsTakenAt = a.core.now.Steady
+	a.reportsTakenAt = a.now.Steady
 	return machines, seqs
 }
--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -138,7 +138,7 @@
 		for _, t := range m.Tasks {
 			id, _, ok := job.ParseTaskID(t.Task)
 			if ok && t.State != protocol.Exited && a.has(id) {
-				c.stopOrForgetTask(m, t)
+				c.reconciler.stopOrForgetTask(m, t)
 			}
 		}
 	}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		if leads || c.agents.session(b.Machine) != nil {
-			c.stopTask(j, i, b, 0)
+			c.reconciler.stopTask(j, i, b, 0)
 		}
 		if c.mayStillRun(j, i, b) {
 			c.returns.returnUnstopped(j, b.Machine)
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -51,7 +51,7 @@
 	}
 	c.removeMachine(machine)
 	anyBinding := func(job.TaskRef, *job.Binding) bool { return true }
-	c.eachLedBinding(machine, anyBinding, func(j *job.Job, i int, _ *job.Binding) {
+	c.reconciler.eachLedBinding(machine, anyBinding, func(j *job.Job, i int, _ *job.Binding) {
 		c.log(Debug, "task is gone with its machine", "task", j.TaskID(i), "machine", machine)
 		c.unbind(j, i)
 	})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -40,14 +40,13 @@
 	handoffs handoffReplica
 
 	// Machines.
-	catalog  catalog.Catalog
-	machines *worker.Registry
-	agents   *agentController
-	// orphanLookups names the jobs of reported tasks that are being looked up in the store.
-	orphanLookups map[string]bool
-	rebalancer    rebalancer
-	writeBudget   writeBudget
-	lookups       lookup.Queue
+	catalog     catalog.Catalog
+	machines    *worker.Registry
+	agents      *agentController
+	reconciler  *reconciler
+	rebalancer  rebalancer
+	writeBudget writeBudget
+	lookups     lookup.Queue
 
 	reach *reachability
 	// storeOK tells whether the store answers this node.
@@ -80,28 +79,28 @@
 // New makes a core. The incarnation must differ between runs of the process.
 func New(cfg *settings.Settings, policy settings.Policy, incarnation string) *Core {
 	c := &Core{
-		environment:   newEnvironment(cfg, policy),
-		members:       newMembership(cfg.Node, incarnation, cfg.Peers),
-		limits:        storeLimits{settings: &cfg.Params.State},
-		replica:       newReplica(),
-		ended:         newEndedJobs(),
-		fleet:         &shard{name: "fleet", key: keyFleet},
-		teamBy:        map[string]*team{},
-		jobs:          map[string]*job.Job{},
-		cordons:       cordons{},
-		intents:       rentalIntents{},
-		dependencies:  newDependencies(),
-		handoffs:      newHandoffReplica(),
-		machines:      worker.NewRegistry(),
-		orphanLookups: map[string]bool{},
-		rebalancer:    newRebalancer(),
-		storeOK:       true,
-		scheduler:     newScheduler(),
-		autoscaler:    newAutoscaler(),
-		stats:         jobstats.New(),
+		environment:  newEnvironment(cfg, policy),
+		members:      newMembership(cfg.Node, incarnation, cfg.Peers),
+		limits:       storeLimits{settings: &cfg.Params.State},
+		replica:      newReplica(),
+		ended:        newEndedJobs(),
+		fleet:        &shard{name: "fleet", key: keyFleet},
+		teamBy:       map[string]*team{},
+		jobs:         map[string]*job.Job{},
+		cordons:      cordons{},
+		intents:      rentalIntents{},
+		dependencies: newDependencies(),
+		handoffs:     newHandoffReplica(),
+		machines:     worker.NewRegistry(),
+		rebalancer:   newRebalancer(),
+		storeOK:      true,
+		scheduler:    newScheduler(),
+		autoscaler:   newAutoscaler(),
+		stats:        jobstats.New(),
 	}
 	c.messenger = &messenger{environment: c.environment, peers: newPeerTable(cfg)}
 	c.agents = newAgentController(c)
+	c.reconciler = newReconciler(c)
 	c.announcements = newAnnouncer(c)
 	c.relay = newStoreRelay(c)
 	c.returns = newMachineReturns(c)
@@ -206,7 +205,7 @@
 	if c.replica.loaded && c.every(&c.timers.reconcile, report/3) {
 		c.announcements.repeat()
 		c.freshness.check(c.storeOK)
-		c.reconcileAll()
+		c.reconciler.reconcileAll()
 		c.agents.retryPendingRaises()
 		c.agents.expireSessions()
 		c.agents.expireStartDecisions()
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -40,7 +40,7 @@
 	session.queuedStarts = nil
 	session.delivering = true
 	session.probeDue = false
-	a.core.emit(Deliver{
+	a.emit(Deliver{
 		Machine: machine,
 		Address: session.address,
 		Orders:  protocol.Orders{Token: session.token, Session: session.epoch, Commands: commands},
@@ -90,7 +90,7 @@
 // nothing is unresolved: a machine that hangs costs one token, not one for each probe.
 func (a *agentController) deliveryUnanswered(session *agentSession, d DeliveryResult) {
 	session.unanswered = true
-	a.core.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.Orders.Commands))
+	a.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.Orders.Commands))
 	if slices.ContainsFunc(d.Orders.Commands, isStart) {
 		a.fence(Fence{Machine: d.Machine, Above: d.Orders.Token})
 	}
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -25,7 +25,7 @@
 	c := r.core
 	zonesByJob := map[string]placement.Zones{}
 	moved := false
-	c.eachLedBinding(h.ID, r.isMovableReplica, func(j *job.Job, index int, b *job.Binding) {
+	c.reconciler.eachLedBinding(h.ID, r.isMovableReplica, func(j *job.Job, index int, b *job.Binding) {
 		if zonesByJob[j.ID] == nil {
 			zonesByJob[j.ID] = r.zonesOf(j)
 		}
@@ -38,7 +38,7 @@
 		target.Take(&j.Spec)
 		zones[target.Zone]++
 		c.log(Debug, "replica moved off accelerators", "task", j.TaskID(index), "machine", h.ID)
-		c.stopTask(j, index, b, 0)
+		c.reconciler.stopTask(j, index, b, 0)
 		moved = true
 	})
 	return moved
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -10,12 +10,12 @@
 // evictBeforeReclaim stops tasks that can save before their machine is taken away, and the
 // rest of a gang that has lost a task: it starts again whole. A gang is stopped as one, so that
 // its progress is saved.
-func (c *Core) evictBeforeReclaim(j *job.Job) {
-	notices := reclaimNotices{machines: c.machines, now: c.now.Steady, reportInterval: c.reportInterval()}
+func (r *reconciler) evictBeforeReclaim(j *job.Job) {
+	notices := reclaimNotices{machines: r.core.machines, now: r.now.Steady, reportInterval: r.reportInterval()}
 	stopAll := j.Kind == job.Gang && notices.mustRestartGang(j)
 	for i, b := range ordered(j.Bound) {
 		if b.Sent && (stopAll || notices.mustSaveNow(j, b) || notices.finishesTooLate(j, i, b)) {
-			c.stopTask(j, i, b, j.SaveS)
+			r.stopTask(j, i, b, j.SaveS)
 		}
 	}
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -12,15 +12,15 @@
 func (a *agentController) handleHeartbeat(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	if a.tokens.current == 0 || !a.core.replica.loaded || a.core.freshness.stale {
-		a.core.replyUnavailable(heartbeat.Req)
+		a.replyUnavailable(heartbeat.Req)
 		return
 	}
 	if a.isStaleReport(report) {
 		a.answerStaleReport(heartbeat)
 		return
 	}
-	if a.core.isolation.redirect(report.Machine, report.Zone, a.core.now.Steady, a.core.reportInterval()) {
-		a.core.replyUnavailable(heartbeat.Req)
+	if a.core.isolation.redirect(report.Machine, report.Zone, a.now.Steady, a.reportInterval()) {
+		a.replyUnavailable(heartbeat.Req)
 		return
 	}
 	session := a.session(report.Machine)
@@ -36,23 +36,23 @@
 		session.startEpoch(report.Session)
 	}
 	session.address = report.Address
-	session.lastReportAt = a.core.now.Steady
+	session.lastReportAt = a.now.Steady
 	a.handleReport(session, *report, false)
 	if peer := a.core.lessLoadedPeer(report, session); peer != "" {
 		a.remove(report.Machine)
-		a.core.log(Info, "agent redirected", "machine", report.Machine, "node", peer)
-		a.core.reply(heartbeat.Req, http.StatusMisdirectedRequest, protocol.Redirect{ReportTo: peer})
+		a.log(Info, "agent redirected", "machine", report.Machine, "node", peer)
+		a.reply(heartbeat.Req, http.StatusMisdirectedRequest, protocol.Redirect{ReportTo: peer})
 		return
 	}
 	orders := protocol.Orders{Token: session.token, Commands: session.takeCommands()}
-	a.core.reply(heartbeat.Req, http.StatusOK, orders)
+	a.reply(heartbeat.Req, http.StatusOK, orders)
 }
 
 // openSession begins a session with an agent that has turned to this node.
 func (a *agentController) openSession(report *protocol.Report) *agentSession {
 	session := newAgentSession(a.tokens.current, report.Session, report.Address)
 	a.add(report.Machine, session)
-	a.core.log(Info, "agent session opened", "machine", report.Machine, "type", report.Type,
+	a.log(Info, "agent session opened", "machine", report.Machine, "type", report.Type,
 		"spot", report.Spot, "token", session.token)
 	// Starts that the controller before had not delivered are resolved by a report under
 	// this token; the next one may be a report interval away.
@@ -77,10 +77,10 @@
 	report := &heartbeat.Report
 	session := a.session(report.Machine)
 	if session == nil || session.epoch != report.Session || report.Token > session.token {
-		a.core.replyUnavailable(heartbeat.Req)
+		a.replyUnavailable(heartbeat.Req)
 		return
 	}
-	a.core.reply(heartbeat.Req, http.StatusOK, protocol.Orders{Token: session.token})
+	a.reply(heartbeat.Req, http.StatusOK, protocol.Orders{Token: session.token})
 }
 
 // handleReport takes a report of an agent of this node, or its reply to a direct call, and
@@ -92,13 +92,13 @@
 	}
 	m := a.core.machines.Get(report.Machine)
 	if m == nil || a.mustShare(session, m, &report, direct) {
-		session.lastSharedAt = a.core.now.Steady
-		a.core.shareObservation(Observation{Node: a.core.cfg.Node, Token: session.token, Report: report, Direct: direct})
+		session.lastSharedAt = a.now.Steady
+		a.core.shareObservation(Observation{Node: a.cfg.Node, Token: session.token, Report: report, Direct: direct})
 		return
 	}
 	m.Seq = report.Seq
 	m.RecordAnswer(report.Token, session.token)
-	a.core.machines.RecordContact(m, direct, a.core.now.Steady)
+	a.core.machines.RecordContact(m, direct, a.now.Steady)
 }
 
 // sharedExitInterval is after how many report intervals a report with exited tasks is passed
@@ -108,16 +108,16 @@
 // mustShare tells whether the other controllers have to see a report. Of one that says the
 // same as the one before, this node's own heartbeats say enough: the machine is alive.
 func (a *agentController) mustShare(session *agentSession, m *worker.Machine, report *protocol.Report, direct bool) bool {
-	known := m.Node == a.core.cfg.Node && m.GrantedToken == session.token &&
+	known := m.Node == a.cfg.Node && m.GrantedToken == session.token &&
 		m.HasSameContent(report) && m.IsNewer(report) && !m.MissedAnswer(report.Token)
 	switch {
 	case !known:
 		return true
-	case direct && a.core.reportOverdue(m):
+	case direct && a.reportOverdue(m):
 		// Heartbeats don't name machines whose own reports don't come.
 		return true
 	default:
-		return m.ExitedTasks > 0 && a.core.now.Steady-session.lastSharedAt >= sharedExitInterval*a.core.reportInterval()
+		return m.ExitedTasks > 0 && a.now.Steady-session.lastSharedAt >= sharedExitInterval*a.reportInterval()
 	}
 }
 
@@ -126,13 +126,13 @@
 func (a *agentController) expireSessions() {
 	for machine, session := range a.all() {
 		m := a.core.machines.Get(machine)
-		silence := a.core.now.Steady - session.lastReportAt
-		elsewhere := m != nil && m.Node != a.core.cfg.Node
+		silence := a.now.Steady - session.lastReportAt
+		elsewhere := m != nil && m.Node != a.cfg.Node
 		switch {
-		case elsewhere || silence > a.core.times.lease()+2*a.core.reportInterval() || a.core.cordons.isTerminated(machine):
+		case elsewhere || silence > a.times.lease()+2*a.reportInterval() || a.core.cordons.isTerminated(machine):
 			a.remove(machine)
 		case m != nil && a.isProbeDue(session, m):
-			session.lastProbeAt = a.core.now.Steady
+			session.lastProbeAt = a.now.Steady
 			session.probeDue = true
 			a.deliverTo(machine, session)
 		}
@@ -142,5 +142,5 @@
 // isProbeDue tells whether an agent is to be asked for a report, since none comes. It is
 // asked no more often than it would report.
 func (a *agentController) isProbeDue(session *agentSession, m *worker.Machine) bool {
-	return a.core.reportOverdue(m) && !session.unanswered && a.core.now.Steady-session.lastProbeAt >= a.core.reportInterval()
+	return a.reportOverdue(m) && !session.unanswered && a.now.Steady-session.lastProbeAt >= a.reportInterval()
 }
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -68,8 +68,8 @@
 	for _, b := range u.bindings {
 		b.Stored = true
 	}
-	c.sendStarts(j)
-	c.forgetEndedTasks(j, u.exits)
+	c.reconciler.sendStarts(j)
+	c.reconciler.forgetEndedTasks(j, u.exits)
 }
 
 // jobEnded forgets a job whose final state is stored.
@@ -82,7 +82,7 @@
 	c.rememberFinalState(j.ID, state)
 	c.noteEnd(j.ID, revision)
 	c.log(Debug, "job ended", "job", j.ID, "state", u.finalState)
-	c.forgetEndedTasks(j, u.exits)
+	c.reconciler.forgetEndedTasks(j, u.exits)
 	c.forgetJob(j)
 }
 
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -34,7 +34,7 @@
 	m.Update(*report, c.now.Steady)
 	c.machines.RecordContact(m, o.Direct, c.now.Steady)
 	c.machines.InvalidateLoad(report.Machine)
-	c.reconcileMachine(m)
+	c.reconciler.reconcileMachine(m)
 }
 
 // applyNewerToken takes from a report that is known already that its machine has been given a
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -51,7 +51,7 @@
 	case m.Start != nil:
 		c.agents.forwardStart(from, *m.Start)
 	case m.Refusal != nil:
-		c.handleRefusal(*m.Refusal)
+		c.reconciler.handleRefusal(*m.Refusal)
 	case m.Command != nil:
 		c.agents.queueCommand(*m.Command)
 	case m.Fence != nil:
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -95,7 +95,7 @@
 		for _, v := range option.victims {
 			c.log(Debug, "task preempted", "task", v.job.TaskID(v.index), "machine", v.binding.Machine, "for", j.ID)
 			v.binding.StopSent = c.now.Steady
-			c.sendStop(v.job, v.index, v.binding, v.job.SaveS)
+			c.reconciler.sendStop(v.job, v.index, v.binding, v.job.SaveS)
 		}
 	}
 	if len(taken) > 0 || j.Kind == job.Service {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -11,9 +11,9 @@
 // reconcileMachine compares the newest report of a machine with the bindings on it: it has
 // tasks that are not wanted stopped and forgotten, and ends the bindings of tasks that are
 // proven gone.
-func (c *Core) reconcileMachine(m *worker.Machine) {
+func (r *reconciler) reconcileMachine(m *worker.Machine) {
 	for _, t := range m.Tasks {
-		c.reconcileTask(m, t)
+		r.reconcileTask(m, t)
 	}
 	hasChanged := func(ref job.TaskRef, b *job.Binding) bool {
 		evidence, t := m.Evidence(ref.Job.TaskID(ref.Index), b)
@@ -22,134 +22,134 @@
 		}
 		return evidence != worker.Present
 	}
-	c.eachLedBinding(m.Machine, hasChanged, func(j *job.Job, i int, b *job.Binding) {
-		c.reconcileBinding(j, i, b, m)
+	r.eachLedBinding(m.Machine, hasChanged, func(j *job.Job, i int, b *job.Binding) {
+		r.reconcileBinding(j, i, b, m)
 	})
 }
 
 // reconcileTask compares one reported task with what is known of its job.
-func (c *Core) reconcileTask(m *worker.Machine, t protocol.TaskReport) {
+func (r *reconciler) reconcileTask(m *worker.Machine, t protocol.TaskReport) {
 	id, i, ok := job.ParseTaskID(t.Task)
 	if !ok {
 		return
 	}
-	j := c.jobs[id]
+	j := r.core.jobs[id]
 	if j == nil {
-		c.handleOrphanTask(m, t, id)
+		r.handleOrphanTask(m, t, id)
 		return
 	}
-	m.UseImage(j.Image, j.ImageGB, c.catalog.CacheGB(m.Type), c.now.Steady)
+	m.UseImage(j.Image, j.ImageGB, r.core.catalog.CacheGB(m.Type), r.now.Steady)
 	if t.State == protocol.Running && !j.Started {
 		j.Started = true
-		c.stats.Start(j.ID)
+		r.core.stats.Start(j.ID)
 	}
-	if j.Cancelled && t.State != protocol.Exited && m.Node == c.cfg.Node {
-		c.stopOrForgetTask(m, t)
+	if j.Cancelled && t.State != protocol.Exited && m.Node == r.cfg.Node {
+		r.stopOrForgetTask(m, t)
 		return
 	}
-	if !c.leads(j) {
+	if !r.core.leads(j) {
 		return
 	}
 	if b := j.Bound[i]; b == nil || b.Attempt != t.Attempt || b.Machine != m.Machine {
-		c.handleStaleAttempt(j, m, t)
+		r.handleStaleAttempt(j, m, t)
 	}
 }
 
 // eachLedBinding visits the stored bindings on a machine that match and whose jobs this node
 // leads, in order. The visitor may end them.
-func (c *Core) eachLedBinding(machine string, matches worker.BindingFilter, visit worker.BindingVisitor) {
+func (r *reconciler) eachLedBinding(machine string, matches worker.BindingFilter, visit worker.BindingVisitor) {
 	matchesAndLeads := func(ref job.TaskRef, b *job.Binding) bool {
-		return c.leads(ref.Job) && matches(ref, b)
+		return r.core.leads(ref.Job) && matches(ref, b)
 	}
-	c.machines.EachStoredBinding(machine, matchesAndLeads, visit)
+	r.core.machines.EachStoredBinding(machine, matchesAndLeads, visit)
 }
 
 // reconcileBinding applies what the newest report proves about one binding.
-func (c *Core) reconcileBinding(j *job.Job, i int, b *job.Binding, m *worker.Machine) {
+func (r *reconciler) reconcileBinding(j *job.Job, i int, b *job.Binding, m *worker.Machine) {
 	evidence, t := m.Evidence(j.TaskID(i), b)
 	switch evidence {
 	case worker.Present:
 		b.State = t.State
 	case worker.Absent:
-		c.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "was", b.State)
-		c.unbind(j, i)
+		r.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "was", b.State)
+		r.core.unbind(j, i)
 	case worker.Exited:
-		c.taskEnded(j, i, m, t)
+		r.taskEnded(j, i, m, t)
 	}
 }
 
 // taskEnded records a task's end. Its room is free at once; the store learns of it before the
 // worker is told to forget the task.
-func (c *Core) taskEnded(j *job.Job, i int, m *worker.Machine, t protocol.TaskReport) {
+func (r *reconciler) taskEnded(j *job.Job, i int, m *worker.Machine, t protocol.TaskReport) {
 	j.UnstoredExits = append(j.UnstoredExits, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
 	switch t.Why {
 	case protocol.WhyDone:
-		c.log(Debug, "task done", "task", t.Task, "machine", m.Machine)
+		r.log(Debug, "task done", "task", t.Task, "machine", m.Machine)
 		j.Finish(i)
-		c.requestRound()
+		r.core.requestRound()
 		return
 	case protocol.WhyError:
-		c.delayCanary(j)
-		c.log(Debug, "task failed", "task", t.Task, "machine", m.Machine)
+		r.core.delayCanary(j)
+		r.log(Debug, "task failed", "task", t.Task, "machine", m.Machine)
 	case protocol.WhyUnknown:
-		j.NotBefore = c.now.Steady + c.reportInterval()
+		j.NotBefore = r.now.Steady + r.reportInterval()
 	case protocol.WhyNoRoom, protocol.WhyBusy:
-		m.FullAt = c.now.Steady
+		m.FullAt = r.now.Steady
 	}
-	c.unbind(j, i)
+	r.core.unbind(j, i)
 }
 
 // reconcileAll looks at every binding of this node's teams once in a while: what stays
 // unproven is fenced, what must go is stopped, and what does not go is returned with its
 // machine.
-func (c *Core) reconcileAll() {
-	c.relay.reapplyEntries()
-	for _, t := range c.teams {
+func (r *reconciler) reconcileAll() {
+	r.core.relay.reapplyEntries()
+	for _, t := range r.core.teams {
 		if !t.leading {
-			c.stopCancelledJobs(t)
+			r.core.stopCancelledJobs(t)
 			continue
 		}
 		for _, j := range ordered(t.jobs) {
-			c.reconcileJob(j)
+			r.reconcileJob(j)
 		}
 	}
-	c.returns.flush()
+	r.core.returns.flush()
 }
 
-func (c *Core) reconcileJob(j *job.Job) {
+func (r *reconciler) reconcileJob(j *job.Job) {
 	for i, b := range ordered(j.Bound) {
 		if b.Stored {
-			c.checkBinding(j, i, b)
+			r.checkBinding(j, i, b)
 		}
 	}
 	if j.Cancelled {
-		c.stopCancelled(j)
+		r.core.stopCancelled(j)
 	} else {
-		c.evictBeforeReclaim(j)
+		r.evictBeforeReclaim(j)
 	}
 }
 
 // checkBinding resolves one binding if that can be done now, and has it resolved soon if not.
-func (c *Core) checkBinding(j *job.Job, i int, b *job.Binding) {
-	if c.cordons.isTerminated(b.Machine) {
-		c.unbind(j, i)
+func (r *reconciler) checkBinding(j *job.Job, i int, b *job.Binding) {
+	if r.core.cordons.isTerminated(b.Machine) {
+		r.core.unbind(j, i)
 		return
 	}
 	if j.Cancelled && !b.Sent {
 		// The machine's controller may have started it by what the store shows.
-		b.Sent, b.Since = true, c.now.Steady
+		b.Sent, b.Since = true, r.now.Steady
 	}
-	m := c.machines.Get(b.Machine)
-	if c.isSilent(m, b) {
-		c.returns.request(b.Machine, reasonUnknownMachine)
+	m := r.core.machines.Get(b.Machine)
+	if r.isSilent(m, b) {
+		r.core.returns.request(b.Machine, reasonUnknownMachine)
 	}
 	if m == nil {
 		return
 	}
-	c.reconcileBinding(j, i, b, m)
-	if j.Bound[i] == b && isFenceDue(m, j.TaskID(i), b, c.now.Steady, c.reportInterval()) {
-		b.FencedAt = c.now.Steady
-		c.sendTo(m.Node, PeerMessage{Fence: &Fence{Machine: b.Machine, Above: b.Token}})
+	r.reconcileBinding(j, i, b, m)
+	if j.Bound[i] == b && isFenceDue(m, j.TaskID(i), b, r.now.Steady, r.reportInterval()) {
+		b.FencedAt = r.now.Steady
+		r.core.sendTo(m.Node, PeerMessage{Fence: &Fence{Machine: b.Machine, Above: b.Token}})
 	}
 }
 
@@ -163,3 +163,14 @@
 	waited := min(now-b.Since, now-b.FencedAt)
 	return b.Sent && waited > reportInterval
 }
+
+// isSilent tells whether nothing has been heard of a binding's machine for so long that the
+// autoscaler has to be asked: one that became leader after the machine's last report does not
+// know of it.
+func (r *reconciler) isSilent(m *worker.Machine, b *job.Binding) bool {
+	if m == nil {
+		return r.now.Steady-b.Since > r.core.silenceLimit()
+	}
+	lastSign := max(m.LastContact, b.Since)
+	return r.now.Steady-lastSign > 2*r.core.silenceLimit() && r.core.knowsAllMachines()
+}
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -129,7 +129,7 @@
 	if e.Reason == protocol.WhyDone || e.Reason == protocol.WhyError {
 		r.core.attributeExit(j, m, e.Machine, t)
 	}
-	r.core.taskEnded(j, e.Index, m, t)
+	r.core.reconciler.taskEnded(j, e.Index, m, t)
 }
 
 // reapplyEntries applies the entries of all pages once more: this node may have become
--- a/internal/core/staletasks.go
+++ b/internal/core/staletasks.go
@@ -11,37 +11,37 @@
 // forgotten once the store holds what became of it. An attempt later than this leader has
 // stored is another leader's: this node has lost the leadership and could not be told yet,
 // since the store is out of its reach.
-func (c *Core) handleStaleAttempt(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
+func (r *reconciler) handleStaleAttempt(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
 	if t.Attempt > j.StoredAttempt {
 		return
 	}
 	isStored := !j.Dirty() && !j.InFlight
 	if t.State != protocol.Exited || isStored {
-		c.stopOrForgetTask(m, t)
+		r.stopOrForgetTask(m, t)
 	}
 }
 
 // handleOrphanTask deals with a task of a job that is not known as active: only the machine's
 // controller acts, and only once the store says that the job is final.
-func (c *Core) handleOrphanTask(m *worker.Machine, t protocol.TaskReport, id string) {
-	if m.Node != c.cfg.Node {
+func (r *reconciler) handleOrphanTask(m *worker.Machine, t protocol.TaskReport, id string) {
+	if m.Node != r.cfg.Node {
 		return
 	}
-	if c.ended.has(id) {
-		c.stopOrForgetTask(m, t)
+	if r.core.ended.has(id) {
+		r.stopOrForgetTask(m, t)
 		return
 	}
-	if c.orphanLookups[id] {
+	if r.orphanLookups[id] {
 		return
 	}
-	c.orphanLookups[id] = true
-	c.lookUp(id, func(lookup.Result) { delete(c.orphanLookups, id) })
+	r.orphanLookups[id] = true
+	r.core.lookUp(id, func(lookup.Result) { delete(r.orphanLookups, id) })
 }
 
 // forgetEndedTasks has exited tasks forgotten whose end a store write has recorded.
-func (c *Core) forgetEndedTasks(j *job.Job, exits []job.Exit) {
+func (r *reconciler) forgetEndedTasks(j *job.Job, exits []job.Exit) {
 	for _, exit := range exits {
-		m := c.machines.Get(exit.Machine)
+		m := r.core.machines.Get(exit.Machine)
 		if m == nil {
 			continue
 		}
@@ -49,7 +49,7 @@
 		b := j.Bound[exit.Index]
 		isBound := b != nil && b.Attempt == exit.Attempt
 		if reported && t.State == protocol.Exited && !isBound {
-			c.stopOrForgetTask(m, t)
+			r.stopOrForgetTask(m, t)
 		}
 	}
 }
--- a/internal/core/startforwarding.go
+++ b/internal/core/startforwarding.go
@@ -32,10 +32,10 @@
 	reason, decided := a.earlierDecision(&s)
 	if !decided {
 		reason = a.refusalReasonFor(&s)
-		a.startLedgers.record(&s, reason != "", a.core.now.Steady)
+		a.startLedgers.record(&s, reason != "", a.now.Steady)
 	}
 	if reason != "" {
-		a.core.log(Info, "start refused", "task", s.Task, "machine", s.Machine, "leader", from, "reason", string(reason))
+		a.log(Info, "start refused", "task", s.Task, "machine", s.Machine, "leader", from, "reason", string(reason))
 		a.core.sendTo(from, PeerMessage{Refusal: &Refusal{Machine: s.Machine, Task: s.Task, Attempt: s.Attempt}})
 	}
 	if decided || reason != "" {
@@ -89,7 +89,7 @@
 		return refusedEpoch
 	case session.unanswered:
 		return refusedUnanswered
-	case m != nil && a.core.reportOverdue(m):
+	case m != nil && a.reportOverdue(m):
 		return refusedSilent
 	case s.Revision > 0 && a.core.replica.shows(s.Revision) && !a.storeHasBinding(s.Machine, s.taskAttempt()):
 		return refusedUnbound
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -10,13 +10,13 @@
 
 // sendStarts sends the starts of bindings that the store now holds. A gang's tasks start
 // together, once all of them are stored.
-func (c *Core) sendStarts(j *job.Job) {
+func (r *reconciler) sendStarts(j *job.Job) {
 	if j.Cancelled || j.Kind == job.Gang && !allStored(j) {
 		return
 	}
 	for i, b := range ordered(j.Bound) {
 		if b.Stored && !b.Sent && !b.Stopping {
-			c.sendStart(j, i, b)
+			r.sendStart(j, i, b)
 		}
 	}
 }
@@ -32,20 +32,20 @@
 
 // sendStart sends one start to the controller of its machine, unless the machine has moved
 // on since the task was bound to it.
-func (c *Core) sendStart(j *job.Job, i int, b *job.Binding) {
-	b.Sent, b.Since = true, c.now.Steady
-	m := c.machines.Get(b.Machine)
+func (r *reconciler) sendStart(j *job.Job, i int, b *job.Binding) {
+	b.Sent, b.Since = true, r.now.Steady
+	m := r.core.machines.Get(b.Machine)
 	if m == nil {
 		return
 	}
 	if m.GrantedToken != b.Token || m.Session != b.Epoch {
 		// It would be refused, but the controller that had the machine may start it by what
 		// the store shows meanwhile: only a report resolves it.
-		c.reconcileBinding(j, i, b, m)
+		r.reconcileBinding(j, i, b, m)
 		return
 	}
-	c.log(Debug, "start sent", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
-	c.sendTo(m.Node, PeerMessage{Start: &Start{
+	r.log(Debug, "start sent", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
+	r.core.sendTo(m.Node, PeerMessage{Start: &Start{
 		Machine:  b.Machine,
 		Task:     j.TaskID(i),
 		Attempt:  b.Attempt,
@@ -57,19 +57,19 @@
 }
 
 // handleRefusal ends a binding whose start was never forwarded and never will be.
-func (c *Core) handleRefusal(r Refusal) {
-	id, i, ok := job.ParseTaskID(r.Task)
-	j := c.jobs[id]
-	if !ok || j == nil || !c.leads(j) {
+func (r *reconciler) handleRefusal(refusal Refusal) {
+	id, i, ok := job.ParseTaskID(refusal.Task)
+	j := r.core.jobs[id]
+	if !ok || j == nil || !r.core.leads(j) {
 		return
 	}
 	b := j.Bound[i]
-	if b == nil || !b.Stored || b.Attempt != r.Attempt || b.Machine != r.Machine {
+	if b == nil || !b.Stored || b.Attempt != refusal.Attempt || b.Machine != refusal.Machine {
 		return
 	}
-	c.log(Debug, "start was refused", "task", r.Task, "machine", r.Machine)
-	if m := c.machines.Get(r.Machine); m != nil {
-		m.FullAt = c.now.Steady // not again before something has changed
+	r.log(Debug, "start was refused", "task", refusal.Task, "machine", refusal.Machine)
+	if m := r.core.machines.Get(refusal.Machine); m != nil {
+		m.FullAt = r.now.Steady // not again before something has changed
 	}
-	c.unbind(j, i)
+	r.core.unbind(j, i)
 }
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -8,28 +8,28 @@
 
 // stopTask asks for a task to end, with grace to save, and repeats it until a report shows the
 // end.
-func (c *Core) stopTask(j *job.Job, i int, b *job.Binding, graceS float64) {
-	if b.Stopping && c.now.Steady-b.StopSent < c.reportInterval() {
+func (r *reconciler) stopTask(j *job.Job, i int, b *job.Binding, graceS float64) {
+	if b.Stopping && r.now.Steady-b.StopSent < r.reportInterval() {
 		return
 	}
-	b.Stopping, b.StopSent = true, c.now.Steady
-	c.sendStop(j, i, b, graceS)
+	b.Stopping, b.StopSent = true, r.now.Steady
+	r.sendStop(j, i, b, graceS)
 }
 
 // sendStop sends one command to stop a task, whoever leads its team.
-func (c *Core) sendStop(j *job.Job, i int, b *job.Binding, graceS float64) {
-	if m := c.machines.Get(b.Machine); m != nil {
-		c.sendCommand(m.Node, b.Machine, stopCommand(j.TaskID(i), b.Attempt, graceS))
+func (r *reconciler) sendStop(j *job.Job, i int, b *job.Binding, graceS float64) {
+	if m := r.core.machines.Get(b.Machine); m != nil {
+		r.sendCommand(m.Node, b.Machine, stopCommand(j.TaskID(i), b.Attempt, graceS))
 	}
 }
 
 // stopOrForgetTask has a task forgotten by its worker if it has exited, or else stopped.
-func (c *Core) stopOrForgetTask(m *worker.Machine, t protocol.TaskReport) {
+func (r *reconciler) stopOrForgetTask(m *worker.Machine, t protocol.TaskReport) {
 	command := stopCommand(t.Task, t.Attempt, 0)
 	if t.State == protocol.Exited {
 		command = protocol.Command{Op: protocol.OpForget, Task: t.Task, Attempt: t.Attempt}
 	}
-	c.sendCommand(m.Node, m.Machine, command)
+	r.sendCommand(m.Node, m.Machine, command)
 }
 
 func stopCommand(task string, attempt uint64, graceS float64) protocol.Command {
@@ -37,6 +37,6 @@
 }
 
 // sendCommand sends a command for a machine to its controller.
-func (c *Core) sendCommand(node, machine string, command protocol.Command) {
-	c.sendTo(node, PeerMessage{Command: &TaskCommand{Machine: machine, Command: command}})
+func (r *reconciler) sendCommand(node, machine string, command protocol.Command) {
+	r.core.sendTo(node, PeerMessage{Command: &TaskCommand{Machine: machine, Command: command}})
 }
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -39,7 +39,7 @@
 		return
 	}
 	a.tokens.acquiring = true
-	a.core.get(keyToken, func(r StoreReply) {
+	a.get(keyToken, func(r StoreReply) {
 		var counter tokenCounter
 		switch r.Outcome {
 		case Missing:
@@ -58,12 +58,12 @@
 
 // writeToken writes a token to the counter if that still has the given version.
 func (a *agentController) writeToken(token, version uint64) {
-	next := tokenCounter{Token: token, Node: a.core.cfg.Node, Incarnation: a.core.members.incarnation}
+	next := tokenCounter{Token: token, Node: a.cfg.Node, Incarnation: a.core.members.incarnation}
 	txn := protocol.Txn{
 		If:   []protocol.Condition{{Key: keyToken, Version: version}},
 		Then: []protocol.Change{putJSON(keyToken, next)},
 	}
-	a.core.compareAndSwap(txn, true, func(r StoreReply) {
+	a.compareAndSwap(txn, true, func(r StoreReply) {
 		a.tokens.acquiring = false
 		switch r.Outcome {
 		case Applied:
@@ -81,7 +81,7 @@
 func (a *agentController) tokenUnavailable() {
 	a.tokens.acquiring = false
 	for _, heartbeat := range a.tokens.takeWaitingHeartbeats() {
-		a.core.replyUnavailable(heartbeat.Req)
+		a.replyUnavailable(heartbeat.Req)
 	}
 }
 
@@ -89,7 +89,7 @@
 func (a *agentController) tokenAcquired(token uint64) {
 	a.tokens.current = token
 	a.tokens.acquired[token] = true
-	a.core.log(Info, "fencing token acquired", "token", token)
+	a.log(Info, "fencing token acquired", "token", token)
 	waiting := a.tokens.takeWaitingHeartbeats()
 	for machine, above := range ordered(a.tokens.pendingRaises) {
 		if session := a.session(machine); session != nil && session.token <= above {
@@ -108,7 +108,7 @@
 	session.probeDue = true
 	// Leaders must not bind under the token before any more.
 	if m := a.core.machines.Get(machine); m != nil {
-		a.core.shareObservation(Observation{Node: a.core.cfg.Node, Token: session.token, Report: m.Report})
+		a.core.shareObservation(Observation{Node: a.cfg.Node, Token: session.token, Report: m.Report})
 	}
 	a.deliverTo(machine, session)
 }
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		if b := j.Bound[i]; b == nil || b.Attempt != t.Attempt {
-			r.core.stopOrForgetTask(m, t)
+			r.core.reconciler.stopOrForgetTask(m, t)
 		}
 	}
 }
