--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -143,3 +143,10 @@
 		}
 	}
 }
+
+// isUnaware tells whether a machine's controller is not known to know of a job's cancellation,
+// so that nobody may be stopping the job's tasks there.
+func (a *announcer) isUnaware(id, machine string) bool {
+	m, cancelled := a.core.machines.Get(machine), a.of(id)
+	return cancelled != nil && (m == nil || !cancelled.knownTo(m.Node, a.core.peers))
+}
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -103,14 +103,7 @@
 	if evidence == worker.Inconclusive && c.announcements.has(j.ID) {
 		_, found := m.Find(task, b.Attempt)
 		recent := c.reach.inDirectContact(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
-		return found || !recent || c.isUnaware(j.ID, b.Machine)
+		return found || !recent || c.announcements.isUnaware(j.ID, b.Machine)
 	}
 	return evidence == worker.Inconclusive || evidence == worker.Present
 }
-
-// isUnaware tells whether a machine's controller is not known to know of a cancellation, so
-// that nobody may be stopping the job's tasks there.
-func (c *Core) isUnaware(id, machine string) bool {
-	m, a := c.machines.Get(machine), c.announcements.of(id)
-	return a != nil && (m == nil || !a.knownTo(m.Node, c.peers))
-}
--- a/internal/core/canceltiming_test.go
+++ b/internal/core/canceltiming_test.go
@@ -81,99 +81,145 @@
 	}
 }
 
+// lastTasksEnd is a scenario in which a cancellation, a status request and a repeated submission
+// come while the last tasks of a job end.
+type lastTasksEnd struct {
+	name  string
+	tasks int
+	// more describes the job further.
+	more string
+	// atLeader sends the requests to the job's leader, or else to another controller.
+	atLeader bool
+	// tenths is how many tenths of a second after the end of the last task they are sent; before
+	// the expected end if it is negative.
+	tenths int
+}
+
+// endingJob is the job whose last tasks end.
+const endingJob = "req-free-1"
+
 // A cancellation, status requests and a repeated submission come while a job's last tasks end,
 // without faults: at the leader and elsewhere, before and after the report, the write of
 // the end and its reply. The job is done or cancelled, all say the same, done not before
 // all tasks have ended, and within 3 s.
 func TestCancellationDuringLastTasksEnd(t *testing.T) {
-	outcomes := map[string]int{}
-	for name, more := range map[string]string{
-		"one task": "", "two tasks that end in one report": "", "several chunks": "",
-		"a gang": `,"shape":"group"`, "a gang in one place": `,"shape":"group","samePlace":true`,
+	for _, d := range []lastTasksEnd{
+		{name: "one task", tasks: 1},
+		{name: "two tasks that end in one report", tasks: 2},
+		{name: "several chunks", tasks: 130},
+		{name: "a gang", tasks: 2, more: `,"shape":"group"`},
+		{name: "a gang in one place", tasks: 2, more: `,"shape":"group","samePlace":true`},
 	} {
-		tasks := map[string]int{"one task": 1, "several chunks": 130}[name]
-		if tasks == 0 {
-			tasks = 2
-		}
+		outcomes := map[string]int{}
 		for _, atLeader := range []bool{true, false} {
 			for tenths := -4; tenths < 12; tenths++ {
-				w := newWorldOf(t, fiveNodes).ready()
-				w.allowRacingStarts, w.taskTime, w.maxMachines = true, 6*time.Second, 80
-				w.watchLag, w.latency = 300*time.Millisecond, true
-				id := "req-free-1"
-				accepted(t, w.submit("a", id, tasks, more))
-				w.run(time.Minute, func() bool { return w.startsOf(id) == tasks })
-				all := func() bool {
-					for n := range tasks {
-						if !w.completed[fmt.Sprintf("%s/%d", id, n)] {
-							return false
-						}
-					}
-					return true
-				}
-				at := w.now
-				w.run(20*time.Second, func() bool {
-					return all() || w.now-at >= 5500*time.Millisecond && tenths < 0 && w.now-at >= w.taskTime+time.Duration(tenths)*100*time.Millisecond
-				})
-				if all() {
-					w.run(time.Duration(max(0, tenths))*100*time.Millisecond, nil)
-				}
-				node := w.leaderOf("free")
-				if !atLeader {
-					node = w.anotherNode(node)
-				}
-				body := []byte(submission(id, "free", tasks, more))
-				var cancel Answer
-				reqs := map[uint64]string{}
-				for what, make1 := range ordered(map[string]func(req uint64) Command{
-					"cancel": func(req uint64) Command { return Cancel{Req: req, ID: id} },
-					"ask":    func(req uint64) Command { return Status{Req: req, ID: id} },
-					"repeat": func(req uint64) Command { return Submit{Req: req, Body: body} },
-				}) {
-					w.nextReq++
-					reqs[w.nextReq] = what
-					w.send(node, make1(w.nextReq))
-				}
-				w.run(2*time.Second, func() bool {
-					for req, what := range reqs {
-						a, there := w.answers[req]
-						if !there {
-							continue
-						}
-						delete(reqs, req)
-						if s, is := a.Body.(protocol.JobState); is && s.State == protocol.Done && !all() {
-							t.Errorf("%s: done before all has ended", name)
-						}
-						if a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity {
-							t.Errorf("%s: %s gets %d", name, what, a.Status)
-						}
-						if what == "cancel" {
-							cancel = a
-						}
-					}
-					return len(reqs) == 0
-				})
-				for range 5 {
-					if cancel.Status == http.StatusOK {
-						break
-					}
-					cancel = w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
-				}
-				told := stateOf(t, cancel)
-				outcomes[name+" "+told.State]++
-				w.run(2*time.Second, nil)
-				for _, n := range w.names {
-					if s := stateOf(t, w.status(n, id)); s.State != told.State {
-						t.Errorf("%s, %d tenths, at leader %v: told %s, and %s by %s", name, tenths, atLeader, told.State, s.State, n)
-					}
-					if s := stateOf(t, w.request(n, func(req uint64) Command { return Submit{Req: req, Body: body} })); s.State != told.State {
-						t.Errorf("%s: a repeat is answered %s after %s", name, s.State, told.State)
-					}
-				}
+				d.atLeader, d.tenths = atLeader, tenths
+				outcomes[d.run(t)]++
+			}
+		}
+		if outcomes[protocol.Done] == 0 || outcomes[protocol.Cancelled] == 0 {
+			t.Errorf("%s: the end and the cancellation never came close: %v", d.name, outcomes)
+		}
+	}
+}
+
+// run plays the scenario and returns the state that the user is told.
+func (d lastTasksEnd) run(t *testing.T) string {
+	t.Helper()
+	w := newWorldOf(t, fiveNodes).ready()
+	w.allowRacingStarts, w.taskTime, w.maxMachines = true, 6*time.Second, 80
+	w.watchLag, w.latency = 300*time.Millisecond, true
+	accepted(t, w.submit("a", endingJob, d.tasks, d.more))
+	w.run(time.Minute, func() bool { return w.startsOf(endingJob) == d.tasks })
+	d.awaitMoment(w)
+	node := w.leaderOf("free")
+	if !d.atLeader {
+		node = w.anotherNode(node)
+	}
+	cancel := d.sendRequests(t, w, node)
+	for range 5 {
+		if cancel.Status == http.StatusOK {
+			break
+		}
+		cancel = w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: endingJob} })
+	}
+	told := stateOf(t, cancel)
+	w.run(2*time.Second, nil)
+	d.checkState(t, w, told.State)
+	return told.State
+}
+
+// body is the submission of the job.
+func (d lastTasksEnd) body() []byte { return []byte(submission(endingJob, "free", d.tasks, d.more)) }
+
+// ended tells whether all tasks have ended.
+func (d lastTasksEnd) ended(w *world) bool {
+	for n := range d.tasks {
+		if !w.completed[fmt.Sprintf("%s/%d", endingJob, n)] {
+			return false
+		}
+	}
+	return true
+}
+
+// awaitMoment lets the time pass until the requests are to be sent.
+func (d lastTasksEnd) awaitMoment(w *world) {
+	const earliest = 5500 * time.Millisecond
+	begin, offset := w.now, time.Duration(d.tenths)*100*time.Millisecond
+	w.run(20*time.Second, func() bool {
+		elapsed := w.now - begin
+		return d.ended(w) || elapsed >= earliest && d.tenths < 0 && elapsed >= w.taskTime+offset
+	})
+	if d.ended(w) {
+		w.run(max(0, offset), nil)
+	}
+}
+
+// sendRequests sends the requests at once, checks their answers and returns that to the cancellation.
+func (d lastTasksEnd) sendRequests(t *testing.T, w *world, node string) (cancel Answer) {
+	t.Helper()
+	requests := map[uint64]string{}
+	for name, command := range ordered(map[string]func(req uint64) Command{
+		"cancel": func(req uint64) Command { return Cancel{Req: req, ID: endingJob} },
+		"ask":    func(req uint64) Command { return Status{Req: req, ID: endingJob} },
+		"repeat": func(req uint64) Command { return Submit{Req: req, Body: d.body()} },
+	}) {
+		w.nextReq++
+		requests[w.nextReq] = name
+		w.send(node, command(w.nextReq))
+	}
+	w.run(2*time.Second, func() bool {
+		for req, name := range requests {
+			a, answered := w.answers[req]
+			if !answered {
+				continue
+			}
+			delete(requests, req)
+			if s, is := a.Body.(protocol.JobState); is && s.State == protocol.Done && !d.ended(w) {
+				t.Errorf("%s: done before all has ended", d.name)
+			}
+			if a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity {
+				t.Errorf("%s: %s gets %d", d.name, name, a.Status)
 			}
+			if name == "cancel" {
+				cancel = a
+			}
+		}
+		return len(requests) == 0
+	})
+	return cancel
+}
+
+// checkState checks that every controller reports the state that the user was told.
+func (d lastTasksEnd) checkState(t *testing.T, w *world, told string) {
+	t.Helper()
+	for _, n := range w.names {
+		if s := stateOf(t, w.status(n, endingJob)); s.State != told {
+			t.Errorf("%s, %d tenths, at leader %v: told %s, and %s by %s", d.name, d.tenths, d.atLeader, told, s.State, n)
 		}
-		if outcomes[name+" done"] == 0 || outcomes[name+" cancelled"] == 0 {
-			t.Errorf("%s: the end and the cancellation never came close: %v", name, outcomes)
+		repeat := func(req uint64) Command { return Submit{Req: req, Body: d.body()} }
+		if s := stateOf(t, w.request(n, repeat)); s.State != told {
+			t.Errorf("%s: a repeat is answered %s after %s", d.name, s.State, told)
 		}
 	}
 }
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -17,7 +17,7 @@
 // A node that has just learned of a cancellation goes by its time of day only for the
 // machines that it is responsible for: what it knows of the others may be old.
 func (r *machineReturns) returnUnstopped(j *job.Job, machine string) {
-	unaware := r.core.isUnaware(j.ID, machine)
+	unaware := r.core.announcements.isUnaware(j.ID, machine)
 	patience := r.times.cancelDeadline() / 2
 	if unaware && !r.core.storeOK {
 		// The cloud may fail next, and nothing else is left. While the store answers it is
