--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -15,8 +15,8 @@
 // fleetSizes are what the costs of one step are compared at.
 var fleetSizes = []int{100, 1400, 2800}
 
-// busyCore is a controller that is leader of every team, with one running task on
-// each machine and one job to every ten.
+// busyCore is a controller that leads every team, with one running task on each machine and one
+// job to every ten.
 func busyCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
 	c.now.Steady, c.replica.loaded, c.agents.tokens.current = time.Second, true, 1
@@ -109,7 +109,14 @@
 	swarm := func(c *Core, bound bool) {
 		t := c.teams[0]
 		for n := range 800 {
-			j := job.New(job.Spec{ID: fmt.Sprintf("req-9%d", n), Team: t.Name, Tasks: 1, Priority: 3, Need: job.Resources{CPUs: 2.5}, Spot: true}, 64, 0)
+			j := job.New(job.Spec{
+				ID:       fmt.Sprintf("req-9%d", n),
+				Team:     t.Name,
+				Tasks:    1,
+				Priority: 3,
+				Need:     job.Resources{CPUs: 2.5},
+				Spot:     true,
+			}, 64, 0)
 			j.Version = 1
 			c.addJob(t, j)
 			if bound {
@@ -207,8 +214,8 @@
 }
 
 // BenchmarkReload is the whole stored state read again, as after a start or when
-// the state service no longer has the changes that were missed: a tenth as many
-// jobs as machines, and as many marks of returned machines as jobs.
+// the store no longer has the changes that were missed: a tenth as many
+// jobs as machines, and as many cordons of returned machines as jobs.
 func BenchmarkReload(b *testing.B) {
 	benchSizes(b, func(b *testing.B, c *Core, machines int) {
 		l := SnapshotLoaded{Revision: 2}
--- a/internal/core/placement/picker.go
+++ b/internal/core/placement/picker.go
@@ -74,9 +74,14 @@
 // worstFirst is a heap with the worst of the chosen hosts on top.
 type worstFirst []rankedHost
 
-func (w worstFirst) Len() int           { return len(w) }
+// Len implements sort.Interface.
+func (w worstFirst) Len() int { return len(w) }
+
+// Less implements sort.Interface.
 func (w worstFirst) Less(i, j int) bool { return compareRanked(w[i], w[j]) > 0 }
-func (w worstFirst) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
+
+// Swap implements sort.Interface.
+func (w worstFirst) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
 
 // Push implements heap.Interface.
 func (w *worstFirst) Push(x any) { *w = append(*w, x.(rankedHost)) }
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -37,7 +37,15 @@
 		for _, j := range c.jobs {
 			j.Priority = k.victims
 		}
-		j := job.New(job.Spec{ID: "req-large", Team: c.teams[1].Name, Tasks: 2, Priority: k.waiting, Need: job.Resources{CPUs: 4}, Spot: true, EstimateS: 60}, 64, 0)
+		j := job.New(job.Spec{
+			ID:        "req-large",
+			Team:      c.teams[1].Name,
+			Tasks:     2,
+			Priority:  k.waiting,
+			Need:      job.Resources{CPUs: 4},
+			Spot:      true,
+			EstimateS: 60,
+		}, 64, 0)
 		j.Version = 1
 		c.addJob(c.teams[1], j)
 		c.now.Steady += 2 * c.reportInterval()
--- a/internal/core/rentals_test.go
+++ b/internal/core/rentals_test.go
@@ -19,7 +19,11 @@
 		{Name: "expensive", CPUs: 4, MemoryGB: 16, Price: 2, SpotPrice: 0.5, BootS: 5, Zones: []string{"z1"}},
 	}})
 	const tasks = 1000
-	c.scheduler.pendingDemand = []scaling.Demand{{Spec: &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: 4}, Spot: true}, Tasks: tasks, Entitlement: scaling.Standard}}
+	c.scheduler.pendingDemand = []scaling.Demand{{
+		Spec:        &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: 4}, Spot: true},
+		Tasks:       tasks,
+		Entitlement: scaling.Standard,
+	}}
 	got, rounds := 0, 0
 	for ; got < tasks && rounds < 10; rounds++ {
 		c.effects = nil
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -36,6 +36,7 @@
 	bestEffortHosts map[bool][]*placement.Host
 }
 
+// newRound makes a round with nothing to place yet.
 func newRound(c *Core) *round {
 	return &round{
 		core:              c,
@@ -94,6 +95,7 @@
 	})
 }
 
+// isUrgent tells whether a job above normal priority has waited for longer than a report interval.
 func (r *round) isUrgent(j *job.Job) bool {
 	waited := r.core.now.Steady - j.PendingSince
 	return j.AboveNormal() && !j.Suspected && waited > r.core.reportInterval()
--- a/internal/core/scaling/plan.go
+++ b/internal/core/scaling/plan.go
@@ -53,6 +53,7 @@
 // Capacity is what a machine of the offer has.
 func (o Offer) Capacity() job.Resources { return catalog.Capacity(o.Type) }
 
+// pricePerCPU is the current price of a CPU per hour.
 func (o Offer) pricePerCPU() float64 { return o.Price() / max(o.Type.CPUs, 1) }
 
 // machine is a machine of the offer with nothing on it.
--- a/internal/core/scaling/plan_test.go
+++ b/internal/core/scaling/plan_test.go
@@ -144,7 +144,16 @@
 	} {
 		d := demand(16, 2, true)
 		d.Spec.EstimateS, d.Spec.Kind, d.Spec.Tasks, d.Entitlement = 30, c.kind, 2, Standard
-		preemptible := []*placement.Host{{Type: "large", Zone: "a", Spot: true, RemainingS: -1, Capacity: size, Free: size, PreemptionLoss: c.loss, PreemptionLossPerCPU: c.perCPU}}
+		preemptible := []*placement.Host{{
+			Type:                 "large",
+			Zone:                 "a",
+			Spot:                 true,
+			RemainingS:           -1,
+			Capacity:             size,
+			Free:                 size,
+			PreemptionLoss:       c.loss,
+			PreemptionLossPerCPU: c.perCPU,
+		}}
 		if got := Plan([]Demand{d}, nil, preemptible, offers(), 9); len(got) != c.orders {
 			t.Errorf("%s: %d orders, want %d", name, len(got), c.orders)
 		}
