--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -27,7 +27,7 @@
 		c.storeCancel(m)
 		return
 	}
-	c.lookUp(m.ID, func(result lookup.Result) {
+	c.lookups.request(m.ID, func(result lookup.Result) {
 		if result.Outcome == lookup.Active {
 			c.storeCancel(m)
 			return
@@ -68,7 +68,7 @@
 	c.log(Debug, "job cancelled", "job", m.ID)
 	c.announcements.note(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
 	c.announcements.announce(m.ID)
-	c.lookUp(m.ID, func(result lookup.Result) { c.replyLookup(m.Req, result) })
+	c.lookups.request(m.ID, func(result lookup.Result) { c.replyLookup(m.Req, result) })
 }
 
 // cancelConflict answers a cancellation that could not be stored: the job has a final state,
@@ -78,7 +78,7 @@
 		c.cancelOutgoing(m)
 		return
 	}
-	c.lookUp(m.ID, func(result lookup.Result) {
+	c.lookups.request(m.ID, func(result lookup.Result) {
 		if result.Outcome == lookup.Active {
 			result.Outcome = lookup.Unavailable // the repeated request tells
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,7 +10,6 @@
 	"pepperlever/internal/core/catalog"
 	"pepperlever/internal/core/job"
 	"pepperlever/internal/core/jobstats"
-	"pepperlever/internal/core/lookup"
 	"pepperlever/internal/core/worker"
 	"pepperlever/internal/settings"
 )
@@ -35,7 +34,7 @@
 	upgrade       upgradeTracker
 	// limits are those of the store on what this controller writes.
 	limits       storeLimits
-	dependencies dependencies
+	dependencies *dependencies
 	// handoffs mirrors the hand-offs to and from other sites.
 	handoffs handoffReplica
 
@@ -46,7 +45,7 @@
 	reconciler  *reconciler
 	rebalancer  rebalancer
 	writeBudget writeBudget
-	lookups     lookup.Queue
+	lookups     *lookupController
 
 	reach *reachability
 	// storeOK tells whether the store answers this node.
@@ -79,29 +78,30 @@
 // New makes a core. The incarnation must differ between runs of the process.
 func New(cfg *settings.Settings, policy settings.Policy, incarnation string) *Core {
 	c := &Core{
-		environment:  newEnvironment(cfg, policy),
-		members:      newMembership(cfg.Node, incarnation, cfg.Peers),
-		limits:       storeLimits{settings: &cfg.Params.State},
-		replica:      newReplica(),
-		ended:        newEndedJobs(),
-		fleet:        &shard{name: "fleet", key: keyFleet},
-		teamBy:       map[string]*team{},
-		jobs:         map[string]*job.Job{},
-		cordons:      cordons{},
-		intents:      rentalIntents{},
-		dependencies: newDependencies(),
-		handoffs:     newHandoffReplica(),
-		machines:     worker.NewRegistry(),
-		rebalancer:   newRebalancer(),
-		storeOK:      true,
-		scheduler:    newScheduler(),
-		autoscaler:   newAutoscaler(),
-		stats:        jobstats.New(),
+		environment: newEnvironment(cfg, policy),
+		members:     newMembership(cfg.Node, incarnation, cfg.Peers),
+		limits:      storeLimits{settings: &cfg.Params.State},
+		replica:     newReplica(),
+		ended:       newEndedJobs(),
+		fleet:       &shard{name: "fleet", key: keyFleet},
+		teamBy:      map[string]*team{},
+		jobs:        map[string]*job.Job{},
+		cordons:     cordons{},
+		intents:     rentalIntents{},
+		handoffs:    newHandoffReplica(),
+		machines:    worker.NewRegistry(),
+		rebalancer:  newRebalancer(),
+		storeOK:     true,
+		scheduler:   newScheduler(),
+		autoscaler:  newAutoscaler(),
+		stats:       jobstats.New(),
 	}
 	c.messenger = &messenger{environment: c.environment, peers: newPeerTable(cfg)}
 	c.agents = newAgentController(c)
 	c.reconciler = newReconciler(c)
 	c.announcements = newAnnouncer(c)
+	c.dependencies = newDependencies(c)
+	c.lookups = newLookupController(c)
 	c.relay = newStoreRelay(c)
 	c.returns = newMachineReturns(c)
 	c.reach = &reachability{environment: c.environment, members: &c.members, peers: c.peers, relay: c.relay}
@@ -123,7 +123,7 @@
 	c.periodic()
 	c.runFederation()
 	c.schedule()
-	c.sendLookups()
+	c.lookups.sendDue()
 	c.shareClaims()
 	c.flushJobs()
 	return c.effects
@@ -194,7 +194,7 @@
 	report := c.reportInterval()
 	c.updateUsageRecords()
 	c.announcements.resolveLookups()
-	c.answerDeferredStatus()
+	c.lookups.answerDeferred()
 	if c.every(&c.timers.heartbeat, report/3) {
 		c.sendHeartbeat()
 	}
@@ -211,8 +211,8 @@
 		c.agents.expireStartDecisions()
 	}
 	if c.replica.loaded {
-		c.checkDependencies()
-		c.inheritUrgency()
+		c.dependencies.check()
+		c.dependencies.inheritUrgency()
 		c.relay.update()
 		c.checkIsolation()
 	}
--- a/internal/core/deferredstatus.go
+++ b/internal/core/deferredstatus.go
@@ -1,9 +1,6 @@
 package core
 
-import (
-	"pepperlever/internal/core/lookup"
-	"pepperlever/internal/protocol"
-)
+import "pepperlever/internal/core/lookup"
 
 // deferredStatus is the answer to requests for the state of a job of which the store has said
 // that it has no final state as of a revision. A cancellation that the replica does not show
@@ -15,66 +12,59 @@
 
 // resolveActive answers requests for a job that has no final state as of a revision, at once
 // where nothing else can have ended it.
-func (c *Core) resolveActive(group lookup.Group, revision uint64) {
-	j := c.jobs[group.JobID]
-	if j != nil && !j.Cancelled && !c.dependencies.graph.Waits(group.JobID) {
-		c.resolveWithProgress(group)
+func (l *lookupController) resolveActive(group lookup.Group, revision uint64) {
+	j := l.core.jobs[group.JobID]
+	if j != nil && !j.Cancelled && !l.core.dependencies.isWaiting(group.JobID) {
+		l.resolveWithProgress(group)
 		return
 	}
-	c.dependencies.deferStatus(deferredStatus{group, revision})
+	l.deferred = append(l.deferred, deferredStatus{group, revision})
 }
 
-func (c *Core) resolveWithProgress(group lookup.Group) {
-	group.ResolveAll(lookup.Result{Outcome: lookup.Active, State: c.jobProgress(group.JobID)})
+func (l *lookupController) resolveWithProgress(group lookup.Group) {
+	group.ResolveAll(lookup.Result{Outcome: lookup.Active, State: l.core.jobProgress(group.JobID)})
 }
 
-// answerDeferredStatus answers the requests whose revision the replica has reached, and turns
+// answerDeferred answers the requests whose revision the replica has reached, and turns
 // away those whose users will not wait any longer.
-func (c *Core) answerDeferredStatus() {
-	for _, status := range c.dependencies.takeDeferred() {
+func (l *lookupController) answerDeferred() {
+	waiting := l.deferred
+	l.deferred = nil
+	for _, status := range waiting {
 		switch {
-		case lookup.Expired(status.group.Requests[0], c.now.Steady):
+		case lookup.Expired(status.group.Requests[0], l.core.now.Steady):
 			status.group.ResolveUnavailable()
-		case !c.replicaCovers(status):
-			c.dependencies.deferStatus(status)
+		case !l.replicaCovers(status):
+			l.deferred = append(l.deferred, status)
 		default:
-			c.resolveFromReplica(status.group)
+			l.resolveFromReplica(status.group)
 		}
 	}
 }
 
 // replicaCovers tells whether the replica shows all that may have cancelled a job up to the
 // revision of its read.
-func (c *Core) replicaCovers(status deferredStatus) bool {
+func (l *lookupController) replicaCovers(status deferredStatus) bool {
 	id := status.group.JobID
-	if c.hasEnded(id) {
+	if l.core.hasEnded(id) {
 		return true
 	}
-	if !c.replica.shows(status.revision) {
+	if !l.core.replica.shows(status.revision) {
 		return false
 	}
-	if c.jobs[id] == nil && c.dependencies.reloading {
+	if l.core.jobs[id] == nil && l.core.dependencies.isReloading() {
 		return false
 	}
-	return !c.lookUpDependencies(c.dependencies.graph.Upstream(id))
+	return !l.core.dependencies.lookUpUpstream(id)
 }
 
 // resolveFromReplica answers by what the replica shows.
-func (c *Core) resolveFromReplica(group lookup.Group) {
-	if !c.hasEnded(group.JobID) {
-		c.resolveWithProgress(group)
+func (l *lookupController) resolveFromReplica(group lookup.Group) {
+	if !l.core.hasEnded(group.JobID) {
+		l.resolveWithProgress(group)
 		return
 	}
 	for _, request := range group.Requests {
-		c.lookUp(request.JobID, request.Resolve)
+		l.request(request.JobID, request.Resolve)
 	}
 }
-
-// hasEnded tells whether a job is known to have ended, by its own final state or by a
-// cancellation that is not stored with it yet.
-func (c *Core) hasEnded(id string) bool {
-	if j := c.jobs[id]; j != nil && j.Cancelled {
-		c.rememberFinalState(id, protocol.JobState{ID: id, State: protocol.Cancelled})
-	}
-	return c.ended.has(id)
-}
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,28 +10,31 @@
 	"pepperlever/internal/protocol"
 )
 
-// dependencies is what this controller knows of jobs that await others (docs/dependencies.md).
+// dependencies is what this controller knows of jobs that await others
+// (docs/dependencies.md).
 type dependencies struct {
+	core  *Core
 	graph *dependency.Graph
 	// lookingUp holds the awaited jobs whose state is being read.
 	lookingUp map[string]bool
 	// inheriting are the jobs that have the urgency of others.
 	inheriting []*job.Job
-	// deferred are the answers that wait for the replica.
-	deferred []deferredStatus
 	// reloading is set while the replica lacks the jobs of a leadership that was lost.
 	reloading bool
 	// checkAt is when the states of awaited jobs are looked up again.
 	checkAt time.Duration
 }
 
-func newDependencies() dependencies {
-	return dependencies{graph: dependency.New(), lookingUp: map[string]bool{}}
+func newDependencies(c *Core) *dependencies {
+	return &dependencies{core: c, graph: dependency.New(), lookingUp: map[string]bool{}}
 }
 
 // beginReload notes that the replica lacks jobs until the stored state is read again.
 func (d *dependencies) beginReload() { d.reloading = true }
 
+// isReloading tells whether the replica lacks jobs.
+func (d *dependencies) isReloading() bool { return d.reloading }
+
 // endReload notes that the replica holds all jobs again.
 func (d *dependencies) endReload() { d.reloading = false }
 
@@ -41,22 +44,15 @@
 // awaited lists the jobs that a job still waits for.
 func (d *dependencies) awaited(id string) []string { return d.graph.Awaited(id) }
 
-// deferStatus keeps an answer until the replica is new enough.
-func (d *dependencies) deferStatus(status deferredStatus) { d.deferred = append(d.deferred, status) }
-
-// takeDeferred removes all answers that wait for the replica.
-func (d *dependencies) takeDeferred() []deferredStatus {
-	waiting := d.deferred
-	d.deferred = nil
-	return waiting
-}
+// isWaiting tells whether a job waits for others.
+func (d *dependencies) isWaiting(id string) bool { return d.graph.Waits(id) }
 
-// inheritUrgency lets awaited jobs be as urgent as those that need them, and reports whether
-// anything may have changed.
-func (d *dependencies) inheritUrgency(jobs map[string]*job.Job) (changed bool) {
+// inheritUrgency lets awaited jobs be as urgent as those that need them.
+func (d *dependencies) inheritUrgency() {
 	if !d.graph.Changed() {
-		return false
+		return
 	}
+	jobs := d.core.jobs
 	for _, j := range d.inheriting {
 		j.Inherit(nil)
 	}
@@ -70,7 +66,7 @@
 			d.inheriting = append(d.inheriting, j)
 		}
 	}
-	return true
+	d.core.requestRound()
 }
 
 // urgencyEstimate is a job's own urgency and run time. It is not known of one that is not
@@ -83,17 +79,10 @@
 	return dependency.Estimate{Urgency: own, RunTime: j.RunTimeMS()}, true
 }
 
-// inheritUrgency updates the urgency of awaited jobs.
-func (c *Core) inheritUrgency() {
-	if c.dependencies.inheritUrgency(c.jobs) {
-		c.requestRound()
-	}
-}
-
-// trackDependencies notes which jobs a job awaits, when the replica gets it.
-func (c *Core) trackDependencies(j *job.Job) {
+// track notes which jobs a job awaits, when the replica gets it.
+func (d *dependencies) track(j *job.Job) {
 	if j.Attempt > 0 || len(j.Dependencies) == 0 {
-		c.dependencies.forget(j.ID)
+		d.forget(j.ID)
 		j.Blocked = false // nothing is bound before all are done
 		return
 	}
@@ -102,87 +91,93 @@
 	}
 	var unfinished []string
 	for _, id := range j.Dependencies {
-		if !c.ended.isDone(id) {
+		if !d.core.ended.isDone(id) {
 			unfinished = append(unfinished, id)
 		}
 	}
-	c.dependencies.graph.Wait(j.ID, unfinished)
+	d.graph.Wait(j.ID, unfinished)
 	if len(unfinished) == 0 {
-		c.becameReady(j)
+		d.onReady(j)
 		return
 	}
 	j.Blocked = true
-	if i := slices.IndexFunc(unfinished, c.cancelled); i >= 0 {
-		c.cancelDependent(j, unfinished[i])
+	if i := slices.IndexFunc(unfinished, d.core.cancelled); i >= 0 {
+		d.cancelDependent(j, unfinished[i])
 	}
 }
 
-// becameReady lets a job begin whose last awaited job is done.
-func (c *Core) becameReady(j *job.Job) {
-	j.Unblock(c.now.Steady, c.now.Wall)
-	c.requestRound()
-	c.log(Debug, "job dependencies done", "job", j.ID)
+// onReady lets a job begin whose last awaited job is done.
+func (d *dependencies) onReady(j *job.Job) {
+	j.Unblock(d.core.now.Steady, d.core.now.Wall)
+	d.core.requestRound()
+	d.core.log(Debug, "job dependencies done", "job", j.ID)
 }
 
-// dependencyEnded tells the jobs that wait for a job of its final state.
-func (c *Core) dependencyEnded(id, state string) {
+// onEnded tells the jobs that wait for a job of its final state.
+func (d *dependencies) onEnded(id, state string) {
 	if state == protocol.Done {
-		for _, ready := range c.dependencies.graph.Done(id) {
-			if j := c.jobs[ready]; j != nil {
-				c.becameReady(j)
+		for _, ready := range d.graph.Done(id) {
+			if j := d.core.jobs[ready]; j != nil {
+				d.onReady(j)
 			}
 		}
 		return
 	}
-	for _, follower := range c.dependencies.graph.Followers(id) {
-		c.cancelDependent(c.jobs[follower], id)
+	for _, follower := range d.graph.Followers(id) {
+		d.cancelDependent(d.core.jobs[follower], id)
 	}
 }
 
 // cancelDependent cancels a job because one that it awaits is cancelled. Nothing of it was ever
 // bound. Every controller derives that for itself; the leader stores it when it next writes
 // the job.
-func (c *Core) cancelDependent(j *job.Job, upstream string) {
+func (d *dependencies) cancelDependent(j *job.Job, upstream string) {
 	if j == nil {
 		return
 	}
 	if !j.Cancelled {
-		c.log(Debug, "job cancelled with a dependency", "job", j.ID, "dependency", upstream)
-		c.counts.CascadedCancellations++
-		c.markCancelled(j)
+		d.core.log(Debug, "job cancelled with a dependency", "job", j.ID, "dependency", upstream)
+		d.core.counts.CascadedCancellations++
+		d.core.markCancelled(j)
 	}
-	c.rememberFinalState(j.ID, protocol.JobState{ID: j.ID, State: protocol.Cancelled})
+	d.core.rememberFinalState(j.ID, protocol.JobState{ID: j.ID, State: protocol.Cancelled})
 }
 
-// checkDependencies reads what has become of awaited jobs that the replica does not hold: they
+// check reads what has become of awaited jobs that the replica does not hold: they
 // ended before this controller had read the stored state.
-func (c *Core) checkDependencies() {
-	if !c.every(&c.dependencies.checkAt, c.reportInterval()/6) {
+func (d *dependencies) check() {
+	if !d.core.every(&d.checkAt, d.core.reportInterval()/6) {
 		return
 	}
-	for _, id := range c.dependencies.graph.Waiting() {
-		if j := c.jobs[id]; j != nil && c.leads(j) {
-			c.lookUpDependencies(c.dependencies.awaited(id))
+	for _, id := range d.graph.Waiting() {
+		if j := d.core.jobs[id]; j != nil && d.core.leads(j) {
+			d.lookUp(d.awaited(id))
 		}
 	}
 }
 
-// lookUpDependencies reads the states of those jobs that the replica does not hold, and reports
+// lookUpUpstream reads the states of all that a job waits for, directly or through others, that
+// the replica does not hold, and reports whether there are any.
+func (d *dependencies) lookUpUpstream(id string) (unknown bool) {
+	return d.lookUp(d.graph.Upstream(id))
+}
+
+// lookUp reads the states of those jobs that the replica does not hold, and reports
 // whether there are any.
-func (c *Core) lookUpDependencies(ids []string) (unknown bool) {
+func (d *dependencies) lookUp(ids []string) (unknown bool) {
 	for _, id := range ids {
-		if c.jobs[id] != nil {
+		if d.core.jobs[id] != nil {
 			continue
 		}
 		unknown = true
-		if c.dependencies.lookingUp[id] || c.dependencies.reloading {
+		if d.lookingUp[id] || d.reloading {
 			continue
 		}
-		c.dependencies.lookingUp[id] = true
-		c.lookUp(id, func(result lookup.Result) {
-			delete(c.dependencies.lookingUp, id)
+		d.lookingUp[id] = true
+		d.core.lookups.request(id, func(result lookup.Result) {
+			delete(d.lookingUp, id)
 			if result.Outcome == lookup.Final {
-				c.dependencyEnded(id, result.State.State)
+				d.onEnded(id, result.State.State)
 			}
 		})
 	}
--- a/internal/core/endedjobs.go
+++ b/internal/core/endedjobs.go
@@ -69,5 +69,14 @@
 		return
 	}
 	c.stats.End(id, state.State == protocol.Cancelled)
-	c.dependencyEnded(id, state.State)
+	c.dependencies.onEnded(id, state.State)
+}
+
+// hasEnded tells whether a job is known to have ended, by its own final state or by a
+// cancellation that is not stored with it yet.
+func (c *Core) hasEnded(id string) bool {
+	if j := c.jobs[id]; j != nil && j.Cancelled {
+		c.rememberFinalState(id, protocol.JobState{ID: id, State: protocol.Cancelled})
+	}
+	return c.ended.has(id)
 }
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -110,7 +110,7 @@
 		return
 	}
 	f.lookingUp[id] = true
-	c.lookUp(id, func(result lookup.Result) {
+	c.lookups.request(id, func(result lookup.Result) {
 		delete(f.lookingUp, id)
 		if result.Outcome == lookup.Final && f.running() {
 			f.add(federation.LocalJobEnded{LocalID: id, FinalState: result.State.State})
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -83,7 +83,7 @@
 func TestPollsBeyondTheLookupRateAreRejected(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
-	limit := int(c.lookupLimits().Rate) * c.limits.maxConditions()
+	limit := int(c.lookups.limits().Rate) * c.limits.maxConditions()
 	w.answers = map[uint64]Answer{}
 	for i := range 6 * limit {
 		w.send("a", Status{Req: 1<<32 + uint64(i), ID: fmt.Sprintf("req-nobody-%d", i)})
@@ -99,7 +99,7 @@
 		t.Errorf("%d of %d were turned away at once", turned, 6*limit)
 	}
 	w.run(10*time.Second, nil)
-	if accepted, unknown := c.lookups.Len(); accepted+unknown > 0 {
+	if accepted, unknown := c.lookups.queue.Len(); accepted+unknown > 0 {
 		t.Errorf("%d lookups are left", accepted+unknown)
 	}
 }
@@ -133,7 +133,7 @@
 	}
 	c.effects = nil
 	c.handle(Heartbeat{Req: 1, Report: r})
-	_, unknown := c.lookups.Len()
+	_, unknown := c.lookups.queue.Len()
 	if w := c.agents.session(r.Machine); unknown != 3 || len(w.queuedCommands) > 0 {
 		t.Errorf("%d lookups for three jobs, %d commands", unknown, len(w.queuedCommands))
 	}
--- a/internal/core/replicajobs.go
+++ b/internal/core/replicajobs.go
@@ -55,7 +55,7 @@
 			return err
 		}
 	}
-	c.trackDependencies(j)
+	c.dependencies.track(j)
 	c.requestRound()
 	return nil
 }
--- a/internal/core/staletasks.go
+++ b/internal/core/staletasks.go
@@ -35,7 +35,7 @@
 		return
 	}
 	r.orphanLookups[id] = true
-	r.core.lookUp(id, func(lookup.Result) { delete(r.orphanLookups, id) })
+	r.core.lookups.request(id, func(lookup.Result) { delete(r.orphanLookups, id) })
 }
 
 // forgetEndedTasks has exited tasks forgotten whose end a store write has recorded.
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -13,7 +13,7 @@
 		c.replyRejected(m.Req, errUnknownJob)
 		return
 	}
-	c.lookUp(m.ID, func(result lookup.Result) {
+	c.lookups.request(m.ID, func(result lookup.Result) {
 		c.stats.NoteQuery(m.ID, result.Outcome != lookup.Unavailable, c.now.Steady)
 		c.replyLookup(m.Req, result)
 	})
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -64,7 +64,7 @@
 		c.replyRejected(req, r)
 		return
 	}
-	c.lookUp(id, func(result lookup.Result) {
+	c.lookups.request(id, func(result lookup.Result) {
 		if result.Outcome == lookup.Absent {
 			c.replyRejected(req, r)
 			return
@@ -75,7 +75,7 @@
 
 // answerRepeated answers a submission of a known job with its current state.
 func (c *Core) answerRepeated(req uint64, id string) {
-	c.lookUp(id, func(result lookup.Result) {
+	c.lookups.request(id, func(result lookup.Result) {
 		if result.Outcome == lookup.Absent {
 			// Its acceptance is on its way, or was never carried out.
 			result.Outcome = lookup.Unavailable
--- a/internal/core/submitdependencies.go
+++ b/internal/core/submitdependencies.go
@@ -35,7 +35,7 @@
 		for _, id := range slices.Clone(spec.Dependencies) {
 			check.lookUp(id)
 		}
-		c.sendAcceptanceLookups()
+		c.lookups.sendAcceptance()
 	}
 }
 
@@ -58,7 +58,7 @@
 	if awaited := d.core.jobs[id]; awaited != nil && awaited.Kind == job.Service {
 		d.rejected = errAwaitsService
 	}
-	d.core.lookUpAccepted(id, func(result lookup.Result) {
+	d.core.lookups.requestAcceptance(id, func(result lookup.Result) {
 		switch result.Outcome {
 		case lookup.Absent:
 			d.rejected = neverAccepted(id)
