--- a/internal/core/deliveries_test.go
+++ b/internal/core/deliveries_test.go
@@ -29,20 +29,20 @@
 		},
 		"an attempt never given": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: muteJob + "/0", Attempt: 999, State: protocol.Exited, Why: protocol.WhyDone})
+			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: silentMachinesJob + "/0", Attempt: 999, State: protocol.Exited, Why: protocol.WhyDone})
 			return r
 		},
 		"a task never handed in": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: "req-nobody-1/0", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
-				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: muteJob + "/99999", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone})
+				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: silentMachinesJob + "/99999", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone})
 			return r
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, _ := loadedWorld(t, 10, muteJob)
-			w.started(muteJob, 20)
+			w, _ := loadedWorld(t, 10, silentMachinesJob)
+			w.started(silentMachinesJob, 20)
 			w.run(3*time.Second, nil)
 			ids := slices.Sorted(maps.Keys(w.workers))
 			f := w.workers[ids[3]]
@@ -51,8 +51,8 @@
 			orders := protocol.Orders{Token: f.Token, Session: f.Session}
 			w.send(node, DeliveryResult{Machine: f.Machine, Orders: orders, Executed: true, Report: change(&r, w.workers[ids[4]])})
 			w.run(time.Minute, nil)
-			if a := w.status("b", muteJob); stateOf(t, a).Done > 0 || w.onMachines(muteJob) != 20 || f.Session != 1 {
-				t.Errorf("%v, %d tasks are left", a.Body, w.onMachines(muteJob))
+			if a := w.status("b", silentMachinesJob); stateOf(t, a).Done > 0 || w.onMachines(silentMachinesJob) != 20 || f.Session != 1 {
+				t.Errorf("%v, %d tasks are left", a.Body, w.onMachines(silentMachinesJob))
 			}
 			w.startedOnce()
 		})
--- a/internal/core/failures_test.go
+++ b/internal/core/failures_test.go
@@ -17,9 +17,8 @@
 	return n
 }
 
-// A job submitted with a mistake used to fail on every machine at once, again and
-// again, and each machine that it failed on three times was given up, with the
-// work of others on it.
+// A job that was submitted with a mistake fails wherever it runs. It is suspected, tried one
+// task at a time, and no machine is returned for it.
 func TestSuspectedJobNeitherOccupiesNorCordonsTheFleet(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 40, ""))
@@ -43,7 +42,7 @@
 	if !w.run(time.Minute, w.finished("req-red-1")) {
 		t.Error("a sound job does not end beside it")
 	}
-	// A new home knows what the old one had learned.
+	// A new leader knows what the one before had learned.
 	before := w.startsOf("req-free-1")
 	for _, n := range nodeNames {
 		w.crash(n)
@@ -53,7 +52,7 @@
 	w.run(20*time.Second, nil)
 	// Its tries begin again, with pauses of 2, 4 and 8 s.
 	if n := w.startsOf("req-free-1") - before; n > 4 {
-		t.Errorf("%d starts after a new home took over", n)
+		t.Errorf("%d starts after a failover", n)
 	}
 }
 
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Homes went on binding tasks to the machines of a controller that had fallen
-// silent; their starts were lost, and each task waited for a fence.
+// Leaders must not bind tasks to the machines of a controller that has fallen silent: the
+// starts would be lost, and each task would wait for a fence.
 func TestMachinesOfASilentControllerAreNotSchedulable(t *testing.T) {
 	w := busyWorld(t, 6)
 	var lost []string
@@ -43,8 +43,8 @@
 	}
 }
 
-// A worker that turns to a new controller used to prove what was lost with the
-// old one only by its next report.
+// An agent that turns to a new controller is asked for a report under the new token, which
+// proves what was lost with the controller before.
 func TestNewAgentIsProbedAtOnce(t *testing.T) {
 	w := busyWorld(t, 1)
 	w.crash("c")
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// busyWorld has that many workers and more, and work for all of them for long.
+// busyWorld has at least that many workers, and work for all of them for long.
 func busyWorld(t *testing.T, workers int) *world {
 	t.Helper()
 	w := newWorld(t).ready()
@@ -18,9 +18,8 @@
 	return w
 }
 
-// A controller that is cut off from the workers alone hears none and so looked
-// like the one to send them to: each sent one failed to reach it, came back and
-// was sent again, 500 times a minute on a recorded day.
+// A controller that is partitioned from the workers alone has none and looks like the least
+// loaded one. Workers that fail to reach it must not be sent there again and again.
 func TestRebalancingAvoidsControllersThatWorkersCannotReach(t *testing.T) {
 	w := busyWorld(t, 12)
 	w.unreachableNodes["c"] = true
@@ -63,3 +62,63 @@
 		t.Errorf("controllers hear %v workers", heard)
 	}
 }
+
+func TestRebalancingTargetIsTheLeastLoadedReachablePeer(t *testing.T) {
+	inZone := func(nodes ...string) map[nodeZone]bool {
+		zones := map[nodeZone]bool{}
+		for _, node := range nodes {
+			zones[nodeZone{node, "z1"}] = true
+		}
+		return zones
+	}
+	for name, c := range map[string]struct {
+		workers    map[string]int
+		zones      map[nodeZone]bool
+		redirected map[string]string
+		want       string
+		surplus    int
+	}{
+		"least loaded":             {map[string]int{"a": 30, "b": 9, "c": 6}, inZone("b", "c"), nil, "c", 15},
+		"not from this zone":       {map[string]int{"a": 30, "b": 9, "c": 6}, inZone("b"), nil, "b", 15},
+		"no peer below its share":  {map[string]int{"a": 10, "b": 10, "c": 10}, inZone("b", "c"), nil, "", 0},
+		"surplus too small":        {map[string]int{"a": 17, "b": 16, "c": 15}, inZone("b", "c"), nil, "", 1},
+		"without workers, untried": {map[string]int{"a": 30, "b": 30}, inZone("b"), nil, "c", 10},
+		"without workers, tried":   {map[string]int{"a": 30, "b": 30}, inZone("b"), map[string]string{"vm": "c"}, "", 10},
+	} {
+		r := newRebalancer()
+		r.workers, r.zones = c.workers, c.zones
+		if c.redirected != nil {
+			r.redirected = c.redirected
+		}
+		got, surplus := r.target("a", "z1", []string{"b", "c"})
+		if got != c.want || surplus != c.surplus {
+			t.Errorf("%s: got %q with a surplus of %d, want %q with %d", name, got, surplus, c.want, c.surplus)
+		}
+	}
+}
+
+func TestRebalancingBackoffGrowsUntilAWorkerArrives(t *testing.T) {
+	const lease = 10 * time.Second
+	r := newRebalancer()
+	r.workers = map[string]int{}
+	now := time.Minute
+	for _, want := range []time.Duration{lease, 2 * lease, 4 * lease, 8 * lease, 8 * lease} {
+		r.redirect("vm", "a", "c")
+		node, pause := r.recordArrival("vm", "a", now, lease)
+		if node != "c" || pause != want || !r.isBackedOff("c", now) {
+			t.Errorf("pause for %q of %v, want %v", node, pause, want)
+		}
+		now += pause
+		if r.isBackedOff("c", now) {
+			t.Errorf("still backed off after %v", pause)
+		}
+	}
+	r.redirect("vm", "a", "c")
+	if node, _ := r.recordArrival("vm", "c", now, lease); node != "" {
+		t.Errorf("%s counts as unreached though the worker arrived", node)
+	}
+	r.redirect("vm", "a", "c")
+	if _, pause := r.recordArrival("vm", "b", now, lease); pause != lease {
+		t.Errorf("pause of %v after an arrival, want %v", pause, lease)
+	}
+}
--- a/internal/core/registration_test.go
+++ b/internal/core/registration_test.go
@@ -7,9 +7,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A controller that ends right after it has written its own key, and is back before its
-// lease is over: the late write used to take the place of the new run's key, and went with
-// the old lease, so that the controller was home of nothing for as long as it lived.
+// A controller ends right after it has written its own key, and is back before its lease is
+// over. The late write of the former run must not replace the key of the new one: it would go
+// with the old lease, and the controller would never lead anything.
 func TestLateWriteOfAFormerRunDoesNotReplaceTheNodeKey(t *testing.T) {
 	for _, late := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
 		w := newWorldOf(t, fiveNodes).ready()
--- a/internal/core/stalereports_test.go
+++ b/internal/core/stalereports_test.go
@@ -11,8 +11,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// A copy, or a report that was held back, comes to any controller: one that has the machine
-// and four that have not.
+// A duplicate of a report, or one that was delayed, changes nothing at any controller: the one
+// that the machine reports to and four others.
 func TestDuplicateReportChangesNothing(t *testing.T) {
 	w, _ := loadedWorld(t, 10, "req-free-1")
 	f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
@@ -51,7 +51,7 @@
 	w.startedOnce()
 }
 
-// A machine that the cloud has taken does not come back by a copy.
+// A machine that the cloud has taken is not revived by a duplicate of its report.
 func TestDuplicateReportRevivesNoTerminatedMachine(t *testing.T) {
 	w, _ := loadedWorld(t, 10, "req-free-1")
 	id := slices.Sorted(maps.Keys(w.workers))[3]
@@ -75,7 +75,7 @@
 	}
 }
 
-// Controllers that have all started over know nothing newer than a copy.
+// Controllers that have all restarted know nothing newer than a duplicate.
 func TestDuplicateReportsMisleadNoRestartedController(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.replayReports = true
@@ -100,8 +100,8 @@
 	}
 }
 
-// A report is held back until its machine has changed controllers, begun a new session or been
-// given back, and then arrives: it is the only one of its number, newer than what most have.
+// A report is delayed until its machine has changed controllers, begun a new epoch or been
+// returned. It is the only one with its number, and newer than what most controllers have.
 func TestDelayedReportAfterALeaderChange(t *testing.T) {
 	for name, meanwhile := range map[string]func(w *world, f *fakeWorker){
 		"its controller ended": func(w *world, f *fakeWorker) { n := w.names[f.node%5]; w.crash(n); w.expire(n) },
--- a/internal/core/startledger_test.go
+++ b/internal/core/startledger_test.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// A home's message that comes over a slow link, long after the machine's controller
-// has started the task by its own watch and the task has ended, must not start it again.
+// A leader's message that comes over a slow link, long after the machine's controller has
+// started the task by what the store shows and the task has ended, must not start it again.
 func TestLateStartIsNotForwardedAgain(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.hold(everyLink)
@@ -32,9 +32,9 @@
 	w.startedOnce()
 }
 
-// A decision on a start that was forwarded was forgotten where the job was cancelled
-// while this node was reading everything again: the home's message, if it came after
-// that, would have been refused although the task ran.
+// The decision on a start that was forwarded is kept where the job is cancelled while this
+// node reads everything again: otherwise the leader's message, if it comes after that, would be
+// refused although the task runs.
 func TestStartDecisionIsKeptWhileACancelledJobIsReadAgain(t *testing.T) {
 	for name, k := range map[string]struct {
 		state string
@@ -62,3 +62,32 @@
 		}
 	}
 }
+
+func TestStartLedgerKeepsDecisionsOfTheNewestToken(t *testing.T) {
+	attempt := taskAttempt{"req-free-1/0", 1}
+	start := func(token uint64) *Start {
+		return &Start{Machine: "vm", Task: attempt.task, Attempt: attempt.attempt, Token: token}
+	}
+	ledgers := newStartLedgers()
+	ledgers.record(start(5), true, time.Second)
+	if decision, ok := ledgers.find("vm", 5, attempt); !ok || !decision.refused {
+		t.Errorf("got %v, %v for what was refused", decision, ok)
+	}
+	ledgers.record(start(4), false, time.Second)
+	if _, ok := ledgers.find("vm", 4, attempt); ok || !ledgers.hasPassed("vm", 4) || ledgers.hasPassed("vm", 5) {
+		t.Error("a decision is kept under a token that has passed")
+	}
+	ledgers.record(start(6), false, time.Second)
+	if _, ok := ledgers.find("vm", 5, attempt); ok || !ledgers.hasPassed("vm", 5) {
+		t.Error("a decision is kept though a newer token has come")
+	}
+	obsolete := func(string, taskAttempt, startDecision) bool { return true }
+	ledgers.expire(obsolete, func(string) bool { return true })
+	if _, ok := ledgers.find("vm", 6, attempt); ok || ledgers.hasPassed("vm", 6) || !ledgers.hasPassed("vm", 5) {
+		t.Error("the token of a known machine is forgotten, or an obsolete decision kept")
+	}
+	ledgers.expire(obsolete, func(string) bool { return false })
+	if ledgers.hasPassed("vm", 5) {
+		t.Error("the ledger of an unknown machine is kept")
+	}
+}
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -70,17 +70,17 @@
 	t.Fatal("no worker reports to a")
 }
 
-// A start that comes after its machine's term was raised, or its session has ended: a
-// report has proved that it never will, and the task may be elsewhere. What waits is
-// delivered under the present session, so the worker would not refuse it.
+// A start that comes after its machine's token was raised, or its epoch has ended, is refused:
+// a report has proved that it will never be carried out, and the task may be elsewhere. Queued
+// starts are delivered under the present epoch, so the worker would not refuse it.
 func TestStartUnderAnotherTokenOrEpochIsRefused(t *testing.T) {
 	for name, s := range map[string]Start{
-		"as it is":        {Token: 5, Epoch: 2},
-		"former term":     {Token: 3, Epoch: 2},
-		"another's":       {Token: 4, Epoch: 2},
-		"later term":      {Token: 6, Epoch: 2},
-		"former session":  {Token: 5, Epoch: 1},
-		"session to come": {Token: 5, Epoch: 3},
+		"as it is":      {Token: 5, Epoch: 2},
+		"former token":  {Token: 3, Epoch: 2},
+		"another's":     {Token: 4, Epoch: 2},
+		"later token":   {Token: 6, Epoch: 2},
+		"former epoch":  {Token: 5, Epoch: 1},
+		"epoch to come": {Token: 5, Epoch: 3},
 	} {
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A term whose write got no answer may belong to whoever wrote the same number next.
+// A token whose write got no answer may belong to whoever writes the same number next.
 func TestTokenOfAnUnansweredWriteIsNotUsed(t *testing.T) {
 	for _, late := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
 		w := newWorldOf(t, fiveNodes).ready()
@@ -22,13 +22,13 @@
 		}
 		for i := range 10 {
 			for _, f := range w.workers {
-				f.Token += 100 // a controller that hears of it takes a newer term
+				f.Token += 100 // a controller that hears of it acquires a newer token
 			}
 			w.addWorker("z1", false)
 			w.workers[fmt.Sprintf("vm-%06d", w.rented)].Token = uint64(1000 + i)
 			w.run(2*time.Second, nil)
 		}
-		w.run(20*time.Second, nil) // the world checks whose each term is
+		w.run(20*time.Second, nil) // the world checks whose each token is
 		if n < 5 {
 			t.Errorf("%d terms were written", n)
 		}
@@ -55,6 +55,6 @@
 	accepted(t, w.submit("b", "req-blue-2", 2, ""))
 	w.run(15*time.Second, nil)
 	if taken := highest() - before; taken == 0 || taken > 4 {
-		t.Errorf("%d terms were taken, want one or a few", taken)
+		t.Errorf("%d tokens were acquired, want one or a few", taken)
 	}
 }
--- a/internal/core/unreachablemachines_test.go
+++ b/internal/core/unreachablemachines_test.go
@@ -10,13 +10,13 @@
 	"pepperlever/internal/protocol"
 )
 
-// A machine whose reports arrive while nothing reaches it looked alive: it got tasks again
-// and again, and each was lost with its next lease (docs/fault-handling.md).
+// A machine whose reports arrive while nothing reaches it gets no tasks: each would be lost
+// when its lease ends (docs/fault-handling.md).
 func TestUnreachableMachineGetsNoWorkUntilItIsReached(t *testing.T) {
 	w, _ := loadedWorld(t, 10, "req-free-first")
 	w.noCloud, w.taskTime = true, 5*time.Second
 	w.cancelJob("a", "req-free-first")
-	deaf := slices.Sorted(maps.Keys(w.workers))[:2]
+	unreachable := slices.Sorted(maps.Keys(w.workers))[:2]
 	sent := map[string]int{}
 	w.onEffect = func(_ string, e Effect) {
 		if d, ok := e.(Deliver); ok {
@@ -33,29 +33,29 @@
 			w.run(4*time.Second, nil)
 		}
 	}
-	for _, id := range deaf {
+	for _, id := range unreachable {
 		w.unreachableWorkers[id] = true
 	}
 	work(0, 4) // two answers have to be lost
 	clear(sent)
 	work(4, 9)
-	for _, id := range deaf {
+	for _, id := range unreachable {
 		if sent[id] > 0 {
 			t.Errorf("%s was sent %d starts that can't reach it", id, sent[id])
 		}
 	}
 	clear(w.unreachableWorkers)
 	w.run(12*time.Second, nil)
-	for _, id := range deaf {
+	for _, id := range unreachable {
 		for _, node := range w.names {
 			if w.cores[node].machines.Get(id).IsUnreachable() {
-				t.Errorf("%s takes %s for deaf although it hears", node, id)
+				t.Errorf("%s takes %s for unreachable although it receives its answers", node, id)
 			}
 		}
 	}
 }
 
-// One that stays deaf costs money and does nothing: it goes as an idle one does.
+// A machine that stays unreachable is returned as an idle one is.
 func TestUnreachableMachineIsReturned(t *testing.T) {
 	w, _ := loadedWorld(t, 10, "req-free-1")
 	id := slices.Sorted(maps.Keys(w.workers))[2]
