--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -180,14 +180,14 @@
 	if !b.announcements.has(cancelledJob) || b.reach.knownToAnother(b.announcements.of(cancelledJob)) {
 		t.Fatal("b is not the only one that knows")
 	}
-	for _, make1 := range []func(req uint64) Command{
+	for _, command := range []func(req uint64) Command{
 		func(req uint64) Command { return Status{Req: req, ID: cancelledJob} },
 		func(req uint64) Command { return Cancel{Req: req, ID: cancelledJob} },
 		func(req uint64) Command {
 			return Submit{Req: req, Body: []byte(submission(cancelledJob, "free", 40, ""))}
 		},
 	} {
-		if a := w.request("b", make1); a.Status != http.StatusServiceUnavailable {
+		if a := w.request("b", command); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("told %v while nobody else knows", a.Body)
 		}
 	}
--- a/internal/core/machinereturns.go
+++ b/internal/core/machinereturns.go
@@ -3,7 +3,7 @@
 import "time"
 
 // machineReturns tracks the machines that this node wants returned because a cancelled task
-// does not end on them, or because nothing is heard of them.
+// does not end on them, or because no controller knows of them.
 type machineReturns struct {
 	*environment
 	core *Core
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -9,7 +9,7 @@
 	if c.every(&c.timers.share, usageRecordInterval) {
 		b.Records = c.ownRecords()
 	}
-	b.HeardMachines, b.ReportSeqs = c.agents.takeReported()
+	b.ReportingMachines, b.ReportSeqs = c.agents.takeReported()
 	c.broadcast(PeerMessage{Heartbeat: &b})
 }
 
@@ -54,7 +54,7 @@
 			t.record, t.ranked = r, r
 		}
 	}
-	for i, id := range b.HeardMachines {
+	for i, id := range b.ReportingMachines {
 		m := c.machines.Get(id)
 		if m == nil {
 			continue
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -92,10 +92,10 @@
 	PendingWrites changesByRank `json:"d"`
 	// Records are the usage records of the teams that the sender leads.
 	Records map[string]fairness.Record `json:"r,omitempty"`
-	// HeardMachines names the machines that have reported to the sender since its last
+	// ReportingMachines names the machines that have reported to the sender since its last
 	// heartbeat, ReportSeqs the sequence numbers of their newest reports in the same order.
-	HeardMachines []string `json:"h,omitempty"`
-	ReportSeqs    []uint64 `json:"q,omitempty"`
+	ReportingMachines []string `json:"h,omitempty"`
+	ReportSeqs        []uint64 `json:"q,omitempty"`
 	// ID is unique to this heartbeat, Acknowledgements are the newest heartbeats that have
 	// come from each other controller, Unacknowledged names the controllers that the sender
 	// has cancellations for which they have not acknowledged.
--- a/internal/core/peertable.go
+++ b/internal/core/peertable.go
@@ -9,7 +9,7 @@
 )
 
 // peerTable holds what is known of the other controllers: whether a connection to them is
-// open, when they were last heard, and what their newest heartbeats say.
+// open, when their last message came, and what their newest heartbeats say.
 type peerTable struct {
 	self string
 	// names lists the other controllers in the order of the settings.
@@ -141,20 +141,20 @@
 	}
 }
 
-// lackStore tells whether at least half of the peers that were heard lately, and at least one,
+// lackStore tells whether at least half of the peers with recent contact, and at least one,
 // say that the store does not answer them. A controller without peers takes that for granted.
 func (t *peerTable) lackStore(now time.Duration) bool {
-	heard, down := 0, 0
+	recent, withoutStore := 0, 0
 	for _, p := range t.states {
 		if now-p.lastContact >= 2*t.contactTimeout {
 			continue
 		}
-		heard++
+		recent++
 		if !p.storeOK {
-			down++
+			withoutStore++
 		}
 	}
-	return len(t.states) == 0 || down > 0 && 2*down >= heard
+	return len(t.states) == 0 || withoutStore > 0 && 2*withoutStore >= recent
 }
 
 // freshUntil is the time up to which all peers have passed on every cancellation that they
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -456,7 +456,7 @@
 func asPreviousRelease(m PeerMessage) PeerMessage {
 	m.Cancellations, m.Acknowledged = nil, nil
 	if b := m.Heartbeat; b != nil {
-		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, PendingWrites: b.PendingWrites, Records: b.Records, HeardMachines: b.HeardMachines, ReportSeqs: b.ReportSeqs, Unreachable: b.Unreachable}
+		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, PendingWrites: b.PendingWrites, Records: b.Records, ReportingMachines: b.ReportingMachines, ReportSeqs: b.ReportSeqs, Unreachable: b.Unreachable}
 	}
 	return m
 }
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -37,18 +37,24 @@
 	})
 }
 
-// dueForUnreachableLeader tells whether a bound task is to be started by this node. The tasks of
-// a gang are started once all of them are bound.
-func (r *storeRelay) dueForUnreachableLeader(ref job.TaskRef, b *job.Binding, session *agentSession, m *worker.Machine) bool {
-	j := ref.Job
-	incompleteGang := j.Kind == job.Gang && len(j.Bound) < j.Tasks
-	if b.Token != session.token || b.Epoch != session.epoch || j.Cancelled || incompleteGang || !r.core.partitionedFromLeader(j) {
+// dueForUnreachableLeader tells whether a bound task is to be started by this node.
+func (r *storeRelay) dueForUnreachableLeader(
+	ref job.TaskRef, b *job.Binding, session *agentSession, m *worker.Machine,
+) bool {
+	if b.Token != session.token || b.Epoch != session.epoch || ref.Job.Cancelled {
 		return false
 	}
-	evidence, _ := m.Evidence(j.TaskID(ref.Index), b)
+	if isIncompleteGang(ref.Job) || !r.core.partitionedFromLeader(ref.Job) {
+		return false
+	}
+	evidence, _ := m.Evidence(ref.Job.TaskID(ref.Index), b)
 	return evidence == worker.Inconclusive
 }
 
+// isIncompleteGang tells whether tasks of a gang are not bound yet: its tasks are started once
+// all of them are.
+func isIncompleteGang(j *job.Job) bool { return j.Kind == job.Gang && len(j.Bound) < j.Tasks }
+
 // startForLeader forwards the start of a task that its leader may not be able to ask for.
 func (r *storeRelay) startForLeader(j *job.Job, i int, b *job.Binding) {
 	r.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
