--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -97,7 +97,7 @@
 		for b.Loop() {
 			c.effects = nil
 			j.MarkDirty(0)
-			c.flushJob(c.teamBy[j.Team], j)
+			c.writer.flushJob(c.teamBy[j.Team], j)
 			c.handle(StoreReply{ID: c.ids.last, Outcome: Applied, Revision: 2})
 		}
 	})
@@ -132,9 +132,9 @@
 			for b.Loop() {
 				c.now.Steady += time.Nanosecond
 				c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
-				c.writeBudget.refilledAt, c.writeBudget.level, c.writeBudget.pausedUntil = c.now.Steady, 0, 0
+				c.writer.budget.refilledAt, c.writer.budget.level, c.writer.budget.pausedUntil = c.now.Steady, 0, 0
 				c.schedule()
-				c.flushJobs()
+				c.writer.flushJobs()
 			}
 		})
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -31,21 +31,23 @@
 	ended   endedJobs
 	// announcements holds the cancellations that are announced to the other controllers.
 	announcements *announcer
-	upgrade       upgradeTracker
+	upgrade       *upgradeTracker
 	// limits are those of the store on what this controller writes.
-	limits       storeLimits
+	limits storeLimits
+	chunks *chunkPolicy
+	// writer stores the jobs of the teams that this node leads.
+	writer       *jobWriter
 	dependencies *dependencies
 	// handoffs mirrors the hand-offs to and from other sites.
 	handoffs handoffReplica
 
 	// Machines.
-	catalog     catalog.Catalog
-	machines    *worker.Registry
-	agents      *agentController
-	reconciler  *reconciler
-	rebalancer  rebalancer
-	writeBudget writeBudget
-	lookups     *lookupController
+	catalog    catalog.Catalog
+	machines   *worker.Registry
+	agents     *agentController
+	reconciler *reconciler
+	rebalancer rebalancer
+	lookups    *lookupController
 
 	reach *reachability
 	// storeOK tells whether the store answers this node.
@@ -96,6 +98,9 @@
 		autoscaler:  newAutoscaler(),
 		stats:       jobstats.New(),
 	}
+	c.upgrade = newUpgradeTracker(c.environment, c.members.roster)
+	c.chunks = &chunkPolicy{environment: c.environment, limits: &c.limits, upgrade: c.upgrade, machines: c.machines}
+	c.writer = &jobWriter{environment: c.environment, core: c}
 	c.messenger = &messenger{environment: c.environment, peers: newPeerTable(cfg)}
 	c.agents = newAgentController(c)
 	c.reconciler = newReconciler(c)
@@ -109,7 +114,6 @@
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
 	}
-	c.upgrade = newUpgradeTracker(c.members.roster)
 	return c
 }
 
@@ -125,7 +129,7 @@
 	c.schedule()
 	c.lookups.sendDue()
 	c.shareClaims()
-	c.flushJobs()
+	c.writer.flushJobs()
 	return c.effects
 }
 
--- a/internal/core/handofftxns.go
+++ b/internal/core/handofftxns.go
@@ -111,7 +111,7 @@
 	spec.ID, spec.Accepted = incoming.LocalID, c.now.Wall
 	key := jobKey(spec.ID)
 	txn.If = append(txn.If, protocol.Condition{Key: key}, protocol.Condition{Key: keyState + spec.ID})
-	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: c.newJob(*spec).Head()})
+	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: c.chunks.newJob(*spec).Head()})
 	return txn, true
 }
 
--- a/internal/core/jobflush.go
+++ b/internal/core/jobflush.go
@@ -8,27 +8,34 @@
 	"pepperlever/internal/core/job"
 )
 
+// jobWriter stores the jobs of the teams that this node leads.
+type jobWriter struct {
+	*environment
+	core   *Core
+	budget writeBudget
+}
+
 // flushJobs stores what has changed of the jobs of the teams that this node leads, what users
 // wait for first, as far as the write budget goes. The longer a job waits the more of its
 // changes share one write.
-func (c *Core) flushJobs() {
-	budget := &c.writeBudget
-	if c.now.Steady < budget.pausedUntil {
+func (w *jobWriter) flushJobs() {
+	budget := &w.budget
+	if w.now.Steady < budget.pausedUntil {
 		return
 	}
-	budget.refill(c.now.Steady, c.jobWriteRate())
-	due := c.dueJobs()
+	budget.refill(w.now.Steady, w.jobWriteRate())
+	due := w.dueJobs()
 	if budget.exhausted() {
 		return
 	}
 	slices.SortFunc(due, compareWrites)
 	for n, j := range due {
 		if budget.exhausted() {
-			c.warnBudgetExhausted(due[n:])
+			w.warnBudgetExhausted(due[n:])
 			return
 		}
-		c.resolveConflict(j)
-		c.flushJob(c.teamBy[j.Team], j)
+		w.core.resolveConflict(j)
+		w.flushJob(w.core.teamBy[j.Team], j)
 	}
 }
 
@@ -42,15 +49,15 @@
 }
 
 // dueJobs lists the jobs whose changes are to be stored now, and counts the changes.
-func (c *Core) dueJobs() []*job.Job {
+func (w *jobWriter) dueJobs() []*job.Job {
 	var due []*job.Job
 	var changes changesByRank
-	for _, t := range c.teams {
+	for _, t := range w.core.teams {
 		if !t.leading {
 			continue
 		}
 		for _, j := range t.jobs {
-			if !j.Dirty() || !c.flushDue(j) {
+			if !j.Dirty() || !w.flushDue(j) {
 				continue
 			}
 			changes[writeRank(j)] += headChanges + j.DirtyChunks()
@@ -59,36 +66,50 @@
 			}
 		}
 	}
-	c.writeBudget.due = changes
+	w.budget.due = changes
 	return due
 }
 
 // warnBudgetExhausted tells the operator now and then that starts wait for the store's write
 // rate and not for capacity.
-func (c *Core) warnBudgetExhausted(waiting []*job.Job) {
-	if waiting[0].Urgent && c.every(&c.writeBudget.nextWarning, 10*c.reportInterval()) {
-		c.log(Info, "store write budget exhausted", "pending_jobs", len(waiting), "changes_per_second", c.writeBudget.rate)
+func (w *jobWriter) warnBudgetExhausted(waiting []*job.Job) {
+	if waiting[0].Urgent && w.every(&w.budget.nextWarning, 10*w.reportInterval()) {
+		w.log(Info, "store write budget exhausted", "pending_jobs", len(waiting), "changes_per_second", w.budget.rate)
+	}
+}
+
+// jobWriteRate is this controller's share of the store's write rate for jobs.
+func (w *jobWriter) jobWriteRate() float64 {
+	own := &w.budget.due
+	all := *own
+	for node, pending := range w.core.peers.pendingWrites() {
+		if w.core.reach.hasContact(node) {
+			for rank, changes := range pending {
+				all[rank] += changes
+			}
+		}
 	}
+	return own.share(all, w.core.limits.writeRate()*jobsShare, w.core.members.size())
 }
 
 // gatherTime is how long the finished tasks of a job gather before they are stored: the more
 // jobs there are the longer.
-func (c *Core) gatherTime() time.Duration {
-	return seconds(float64(len(c.jobs)) / (c.limits.writeRate() * jobsShare * endsShare))
+func (w *jobWriter) gatherTime() time.Duration {
+	return seconds(float64(len(w.core.jobs)) / (w.core.limits.writeRate() * jobsShare * endsShare))
 }
 
 // flushDue tells whether a job's changes are to be stored now. Finished tasks gather for a
 // while: until they are stored their workers keep reporting them, so a crash loses nothing.
-func (c *Core) flushDue(j *job.Job) bool {
+func (w *jobWriter) flushDue(j *job.Job) bool {
 	if j.Complete() || j.Cancelled {
 		return true
 	}
 	if j.Urgent {
-		return c.now.Steady >= max(j.StoredAt+c.reportInterval()/30, j.ClaimedAt+c.claimWindow())
+		return w.now.Steady >= max(j.StoredAt+w.reportInterval()/30, j.ClaimedAt+w.core.claimWindow())
 	}
-	wait := max(c.reportInterval(), c.gatherTime())
-	if c.writeBudget.low() {
+	wait := max(w.reportInterval(), w.gatherTime())
+	if w.budget.low() {
 		wait *= 3
 	}
-	return c.now.Steady >= j.StoredAt+wait
+	return w.now.Steady >= j.StoredAt+wait
 }
--- a/internal/core/jobupdate.go
+++ b/internal/core/jobupdate.go
@@ -31,23 +31,25 @@
 
 // flushJob stores a job, on the condition that this node still leads its team and nobody else
 // has changed the job.
-func (c *Core) flushJob(t *team, j *job.Job) {
+func (w *jobWriter) flushJob(t *team, j *job.Job) {
 	update := &jobUpdate{
 		team:    t,
 		job:     j,
-		nonce:   fmt.Sprintf("%s.%d", c.members.incarnation, c.ids.next()),
+		nonce:   fmt.Sprintf("%s.%d", w.core.members.incarnation, w.ids.next()),
 		attempt: j.Attempt,
 	}
 	j.Nonce = update.nonce
 	update.require(t.leaderCondition())
 	update.require(protocol.Condition{Key: jobKey(j.ID), Version: j.Version})
-	c.splitChunks(j)
-	update.takeChunks(&c.limits)
-	c.addHead(update)
+	if w.core.chunks.split(j) {
+		w.core.counts.SplitJobs++
+	}
+	update.takeChunks(&w.core.limits)
+	w.addHead(update)
 
-	j.InFlight, j.Urgent, j.StoredAt = true, false, c.now.Steady
-	c.writeBudget.spend(len(update.txn.Then))
-	c.sendUpdate(update)
+	j.InFlight, j.Urgent, j.StoredAt = true, false, w.now.Steady
+	w.budget.spend(len(update.txn.Then))
+	w.sendUpdate(update)
 }
 
 // require adds conditions of the update.
@@ -90,7 +92,7 @@
 }
 
 // addHead adds the head, or its removal, and the conditions of bindings.
-func (c *Core) addHead(u *jobUpdate) {
+func (w *jobWriter) addHead(u *jobUpdate) {
 	j := u.job
 	head := jobKey(j.ID)
 	switch u.finalState {
@@ -102,18 +104,18 @@
 		)
 	case protocol.Cancelled:
 		u.change(protocol.Change{Delete: head})
-		c.addCancelledEnd(u)
+		w.addCancelledEnd(u)
 	default:
 		u.change(protocol.Change{Put: head, Value: j.Head()})
-		c.addBindings(u)
+		w.addBindings(u)
 	}
 }
 
 // addCancelledEnd adds what else ends a cancelled job: its user's cancellation has stored the
 // final state; one that was cancelled with a dependency has none yet.
-func (c *Core) addCancelledEnd(u *jobUpdate) {
+func (w *jobWriter) addCancelledEnd(u *jobUpdate) {
 	id := u.job.ID
-	if c.userCancelled(id) {
+	if w.core.userCancelled(id) {
 		u.change(protocol.Change{Delete: cancelKey(id)})
 		return
 	}
@@ -124,7 +126,7 @@
 // addBindings lists the bindings that become stored by the update, and adds the conditions
 // under which they may: the job is not cancelled or handed off, and no machine of theirs is
 // cordoned.
-func (c *Core) addBindings(u *jobUpdate) {
+func (w *jobWriter) addBindings(u *jobUpdate) {
 	j := u.job
 	machines := map[string]bool{}
 	for i, b := range ordered(j.Bound) {
@@ -139,10 +141,10 @@
 	}
 	if len(u.bindings) > 0 {
 		u.require(protocol.Condition{Key: cancelKey(j.ID)})
-		u.require(c.notHandedOff(j.ID)...)
+		u.require(w.core.notHandedOff(j.ID)...)
 	}
 }
 
-func (c *Core) sendUpdate(u *jobUpdate) {
-	c.compareAndSwap(u.txn, true, func(r StoreReply) { c.onUpdateReply(u, r) })
+func (w *jobWriter) sendUpdate(u *jobUpdate) {
+	w.compareAndSwap(u.txn, true, func(r StoreReply) { w.onUpdateReply(u, r) })
 }
--- a/internal/core/jobupdate_test.go
+++ b/internal/core/jobupdate_test.go
@@ -21,7 +21,7 @@
 		if own {
 			nonce = u.nonce
 		}
-		c.onHeadRead(u, StoreReply{
+		c.writer.onHeadRead(u, StoreReply{
 			Outcome: Applied,
 			Item:    protocol.KeyValue{Value: mustjson.Marshal(map[string]string{"w": nonce}), Version: 99},
 		})
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -56,7 +56,7 @@
 	if members.lease == 0 || !members.registered() || c.ignoresHandoffs() {
 		return
 	}
-	c.stateVersion()
+	c.upgrade.stateVersion()
 	for i, s := range c.allShards() {
 		preferred := members.preferredLeader(i, c.handoffs.anyStored())
 		prefersSelf := preferred == members.self
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -108,3 +108,12 @@
 func (l *storeLimits) maxRelayPages() int {
 	return max(2, min(l.maxChanges(), protocol.MaxBody*3/4/l.relayPageBytes()))
 }
+
+// storeLimitLowered notes that the store's limits of after the upgrade are in force.
+func (c *Core) storeLimitLowered() {
+	if c.limits.writeRateLowered {
+		return
+	}
+	c.limits.writeRateLowered = true
+	c.log(Info, "store write rate lowered", "changes_per_second", c.limits.writeRate())
+}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -30,7 +30,7 @@
 				EstimateS: 1234.5,
 				Accepted:  1_790_000_000_000,
 			}
-			j := c.newJob(s)
+			j := c.chunks.newJob(s)
 			for i := range s.Tasks {
 				j.Bind(i, &job.Binding{Machine: fmt.Sprintf(name, i), Attempt: 99_999, Token: 99_999, Epoch: 99})
 			}
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -19,7 +19,7 @@
 	return NodeHeartbeat{
 		Revision:         c.replica.revision,
 		StoreOK:          c.storeOK,
-		PendingWrites:    c.writeBudget.due,
+		PendingWrites:    c.writer.budget.due,
 		ID:               c.freshness.nextHeartbeatID(c.members.incarnation),
 		Acknowledgements: c.peers.heartbeatIDs(c.members.roster),
 		Unacknowledged:   c.announcements.unacknowledgedBy(c.members.roster, c.peers),
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -156,7 +156,7 @@
 			c.intents.put(strings.TrimPrefix(key, keyIntent), intent, item.Version, c.fleet.leading)
 		}
 	case strings.HasPrefix(key, keyVersion):
-		err = c.onVersionPut(item)
+		err = c.upgrade.onVersionPut(item)
 	case strings.HasPrefix(key, keyRecord):
 		err = c.onUsageRecordPut(item)
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -87,7 +87,7 @@
 // accept stores a job, and answers its user once that is done.
 func (c *Core) accept(req uint64, t *team, spec *job.Spec) {
 	spec.Accepted = c.now.Wall
-	head := c.newJob(*spec).Head()
+	head := c.chunks.newJob(*spec).Head()
 	key := jobKey(spec.ID)
 	txn := protocol.Txn{
 		If:   []protocol.Condition{{Key: keyState + spec.ID}, {Key: key}},
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -81,20 +81,6 @@
 	return max(share+left/float64(controllers), least)
 }
 
-// jobWriteRate is this controller's share of the store's write rate for jobs.
-func (c *Core) jobWriteRate() float64 {
-	own := &c.writeBudget.due
-	all := *own
-	for node, pending := range c.peers.pendingWrites() {
-		if c.reach.hasContact(node) {
-			for rank, changes := range pending {
-				all[rank] += changes
-			}
-		}
-	}
-	return own.share(all, c.limits.writeRate()*jobsShare, c.members.size())
-}
-
 // writeRank orders what waits to be stored: ends that users are told of, then starts by
 // priority, then the rest. Work of the lowest priority waits for all other starts, its ends too.
 // Nobody waits for the stored end of a job that was cancelled before it could begin: a cascade
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -10,8 +10,8 @@
 
 // flushed lists the jobs that are written with this many changes saved up.
 func flushed(c *Core, level float64) []string {
-	c.effects, c.writeBudget.refilledAt, c.writeBudget.level = nil, c.now.Steady, level
-	c.flushJobs()
+	c.effects, c.writer.budget.refilledAt, c.writer.budget.level = nil, c.now.Steady, level
+	c.writer.flushJobs()
 	var out []string
 	for _, e := range c.effects {
 		if txn, ok := e.(StoreTxn); ok {
@@ -44,12 +44,12 @@
 	c.now.Steady = time.Hour
 	j := c.jobs["req-0"]
 	j.Finish(0)
-	c.writeBudget.refill(c.now.Steady, c.jobWriteRate())
-	j.StoredAt = c.now.Steady - 2*max(c.reportInterval(), c.gatherTime())
-	if got := flushed(c, savingsSeconds*c.writeBudget.rate/4); len(got) > 0 {
+	c.writer.budget.refill(c.now.Steady, c.writer.jobWriteRate())
+	j.StoredAt = c.now.Steady - 2*max(c.reportInterval(), c.writer.gatherTime())
+	if got := flushed(c, savingsSeconds*c.writer.budget.rate/4); len(got) > 0 {
 		t.Errorf("stored %v without savings", got)
 	}
-	if got := flushed(c, savingsSeconds*c.writeBudget.rate); len(got) != 1 {
+	if got := flushed(c, savingsSeconds*c.writer.budget.rate); len(got) != 1 {
 		t.Errorf("stored %v with savings", got)
 	}
 }
@@ -61,12 +61,12 @@
 	all := c.cfg.Params.State.WriteRPS * jobsShare
 	other := c.peers.get(c.cfg.Peers[0].Node)
 	other.lastContact, other.pendingWrites = c.now.Steady, changesByRank{4: 500}
-	c.writeBudget.due = changesByRank{2: int(all)}
-	if got := c.jobWriteRate(); got < 0.9*all {
+	c.writer.budget.due = changesByRank{2: int(all)}
+	if got := c.writer.jobWriteRate(); got < 0.9*all {
 		t.Errorf("urgent starts have %v of %v changes a second", got, all)
 	}
-	c.writeBudget.due, other.pendingWrites = changesByRank{4: 500}, changesByRank{}
-	if got := c.jobWriteRate(); got < 0.9*all {
+	c.writer.budget.due, other.pendingWrites = changesByRank{4: 500}, changesByRank{}
+	if got := c.writer.jobWriteRate(); got < 0.9*all {
 		t.Errorf("a swarm alone has %v of %v changes a second", got, all)
 	}
 }
