--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -52,7 +52,7 @@
 	if c.leads(j) {
 		j.MarkDirty(0)
 		c.log(Info, "job is suspected of a mistake", "job", j.ID, "team", j.Team, "class", j.Class,
-			"failed on", j.FailedOn, "does", "tries one task at a time until one succeeds or its user cancels it")
+			"failed_on", j.FailedOn, "effect", "tries one task at a time until one succeeds or its user cancels it")
 	}
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -107,7 +107,9 @@
 
 // mustShare tells whether the other controllers have to see a report. Of one that says the
 // same as the one before, this node's own heartbeats say enough: the machine is alive.
-func (a *agentController) mustShare(session *agentSession, m *worker.Machine, report *protocol.Report, direct bool) bool {
+func (a *agentController) mustShare(
+	session *agentSession, m *worker.Machine, report *protocol.Report, direct bool,
+) bool {
 	known := m.Node == a.cfg.Node && m.GrantedToken == session.token &&
 		m.HasSameContent(report) && m.IsNewer(report) && !m.MissedAnswer(report.Token)
 	switch {
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -100,7 +100,7 @@
 
 // recordArrival notes where a worker reports that was sent on. It returns the controller that
 // the worker could not reach, if that begins a pause, and how long the pause is.
-func (r *rebalancer) recordArrival(machine, node string, now, lease time.Duration) (unreached string, pause time.Duration) {
+func (r *rebalancer) recordArrival(machine, node string, now, lease time.Duration) (string, time.Duration) {
 	target, wasSent := r.redirected[machine]
 	if !wasSent {
 		return "", 0
@@ -153,6 +153,7 @@
 func (c *Core) recordArrival(machine, node string) {
 	unreached, pause := c.rebalancer.recordArrival(machine, node, c.now.Steady, c.times.lease())
 	if unreached != "" {
-		c.log(Info, "controller cannot be reached by workers", "node", unreached, "does", "sends it none", "for", pause)
+		c.log(Info, "controller cannot be reached by workers", "node", unreached,
+			"effect", "no workers are redirected to it", "backoff", pause)
 	}
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -71,7 +71,7 @@
 	case worker.Present:
 		b.State = t.State
 	case worker.Absent:
-		r.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "was", b.State)
+		r.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "state", b.State)
 		r.core.unbind(j, i)
 	case worker.Exited:
 		r.taskEnded(j, i, m, t)
--- a/internal/core/startforwarding.go
+++ b/internal/core/startforwarding.go
@@ -140,7 +140,9 @@
 // still comes for one is refused, since the replica is past it.
 func (a *agentController) expireStartDecisions() {
 	isObsolete := func(machine string, attempt taskAttempt, decision startDecision) bool {
-		return a.core.replica.shows(decision.revision) && a.isReplicaCurrent(attempt) && !a.storeHasBinding(machine, attempt)
+		return a.core.replica.shows(decision.revision) &&
+			a.isReplicaCurrent(attempt) &&
+			!a.storeHasBinding(machine, attempt)
 	}
 	isKnown := func(machine string) bool {
 		return a.session(machine) != nil || a.core.machines.Get(machine) != nil
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -67,7 +67,7 @@
 	if b == nil || !b.Stored || b.Attempt != refusal.Attempt || b.Machine != refusal.Machine {
 		return
 	}
-	r.log(Debug, "start was refused", "task", refusal.Task, "machine", refusal.Machine)
+	r.log(Debug, "start refusal received", "task", refusal.Task, "machine", refusal.Machine)
 	if m := r.core.machines.Get(refusal.Machine); m != nil {
 		m.FullAt = r.now.Steady // not again before something has changed
 	}
