--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -125,7 +125,7 @@
 		c.handle(cmd)
 	}
 	c.periodic()
-	c.runFederation()
+	c.federation.run()
 	c.schedule()
 	c.lookups.sendDue()
 	c.shareClaims()
@@ -182,7 +182,7 @@
 	case ReleaseResult:
 		c.handleRelease(m)
 	case SiteMessageReceived:
-		c.handleSiteMessage(m.Message)
+		c.federation.handleSiteMessage(m.Message)
 	case SiteConnected:
 		c.federation.peerReachable(m.Site)
 	case SiteConfig:
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -11,6 +11,7 @@
 // federationAdapter connects the coordinator of hand-offs between sites to the core. The
 // coordinator runs on one controller at a time: the leader of the adapter's own shard.
 type federationAdapter struct {
+	core   *Core
 	config *federation.Config
 	shard  *shard
 	// coordinator is nil while another controller leads the shard.
@@ -33,6 +34,7 @@
 // Join makes this site part of a federation. It is called before the first Step.
 func (c *Core) Join(config *federation.Config) {
 	c.federation = &federationAdapter{
+		core:             c,
 		config:           config,
 		shard:            &shard{name: "gateway", key: keyFederation},
 		pendingWrites:    map[uint64]bool{},
@@ -40,13 +42,13 @@
 		lookingUp:        map[string]bool{},
 		operators:        newOperatorRequests(),
 	}
-	c.limitFederationWrites()
+	c.federation.limitWrites()
 }
 
-// limitFederationWrites keeps the coordinator's writes within the store's limits. One change
+// limitWrites keeps the coordinator's writes within the store's limits. One change
 // of a write that forgets decisions raises the low-water mark.
-func (c *Core) limitFederationWrites() {
-	c.federation.config.MaxForget = c.limits.maxChanges() - 1
+func (f *federationAdapter) limitWrites() {
+	f.config.MaxForget = f.core.limits.maxChanges() - 1
 }
 
 // running tells whether the coordinator runs on this controller.
@@ -113,11 +115,11 @@
 
 // canRunElsewhere tells whether a job that can never run here may go to a site that has
 // what it asks for.
-func (c *Core) canRunElsewhere(spec *job.Spec) bool {
-	if c.federation == nil || len(spec.Dependencies) > 0 {
+func (f *federationAdapter) canRunElsewhere(spec *job.Spec) bool {
+	if f == nil || len(spec.Dependencies) > 0 {
 		return false
 	}
-	return c.federation.config.CanRunElsewhere(spec.Class, spec.Zone, spec.Types)
+	return f.config.CanRunElsewhere(spec.Class, spec.Zone, spec.Types)
 }
 
 // updateFederationConfig takes the configuration file, read again.
@@ -128,7 +130,7 @@
 		return
 	}
 	f.config = config
-	c.limitFederationWrites()
+	c.federation.limitWrites()
 	if f.running() {
 		f.add(federation.ConfigChanged{Config: config})
 	}
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -15,22 +15,22 @@
 // time.
 const maxOfferedJobs = 64
 
-// jobsForFederation lists the waiting jobs that may go to another site, the most urgent first,
+// waitingJobs lists the waiting jobs that may go to another site, the most urgent first,
 // and for how long work waits here.
-func (c *Core) jobsForFederation() federation.JobsWaiting {
-	jobs, longestWait := c.unboundJobs()
+func (f *federationAdapter) waitingJobs() federation.JobsWaiting {
+	jobs, longestWait := f.unboundJobs()
 	waiting := federation.JobsWaiting{LongestWaitS: longestWait.Seconds()}
-	if !c.members.allKnowFederation() {
+	if !f.core.members.allKnowFederation() {
 		return waiting
 	}
 	for _, j := range jobs {
 		if len(waiting.Jobs) == maxOfferedJobs {
 			break
 		}
-		infeasible := c.catalog.Loaded() && c.submissionCheck().reject(c.teamBy[j.Team], &j.Spec) != nil
-		waited := c.now.Steady - j.PendingSince
-		if infeasible || c.federation.config.MayOffer(j.Class, waited) {
-			waiting.Jobs = append(waiting.Jobs, c.offerableJob(j, waited, infeasible))
+		infeasible := f.core.catalog.Loaded() && f.core.submissionCheck().reject(f.core.teamBy[j.Team], &j.Spec) != nil
+		waited := f.core.now.Steady - j.PendingSince
+		if infeasible || f.config.MayOffer(j.Class, waited) {
+			waiting.Jobs = append(waiting.Jobs, f.offerableJob(j, waited, infeasible))
 		}
 	}
 	return waiting
@@ -38,14 +38,14 @@
 
 // unboundJobs lists the jobs that may be handed off, the most urgent first, and for how long
 // the oldest of them has waited that is neither suspected nor of the lowest priority.
-func (c *Core) unboundJobs() (jobs []*job.Job, longestWait time.Duration) {
-	for _, t := range c.teams {
+func (f *federationAdapter) unboundJobs() (jobs []*job.Job, longestWait time.Duration) {
+	for _, t := range f.core.teams {
 		for _, j := range ordered(t.jobs) {
-			if !c.canHandOff(j) {
+			if !f.canHandOff(j) {
 				continue
 			}
 			if !j.Suspected && !isBestEffort(j) {
-				longestWait = max(longestWait, c.now.Steady-j.PendingSince)
+				longestWait = max(longestWait, f.core.now.Steady-j.PendingSince)
 			}
 			jobs = append(jobs, j)
 		}
@@ -61,18 +61,18 @@
 
 // canHandOff tells whether nothing of a job was ever bound: only such are handed off, and
 // none that awaits others, which another site does not know.
-func (c *Core) canHandOff(j *job.Job) bool {
+func (f *federationAdapter) canHandOff(j *job.Job) bool {
 	neverBound := j.Attempt == 0 && len(j.Bound) == 0
 	stored := j.Version > 0 && !j.InFlight
-	return neverBound && stored && !j.Cancelled && len(j.Dependencies) == 0 && !c.isOutgoing(j.ID)
+	return neverBound && stored && !j.Cancelled && len(j.Dependencies) == 0 && !f.core.isOutgoing(j.ID)
 }
 
 // offerableJob describes a waiting job to the coordinator. Clocks of sites differ, so of a
 // deadline it is told what is left.
-func (c *Core) offerableJob(j *job.Job, waited time.Duration, infeasible bool) federation.WaitingJob {
+func (f *federationAdapter) offerableJob(j *job.Job, waited time.Duration, infeasible bool) federation.WaitingJob {
 	spec := j.Spec
 	if spec.DeadlineS > 0 {
-		elapsedS := float64(c.now.Wall-spec.Accepted) / 1000
+		elapsedS := float64(f.core.now.Wall-spec.Accepted) / 1000
 		spec.DeadlineS = max(1, spec.DeadlineS-elapsedS)
 	}
 	offer := federation.WaitingJob{
@@ -85,32 +85,31 @@
 		Body:           mustjson.Marshal(spec.Submission()),
 	}
 	if id, incoming := federation.ParseLocalID(j.ID); incoming {
-		offer.Path = c.handoffs.Incoming[id].Path
+		offer.Path = f.core.handoffs.Incoming[id].Path
 	}
 	return offer
 }
 
 // lookUpIncomingJobs reads the final states of jobs of other sites that have ended here, for the
 // coordinator.
-func (c *Core) lookUpIncomingJobs() {
-	for _, incoming := range orderedBy(c.handoffs.Incoming, federation.CompareIncomingIDs) {
+func (f *federationAdapter) lookUpIncomingJobs() {
+	for _, incoming := range orderedBy(f.core.handoffs.Incoming, federation.CompareIncomingIDs) {
 		if !incoming.Accepted || incoming.FinalState != "" {
 			continue
 		}
-		j := c.jobs[incoming.LocalID]
+		j := f.core.jobs[incoming.LocalID]
 		if j == nil || j.Cancelled {
-			c.lookUpIncomingJob(incoming.LocalID)
+			f.lookUpIncomingJob(incoming.LocalID)
 		}
 	}
 }
 
-func (c *Core) lookUpIncomingJob(id string) {
-	f := c.federation
+func (f *federationAdapter) lookUpIncomingJob(id string) {
 	if f.lookingUp[id] {
 		return
 	}
 	f.lookingUp[id] = true
-	c.lookups.request(id, func(result lookup.Result) {
+	f.core.lookups.request(id, func(result lookup.Result) {
 		delete(f.lookingUp, id)
 		if result.Outcome == lookup.Final && f.running() {
 			f.add(federation.LocalJobEnded{LocalID: id, FinalState: result.State.State})
--- a/internal/core/federationoperators.go
+++ b/internal/core/federationoperators.go
@@ -56,7 +56,7 @@
 	case m.Op == ActionHandoffs:
 		c.reply(m.Req, http.StatusOK, federation.ListHandOffs(&c.handoffs.Records))
 	case f.running():
-		c.runOperatorRequest(operator{c.cfg.Node, m.Req}, m)
+		c.federation.runOperatorRequest(operator{c.cfg.Node, m.Req}, m)
 	case f.shard.leader == "":
 		c.replyUnavailable(m.Req)
 	default:
@@ -66,10 +66,9 @@
 
 // runOperatorRequest answers a query at the coordinator's leader, or hands an instruction to the
 // coordinator.
-func (c *Core) runOperatorRequest(from operator, m OperatorRequest) {
-	f := c.federation
+func (f *federationAdapter) runOperatorRequest(from operator, m OperatorRequest) {
 	if m.Op == ActionStatus {
-		c.replyOperator(from, http.StatusOK, SiteStatus{Node: c.cfg.Node, Status: f.coordinator.Status()})
+		f.replyOperator(from, http.StatusOK, SiteStatus{Node: f.core.cfg.Node, Status: f.coordinator.Status()})
 		return
 	}
 	id := f.operators.add(from)
@@ -84,23 +83,23 @@
 }
 
 // answerOperator ends an operator's request; users were answered at once.
-func (c *Core) answerOperator(answer federation.Answer) {
-	from, pending := c.federation.operators.take(answer.Req)
+func (f *federationAdapter) answerOperator(answer federation.Answer) {
+	from, pending := f.operators.take(answer.Req)
 	switch {
 	case !pending:
 	case answer.Error != "":
-		c.replyOperator(from, http.StatusConflict, protocol.Problem{Error: answer.Error})
+		f.replyOperator(from, http.StatusConflict, protocol.Problem{Error: answer.Error})
 	default:
-		c.replyOperator(from, http.StatusOK, OperatorResult{Message: answer.State})
+		f.replyOperator(from, http.StatusOK, OperatorResult{Message: answer.State})
 	}
 }
 
 // replyOperator answers an operator, by way of the controller that the request came from.
-func (c *Core) replyOperator(to operator, status int, body any) {
-	if to.node == c.cfg.Node {
-		c.reply(to.req, status, body)
+func (f *federationAdapter) replyOperator(to operator, status int, body any) {
+	if to.node == f.core.cfg.Node {
+		f.core.reply(to.req, status, body)
 		return
 	}
 	reply := &OperatorReply{Req: to.req, Status: status, Body: mustjson.Marshal(body)}
-	c.route(to.node, PeerMessage{Federation: &FederationNote{Reply: reply}})
+	f.core.route(to.node, PeerMessage{Federation: &FederationNote{Reply: reply}})
 }
--- a/internal/core/federationstep.go
+++ b/internal/core/federationstep.go
@@ -6,22 +6,21 @@
 	"pepperlever/internal/federation"
 )
 
-// runFederation hands the coordinator what has happened and carries its effects out.
-func (c *Core) runFederation() {
-	f := c.federation
-	if !f.running() || !c.replica.loaded {
+// run hands the coordinator what has happened and carries its effects out.
+func (f *federationAdapter) run() {
+	if !f.running() || !f.core.replica.loaded {
 		return
 	}
-	if c.every(&f.jobsAt, c.reportInterval()/6) {
-		f.add(c.jobsForFederation())
-		c.lookUpIncomingJobs()
+	if f.core.every(&f.jobsAt, f.core.reportInterval()/6) {
+		f.add(f.waitingJobs())
+		f.lookUpIncomingJobs()
 	}
-	if f.reloadDue(c.now.Steady) {
-		f.reload(c.handoffs.Records)
+	if f.reloadDue(f.core.now.Steady) {
+		f.reload(f.core.handoffs.Records)
 	}
-	for len(f.inputs) > 0 || c.every(&f.stepAt, c.reportInterval()/30) {
-		for _, effect := range f.coordinator.Step(c.now.Steady, f.takeInputs()...) {
-			c.carryOutFederation(effect)
+	for len(f.inputs) > 0 || f.core.every(&f.stepAt, f.core.reportInterval()/30) {
+		for _, effect := range f.coordinator.Step(f.core.now.Steady, f.takeInputs()...) {
+			f.carryOut(effect)
 		}
 		if !f.running() {
 			return
@@ -29,20 +28,20 @@
 	}
 }
 
-func (c *Core) carryOutFederation(effect federation.Effect) {
+func (f *federationAdapter) carryOut(effect federation.Effect) {
 	switch effect := effect.(type) {
 	case federation.StoreWrite:
-		c.storeFederationWrite(effect)
+		f.store(effect)
 	case federation.Reload:
-		c.federation.reloadAt = c.now.Steady + c.reportInterval()/6
+		f.reloadAt = f.core.now.Steady + f.core.reportInterval()/6
 	case federation.Send:
-		c.sendToSite(effect.Message)
+		f.sendToSite(effect.Message)
 	case federation.CancelLocal:
-		c.cancel(Cancel{ID: effect.LocalID})
+		f.core.cancel(Cancel{ID: effect.LocalID})
 	case federation.Answer:
-		c.answerOperator(effect)
+		f.answerOperator(effect)
 	case federation.Log:
-		c.log(federationLogLevel(effect), effect.Text, effect.Attrs...)
+		f.core.log(federationLogLevel(effect), effect.Text, effect.Attrs...)
 	default:
 		panic(fmt.Sprintf("core: unknown effect %T of the federation", effect))
 	}
@@ -56,11 +55,11 @@
 }
 
 // sendToSite sends a message to another site, with the progress of the job that it is about.
-func (c *Core) sendToSite(m federation.Message) {
-	incoming, accepted := c.handoffs.Incoming[federation.IncomingID{Origin: m.To, Epoch: m.Epoch}]
+func (f *federationAdapter) sendToSite(m federation.Message) {
+	incoming, accepted := f.core.handoffs.Incoming[federation.IncomingID{Origin: m.To, Epoch: m.Epoch}]
 	if accepted && m.Accepted {
-		progress := c.jobProgress(incoming.LocalID)
+		progress := f.core.jobProgress(incoming.LocalID)
 		m.Done, m.Running = progress.Done, progress.Running
 	}
-	c.emit(SendSite{Message: m})
+	f.core.emit(SendSite{Message: m})
 }
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -5,11 +5,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// storeFederationWrite carries out one write of the coordinator: a transaction on the condition
+// store carries out one write of the coordinator: a transaction on the condition
 // that this node still leads its shard, and on the records as the replica has them.
-func (c *Core) storeFederationWrite(w federation.StoreWrite) {
-	f := c.federation
-	txn, ok := c.handoffTxn(w.Write)
+func (f *federationAdapter) store(w federation.StoreWrite) {
+	txn, ok := f.handoffTxn(w.Write)
 	if !ok {
 		f.add(federation.WriteCompleted{ID: w.ID, Outcome: federation.Conflict})
 		return
@@ -17,15 +16,15 @@
 	txn.If = append(txn.If, f.shard.leaderCondition())
 	f.pendingWrites[w.ID] = true
 	coordinator := f.coordinator
-	c.compareAndSwap(txn, true, func(r StoreReply) {
+	f.core.compareAndSwap(txn, true, func(r StoreReply) {
 		if f.coordinator != coordinator {
 			return // the leadership was lost meanwhile; the replica follows the watch
 		}
 		delete(f.pendingWrites, w.ID)
 		if r.Outcome == Applied {
-			c.applyToReplica(txn.Then, r.Revision)
+			f.applyToReplica(txn.Then, r.Revision)
 			delete(f.foreignRevisions, r.Revision)
-			c.broadcastAcceptedHandoff(w.Write, r.Revision)
+			f.broadcastAccepted(w.Write, r.Revision)
 		}
 		f.add(federation.WriteCompleted{ID: w.ID, Outcome: federationOutcome(r.Outcome)})
 	})
@@ -43,25 +42,25 @@
 }
 
 // applyToReplica applies the changes of a transaction ahead of the watch.
-func (c *Core) applyToReplica(changes []protocol.Change, revision uint64) {
+func (f *federationAdapter) applyToReplica(changes []protocol.Change, revision uint64) {
 	for _, change := range changes {
 		if change.Delete == "" {
-			c.onPut(protocol.KeyValue{Key: change.Put, Value: change.Value, Version: revision})
+			f.core.onPut(protocol.KeyValue{Key: change.Put, Value: change.Value, Version: revision})
 			continue
 		}
-		c.onJobDelete(change.Delete, revision)
-		c.onDelete(change.Delete, revision)
-		c.handoffs.noteDeleted(change.Delete, revision)
+		f.core.onJobDelete(change.Delete, revision)
+		f.core.onDelete(change.Delete, revision)
+		f.core.handoffs.noteDeleted(change.Delete, revision)
 	}
 }
 
-// broadcastAcceptedHandoff tells the leader of an accepted job's team at once.
-func (c *Core) broadcastAcceptedHandoff(w federation.Write, revision uint64) {
+// broadcastAccepted tells the leader of an accepted job's team at once.
+func (f *federationAdapter) broadcastAccepted(w federation.Write, revision uint64) {
 	decision, ok := w.(federation.DecideIncoming)
 	if !ok || !decision.Incoming.Accepted {
 		return
 	}
-	if j := c.jobs[decision.Incoming.LocalID]; j != nil {
-		c.broadcastAccepted(protocol.KeyValue{Key: jobKey(j.ID), Value: j.Head(), Version: revision})
+	if j := f.core.jobs[decision.Incoming.LocalID]; j != nil {
+		f.core.broadcastAccepted(protocol.KeyValue{Key: jobKey(j.ID), Value: j.Head(), Version: revision})
 	}
 }
--- a/internal/core/handofftxns.go
+++ b/internal/core/handofftxns.go
@@ -10,42 +10,42 @@
 
 // handoffTxn is the transaction of a write of the coordinator. It is not ok if the replica shows
 // that it would fail.
-func (c *Core) handoffTxn(w federation.Write) (txn protocol.Txn, ok bool) {
+func (f *federationAdapter) handoffTxn(w federation.Write) (txn protocol.Txn, ok bool) {
 	switch w := w.(type) {
 	case federation.CreateOutgoing:
-		return c.createOutgoingTxn(w)
+		return f.createOutgoingTxn(w)
 	case federation.MarkAccepted:
-		return c.handoffs.changeOutgoingTxn(w.JobID, w.Epoch, func(out *federation.Outgoing) { out.Accepted = true })
+		return f.core.handoffs.changeOutgoingTxn(w.JobID, w.Epoch, func(out *federation.Outgoing) { out.Accepted = true })
 	case federation.MarkCancelRequested:
-		return c.handoffs.changeOutgoingTxn(w.JobID, w.Epoch, func(out *federation.Outgoing) { out.CancelRequested = true })
+		return f.core.handoffs.changeOutgoingTxn(w.JobID, w.Epoch, func(out *federation.Outgoing) { out.CancelRequested = true })
 	case federation.RevertOutgoing:
-		return c.revertOutgoingTxn(w)
+		return f.revertOutgoingTxn(w)
 	case federation.FinishOutgoing:
-		return c.finishOutgoingTxn(w)
+		return f.finishOutgoingTxn(w)
 	case federation.DecideIncoming:
-		return c.decideIncomingTxn(w)
+		return f.decideIncomingTxn(w)
 	case federation.FinishIncoming:
-		return c.handoffs.finishIncomingTxn(w)
+		return f.core.handoffs.finishIncomingTxn(w)
 	case federation.ForgetIncoming:
-		return c.handoffs.forgetIncomingTxn(w), true
+		return f.core.handoffs.forgetIncomingTxn(w), true
 	case federation.SetDrained:
-		return c.handoffs.setDrainedTxn(w), true
+		return f.core.handoffs.setDrainedTxn(w), true
 	case federation.SetLastEpoch:
-		return c.handoffs.setLastEpochTxn(w), true
+		return f.core.handoffs.setLastEpochTxn(w), true
 	}
 	panic(fmt.Sprintf("core: unknown write %T of the federation", w))
 }
 
 // createOutgoingTxn gives the right to run a job to another site. That the head is unchanged
 // shows that nothing is bound; a binding that comes later finds the record.
-func (c *Core) createOutgoingTxn(w federation.CreateOutgoing) (protocol.Txn, bool) {
+func (f *federationAdapter) createOutgoingTxn(w federation.CreateOutgoing) (protocol.Txn, bool) {
 	out := w.Outgoing
-	out.HandedOffAt = c.now.Wall
-	j := c.jobs[w.JobID]
-	if j == nil || !c.canHandOff(j) || !c.members.allKnowFederation() || out.Epoch != c.handoffs.LastEpochs[out.To]+1 {
+	out.HandedOffAt = f.core.now.Wall
+	j := f.core.jobs[w.JobID]
+	if j == nil || !f.canHandOff(j) || !f.core.members.allKnowFederation() || out.Epoch != f.core.handoffs.LastEpochs[out.To]+1 {
 		return protocol.Txn{}, false
 	}
-	conditions := c.handoffs.unchanged(lastEpochKey(out.To), outgoingKey(j.ID))
+	conditions := f.core.handoffs.unchanged(lastEpochKey(out.To), outgoingKey(j.ID))
 	return protocol.Txn{
 		If: append(conditions,
 			protocol.Condition{Key: jobKey(j.ID), Version: j.Version},
@@ -59,59 +59,59 @@
 }
 
 // revertOutgoingTxn takes the right to run a job back, or ends the job if its user wanted that.
-func (c *Core) revertOutgoingTxn(w federation.RevertOutgoing) (protocol.Txn, bool) {
-	outgoing := c.handoffs.isOutgoingUnder(w.JobID, w.Epoch)
+func (f *federationAdapter) revertOutgoingTxn(w federation.RevertOutgoing) (protocol.Txn, bool) {
+	outgoing := f.core.handoffs.isOutgoingUnder(w.JobID, w.Epoch)
 	if w.Cancelled {
-		return c.endOutgoingTxn(w.JobID, protocol.Cancelled), outgoing
+		return f.endOutgoingTxn(w.JobID, protocol.Cancelled), outgoing
 	}
 	key := outgoingKey(w.JobID)
-	return protocol.Txn{If: c.handoffs.unchanged(key), Then: []protocol.Change{{Delete: key}}}, outgoing
+	return protocol.Txn{If: f.core.handoffs.unchanged(key), Then: []protocol.Change{{Delete: key}}}, outgoing
 }
 
-func (c *Core) finishOutgoingTxn(w federation.FinishOutgoing) (protocol.Txn, bool) {
-	if c.jobs[w.JobID] == nil {
+func (f *federationAdapter) finishOutgoingTxn(w federation.FinishOutgoing) (protocol.Txn, bool) {
+	if f.core.jobs[w.JobID] == nil {
 		return protocol.Txn{}, false
 	}
-	return c.endOutgoingTxn(w.JobID, w.FinalState), c.handoffs.isOutgoingUnder(w.JobID, w.Epoch)
+	return f.endOutgoingTxn(w.JobID, w.FinalState), f.core.handoffs.isOutgoingUnder(w.JobID, w.Epoch)
 }
 
 // endOutgoingTxn stores the final state of a job at another site. The head of a cancelled one is
 // left to its leader, as any cancelled job's.
-func (c *Core) endOutgoingTxn(id, state string) protocol.Txn {
+func (f *federationAdapter) endOutgoingTxn(id, state string) protocol.Txn {
 	final := finalStateRecord{State: state}
 	var end protocol.Change
 	if state == protocol.Cancelled {
-		end = putJSON(cancelKey(id), cancelRecord{RequestedAt: c.now.Wall})
+		end = putJSON(cancelKey(id), cancelRecord{RequestedAt: f.core.now.Wall})
 	} else {
-		final.Tasks = c.jobs[id].Tasks
+		final.Tasks = f.core.jobs[id].Tasks
 		end = protocol.Change{Delete: jobKey(id)}
 	}
 	return protocol.Txn{
-		If:   append(c.handoffs.unchanged(outgoingKey(id)), protocol.Condition{Key: keyState + id}),
+		If:   append(f.core.handoffs.unchanged(outgoingKey(id)), protocol.Condition{Key: keyState + id}),
 		Then: []protocol.Change{putJSON(keyState+id, final), end, {Delete: outgoingKey(id)}},
 	}
 }
 
 // decideIncomingTxn stores a decision for good, with the job if it is accepted.
-func (c *Core) decideIncomingTxn(w federation.DecideIncoming) (protocol.Txn, bool) {
+func (f *federationAdapter) decideIncomingTxn(w federation.DecideIncoming) (protocol.Txn, bool) {
 	incoming := w.Incoming
-	incoming.DecidedAt = c.now.Wall
+	incoming.DecidedAt = f.core.now.Wall
 	txn := protocol.Txn{
-		If:   c.handoffs.unchanged(lowWaterMarkKey(w.ID.Origin), incomingKey(w.ID)),
+		If:   f.core.handoffs.unchanged(lowWaterMarkKey(w.ID.Origin), incomingKey(w.ID)),
 		Then: []protocol.Change{putJSON(incomingKey(w.ID), incoming)},
 	}
-	_, decided := c.handoffs.Incoming[w.ID]
+	_, decided := f.core.handoffs.Incoming[w.ID]
 	if !incoming.Accepted || decided {
 		return txn, !decided
 	}
-	spec, err := job.Parse(w.Ticket.Body, c.limits.maxSpecBytes())
+	spec, err := job.Parse(w.Ticket.Body, f.core.limits.maxSpecBytes())
 	if err != nil {
 		return txn, false
 	}
-	spec.ID, spec.Accepted = incoming.LocalID, c.now.Wall
+	spec.ID, spec.Accepted = incoming.LocalID, f.core.now.Wall
 	key := jobKey(spec.ID)
 	txn.If = append(txn.If, protocol.Condition{Key: key}, protocol.Condition{Key: keyState + spec.ID})
-	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: c.chunks.newJob(*spec).Head()})
+	txn.Then = append(txn.Then, protocol.Change{Put: key, Value: f.core.chunks.newJob(*spec).Head()})
 	return txn, true
 }
 
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -61,7 +61,7 @@
 	case m.Heartbeat != nil:
 		c.handleNodeHeartbeat(from, *m.Heartbeat)
 	case m.Federation != nil:
-		c.handleFederationNote(from, *m.Federation)
+		c.federation.handleNote(from, *m.Federation)
 	case m.Cancellations != nil:
 		c.announcements.receive(from, m.Cancellations)
 	case m.Acknowledged != nil:
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -34,7 +34,7 @@
 		c.replyRejected(m.Req, errReservedID)
 		return
 	}
-	if r := c.submissionCheck().reject(t, spec); r != nil && (t == nil || !c.canRunElsewhere(spec)) {
+	if r := c.submissionCheck().reject(t, spec); r != nil && (t == nil || !c.federation.canRunElsewhere(spec)) {
 		c.rejectSubmission(m.Req, spec.ID, r)
 		return
 	}
