--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -23,14 +23,14 @@
 	smallChunk  = 4
 )
 
-// storedJob is a job's home together with what the state service holds of the job.
+// storedJob is a job as its leader has it, together with what the store holds of the job.
 type storedJob struct {
 	t      *rapid.T
 	job    *Job
 	head   json.RawMessage
 	chunks map[ChunkKey]json.RawMessage
 	writes int
-	// known is what the state service holds of each task.
+	// known is what the store holds of each task.
 	known map[int]taskState
 }
 
@@ -134,9 +134,9 @@
 	}
 }
 
-// A job that was stored in the chunks of before is split at whatever moment, amid writes
-// that fail: whoever reads it finds all that was stored, at every moment, and no key of it
-// is left at the end.
+// A job that is stored in chunks of the former size is split at any moment, amid writes that
+// fail: whoever reads it finds all that was stored, at every moment, and no key of it is left at
+// the end.
 func TestSplitJobReadsBackAsItWasStored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(1, 3*formerChunk+3).Draw(t, "tasks")
@@ -157,7 +157,7 @@
 			case 2:
 				s.flushAll()
 				compare(t, s.job, s.read())
-			case 3: // another home goes on with what is stored
+			case 3: // another leader goes on with what is stored
 				s.flushAll()
 				s.job = s.read()
 			}
--- a/internal/core/job/ledger_test.go
+++ b/internal/core/job/ledger_test.go
@@ -32,7 +32,7 @@
 			if rng.IntN(20) == 0 {
 				j.Finish(i)
 			}
-		case 4: // another home has stored the job meanwhile
+		case 4: // another leader has stored the job meanwhile
 			other := New(j.Spec, 16, 0)
 			if err := other.LoadHead(j.Head()); err != nil {
 				t.Fatal(err)
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -21,9 +21,9 @@
 	"pepperlever/internal/settings"
 )
 
-// The files in testdata/production were written by the version that deploy/service.toml
-// names as production: samples of what it stores and says to other controllers, and the
-// fields of the types that it reads and writes.
+// productionFiles were written by the version that deploy/service.toml names as production:
+// samples of what it stores and sends to other controllers, and the fields of the types that it
+// reads and writes.
 const productionFiles = "testdata/production"
 
 // samples are values that production stored, by key, and messages that it sent.
@@ -44,12 +44,24 @@
 	return s
 }
 
-// sharedTypes are what controllers store and say, but for jobs, which the samples show.
+// sharedTypes are what controllers store and send, but for jobs, which the samples show. Their
+// names are those in fields.txt.
 func sharedTypes() map[string]any {
 	return map[string]any{
-		"message": PeerMessage{}, "node": nodeRecord{}, "home": leaderRecord{}, "mark": cordonRecord{}, "state": finalStateRecord{}, "counter": tokenCounter{},
-		"intent": rentalIntent{}, "record": usageRecord{}, "cancellation": cancelRecord{}, "page": relay.Page{}, "page beat": relayHeartbeat{},
-		"spec": job.Spec{}, "away": federation.Outgoing{}, "taken": federation.Incoming{},
+		"message":      PeerMessage{},
+		"node":         nodeRecord{},
+		"home":         leaderRecord{},
+		"mark":         cordonRecord{},
+		"state":        finalStateRecord{},
+		"counter":      tokenCounter{},
+		"intent":       rentalIntent{},
+		"record":       usageRecord{},
+		"cancellation": cancelRecord{},
+		"page":         relay.Page{},
+		"page beat":    relayHeartbeat{},
+		"spec":         job.Spec{},
+		"away":         federation.Outgoing{},
+		"taken":        federation.Incoming{},
 	}
 }
 
@@ -105,13 +117,13 @@
 	}
 }
 
-// What production has stored and said is understood whole, and written again as it was.
-func TestSamplesOfProductionAreUnderstood(t *testing.T) {
+// What production has stored and sent is read completely, and written again as it was.
+func TestMessagesOfProductionReadBack(t *testing.T) {
 	s := productionSamples(t)
 	kinds := map[string]int{}
 	for _, raw := range s.Messages {
 		var m PeerMessage
-		if err := strictly(raw, &m); err != nil {
+		if err := decodeStrictly(raw, &m); err != nil {
 			t.Errorf("%s: %v", raw, err)
 		}
 		for f, v := range ordered(keysOf(t, raw)) {
@@ -129,6 +141,11 @@
 			t.Errorf("no message of production has the field %s", kind)
 		}
 	}
+}
+
+// The heads of jobs that production has stored are read, and written again as they were.
+func TestHeadsOfProductionReadBack(t *testing.T) {
+	s := productionSamples(t)
 	cfg := testSettings("a")
 	cfg.Params.State.ValueKB = 1
 	read := New(cfg, settings.DefaultPolicy(), "a1")
@@ -197,9 +214,9 @@
 	accepted(t, w.submit("a", "req-free-1", 40, `,"vcpus":0.5`))
 	accepted(t, w.submit("b", "req-red-1", 4, `,"shape":"group","samePlace":true`))
 	w.run(5*time.Second, nil)
-	home := w.leaderOf("free")
-	w.crash(home)
-	w.expire(home)
+	leader := w.leaderOf("free")
+	w.crash(leader)
+	w.expire(leader)
 	if !w.run(3*time.Minute, w.finished("req-free-1", "req-red-1")) {
 		t.Error("jobs do not end")
 	}
@@ -208,8 +225,8 @@
 	}
 }
 
-// strictly reads JSON that has no field which is not known.
-func strictly(raw []byte, into any) error {
+// decodeStrictly reads JSON that has no unknown field.
+func decodeStrictly(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	return d.Decode(into)
--- a/internal/core/wire_test.go
+++ b/internal/core/wire_test.go
@@ -8,9 +8,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// The JSON library (segmentio, v0.5.4) corrupts memory where it reads a map from
-// strings to slices of strings: the garbage collector then ends the process, once in
-// some hundred runs of these tests and within seconds under a small heap.
+// The JSON library (segmentio, v0.5.4) corrupts memory where it reads a map from strings to slices
+// of strings, and the garbage collector then ends the process. So no type that is read may have
+// such a map, however deep.
 func TestNothingThatIsReadIsAMapOfStringSlices(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type, string)
