--- a/internal/core/failures_test.go
+++ b/internal/core/failures_test.go
@@ -35,8 +35,8 @@
 		t.Errorf("%d more starts in half a minute", n)
 	}
 	for _, c := range w.cores {
-		for id, why := range c.autoscaler.returnReasons {
-			t.Errorf("%s is given up: %s", id, why)
+		for id, reason := range c.autoscaler.returnReasons {
+			t.Errorf("%s is returned: %s", id, reason)
 		}
 	}
 	if !w.run(time.Minute, w.finished("req-red-1")) {
@@ -56,6 +56,7 @@
 	}
 }
 
+// A job that failed on several machines by bad luck runs on as soon as one task succeeds.
 func TestSuspicionEndsWithTheFirstSuccess(t *testing.T) {
 	w := newWorld(t).ready()
 	w.broken["req-blue-1"] = true
@@ -67,6 +68,7 @@
 	}
 }
 
+// A machine on which all tasks fail does not keep jobs from ending on others.
 func TestFaultyMachineIsReturnedAndItsTasksSucceedElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -8,6 +8,7 @@
 	"pepperlever/internal/protocol"
 )
 
+// Reports of tasks with malformed or unknown names are answered as others are.
 func TestMalformedReportsAreHarmless(t *testing.T) {
 	w := newWorld(t).ready()
 	for i, task := range []string{"", "x", "req-1/", "req-1/-4", "req-1/99999999999", "req-unknown/0"} {
@@ -57,7 +58,7 @@
 		a := w.cores["a"]
 		f.node = 0
 		w.report(f)
-		if k := a.agents.session(id); k != nil && (k.delivering || f.Token == k.token) {
+		if session := a.agents.session(id); session != nil && (session.delivering || f.Token == session.token) {
 			probed++
 		}
 	}
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// Workers spread over a controller that has come back in few moves.
 func TestRebalancingDoesNotOscillate(t *testing.T) {
 	w := busyWorld(t, 30)
 	w.run(20*time.Second, nil)
--- a/internal/core/registration_test.go
+++ b/internal/core/registration_test.go
@@ -35,8 +35,8 @@
 		if err := json.Unmarshal(w.kv[keyNode+"a"].Value, &n); err != nil || n.Incarnation != w.cores["a"].members.incarnation {
 			t.Errorf("%v late: the key of a is %s", late, w.kv[keyNode+"a"].Value)
 		}
-		if home := w.cores["b"].teamBy["red"].leader; home != "a" {
-			t.Errorf("%v late: the team of a has its home at %q", late, home)
+		if leader := w.cores["b"].teamBy["red"].leader; leader != "a" {
+			t.Errorf("%v late: the team of a is led by %q", late, leader)
 		}
 	}
 }
--- a/internal/core/silentmachines_test.go
+++ b/internal/core/silentmachines_test.go
@@ -149,7 +149,7 @@
 			t.Errorf("%s: %d tasks run on", name, w.onMachines(silentMachinesJob))
 		}
 		if len(w.workers) != machines {
-			t.Errorf("%s: %d machines were given back", name, machines-len(w.workers))
+			t.Errorf("%s: %d machines were returned", name, machines-len(w.workers))
 		}
 	}
 }
--- a/internal/core/stalereports_test.go
+++ b/internal/core/stalereports_test.go
@@ -16,7 +16,7 @@
 func TestDuplicateReportChangesNothing(t *testing.T) {
 	w, _ := loadedWorld(t, 10, "req-free-1")
 	f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
-	w.run(5*time.Second, nil) // beats have told of all reports
+	w.run(5*time.Second, nil) // heartbeats have announced all reports
 	node := w.cores["a"].machines.Get(f.Machine).Node
 	old := w.snapshot(f)
 	old.Tasks = nil // as it was before anything was started
@@ -44,7 +44,7 @@
 			}
 		}
 		if own := w.cores[node].agents.session(f.Machine); own.epoch != f.Session {
-			t.Errorf("%s: its controller went back to session %d", name, own.epoch)
+			t.Errorf("%s: its controller went back to epoch %d", name, own.epoch)
 		}
 	}
 	w.run(time.Minute, nil)
@@ -58,7 +58,7 @@
 	r := w.snapshot(w.workers[id])
 	w.workers[id].dead = true
 	if !w.run(time.Minute, func() bool { return w.workers[id] == nil }) {
-		t.Fatal("not given back")
+		t.Fatal("not returned")
 	}
 	w.run(3*time.Second, nil)
 	r.Seq += 100 // sent later than anything that was heard
@@ -105,13 +105,13 @@
 func TestDelayedReportAfterALeaderChange(t *testing.T) {
 	for name, meanwhile := range map[string]func(w *world, f *fakeWorker){
 		"its controller ended": func(w *world, f *fakeWorker) { n := w.names[f.node%5]; w.crash(n); w.expire(n) },
-		"a new session": func(w *world, f *fakeWorker) {
+		"a new epoch": func(w *world, f *fakeWorker) {
 			w.silentWorkers[f.Machine] = true
 			w.run(w.lease()*5/4, nil)
 			clear(w.silentWorkers)
 		},
-		"given back":               func(w *world, f *fakeWorker) { f.dead = true },
-		"the home has changed":     func(w *world, _ *fakeWorker) { h := w.leaderOf("free"); w.crash(h); w.expire(h) },
+		"returned":                 func(w *world, f *fakeWorker) { f.dead = true },
+		"the leader has changed":   func(w *world, _ *fakeWorker) { n := w.leaderOf("free"); w.crash(n); w.expire(n) },
 		"its task was cancelled":   func(w *world, _ *fakeWorker) { w.cancelJob("a", "req-free-1") },
 		"all controllers are back": func(w *world, _ *fakeWorker) { w.stopAllFor(time.Second) },
 	} {
@@ -137,7 +137,7 @@
 				w.run(w.cancelDeadline(), nil) // the world checks starts, limits and what is cancelled
 				for _, node := range w.names {
 					if m := w.cores[node].machines.Get(f.Machine); m != nil && (m.Session < f.Session || w.workers[f.Machine] == nil) {
-						t.Errorf("%s has the machine in session %d", node, m.Session)
+						t.Errorf("%s has the machine in epoch %d", node, m.Session)
 					}
 				}
 			})
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -9,7 +9,9 @@
 	"pepperlever/internal/protocol"
 )
 
-func TestStartHeldByTheNetworkIsRefusedAfterTheTaskWentElsewhere(t *testing.T) {
+// A delivery that the network holds back until its task has been started elsewhere is refused
+// by the worker.
+func TestDelayedStartIsRefusedAfterTheTaskWentElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	w.loseDeliveries = true
 	accepted(t, w.submit("a", "req-blue-1", 2, ""))
@@ -35,7 +37,8 @@
 	w.startedOnce()
 }
 
-func TestSilentMachineIsGivenBackAndItsTasksRunElsewhere(t *testing.T) {
+// Machines that are heard no more are returned, and their tasks run on others.
+func TestDeadMachineIsReturnedAndItsTasksRunElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 6, ""))
 	w.started("req-blue-1", 3)
@@ -47,6 +50,7 @@
 	}
 }
 
+// From a delivery without an answer to the next report, starts are refused.
 func TestStartsAreRefusedWhileAWorkerDoesNotAnswer(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
@@ -54,14 +58,14 @@
 		w.addWorker("z1", false)
 	}
 	w.run(8*time.Second, func() bool { return len(c.agents.byMachine) > 0 })
-	for id, k := range c.agents.all() {
-		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: k.token, Epoch: k.epoch, Need: job.Resources{CPUs: 1}}
-		if why := c.agents.refusalReasonFor(&s); why != "" {
-			t.Errorf("healthy: %s", why)
+	for id, session := range c.agents.all() {
+		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: session.token, Epoch: session.epoch, Need: job.Resources{CPUs: 1}}
+		if reason := c.agents.refusalReasonFor(&s); reason != "" {
+			t.Errorf("healthy: %s", reason)
 		}
-		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: k.token}})
+		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: session.token}})
 		w.step("a")
-		if why := c.agents.refusalReasonFor(&s); why == "" {
+		if reason := c.agents.refusalReasonFor(&s); reason == "" {
 			t.Error("a worker without an answer takes starts")
 		}
 		return
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -30,11 +30,12 @@
 		}
 		w.run(20*time.Second, nil) // the world checks whose each token is
 		if n < 5 {
-			t.Errorf("%d terms were written", n)
+			t.Errorf("%d tokens were written", n)
 		}
 	}
 }
 
+// A probe without an answer leaves no start unresolved, and needs no newer token.
 func TestHungMachineCostsOneTokenNotOnePerProbe(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 2, ""))
