--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,5 @@
-// Package core is the scheduler without input or output: commands and a time
-// go in, effects come out. It holds no clock, socket or goroutine.
+// Package core is the scheduler without input or output: commands and a time go in, effects come
+// out. It holds no clock, socket or goroutine.
 package core
 
 import (
@@ -14,52 +14,62 @@
 	"pepperlever/internal/settings"
 )
 
-// Core is the single owner of all state of a controller.
+// Core is the single owner of all state of a controller. Its components own the fields that they
+// change; Core keeps the order in which they act.
 type Core struct {
 	*environment
 	*messenger
 
-	// Replica of the store.
+	// The replica of the store.
+
 	replica replica
+	// members are the controllers of this deployment.
 	members membership
-	teams   []*team
-	teamBy  map[string]*team
-	fleet   *shard
+	// teams are in the order of the settings, fleet is the leadership of the machines.
+	teams  []*team
+	teamBy map[string]*team
+	fleet  *shard
+	// jobs holds the jobs that are not final, ended what is remembered of the others.
 	jobs    map[string]*job.Job
+	ended   endedJobs
 	cordons cordons
 	intents rentalIntents
-	ended   endedJobs
-	// announcements holds the cancellations that are announced to the other controllers.
-	announcements *announcer
-	upgrade       *upgradeTracker
-	// limits are those of the store on what this controller writes.
+	// handoffs holds the hand-offs to and from other sites.
+	handoffs handoffReplica
+	upgrade  *upgradeTracker
+
+	// Writes to the store.
+
 	limits storeLimits
 	chunks *chunkPolicy
-	// writer stores the jobs of the teams that this node leads.
-	writer       *jobWriter
-	dependencies *dependencies
-	// handoffs mirrors the hand-offs to and from other sites.
-	handoffs handoffReplica
+	writer *jobWriter
+	// storeOK tells whether the store answers this node.
+	storeOK bool
+
+	// Jobs and users.
+
+	announcements *announcer
+	dependencies  *dependencies
+	lookups       *lookupController
+	stats         *jobstats.Collector
+	counts        Counters
 
 	// Machines.
+
 	catalog    catalog.Catalog
 	machines   *worker.Registry
 	agents     *agentController
 	reconciler *reconciler
 	rebalancer rebalancer
-	lookups    *lookupController
+	returns    *machineReturns
 
-	reach *reachability
-	// storeOK tells whether the store answers this node.
-	storeOK   bool
+	// Other controllers and sites.
+
+	reach     *reachability
 	freshness *freshnessTracker
 	relay     *storeRelay
 	isolation isolationDetector
-	returns   *machineReturns
-	stats     *jobstats.Collector
-	counts    Counters
-
-	// federation is this site's gateway to others, nil without one.
+	// federation connects this site to others, nil without.
 	federation *federationAdapter
 
 	scheduler  scheduler
@@ -124,7 +134,7 @@
 	for _, cmd := range commands {
 		c.handle(cmd)
 	}
-	c.periodic()
+	c.runDuties()
 	c.federation.run()
 	c.schedule()
 	c.lookups.sendDue()
@@ -133,6 +143,7 @@
 	return c.effects
 }
 
+// handle hands a command to the component that it concerns.
 func (c *Core) handle(cmd Command) {
 	switch m := cmd.(type) {
 	case Submit:
@@ -194,19 +205,48 @@
 	}
 }
 
-func (c *Core) periodic() {
+// Intervals of duties, as parts of a report interval.
+const (
+	heartbeatsPerReport   = 3
+	observationsPerReport = 30
+	electionsPerReport    = 6
+	reconcilesPerReport   = 3
+	autoscalesPerReport   = 3
+)
+
+// usageStoreInterval is after how many updates the usage records are stored.
+const usageStoreInterval = 15
+
+// runDuties carries out the duties that are due. Their order is part of what a step does.
+func (c *Core) runDuties() {
 	report := c.reportInterval()
 	c.updateUsageRecords()
 	c.announcements.resolveLookups()
 	c.lookups.answerDeferred()
-	if c.every(&c.timers.heartbeat, report/3) {
+	if c.every(&c.timers.heartbeat, report/heartbeatsPerReport) {
 		c.sendHeartbeat()
 	}
-	c.flushObservations(report / 30)
-	if c.replica.loaded && c.every(&c.members.nextElection, report/6) {
+	c.flushObservations(report / observationsPerReport)
+	if c.replica.loaded {
+		c.runReplicaDuties(report)
+	}
+	if c.every(&c.timers.catalog, c.catalogInterval()) {
+		c.emit(FetchCatalog{})
+	}
+	if c.fleet.leading {
+		c.runFleetDuties(report)
+	}
+	if c.replica.loaded && c.every(&c.timers.record, usageStoreInterval*usageRecordInterval) {
+		c.storeUsageRecords()
+	}
+}
+
+// runReplicaDuties carries out the duties that go by the replica.
+func (c *Core) runReplicaDuties(report time.Duration) {
+	if c.every(&c.members.nextElection, report/electionsPerReport) {
 		c.electLeaders()
 	}
-	if c.replica.loaded && c.every(&c.timers.reconcile, report/3) {
+	if c.every(&c.timers.reconcile, report/reconcilesPerReport) {
 		c.announcements.repeat()
 		c.freshness.check(c.storeOK)
 		c.reconciler.reconcileAll()
@@ -214,27 +254,23 @@
 		c.agents.expireSessions()
 		c.agents.expireStartDecisions()
 	}
-	if c.replica.loaded {
-		c.dependencies.check()
-		c.dependencies.inheritUrgency()
-		c.relay.update()
-		c.checkIsolation()
-	}
-	if c.every(&c.timers.catalog, c.catalogInterval()) {
-		c.emit(FetchCatalog{})
-	}
-	if c.fleet.leading && c.every(&c.timers.autoscaler, report/3) {
+	c.dependencies.check()
+	c.dependencies.inheritUrgency()
+	c.relay.update()
+	c.checkIsolation()
+}
+
+// runFleetDuties carries out the duties of the leader of the fleet.
+func (c *Core) runFleetDuties(report time.Duration) {
+	if c.every(&c.timers.autoscaler, report/autoscalesPerReport) {
 		c.runAutoscaler()
 	}
-	if c.fleet.leading && c.every(&c.timers.inventory, c.listInterval()) {
+	if c.every(&c.timers.inventory, c.listInterval()) {
 		c.emit(FetchInventory{})
 	}
-	if c.fleet.leading && c.every(&c.timers.statistics, statisticsInterval*report) {
+	if c.every(&c.timers.statistics, statisticsInterval*report) {
 		c.logStatistics()
 	}
-	if c.replica.loaded && c.every(&c.timers.record, 15*usageRecordInterval) {
-		c.storeUsageRecords()
-	}
 }
 
 func (c *Core) catalogInterval() time.Duration {
