--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -120,12 +120,6 @@
 	j.firstPending = 0
 }
 
-// MarkProven notes that a task has succeeded, which clears the job of the suspicion of a mistake.
-func (j *Job) MarkProven() {
-	j.Proven, j.Suspected = true, false
-	j.FailedOn, j.Probes, j.NotBefore = nil, 0, 0
-}
-
 // Complete tells whether every task is done.
 func (j *Job) Complete() bool { return j.Done.Len() == j.Tasks }
 
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -1,6 +1,7 @@
 package job
 
 import (
+	"cmp"
 	"maps"
 	"slices"
 
@@ -9,7 +10,7 @@
 	"pepperlever/internal/mustjson"
 )
 
-// layout is how a job's tasks are divided over keys of the state service.
+// layout is how a job's tasks are divided over keys of the store.
 type layout struct {
 	// ChunkSize is the number of tasks stored under one key.
 	ChunkSize int
@@ -75,7 +76,7 @@
 		return true
 	}
 	if j.formerSize > 0 {
-		return false // two former sizes are not told apart
+		return false // keys of two former sizes could not be distinguished
 	}
 	size = j.splitSize(size)
 	parts := j.ChunkSize / size
@@ -113,42 +114,42 @@
 	migrates bool
 }
 
-// TakeDirty returns the writes of at most limit changed chunks besides the
-// head, and whether more are left.
-func (j *Job) TakeDirty(limit int) (out []ChunkWrite, more bool) {
+// TakeDirty returns the writes of at most limit changed chunks besides the head, and whether more
+// are left.
+func (j *Job) TakeDirty(limit int) (writes []ChunkWrite, more bool) {
 	for _, c := range slices.Sorted(maps.Keys(j.dirty)) {
-		w, writes := j.chunkWrite(c)
-		if writes && len(out) == limit {
-			return out, true
+		write, needed := j.chunkWrite(c)
+		if needed && len(writes) == limit {
+			return writes, true
 		}
 		delete(j.dirty, c)
-		if writes {
-			out = append(out, w)
+		if needed {
+			writes = append(writes, write)
 		}
-		j.noteWrite(c, w)
+		j.noteWrite(c, write)
 	}
-	for _, k := range j.superseded() {
-		if len(out) == limit {
+	for _, key := range j.supersededKeys() {
+		if len(writes) == limit {
 			j.dirty[0] = true
-			return out, true
+			return writes, true
 		}
-		delete(j.storedKeys, k)
-		out = append(out, ChunkWrite{Key: k})
+		delete(j.storedKeys, key)
+		writes = append(writes, ChunkWrite{Key: key})
 	}
-	return out, false
+	return writes, false
 }
 
 // chunkWrite is the write of a changed chunk, if it takes any besides the head.
-func (j *Job) chunkWrite(c int) (w ChunkWrite, writes bool) {
+func (j *Job) chunkWrite(c int) (write ChunkWrite, needed bool) {
 	if c == 0 {
 		return ChunkWrite{}, false
 	}
-	w = ChunkWrite{Key: j.key(c), migrates: j.formerSize > 0 && !j.migrated.Has(c)}
+	write = ChunkWrite{Key: j.key(c), migrates: j.formerSize > 0 && !j.migrated.Has(c)}
 	if !j.needsKey(j.bounds(c)) {
-		return w, j.storedKeys[w.Key] || !j.sized
+		return write, j.storedKeys[write.Key] || !j.sized
 	}
-	w.Value = mustjson.Marshal(j.chunkRecord(c))
-	return w, true
+	write.Value = mustjson.Marshal(j.chunkRecord(c))
+	return write, true
 }
 
 // noteWrite notes that a chunk is about to be stored under its own key, or in the head.
@@ -165,23 +166,26 @@
 	}
 }
 
-// superseded lists the keys of the former size of which nothing is read any more.
-func (j *Job) superseded() (out []ChunkKey) {
+// supersededKeys lists the keys of the former size of which nothing is read any more.
+func (j *Job) supersededKeys() []ChunkKey {
 	if j.formerSize == 0 {
 		return nil
 	}
-	for k := range j.storedKeys {
-		if k.Size == 0 && j.supersedes(k) {
-			out = append(out, k)
+	var keys []ChunkKey
+	for key := range j.storedKeys {
+		if key.Size == 0 && j.isSuperseded(key) {
+			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(out, func(a, b ChunkKey) int { return a.Index - b.Index })
-	return out
+	slices.SortFunc(keys, func(a, b ChunkKey) int { return cmp.Compare(a.Index, b.Index) })
+	return keys
 }
 
-func (j *Job) supersedes(k ChunkKey) bool {
+// isSuperseded tells whether all chunks that a key of the former size holds have migrated or need
+// no key.
+func (j *Job) isSuperseded(key ChunkKey) bool {
 	parts := j.formerSize / j.ChunkSize
-	for c := k.Index * parts; c < min(j.chunks(), (k.Index+1)*parts); c++ {
+	for c := key.Index * parts; c < min(j.chunks(), (key.Index+1)*parts); c++ {
 		if !j.migrated.Has(c) && j.needsKey(j.bounds(c)) {
 			return false
 		}
@@ -197,7 +201,7 @@
 			j.storedKeys[w.Key] = true // perhaps: it was not deleted
 		}
 		if w.Key.Size == 0 && j.sized {
-			continue // of the former size; superseded lists it again
+			continue // of the former size; supersededKeys lists it again
 		}
 		j.dirty[w.Key.Index] = true
 		if w.migrates {
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -130,7 +130,13 @@
 		s.job.Unbind(i)
 	default:
 		s.job.Attempt++
-		s.job.Bind(i, &Binding{Machine: rapid.SampledFrom([]string{"vm-1", "vm-2"}).Draw(s.t, "machine"), Attempt: s.job.Attempt, Token: 1, Epoch: 1, Stored: true})
+		s.job.Bind(i, &Binding{
+			Machine: rapid.SampledFrom([]string{"vm-1", "vm-2"}).Draw(s.t, "machine"),
+			Attempt: s.job.Attempt,
+			Token:   1,
+			Epoch:   1,
+			Stored:  true,
+		})
 	}
 }
 
@@ -140,7 +146,13 @@
 func TestSplitJobReadsBackAsItWasStored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.IntRange(1, 3*formerChunk+3).Draw(t, "tasks")
-		s := &storedJob{t: t, job: New(Spec{ID: "req-1", Tasks: tasks}, formerChunk, 0), chunks: map[ChunkKey]json.RawMessage{}, writes: 4, known: map[int]taskState{}}
+		s := &storedJob{
+			t:      t,
+			job:    New(Spec{ID: "req-1", Tasks: tasks}, formerChunk, 0),
+			chunks: map[ChunkKey]json.RawMessage{},
+			writes: 4,
+			known:  map[int]taskState{},
+		}
 		for range rapid.IntRange(0, 40).Draw(t, "before") {
 			s.change()
 		}
--- a/internal/core/job/stored_test.go
+++ b/internal/core/job/stored_test.go
@@ -65,7 +65,8 @@
 	const valueBytes = 4096
 	j := New(*spec, valueBytes/64, 0)
 	for i := range 50 {
-		j.Bind(i, &Binding{Machine: "vm-" + strings.Repeat("9", 5) + string(rune('a'+i%26)), Attempt: 99999, Token: 99999, Epoch: 99})
+		machine := "vm-" + strings.Repeat("9", 5) + string(rune('a'+i%26))
+		j.Bind(i, &Binding{Machine: machine, Attempt: 99999, Token: 99999, Epoch: 99})
 	}
 	if n := len(j.Head()); n > valueBytes {
 		t.Errorf("head has %d bytes", n)
@@ -75,7 +76,13 @@
 // A stored head that is incomplete or contradicts itself is an error.
 func TestDamagedHeadsAreErrors(t *testing.T) {
 	j := New(Spec{ID: "req-1", Team: "t"}, 64, 0)
-	for _, raw := range []string{``, `{}`, `{"s":{"n":5},"c":{"d":"3-9"}}`, `{"s":{"n":5},"c":{"b":[[9,0,1,1,1]],"m":["x"]}}`, `{"s":{"n":5},"c":{"b":[[1,7,1,1,1]]}}`} {
+	for _, raw := range []string{
+		``,
+		`{}`,
+		`{"s":{"n":5},"c":{"d":"3-9"}}`,
+		`{"s":{"n":5},"c":{"b":[[9,0,1,1,1]],"m":["x"]}}`,
+		`{"s":{"n":5},"c":{"b":[[1,7,1,1,1]]}}`,
+	} {
 		if err := j.LoadHead([]byte(raw)); err == nil {
 			t.Errorf("%q was taken", raw)
 		}
--- a/internal/core/job/suspicion.go
+++ b/internal/core/job/suspicion.go
@@ -25,3 +25,9 @@
 
 // HasSucceeded tells whether any task of the job has succeeded.
 func (j *Job) HasSucceeded() bool { return j.Proven || j.Done.Len() > 0 }
+
+// MarkProven notes that a task has succeeded, which clears the job of the suspicion of a mistake.
+func (j *Job) MarkProven() {
+	j.Proven, j.Suspected = true, false
+	j.FailedOn, j.Probes, j.NotBefore = nil, 0, 0
+}
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -112,7 +112,8 @@
 	}
 	before, now := strings.Split(strings.TrimSpace(string(raw)), "\n"), sharedFields()
 	onlyUpgraded := []string{"spec.aw(omitempty)[] string"}
-	if diff := cmp.Diff(before, slices.DeleteFunc(now, func(f string) bool { return slices.Contains(onlyUpgraded, f) })); diff != "" {
+	now = slices.DeleteFunc(now, func(f string) bool { return slices.Contains(onlyUpgraded, f) })
+	if diff := cmp.Diff(before, now); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/core/wire_test.go
+++ b/internal/core/wire_test.go
@@ -33,8 +33,23 @@
 			}
 		}
 	}
-	for _, v := range []any{PeerMessage{}, relay.Page{}, relayHeartbeat{}, nodeRecord{}, leaderRecord{}, cordonRecord{}, rentalIntent{}, usageRecord{},
-		cancelRecord{}, protocol.Report{}, protocol.Submission{}, protocol.MachineList{}, protocol.Catalogue{}, protocol.Changes{}, protocol.KeyList{}} {
+	for _, v := range []any{
+		PeerMessage{},
+		relay.Page{},
+		relayHeartbeat{},
+		nodeRecord{},
+		leaderRecord{},
+		cordonRecord{},
+		rentalIntent{},
+		usageRecord{},
+		cancelRecord{},
+		protocol.Report{},
+		protocol.Submission{},
+		protocol.MachineList{},
+		protocol.Catalogue{},
+		protocol.Changes{},
+		protocol.KeyList{},
+	} {
 		walk(reflect.TypeOf(v), reflect.TypeOf(v).Name())
 	}
 	if len(seen) < 30 {
