--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -59,18 +59,18 @@
 	}
 }
 
-// A home that alone could not reach the state service went on as home, and
-// stopped all that the new home started, up to 85 times a task (inc-491b).
+// A leader that alone cannot reach the store does not know that it is deposed. It must not
+// stop what the new leader starts (docs/incidents/inc-491b.md).
 func TestDeposedHomeThatWasNotToldStopsNothingOfTheNewOne(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "with a write on its way": true} {
 		w := newWorld(t).ready()
-		home := w.cores["a"].teamBy["free"].leader
-		accepted(t, w.submit(home, "req-free-1", 6, ""))
+		leader := w.cores["a"].teamBy["free"].leader
+		accepted(t, w.submit(leader, "req-free-1", 6, ""))
 		if !inFlight {
 			w.run(time.Second, nil)
 		}
-		w.withoutStore[home] = true
-		w.expire(home)
+		w.withoutStore[leader] = true
+		w.expire(leader)
 		if !w.run(2*time.Minute, w.finished("req-free-1")) {
 			t.Fatalf("%s: job does not end", name)
 		}
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -187,7 +187,7 @@
 	return n
 }
 
-// leaderOf is the home of a team by the store, or nothing.
+// leaderOf is the leader of a team by the store, or empty.
 func (w *world) leaderOf(team string) string {
 	for _, n := range w.names {
 		if c := w.cores[n]; c != nil && !w.withoutStore[n] && c.replica.loaded {
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -24,24 +24,24 @@
 	})
 }
 
-// changeLeaders moves the home of a team every so often, by an end or by a lease that runs
+// changeLeaders moves the leader of a team every so often, by an end or by a lease that runs
 // out.
 func (w *world) changeLeaders(team string, times int, every time.Duration) {
 	for i := range times {
 		w.after(time.Duration(i)*every, func() {
-			home := w.leaderOf(team)
-			if home == "" || w.cores[home] == nil || w.frozen[home] {
+			leader := w.leaderOf(team)
+			if leader == "" || w.cores[leader] == nil || w.frozen[leader] {
 				return
 			}
 			if i%2 == 0 {
-				w.restartAtOnce(home)
-				w.expireFormer(home)
+				w.restartAtOnce(leader)
+				w.expireFormer(leader)
 				return
 			}
-			w.cutStore(home)
+			w.cutStore(leader)
 			w.after(every/4, func() {
-				if w.withoutStore[home] && w.cores[home] != nil {
-					w.restoreStore(home)
+				if w.withoutStore[leader] && w.cores[leader] != nil {
+					w.restoreStore(leader)
 				}
 			})
 		})
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -74,17 +74,17 @@
 	f.Seq++
 	w.nextReq++
 	req := w.nextReq
-	beat := Heartbeat{Req: req, Report: w.snapshot(f)}
+	heartbeat := Heartbeat{Req: req, Report: w.snapshot(f)}
 	if w.replayReports && w.rng.IntN(4) == 0 {
-		w.pastReports = append(w.pastReports, beat)
+		w.pastReports = append(w.pastReports, heartbeat)
 	}
 	if w.holdReports && w.rng.IntN(4) == 0 {
-		w.holdReport(beat)
+		w.holdReport(heartbeat)
 		f.node++
 		f.next = w.now + 5*time.Second
 		return
 	}
-	w.send(node, beat)
+	w.send(node, heartbeat)
 	for range 4 {
 		w.step(node)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,12 +60,12 @@
 	d.workers = workerclient.New(cfg, emit)
 	d.peers = peer.New(cfg, emit)
 	if gatewayFile != "" {
-		links, gate, err := transport.New(gatewayFile, emit)
+		links, config, err := transport.New(gatewayFile, emit)
 		if err != nil {
 			return err
 		}
 		d.sites = links
-		d.core.Join(gate)
+		d.core.Join(config)
 		d.api.WithGateway(links.Refused.Load)
 	}
 
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -18,8 +18,8 @@
 // controller is one controller of the site.
 type controller struct {
 	node, zone, listen, peer, settingsFile string
-	// federationFile is the file that joins it to other sites, and gate where it takes
-	// their streams; both are empty without.
+	// federationFile is the file that joins it to other sites, federationAddress where it
+	// accepts their streams; both are empty without.
 	federationFile, federationAddress string
 	healthy                           atomic.Bool
 	// kill ends the running process.
