--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -9,8 +9,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// together sends requests to a node in one step and plays until all are answered.
-func (w *world) together(node string, n int, command func(i int, req uint64) Command) map[int]int {
+// sendBurst sends requests to a node in one step, and runs until all are answered. It returns the
+// status of each.
+func (w *world) sendBurst(node string, n int, command func(i int, req uint64) Command) map[int]int {
 	w.t.Helper()
 	first := w.nextReq + 1
 	for i := range n {
@@ -18,36 +19,38 @@
 		w.send(node, command(i, w.nextReq))
 	}
 	w.nextReq += 1 << 20 // the workers' requests come after
-	got := map[int]int{}
+	statuses := map[int]int{}
 	w.run(10*time.Second, func() bool {
 		for i := range n {
 			if a, ok := w.answers[first+uint64(i)]; ok {
-				got[i] = a.Status
+				statuses[i] = a.Status
 			}
 		}
-		return len(got) == n
+		return len(statuses) == n
 	})
-	return got
+	return statuses
 }
 
-func TestSwarmSubmittedAtOnceIsAnsweredAndCancelledAtOnceIsGone(t *testing.T) {
+// Hundreds of submissions in one step are answered, and so are their cancellations: what is
+// cancelled leaves the machines.
+func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
 	const swarm = 500
 	w := newWorld(t).ready()
 	w.allowRacingStarts = true
 	id := func(i int) string { return fmt.Sprintf("req-free-%d", i) }
-	taken := w.together("a", swarm, func(i int, req uint64) Command {
+	submitted := w.sendBurst("a", swarm, func(i int, req uint64) Command {
 		return Submit{Req: req, Body: []byte(submission(id(i), "free", 1, ""))}
 	})
 	for i := range swarm {
-		if taken[i] != http.StatusCreated && taken[i] != http.StatusServiceUnavailable {
-			t.Fatalf("submission %d got %d", i, taken[i])
+		if submitted[i] != http.StatusCreated && submitted[i] != http.StatusServiceUnavailable {
+			t.Fatalf("submission %d got %d", i, submitted[i])
 		}
 	}
 	w.run(4*time.Second, nil)
-	gone := w.together("b", swarm, func(i int, req uint64) Command { return Cancel{Req: req, ID: id(i)} })
+	cancelled := w.sendBurst("b", swarm, func(i int, req uint64) Command { return Cancel{Req: req, ID: id(i)} })
 	for i := range swarm {
-		if taken[i] == http.StatusCreated && gone[i] != http.StatusOK && gone[i] != http.StatusServiceUnavailable {
-			t.Errorf("cancellation %d got %d", i, gone[i])
+		if submitted[i] == http.StatusCreated && cancelled[i] != http.StatusOK && cancelled[i] != http.StatusServiceUnavailable {
+			t.Errorf("cancellation %d got %d", i, cancelled[i])
 		}
 	}
 	w.run(20*time.Second, nil)
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// Finished tasks of jobs that go on are stored only while more than half of the savings is left.
 func TestFinishedTasksAreStoredFromSavingsOnly(t *testing.T) {
 	c := busyCore(100)
 	c.now.Steady = time.Hour
