--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTeamsOfACrashedHomeGoOnElsewhere(t *testing.T) {
+func TestTeamsOfACrashedLeaderContinueElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
 	for _, id := range ids {
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestHomeCutFromTheStoreIsDeposedAndItsStartsAreHarmless(t *testing.T) {
+func TestLeaderCutFromTheStoreIsDeposedAndItsStartsAreHarmless(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-red-1", 12, ""))
 	w.run(8*time.Second, nil)
@@ -61,7 +61,7 @@
 
 // A leader that alone cannot reach the store does not know that it is deposed. It must not
 // stop what the new leader starts (docs/incidents/inc-491b.md).
-func TestDeposedHomeThatWasNotToldStopsNothingOfTheNewOne(t *testing.T) {
+func TestDeposedLeaderStopsNothingOfItsSuccessor(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "with a write on its way": true} {
 		w := newWorld(t).ready()
 		leader := w.cores["a"].teamBy["free"].leader
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestTransactionsWithoutAnAnswerAreSettledByTheirNonce(t *testing.T) {
+func TestUnansweredTransactionsAreResolvedByTheirNonce(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 4, ""))
 	for range 30 {
@@ -96,7 +96,7 @@
 	w.startedOnce()
 }
 
-func TestNewRenterDoesNotGiveUpMachinesThatAreOnTheirWayToIt(t *testing.T) {
+func TestNewFleetLeaderKeepsMachinesThatTurnToIt(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
 	w.run(40*time.Second, w.finished("req-blue-1"))
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestWorkersSpreadAgainAfterACrash(t *testing.T) {
+func TestAgentsAreRebalancedAfterACrash(t *testing.T) {
 	w := newWorld(t).ready()
 	for range 12 {
 		w.addWorker("z1", false)
