--- /dev/null
+++ b/internal/doccheck/pages_test.go
@@ -0,0 +1,152 @@
+package doccheck
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// Every code span of a page that names a file, a test or a method names one that exists.
+// Records of past events (docs/incidents, docs/results.md) keep the names of their time.
+func TestPagesNameWhatExists(t *testing.T) {
+	names := declaredNames(t)
+	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	pages = append(pages, filepath.Join(root, "README.md"))
+	checked := 0
+	for _, page := range pages {
+		if filepath.Base(page) == "results.md" {
+			continue
+		}
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+			checked++
+			if !spanExists(span[1], names) {
+				t.Errorf("%s names `%s`, which does not exist", filepath.Base(page), span[1])
+			}
+		}
+	}
+	if checked < 200 {
+		t.Errorf("only %d code spans were found", checked)
+	}
+}
+
+var (
+	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
+	filePath   = regexp.MustCompile(`^(?:internal|docs|deploy|cmd|client|core|testdata)/[\w./-]+$`)
+	goFile     = regexp.MustCompile(`^\w+\.go$`)
+	testName   = regexp.MustCompile(`^Test[A-Z]\w+$`)
+	memberName = regexp.MustCompile(`^([A-Za-z]\w*)\.([A-Za-z]\w*)$`)
+)
+
+// declarations are the names that the code declares.
+type declarations struct {
+	// files holds base names of Go files, tests the names of test functions.
+	files, tests map[string]bool
+	// members holds "Type.method" and "package.Name".
+	members map[string]bool
+	// qualifiers holds the names of all packages and types.
+	qualifiers map[string]bool
+}
+
+// spanExists tells whether a code span names something that exists. Spans of other shapes
+// (settings, keys, commands) are not looked at.
+func spanExists(span string, names declarations) bool {
+	switch {
+	case filePath.MatchString(span):
+		return pathExists(span)
+	case goFile.MatchString(span):
+		return names.files[span]
+	case testName.MatchString(span):
+		return names.tests[span]
+	}
+	if member := memberName.FindStringSubmatch(span); member != nil && names.qualifiers[member[1]] {
+		return names.members[span]
+	}
+	return true
+}
+
+// pathExists looks a path up below the root; core/ stands for internal/core/.
+func pathExists(path string) bool {
+	for _, prefix := range []string{"", "internal"} {
+		if _, err := os.Stat(filepath.Join(root, prefix, path)); err == nil {
+			return true
+		}
+	}
+	return false
+}
+
+func declaredNames(t *testing.T) declarations {
+	t.Helper()
+	names := declarations{files: map[string]bool{}, tests: map[string]bool{}, members: map[string]bool{}, qualifiers: map[string]bool{}}
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, ".go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		names.files[filepath.Base(path)] = true
+		names.qualifiers[file.Name.Name] = true
+		for _, declaration := range file.Decls {
+			names.add(file.Name.Name, declaration)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+func (n declarations) add(packageName string, declaration ast.Decl) {
+	switch declaration := declaration.(type) {
+	case *ast.FuncDecl:
+		n.addFunction(packageName, declaration)
+	case *ast.GenDecl:
+		for _, spec := range declaration.Specs {
+			n.addSpec(packageName, spec)
+		}
+	}
+}
+
+func (n declarations) addFunction(packageName string, function *ast.FuncDecl) {
+	name := function.Name.Name
+	if function.Recv == nil {
+		n.members[packageName+"."+name] = true
+		n.tests[name] = true
+		return
+	}
+	n.members[receiverName(function)+"."+name] = true
+}
+
+func (n declarations) addSpec(packageName string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.TypeSpec:
+		n.members[packageName+"."+spec.Name.Name] = true
+		n.qualifiers[spec.Name.Name] = true
+		if structure, ok := spec.Type.(*ast.StructType); ok {
+			for _, field := range structure.Fields.List {
+				for _, name := range field.Names {
+					n.members[spec.Name.Name+"."+name.Name] = true
+				}
+			}
+		}
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			n.members[packageName+"."+name.Name] = true
+		}
+	}
+}
