--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// The jobs of teams whose leader has crashed go on with another, until one controller is left.
 func TestTeamsOfACrashedLeaderContinueElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
@@ -21,6 +22,7 @@
 	}
 }
 
+// All controllers crash while the store is down, and what ran before does not run twice.
 func TestAllControllersCrashInAnOutageAndNothingRunsTwice(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
@@ -40,6 +42,7 @@
 	}
 }
 
+// Leaders lose contact with the store one after the other, and their late starts do no harm.
 func TestLeaderCutFromTheStoreIsDeposedAndItsStartsAreHarmless(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-red-1", 12, ""))
@@ -59,7 +62,7 @@
 	}
 }
 
-// A leader that alone cannot reach the store does not know that it is deposed. It must not
+// A leader that alone cannot reach the store does not know that it was superseded. It must not
 // stop what the new leader starts (docs/incidents/inc-491b.md).
 func TestDeposedLeaderStopsNothingOfItsSuccessor(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "with a write on its way": true} {
@@ -82,6 +85,7 @@
 	}
 }
 
+// What became of a transaction whose reply was lost is found out by its nonce.
 func TestUnansweredTransactionsAreResolvedByTheirNonce(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 4, ""))
@@ -96,6 +100,7 @@
 	w.startedOnce()
 }
 
+// A new leader of the fleet keeps machines whose workers have not found it yet.
 func TestNewFleetLeaderKeepsMachinesThatTurnToIt(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
@@ -121,6 +126,7 @@
 	}
 }
 
+// Agents that all turned to one controller are rebalanced once the others are back.
 func TestAgentsAreRebalancedAfterACrash(t *testing.T) {
 	w := newWorld(t).ready()
 	for range 12 {
