--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -19,9 +19,9 @@
 func TestExportedDeclarationsAreDocumented(t *testing.T) {
 	files := token.NewFileSet()
 	documented := map[string]bool{}
-	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
-		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return err
+	err := walkSources(func(path string) error {
+		if strings.HasSuffix(path, "_test.go") {
+			return nil
 		}
 		file, err := parser.ParseFile(files, path, nil, parser.ParseComments|parser.SkipObjectResolution)
 		if err != nil {
@@ -49,6 +49,23 @@
 	}
 }
 
+// walkSources visits the Go files of the repository, without build results and hidden folders.
+func walkSources(visit func(path string) error) error {
+	return filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		name := entry.Name()
+		if entry.IsDir() && path != root && (name == "target" || strings.HasPrefix(name, ".")) {
+			return filepath.SkipDir
+		}
+		if entry.IsDir() || !strings.HasSuffix(name, ".go") {
+			return nil
+		}
+		return visit(path)
+	})
+}
+
 // undocumented lists the exported names of a declaration that have no doc comment.
 func undocumented(declaration ast.Decl) []*ast.Ident {
 	switch declaration := declaration.(type) {
--- a/internal/doccheck/pages_test.go
+++ b/internal/doccheck/pages_test.go
@@ -4,11 +4,9 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
-	"strings"
 	"testing"
 )
 
@@ -90,10 +88,7 @@
 func declaredNames(t *testing.T) declarations {
 	t.Helper()
 	names := declarations{files: map[string]bool{}, tests: map[string]bool{}, members: map[string]bool{}, qualifiers: map[string]bool{}}
-	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
-		if err != nil || !strings.HasSuffix(path, ".go") {
-			return err
-		}
+	err := walkSources(func(path string) error {
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
