--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -7,34 +7,37 @@
 )
 
 const (
-	// cancellationsPerMessage bounds a message, maxAnnouncements the memory. Beyond it the
-	// oldest are dropped: peers that have not acknowledged them learn of them by their watch.
+	// cancellationsPerMessage bounds the size of a message, maxAnnouncements the memory. Beyond
+	// maxAnnouncements the oldest announcements are dropped: peers that have not acknowledged
+	// those learn of the cancellations from their watches.
 	cancellationsPerMessage = 256
-	maxAnnouncements        = 4 * endedJobsKept
-	// announcementLifetime is for how many cancellation deadlines a cancellation is announced.
-	announcementLifetime = 4
+	maxAnnouncements        = 4 * maxEndedJobs
+	// announcementLifetimeDeadlines is how long a cancellation is announced, in cancellation
+	// deadlines.
+	announcementLifetimeDeadlines = 4
 )
 
-// cancelAnnouncement is a known cancellation and which controllers have acknowledged it.
+// cancelAnnouncement is a known cancellation and the set of controllers that acknowledged it.
 type cancelAnnouncement struct {
 	Cancellation
-	// since is when this node came to know of it.
-	since time.Duration
-	// acknowledgedBy holds the controllers that have said that they know. A later run of
-	// one of them reads it in the stored state before it answers a worker.
+	// learnedAt is when this node learned of the cancellation.
+	learnedAt time.Duration
+	// acknowledgedBy holds the controllers that have acknowledged the cancellation. An
+	// acknowledgement stays valid if the controller restarts, since it then loads the
+	// stored state, with the cancellation, before it answers a worker.
 	acknowledgedBy map[string]bool
-	// waiting holds the requests that are resolved once another controller knows.
-	waiting []lookup.Request
+	// pendingLookups holds the lookups that are resolved once another controller knows.
+	pendingLookups []lookup.Request
 }
 
-// knownTo tells whether a controller knows of the cancellation: it has acknowledged it, or
-// its replica is past the revision that stored it.
+// knownTo reports whether a controller is certain to know of the cancellation: it has
+// acknowledged it, or its replica has reached the revision that stored it.
 func (a *cancelAnnouncement) knownTo(node string, peers *peerTable) bool {
 	p := peers.get(node)
 	return node == peers.self || p != nil && (a.acknowledgedBy[node] || p.revision >= a.Revision)
 }
 
-// knownToAll tells whether all controllers know of the cancellation.
+// knownToAll reports whether all controllers are certain to know of the cancellation.
 func (a *cancelAnnouncement) knownToAll(peers *peerTable) bool {
 	for _, node := range peers.names {
 		if !a.knownTo(node, peers) {
@@ -47,9 +50,11 @@
 // announcementSet holds the cancellations that are announced to the other controllers.
 type announcementSet struct {
 	byJob map[string]*cancelAnnouncement
-	// order names them from the oldest; it may name some that have been removed.
+	// order lists job IDs from the oldest announcement to the newest. It may contain IDs whose
+	// announcements have been removed.
 	order []string
-	// unconfirmed holds those that no user may be told of until another controller knows.
+	// unconfirmed holds the cancellations that must not be confirmed to users until another
+	// controller knows of them.
 	unconfirmed map[string]*cancelAnnouncement
 }
 
@@ -60,26 +65,26 @@
 	}
 }
 
-// of returns the announcement of a job's cancellation, nil if there is none.
-func (s *announcementSet) of(job string) *cancelAnnouncement { return s.byJob[job] }
+// find returns the announcement of a job's cancellation, or nil if there is none.
+func (s *announcementSet) find(job string) *cancelAnnouncement { return s.byJob[job] }
 
-// has tells whether the cancellation of a job is announced.
+// has reports whether the cancellation of a job is being announced.
 func (s *announcementSet) has(job string) bool { return s.byJob[job] != nil }
 
-// add begins to announce a cancellation, and drops the oldest beyond the limit.
-func (s *announcementSet) add(k Cancellation, now time.Duration) {
-	s.byJob[k.Job] = &cancelAnnouncement{Cancellation: k, since: now, acknowledgedBy: map[string]bool{}}
-	s.order = append(s.order, k.Job)
+// add starts announcing a cancellation and drops the oldest announcements beyond the limit.
+func (s *announcementSet) add(cancellation Cancellation, now time.Duration) {
+	s.byJob[cancellation.Job] = &cancelAnnouncement{Cancellation: cancellation, learnedAt: now, acknowledgedBy: map[string]bool{}}
+	s.order = append(s.order, cancellation.Job)
 	for len(s.order) > maxAnnouncements {
 		delete(s.byJob, s.order[0])
 		s.order = s.order[1:]
 	}
 }
 
-// remove ends the announcement of a job's cancellation.
+// remove stops announcing a job's cancellation.
 func (s *announcementSet) remove(job string) { delete(s.byJob, job) }
 
-// expire ends announcements that are older than maxAge.
+// expire removes announcements that are older than maxAge.
 func (s *announcementSet) expire(now, maxAge time.Duration) {
 	kept := s.order[:0]
 	for _, job := range s.order {
@@ -87,7 +92,7 @@
 		if a == nil {
 			continue
 		}
-		if now-a.since > maxAge {
+		if now-a.learnedAt > maxAge {
 			delete(s.byJob, job)
 			continue
 		}
@@ -96,7 +101,7 @@
 	s.order = kept
 }
 
-// acknowledge notes that a controller knows of the cancellations of jobs.
+// acknowledge records that a controller knows of the cancellations of the given jobs.
 func (s *announcementSet) acknowledge(node string, jobs ...string) {
 	for _, job := range jobs {
 		if a := s.byJob[job]; a != nil {
@@ -105,22 +110,22 @@
 	}
 }
 
-// dueFor lists the cancellations of at least minAge that a controller is not known to know,
-// as many as fit into a message.
-func (s *announcementSet) dueFor(node string, peers *peerTable, now, minAge time.Duration) (out []Cancellation) {
+// dueFor lists the cancellations of at least minAge that a controller may not know of, up to as
+// many as fit into a message.
+func (s *announcementSet) dueFor(node string, peers *peerTable, now, minAge time.Duration) (due []Cancellation) {
 	for _, job := range s.order {
 		a := s.byJob[job]
-		if a == nil || now-a.since < minAge || a.knownTo(node, peers) {
+		if a == nil || now-a.learnedAt < minAge || a.knownTo(node, peers) {
 			continue
 		}
-		if out = append(out, a.Cancellation); len(out) == cancellationsPerMessage {
+		if due = append(due, a.Cancellation); len(due) == cancellationsPerMessage {
 			break
 		}
 	}
-	return out
+	return due
 }
 
-// hasUnacknowledged tells whether a controller is not known to know of some cancellation.
+// hasUnacknowledged reports whether there is a cancellation that a controller may not know of.
 func (s *announcementSet) hasUnacknowledged(node string, peers *peerTable) bool {
 	for _, a := range s.byJob {
 		if !a.knownTo(node, peers) {
@@ -130,18 +135,18 @@
 	return false
 }
 
-// unacknowledgedBy names those of the given controllers that are not known to know of some
+// unacknowledgedBy lists those of the given controllers that may not know of every announced
 // cancellation.
-func (s *announcementSet) unacknowledgedBy(nodes []string, peers *peerTable) (out []string) {
+func (s *announcementSet) unacknowledgedBy(nodes []string, peers *peerTable) (unaware []string) {
 	for _, node := range nodes {
 		if s.hasUnacknowledged(node, peers) {
-			out = append(out, node)
+			unaware = append(unaware, node)
 		}
 	}
-	return out
+	return unaware
 }
 
-// unacknowledged counts the cancellations that some controller is not known to know.
+// unacknowledged counts the cancellations that at least one controller may not know of.
 func (s *announcementSet) unacknowledged(peers *peerTable) (n int) {
 	for _, a := range s.byJob {
 		if !a.knownToAll(peers) {
--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -8,127 +8,128 @@
 	"pepperlever/internal/protocol"
 )
 
-// announcer announces cancellations to the other controllers, acts on those that they
-// announce, and holds users back until another controller knows.
+// announcer announces cancellations to the other controllers and applies those that they
+// announce. It delays the answers to users until a second controller knows of a cancellation.
 type announcer struct {
 	*environment
 	core *Core
 	announcementSet
-	// nextStop is when the tasks of cancelled jobs in reports are stopped again.
-	nextStop time.Duration
+	// nextStopResend is when stop commands for reported tasks of cancelled jobs are sent again.
+	nextStopResend time.Duration
 }
 
 func newAnnouncer(core *Core) *announcer {
 	return &announcer{environment: core.environment, core: core, announcementSet: newAnnouncementSet()}
 }
 
-// note notes a cancellation that the store holds, whoever told of it: this node's own write,
-// its watch, an answer of the store, or another controller.
-func (a *announcer) note(k Cancellation) {
+// note applies a cancellation that the store holds, whatever its source: a write of this node, its
+// watch, a reply of the store or another controller.
+func (a *announcer) note(cancellation Cancellation) {
 	c := a.core
-	if s, known := c.ended.state(k.Job); known && s.State != protocol.Cancelled {
-		c.log(Error, "cancellation of a job in another final state ignored", "job", k.Job, "state", s.State)
+	if s, known := c.ended.state(cancellation.Job); known && s.State != protocol.Cancelled {
+		c.log(Error, "ignoring cancellation of a job with another final state", "job", cancellation.Job, "state", s.State)
 		return
 	}
-	c.rememberFinalState(k.Job, protocol.JobState{ID: k.Job, State: protocol.Cancelled})
-	if announced := a.of(k.Job); announced != nil {
-		announced.Revision = min(announced.Revision, k.Revision)
-		announced.RequestedAt = max(announced.RequestedAt, k.RequestedAt)
-	} else if c.ended.revision(k.Job) == 0 {
-		a.add(k, c.now.Steady)
-		a.nextStop = 0
+	c.rememberFinalState(cancellation.Job, protocol.JobState{ID: cancellation.Job, State: protocol.Cancelled})
+	if announced := a.find(cancellation.Job); announced != nil {
+		announced.Revision = min(announced.Revision, cancellation.Revision)
+		announced.RequestedAt = max(announced.RequestedAt, cancellation.RequestedAt)
+	} else if c.ended.revision(cancellation.Job) == 0 {
+		a.add(cancellation, c.now.Steady)
+		a.nextStopResend = 0
 	}
-	c.markCancelled(c.jobs[k.Job])
+	c.markCancelled(c.jobs[cancellation.Job])
 }
 
-// receive takes cancellations of another controller, and acknowledges them.
+// receive applies cancellations announced by another controller and acknowledges them.
 func (a *announcer) receive(node string, cancellations []Cancellation) {
 	if a.core.peers.get(node) == nil {
 		return
 	}
 	var known []string
-	for _, k := range cancellations {
-		if !job.ValidID(k.Job) || k.Revision == 0 {
-			a.log(Error, "malformed cancellation ignored", "node", node, "job", k.Job)
+	for _, cancellation := range cancellations {
+		if !job.ValidID(cancellation.Job) || cancellation.Revision == 0 {
+			a.log(Error, "ignoring malformed cancellation", "node", node, "job", cancellation.Job)
 			continue
 		}
-		a.note(k)
-		known = append(known, k.Job)
-		a.acknowledge(node, k.Job)
+		a.note(cancellation)
+		known = append(known, cancellation.Job)
+		a.acknowledge(node, cancellation.Job)
 	}
 	if len(known) > 0 {
 		a.core.sendTo(node, PeerMessage{Acknowledged: known})
 	}
 }
 
-// announce tells all other controllers of a job's cancellation that this node has stored or
-// is asked about, ahead of their watches, which may be refused or end with the store at any
-// moment. No user is told before another controller knows: otherwise nobody would know
-// if this node failed and the store with it.
+// announce broadcasts the cancellation of a job that this node has stored or is asked about.
+// It does not rely on the watches of the other controllers, which may be refused or fail with
+// the store at any moment. No user is told of the cancellation before another controller
+// knows of it: otherwise nobody would if this node and the store failed together.
 func (a *announcer) announce(id string) {
-	cancelled := a.of(id)
-	if cancelled == nil || a.core.reach.knownToAnother(cancelled) {
+	announcement := a.find(id)
+	if announcement == nil || a.core.reach.knownToAnother(announcement) {
 		return
 	}
-	a.core.broadcast(PeerMessage{Cancellations: []Cancellation{cancelled.Cancellation}})
-	a.unconfirmed[id] = cancelled
+	a.core.broadcast(PeerMessage{Cancellations: []Cancellation{announcement.Cancellation}})
+	a.unconfirmed[id] = announcement
 }
 
-// deferLookup keeps a lookup of a cancelled job until another controller knows of the
-// cancellation. It reports false if there is nothing to wait for.
+// deferLookup defers a lookup of a cancelled job until another controller knows of the
+// cancellation. It returns false if there is nothing to wait for.
 func (a *announcer) deferLookup(request lookup.Request) bool {
 	if a.unconfirmed[request.JobID] == nil {
-		a.announce(request.JobID) // it may be known by the watch alone
+		a.announce(request.JobID) // this node may know of the cancellation from its watch alone
 	}
-	cancelled := a.unconfirmed[request.JobID]
-	if cancelled == nil {
+	announcement := a.unconfirmed[request.JobID]
+	if announcement == nil {
 		return false
 	}
-	cancelled.waiting = append(cancelled.waiting, request)
+	announcement.pendingLookups = append(announcement.pendingLookups, request)
 	return true
 }
 
-// resolveLookups resolves the lookups that wait for another controller to know of a
-// cancellation, or turns them away before their users have gone.
+// resolveLookups resolves the deferred lookups of cancellations that another controller now knows
+// of, and fails the others before their users time out.
 func (a *announcer) resolveLookups() {
-	for id, cancelled := range ordered(a.unconfirmed) {
+	for id, announcement := range ordered(a.unconfirmed) {
 		outcome := lookup.Unavailable
-		if a.core.reach.knownToAnother(cancelled) {
+		if a.core.reach.knownToAnother(announcement) {
 			outcome = lookup.Final
 			delete(a.unconfirmed, id)
 		}
 		result := lookup.Result{Outcome: outcome, State: protocol.JobState{ID: id, State: protocol.Cancelled}}
-		rest := cancelled.waiting[:0]
-		for _, request := range cancelled.waiting {
+		remaining := announcement.pendingLookups[:0]
+		for _, request := range announcement.pendingLookups {
 			if outcome == lookup.Final || lookup.Expired(request, a.now.Steady) {
 				request.Resolve(result)
 			} else {
-				rest = append(rest, request)
+				remaining = append(remaining, request)
 			}
 		}
-		cancelled.waiting = rest
+		announcement.pendingLookups = remaining
 	}
 }
 
-// repeat announces cancellations again to all that are not known to know, until they do, over
-// every route there is. For a report interval they are left to the first announcement
-// and to the watches. Stops are repeated until reports show the end.
-func (a *announcer) repeat() {
+// resend announces cancellations again to the controllers that may not know of them, directly or
+// through an intermediary, until they do. The first announcement and the watches have one
+// report interval before that. Stop commands are resent until reports show that the tasks
+// have ended.
+func (a *announcer) resend() {
 	c := a.core
-	a.expire(c.now.Steady, announcementLifetime*c.times.cancelDeadline())
+	a.expire(c.now.Steady, announcementLifetimeDeadlines*c.times.cancelDeadline())
 	for _, node := range c.peers.names {
 		due := a.dueFor(node, c.peers, c.now.Steady, c.reportInterval())
 		if len(due) > 0 {
 			c.route(node, PeerMessage{Cancellations: due})
 		}
 	}
-	if c.every(&a.nextStop, c.reportInterval()) {
+	if c.every(&a.nextStopResend, c.reportInterval()) {
 		a.stopReportedTasks()
 	}
 }
 
-// stopReportedTasks stops the tasks of cancelled jobs that the newest reports of this node's
-// machines show. That takes neither the job, nor a binding, nor the store.
+// stopReportedTasks stops the tasks of cancelled jobs that appear in the newest reports of this
+// node's machines. It needs neither the job and its bindings in the replica nor the store.
 func (a *announcer) stopReportedTasks() {
 	if len(a.byJob) == 0 {
 		return
@@ -144,9 +145,9 @@
 	}
 }
 
-// isUnaware tells whether a machine's controller is not known to know of a job's cancellation,
-// so that nobody may be stopping the job's tasks there.
-func (a *announcer) isUnaware(id, machine string) bool {
-	m, cancelled := a.core.machines.Get(machine), a.of(id)
-	return cancelled != nil && (m == nil || !cancelled.knownTo(m.Node, a.core.peers))
+// controllerMayBeUnaware reports whether the controller that serves a machine may not know of a
+// job's cancellation, in which case nothing may be stopping the job's tasks there.
+func (a *announcer) controllerMayBeUnaware(id, machine string) bool {
+	m, announcement := a.core.machines.Get(machine), a.find(id)
+	return announcement != nil && (m == nil || !announcement.knownTo(m.Node, a.core.peers))
 }
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -9,11 +9,12 @@
 	"pepperlever/internal/protocol"
 )
 
-// errForeignJob turns down the cancellation of a job that another site has handed to this one.
+// errForeignJob rejects the cancellation of a job that another site has handed off to this one.
 var errForeignJob = &rejection{http.StatusUnprocessableEntity, "job is of another site: cancel it there"}
 
-// cancel stores the cancellation, and with it the key that no binding or completion of the job
-// can pass any more, before it answers. Request 0 is that of the federation adapter.
+// cancel handles a request to cancel a job. Before it answers, it stores the cancellation together
+// with the job's final state, whose key makes every later write of a binding or of the job's
+// completion fail. Request 0 is used by the federation adapter.
 func (c *Core) cancel(m Cancel) {
 	if !job.ValidID(m.ID) {
 		c.replyRejected(m.Req, errUnknownJob)
@@ -36,8 +37,8 @@
 	})
 }
 
-// storeCancel cancels a job that was accepted: it stays so until it has a final
-// state, so that it has none is all that the write depends on.
+// storeCancel stores the cancellation of an accepted job. The absence of a final state is the only
+// condition on the job, since it stays accepted until it has one.
 func (c *Core) storeCancel(m Cancel) {
 	if c.isOutgoing(m.ID) {
 		c.cancelOutgoing(m)
@@ -58,12 +59,12 @@
 		case Conflict:
 			c.cancelConflict(m, r.Failed)
 		default:
-			c.replyUnavailable(m.Req) // the repeated request finds out what came of it
+			c.replyUnavailable(m.Req) // a retry finds out whether the write was applied
 		}
 	})
 }
 
-// cancelStored passes on a cancellation that is stored and answers its user.
+// cancelStored announces a stored cancellation to the other controllers and answers the user.
 func (c *Core) cancelStored(m Cancel, revision uint64) {
 	c.log(Debug, "job cancelled", "job", m.ID)
 	c.announcements.note(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
@@ -71,8 +72,8 @@
 	c.lookups.request(m.ID, func(result lookup.Result) { c.replyLookup(m.Req, result) })
 }
 
-// cancelConflict answers a cancellation that could not be stored: the job has a final state,
-// or another site has the right to it.
+// cancelConflict answers a cancellation that could not be stored because the job has a final state
+// or has been handed off to another site.
 func (c *Core) cancelConflict(m Cancel, failed []string) {
 	if slices.Contains(failed, outgoingKey(m.ID)) {
 		c.cancelOutgoing(m)
@@ -80,7 +81,7 @@
 	}
 	c.lookups.request(m.ID, func(result lookup.Result) {
 		if result.Outcome == lookup.Active {
-			result.Outcome = lookup.Unavailable // the repeated request tells
+			result.Outcome = lookup.Unavailable // a retry gets the final state
 		}
 		c.replyLookup(m.Req, result)
 	})
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -10,14 +10,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// cancelRecord is the value of a cancellation's key.
+// cancelRecord is the stored value of a cancellation.
 type cancelRecord struct {
-	// RequestedAt is the time of day of the user's request, in Unix milliseconds. It
-	// decides only how soon a controller acts that learns of the cancellation late.
+	// RequestedAt is the wall-clock time of the user's request in Unix milliseconds. It only
+	// affects how soon a controller that learns of the cancellation late returns machines.
 	RequestedAt int64 `json:"t,omitempty"`
 }
 
-// onCancelPut notes a cancellation that the watch tells of.
+// onCancelPut applies a stored cancellation to the replica.
 func (c *Core) onCancelPut(item protocol.KeyValue) error {
 	var record cancelRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -29,16 +29,16 @@
 	return nil
 }
 
-// markCancelled stops a job. Its bindings still end only once their tasks are proven to
-// have ended.
+// markCancelled marks a job as cancelled and stops its tasks. A binding is removed only once its
+// task is proven to have ended.
 func (c *Core) markCancelled(j *job.Job) {
 	if j == nil || j.Cancelled {
 		return
 	}
 	j.Cancel()
 	j.CancelledAt, j.CancelRequestedAt = c.now.Steady, c.replica.cancelRequests[j.ID]
-	if a := c.announcements.of(j.ID); a != nil {
-		j.CancelledAt, j.CancelRequestedAt = a.since, a.RequestedAt
+	if a := c.announcements.find(j.ID); a != nil {
+		j.CancelledAt, j.CancelRequestedAt = a.learnedAt, a.RequestedAt
 	}
 	if !j.InFlight {
 		c.unbindUnstored(j)
@@ -47,20 +47,20 @@
 	c.requestRound()
 }
 
-// cancelled tells whether a job is known to be cancelled.
+// cancelled reports whether a job is known to be cancelled.
 func (c *Core) cancelled(id string) bool {
 	j := c.jobs[id]
 	return c.userCancelled(id) || j != nil && j.Cancelled || c.ended.isCancelled(id)
 }
 
-// userCancelled tells whether a job is known to have been cancelled by its own user, and
-// not only with a job that it depends on.
+// userCancelled reports whether a job is known to have been cancelled by its own user, and not only
+// because a job that it depends on was cancelled.
 func (c *Core) userCancelled(id string) bool {
 	_, requested := c.replica.cancelRequests[id]
 	return requested || c.announcements.has(id)
 }
 
-// stopCancelledJobs stops the cancelled jobs of a team that another controller leads.
+// stopCancelledJobs stops the tasks of the cancelled jobs of a team that another controller leads.
 func (c *Core) stopCancelledJobs(t *team) {
 	for _, j := range ordered(t.jobs) {
 		if j.Cancelled {
@@ -69,10 +69,10 @@
 	}
 }
 
-// stopCancelled stops what is left of a cancelled job: all of it at its leader, and at every
-// other controller what is on the machines that it serves, since the leader's
-// commands are lost while controllers refuse each other's connections. Where that
-// does not help the machine is returned.
+// stopCancelled stops the remaining tasks of a cancelled job. The job's leader stops all of them.
+// Every other controller stops those on the machines that it serves, since the leader's
+// commands are lost while controllers refuse each other's connections. A machine on
+// which a task does not end is returned.
 func (c *Core) stopCancelled(j *job.Job) {
 	leads := c.leads(j)
 	for i, b := range ordered(j.Bound) {
@@ -88,9 +88,10 @@
 	}
 }
 
-// mayStillRun tells whether a task of a cancelled job may still be on its machine. It is not
-// where that is proven, nor for as long as a controller in contact that knows of the
-// cancellation reports the machine without it: should a start still come, it is stopped.
+// mayStillRun reports whether a task of a cancelled job may still be on its machine. It is not if
+// that is proven, nor while a controller that is in contact and knows of the cancellation
+// reports the machine without the task: that controller stops the task if a delayed start
+// still arrives.
 func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
 	if c.cordons.isTerminated(b.Machine) || c.returns.isConfirmed(b.Machine) {
 		return false
@@ -103,7 +104,7 @@
 	if evidence == worker.Inconclusive && c.announcements.has(j.ID) {
 		_, found := m.Find(task, b.Attempt)
 		recent := c.reach.inDirectContact(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
-		return found || !recent || c.announcements.isUnaware(j.ID, b.Machine)
+		return found || !recent || c.announcements.controllerMayBeUnaware(j.ID, b.Machine)
 	}
 	return evidence == worker.Inconclusive || evidence == worker.Present
 }
--- a/internal/core/cancelpartition_test.go
+++ b/internal/core/cancelpartition_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Cancelled tasks end in time whichever connections, controllers or accesses to the store fail,
-// for less and for more time than a cancellation may take (docs/incidents/apart.md).
+// Cancelled tasks end within the deadline whichever connections or controllers fail or lose the
+// store, for less and for more time than the cancellation deadline (docs/incidents/apart.md).
 func TestCancelledTasksEndInTimeUnderPartitions(t *testing.T) {
 	const deadline = 30 * time.Second
 	cuts := map[string]func(w *world, leader string){
@@ -17,8 +17,8 @@
 		"links from the leader":   func(w *world, leader string) { w.refuse(func(f, _ string) bool { return f == leader }) },
 		"links to the leader":     func(w *world, leader string) { w.refuse(func(_, t string) bool { return t == leader }) },
 		"links to the fleet leader": func(w *world, _ string) {
-			r := w.cores["a"].fleet.leader
-			w.refuse(func(_, t string) bool { return t == r })
+			fleetLeader := w.cores["a"].fleet.leader
+			w.refuse(func(_, t string) bool { return t == fleetLeader })
 		},
 		"every second link":          func(w *world, _ string) { w.refuse(func(f, t string) bool { return (f[0]+t[0])%2 == 1 }) },
 		"all links, leader's store":  func(w *world, leader string) { w.refuse(everyLink); w.cutStore(leader) },
@@ -34,8 +34,8 @@
 		"all links, leader freezes": func(w *world, leader string) { w.refuse(everyLink); w.freeze(leader) },
 	}
 	for name, cut := range cuts {
-		for _, part := range []float64{0.5, 1, 2} {
-			t.Run(fmt.Sprint(name, " for ", part), func(t *testing.T) {
+		for _, deadlines := range []float64{0.5, 1, 2} {
+			t.Run(fmt.Sprint(name, ", deadlines: ", deadlines), func(t *testing.T) {
 				t.Parallel()
 				machines := 20
 				if name == "all links" {
@@ -45,9 +45,9 @@
 				cut(w, leader)
 				w.run(2*time.Second, nil)
 				if a := w.cancelJob(w.nodeWithStore(), "req-free-1"); a.Status != 200 {
-					t.Fatalf("cancellation got %d", a.Status)
+					t.Fatalf("cancellation: got status %d, want 200", a.Status)
 				}
-				w.run(time.Duration(part*float64(deadline)), nil)
+				w.run(time.Duration(deadlines*float64(deadline)), nil)
 				w.heal()
 				w.run(2*deadline, nil)
 				if len(w.cancellationToldAt) > 0 {
@@ -58,9 +58,9 @@
 	}
 }
 
-// A machine that reaches no controller ends its tasks with its lease, also where the cloud does
-// not take it back.
-func TestIsolatedMachineEndsTasksWithItsLease(t *testing.T) {
+// A machine that reaches no controller stops its tasks when its lease expires, even if the cloud
+// does not release the machine.
+func TestIsolatedMachineStopsTasksWhenLeaseExpires(t *testing.T) {
 	w, _ := loadedWorld(t, 20, "req-free-1")
 	w.noCloud = true
 	for _, f := range w.workers {
@@ -68,16 +68,16 @@
 	}
 	w.cancelJob("a", "req-free-1")
 	if w.run(10*time.Second, nil); w.onMachines("req-free-1") == 0 {
-		t.Error("tasks are gone before the lease is over")
+		t.Error("tasks ended before the lease expired")
 	}
 	if w.run(7*time.Second, nil); w.onMachines("req-free-1") > 0 {
-		t.Errorf("%d tasks run on after it", w.onMachines("req-free-1"))
+		t.Errorf("got %d running tasks after the lease expired, want none", w.onMachines("req-free-1"))
 	}
 }
 
-// A leader that was cut from the store learns all at once that it is deposed, and that a job was
-// cancelled and has ended. It does not take the job's later writes for those of a job that
-// was done.
+// Guards against a deposed leader that reports a cancelled job as done. A leader that was cut off
+// from the store learns at the same time that it was replaced and that the job was cancelled and
+// has ended, and must not mistake the deletion of the job for its completion.
 func TestDeposedLeaderReportsCancelledJobAsCancelled(t *testing.T) {
 	w := newWorldOf(t, fiveNodes)
 	w.allowRacingStarts, w.taskTime = true, time.Minute
@@ -89,11 +89,11 @@
 	w.run(5*time.Second, nil)
 	w.cancelJob(w.nodeWithStore(), "req-free-1")
 	if !w.run(time.Minute, func() bool { return w.kv[jobKey("req-free-1")].Version == 0 }) {
-		t.Fatal("the cancelled job does not end")
+		t.Fatal("the cancelled job did not end")
 	}
 	w.restoreStore(leader)
 	w.run(10*time.Second, nil)
 	if s := stateOf(t, w.status(leader, "req-free-1")); s.State != "cancelled" {
-		t.Errorf("%s says %+v", leader, s)
+		t.Errorf("%s: got state %+v, want cancelled", leader, s)
 	}
 }
--- a/internal/core/canceltiming_test.go
+++ b/internal/core/canceltiming_test.go
@@ -12,7 +12,8 @@
 	"pepperlever/internal/settings"
 )
 
-// tunedIdleWorld is idleWorld with other settings for the worker lease and cancellations.
+// tunedIdleWorld returns an idle world with the given worker lease and cancellation deadline in
+// seconds.
 func tunedIdleWorld(t tester, machines int, lease, cancel float64) *world {
 	t.Helper()
 	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = lease, cancel })
@@ -24,20 +25,20 @@
 	return w
 }
 
-// A job is cancelled at the moment at which the store begins to refuse the leader alone. A second
-// later the store is down for longer than cancel_s, and up to eight of the job's machines
-// hang and go on later.
+// A job is cancelled when the store begins to refuse requests of the leader alone. One second later
+// the store fails for longer than cancel_s, while up to eight of the job's machines hang and then
+// resume.
 func TestCancellationWhenStoreBeginsToRefuseLeader(t *testing.T) {
 	times := []struct{ lease, cancel float64 }{{16, 30}, {12, 32}, {26, 51}, {16, 20}}
 	hangs := map[string]func(w *world) time.Duration{
-		"no hang":                 func(*world) time.Duration { return 0 },
-		"shorter than the lease":  func(w *world) time.Duration { return w.lease() * 3 / 4 },
-		"just under cancel_s":     func(w *world) time.Duration { return w.cancelDeadline() - time.Second },
-		"just over cancel_s":      func(w *world) time.Duration { return w.cancelDeadline() + time.Second },
-		"hang and silent":         func(w *world) time.Duration { return w.lease() / 2 },
-		"then report to one more": func(w *world) time.Duration { return w.lease() / 2 },
+		"no hang":                      func(*world) time.Duration { return 0 },
+		"shorter than the lease":       func(w *world) time.Duration { return w.lease() * 3 / 4 },
+		"just under cancel_s":          func(w *world) time.Duration { return w.cancelDeadline() - time.Second },
+		"just over cancel_s":           func(w *world) time.Duration { return w.cancelDeadline() + time.Second },
+		"hang and silent":              func(w *world) time.Duration { return w.lease() / 2 },
+		"report to another controller": func(w *world) time.Duration { return w.lease() / 2 },
 	}
-	for hang, long := range hangs {
+	for hang, duration := range hangs {
 		for _, p := range times {
 			for _, links := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, lease %v, cancel %v, links %v", hang, p.lease, p.cancel, links), func(t *testing.T) {
@@ -51,10 +52,10 @@
 					}
 					hung := 0
 					for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-						if d := long(w); d > 0 && hung < 8 && w.loadOf(w.workers[id], "").CPUs > 0 {
+						if d := duration(w); d > 0 && hung < 8 && w.loadOf(w.workers[id], "").CPUs > 0 {
 							w.hang(id, d)
 							w.silentWorkers[id] = hang == "hang and silent"
-							w.workerCannotReach[link{leader, id}] = hang == "then report to one more"
+							w.workerCannotReach[link{leader, id}] = hang == "report to another controller"
 							hung++
 						}
 					}
@@ -64,16 +65,16 @@
 					w.outage = true
 					before := w.onMachines(cancelledJob)
 					if hang != "no hang" && (hung != 8 || before == 0) {
-						t.Fatalf("%d machines hang, with %d tasks", hung, before)
+						t.Fatalf("got %d hung machines and %d running tasks, want 8 machines and some tasks", hung, before)
 					}
-					w.run(w.cancelDeadline()*5/4, nil) // the world checks what is cancelled
+					w.run(w.cancelDeadline()*5/4, nil) // the world checks the deadlines of cancellations
 					if len(w.cancellationToldAt) > 0 {
-						t.Error("the time allowed is not over")
+						t.Error("the scenario ended before the deadline")
 					}
 					w.recover()
 					w.run(w.cancelDeadline(), nil)
 					if n := w.onMachines(cancelledJob); n > 0 {
-						t.Errorf("%d tasks run on", n)
+						t.Errorf("got %d running tasks, want none", n)
 					}
 				})
 			}
@@ -82,33 +83,35 @@
 }
 
 // lastTasksEnd is a scenario in which a cancellation, a status request and a repeated submission
-// come while the last tasks of a job end.
+// arrive while the last tasks of a job end.
 type lastTasksEnd struct {
 	name  string
 	tasks int
-	// more describes the job further.
+	// more contains additional JSON fields of the submission.
 	more string
-	// atLeader sends the requests to the job's leader, or else to another controller.
+	// atLeader selects whether the requests are sent to the job's leader or to another
+	// controller.
 	atLeader bool
-	// tenths is how many tenths of a second after the end of the last task they are sent; before
-	// the expected end if it is negative.
+	// tenths is the delay in tenths of a second between the end of the last task and the
+	// requests. If it is negative, they are sent before the expected end.
 	tenths int
 }
 
 // endingJob is the job whose last tasks end.
 const endingJob = "req-free-1"
 
-// A cancellation, status requests and a repeated submission come while a job's last tasks end,
-// without faults: at the leader and elsewhere, before and after the report, the write of
-// the end and its reply. The job is done or cancelled, all say the same, done not before
-// all tasks have ended, and within 3 s.
+// A cancellation, a status request and a repeated submission arrive while a job's last tasks end,
+// without faults: at the leader and at another controller, before and after the worker's
+// report, the write of the final state and its reply. Within 3 s the job is either done or
+// cancelled, all controllers agree on which, and none reports it as done before all tasks have
+// ended.
 func TestCancellationDuringLastTasksEnd(t *testing.T) {
 	for _, d := range []lastTasksEnd{
 		{name: "one task", tasks: 1},
-		{name: "two tasks that end in one report", tasks: 2},
+		{name: "two tasks that end in the same report", tasks: 2},
 		{name: "several chunks", tasks: 130},
 		{name: "a gang", tasks: 2, more: `,"shape":"group"`},
-		{name: "a gang in one place", tasks: 2, more: `,"shape":"group","samePlace":true`},
+		{name: "a gang in one zone", tasks: 2, more: `,"shape":"group","samePlace":true`},
 	} {
 		outcomes := map[string]int{}
 		for _, atLeader := range []bool{true, false} {
@@ -118,12 +121,12 @@
 			}
 		}
 		if outcomes[protocol.Done] == 0 || outcomes[protocol.Cancelled] == 0 {
-			t.Errorf("%s: the end and the cancellation never came close: %v", d.name, outcomes)
+			t.Errorf("%s: got outcomes %v, want some done and some cancelled", d.name, outcomes)
 		}
 	}
 }
 
-// run plays the scenario and returns the state that the user is told.
+// run runs the scenario and returns the state in the answer to the cancellation.
 func (d lastTasksEnd) run(t *testing.T) string {
 	t.Helper()
 	w := newWorldOf(t, fiveNodes).ready()
@@ -143,16 +146,16 @@
 		}
 		cancel = w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: endingJob} })
 	}
-	told := stateOf(t, cancel)
+	answered := stateOf(t, cancel)
 	w.run(2*time.Second, nil)
-	d.checkState(t, w, told.State)
-	return told.State
+	d.checkState(t, w, answered.State)
+	return answered.State
 }
 
-// body is the submission of the job.
+// body returns the body of the job's submission.
 func (d lastTasksEnd) body() []byte { return []byte(submission(endingJob, "free", d.tasks, d.more)) }
 
-// ended tells whether all tasks have ended.
+// ended reports whether all tasks have ended.
 func (d lastTasksEnd) ended(w *world) bool {
 	for n := range d.tasks {
 		if !w.completed[fmt.Sprintf("%s/%d", endingJob, n)] {
@@ -162,7 +165,7 @@
 	return true
 }
 
-// awaitMoment lets the time pass until the requests are to be sent.
+// awaitMoment runs the world until the requests are to be sent.
 func (d lastTasksEnd) awaitMoment(w *world) {
 	const earliest = 5500 * time.Millisecond
 	begin, offset := w.now, time.Duration(d.tenths)*100*time.Millisecond
@@ -175,7 +178,8 @@
 	}
 }
 
-// sendRequests sends the requests at once, checks their answers and returns that to the cancellation.
+// sendRequests sends all requests at the same time, checks the answers and returns the one to the
+// cancellation.
 func (d lastTasksEnd) sendRequests(t *testing.T, w *world, node string) (cancel Answer) {
 	t.Helper()
 	requests := map[uint64]string{}
@@ -196,10 +200,10 @@
 			}
 			delete(requests, req)
 			if s, is := a.Body.(protocol.JobState); is && s.State == protocol.Done && !d.ended(w) {
-				t.Errorf("%s: done before all has ended", d.name)
+				t.Errorf("%s: reported as done before all tasks have ended", d.name)
 			}
 			if a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity {
-				t.Errorf("%s: %s gets %d", d.name, name, a.Status)
+				t.Errorf("%s: %s: got status %d", d.name, name, a.Status)
 			}
 			if name == "cancel" {
 				cancel = a
@@ -210,24 +214,25 @@
 	return cancel
 }
 
-// checkState checks that every controller reports the state that the user was told.
-func (d lastTasksEnd) checkState(t *testing.T, w *world, told string) {
+// checkState checks that every controller reports the given state, with which the cancellation was
+// answered.
+func (d lastTasksEnd) checkState(t *testing.T, w *world, want string) {
 	t.Helper()
 	for _, n := range w.names {
-		if s := stateOf(t, w.status(n, endingJob)); s.State != told {
-			t.Errorf("%s, %d tenths, at leader %v: told %s, and %s by %s", d.name, d.tenths, d.atLeader, told, s.State, n)
+		if s := stateOf(t, w.status(n, endingJob)); s.State != want {
+			t.Errorf("%s, %d tenths, at leader %v: cancellation answered %s, but status is %s at %s", d.name, d.tenths, d.atLeader, want, s.State, n)
 		}
 		repeat := func(req uint64) Command { return Submit{Req: req, Body: d.body()} }
-		if s := stateOf(t, w.request(n, repeat)); s.State != told {
-			t.Errorf("%s: a repeat is answered %s after %s", d.name, s.State, told)
+		if s := stateOf(t, w.request(n, repeat)); s.State != want {
+			t.Errorf("%s: repeated submission: got state %s, want %s", d.name, s.State, want)
 		}
 	}
 }
 
-// A job's last task ends while its user cancels at a controller whose replica is behind and that
-// the leader gets no messages from: the job is done or cancelled, and stays so.
+// A job's last task ends while its user cancels it at a controller whose messages to the leader are
+// held back, and the leader's watch is stalled. The job is either done or cancelled and stays so.
 func TestJobIsEitherDoneOrCancelled(t *testing.T) {
-	seen := map[string]int{}
+	outcomes := map[string]int{}
 	for tenths := range 16 {
 		w := newWorldOf(t, fiveNodes).ready()
 		w.allowRacingStarts = true
@@ -236,60 +241,60 @@
 		leader := w.cores["a"].teamBy["blue"].leader
 		w.run(4200*time.Millisecond+time.Duration(tenths)*100*time.Millisecond, nil)
 		for _, f := range w.workers {
-			f.node = slices.Index(w.names, leader) // it learns of the end by a report
+			f.node = slices.Index(w.names, leader) // the leader learns of the end from a report
 		}
 		w.slowWatcher = leader
 		w.hold(everyLink)
 		var a Answer
-		for range 5 { // it waits until another controller knows
+		for range 5 { // the answer waits until another controller knows
 			if a = w.request("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
 				break
 			}
 			w.run(time.Second, nil)
 		}
-		told := stateOf(t, a)
+		answered := stateOf(t, a)
 		w.run(5*time.Second, nil)
 		w.slowWatcher = ""
 		w.restore()
 		w.run(10*time.Second, nil)
-		seen[told.State]++
+		outcomes[answered.State]++
 		for _, n := range w.names {
-			if s := stateOf(t, w.status(n, "req-blue-1")); s.State != told.State {
-				t.Errorf("cancelled after %d tenths: told %s, and %s by %s", tenths, told.State, s.State, n)
+			if s := stateOf(t, w.status(n, "req-blue-1")); s.State != answered.State {
+				t.Errorf("cancelled after %d tenths: cancellation answered %s, but status is %s at %s", tenths, answered.State, s.State, n)
 			}
 		}
 	}
-	if seen[protocol.Done] == 0 || seen[protocol.Cancelled] == 0 {
-		t.Errorf("the end and the cancellation never came close: %v", seen)
+	if outcomes[protocol.Done] == 0 || outcomes[protocol.Cancelled] == 0 {
+		t.Errorf("got outcomes %v, want some done and some cancelled", outcomes)
 	}
 }
 
-// A cancellation is stored before the write that binds more of the job's tasks, and the leader
-// hears of it before the reply to that write: the job ends after a few writes.
+// A cancellation is stored before a write that binds more tasks of the job, and the leader learns
+// of it before the reply to that write. The job ends after a few more writes.
 func TestCancellationDuringBindingWrite(t *testing.T) {
 	const id = "req-free-1"
 	w := newWorldOf(t, fiveNodes).ready()
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	leader, writes, met := w.leaderOf("free"), 0, false
+	leader, writes, cancelled := w.leaderOf("free"), 0, false
 	w.onEffect = func(node string, e Effect) {
 		txn, is := e.(StoreTxn)
 		if !is || node != leader || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
 			return
 		}
-		if writes++; met || len(txn.Txn.If) < 4 {
+		if writes++; cancelled || len(txn.Txn.If) < 4 {
 			return // it binds nothing
 		}
-		met = true
+		cancelled = true
 		r := w.decide(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
 			Then: []protocol.Change{putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(id), cancelRecord{})}})
 		w.send(leader, PeerMessageReceived{Node: w.anotherNode(leader), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
 	}
 	accepted(t, w.submit("a", id, 40, ""))
-	if !w.run(20*time.Second, func() bool { return met }) {
-		t.Fatal("nothing was bound")
+	if !w.run(20*time.Second, func() bool { return cancelled }) {
+		t.Fatal("no task was bound")
 	}
 	writes = 0
 	if !w.run(20*time.Second, func() bool { return w.kv[jobKey(id)].Version == 0 }) || writes > 5 {
-		t.Errorf("it has not ended, after %d writes", writes)
+		t.Errorf("got %d writes, want the job to end after at most 5", writes)
 	}
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -5,17 +5,17 @@
 	"pepperlever/internal/protocol"
 )
 
-// Command is something that happened outside the core.
+// Command is an input of the core: a request, a reply or an event from outside.
 type Command any
 
-// Commands from users and workers. Req names the request in Answer.
+// Commands from users and workers. Req identifies the request in its Answer.
 type (
-	// Submit is a user's submission.
+	// Submit submits a job.
 	Submit struct {
 		Req  uint64
 		Body []byte
 	}
-	// Status asks for the state of a job.
+	// Status requests the state of a job.
 	Status struct {
 		Req uint64
 		ID  string
@@ -25,15 +25,15 @@
 		Req uint64
 		ID  string
 	}
-	// List asks for a page of the jobs in the replica that have not ended. The page
-	// begins after the job After.
+	// List requests a page of the jobs in the replica that have not ended. The page
+	// starts after the job with ID After.
 	List struct {
 		Req   uint64
 		After string
 	}
-	// JobStatistics asks for the numbers of jobs by class, team and outcome.
+	// JobStatistics requests the numbers of jobs by class, team and outcome.
 	JobStatistics struct{ Req uint64 }
-	// Health asks whether this node can take requests.
+	// Health asks whether this node can serve requests.
 	Health struct{ Req uint64 }
 	// Heartbeat is a worker's report.
 	Heartbeat struct {
@@ -42,20 +42,20 @@
 	}
 )
 
-// Outcome tells what became of a request to the store or to the cloud.
+// Outcome is the result of a request to the store or to the cloud.
 type Outcome uint8
 
 // Outcomes of a request.
 const (
-	// Applied means carried out.
+	// Applied means that the request was carried out.
 	Applied Outcome = iota
-	// Conflict means that a condition failed; nothing was changed.
+	// Conflict means that a condition failed and nothing was changed.
 	Conflict
 	// Missing means that the key does not exist.
 	Missing
-	// NoLease means that the lease of a write has expired; nothing was changed.
+	// NoLease means that the lease of a write has expired and nothing was changed.
 	NoLease
-	// Refused means certainly not carried out.
+	// Refused means that the request was certainly not carried out.
 	Refused
 	// Unknown means that the request may have been carried out, or may still be.
 	Unknown
@@ -67,63 +67,62 @@
 	StoreReply struct {
 		ID      uint64
 		Outcome Outcome
-		// Unavailable marks a refusal that has other causes than the rate limit: an
-		// immediate retry is of no use.
+		// Unavailable marks a refusal for a reason other than the rate limit: an
+		// immediate retry would fail too.
 		Unavailable bool
-		// RateLimited marks a refusal because of the rate limit, Oversized one because the
-		// transaction exceeds the store's limits, or is malformed.
+		// RateLimited marks a refusal because of the rate limit. Oversized marks one
+		// because the transaction exceeds the store's limits or is malformed.
 		RateLimited, Oversized bool
 		Revision               uint64
-		// Failed names the keys whose conditions failed; it may be incomplete.
+		// Failed lists the keys whose conditions failed. It may be incomplete.
 		Failed []string
-		// Item is what StoreGet has read.
+		// Item is the item read by StoreGet.
 		Item protocol.KeyValue
 	}
-	// SnapshotLoaded is everything that is stored, as of Revision or a little later.
+	// SnapshotLoaded contains everything in the store, as of Revision or slightly later.
 	SnapshotLoaded struct {
 		Revision uint64
 		Items    []protocol.KeyValue
 	}
-	// StoreChanged holds all changes up to Revision.
+	// StoreChanged contains all changes up to Revision.
 	StoreChanged struct {
 		Revision uint64
 		Events   []protocol.Event
 	}
-	// LeaseGranted tells of a new lease.
+	// LeaseGranted reports a new lease of this node.
 	LeaseGranted struct{ Lease uint64 }
-	// LeaseExpired tells that the lease has expired.
+	// LeaseExpired reports that the lease of this node has expired.
 	LeaseExpired struct{}
-	// StoreHealth tells whether the store answers this node.
+	// StoreHealth reports whether the store answers this node.
 	StoreHealth struct{ OK bool }
-	// StoreLimitLowered tells that the store takes fewer changes a second than its limit
-	// from before the upgrade.
+	// StoreLimitLowered reports that the store accepts fewer changes per second than its
+	// limit from before the upgrade.
 	StoreLimitLowered struct{}
 )
 
 // Commands from other controllers, workers and the cloud.
 type (
-	// PeerMessageReceived is a message of another controller.
+	// PeerMessageReceived is a message from another controller.
 	PeerMessageReceived struct {
 		Node    string
 		Message PeerMessage
 	}
-	// PeerConnected tells that messages can now be sent to a controller.
+	// PeerConnected reports that messages can now be sent to a controller.
 	PeerConnected struct{ Node string }
-	// PeerDisconnected tells that they no longer can.
+	// PeerDisconnected reports that messages can no longer be sent to a controller.
 	PeerDisconnected struct{ Node string }
-	// DeliveryResult answers Deliver. Report is nil when no answer came.
+	// DeliveryResult answers Deliver. Report is nil if the worker did not answer.
 	DeliveryResult struct {
 		Machine  string
 		Orders   protocol.Orders
 		Executed bool
 		Report   *protocol.Report
 	}
-	// CatalogReceived is the cloud's catalogue of machine types.
+	// CatalogReceived contains the cloud's catalog of machine types.
 	CatalogReceived struct{ Types []protocol.MachineType }
-	// InventoryReceived is the cloud's complete list of rented machines.
+	// InventoryReceived contains the cloud's complete list of rented machines.
 	InventoryReceived struct{ Machines []protocol.ListedMachine }
-	// CloudHealth tells whether the cloud carries requests out, or refuses them because of
-	// an outage.
+	// CloudHealth reports whether the cloud carries out requests. It does not during an outage.
 	CloudHealth struct{ OK bool }
 	// RentalResult answers RequestRental. Outcome is Applied, Refused (no capacity) or Unknown.
 	RentalResult struct {
@@ -140,10 +139,10 @@
 
 // Commands from other sites and from the federation's configuration file.
 type (
-	// SiteMessageReceived is a message of another site, whose sender has been verified.
+	// SiteMessageReceived is a message from another site whose sender has been verified.
 	SiteMessageReceived struct{ Message federation.Message }
-	// SiteConnected tells that messages can be sent to another site.
+	// SiteConnected reports that messages can be sent to another site.
 	SiteConnected struct{ Site federation.Site }
-	// SiteConfig is the federation's configuration, read again after a change.
+	// SiteConfig contains the federation's configuration, reloaded after a change.
 	SiteConfig struct{ Config *federation.Config }
 )
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,5 +1,6 @@
-// Package core is the scheduler without input or output: commands and a time go in, effects come
-// out. It holds no clock, socket or goroutine.
+// Package core implements the scheduler as a deterministic state machine that performs no I/O:
+// Step takes commands and the current time and returns effects. It uses no clock, socket or
+// goroutine of its own.
 package core
 
 import (
@@ -14,36 +15,37 @@
 	"pepperlever/internal/settings"
 )
 
-// Core is the single owner of all state of a controller. Its components own the fields that they
-// change; Core keeps the order in which they act.
+// Core owns all state of a controller. Each component modifies only its own fields; Core
+// determines the order in which the components run.
 type Core struct {
 	*environment
 	*messenger
 
-	// The replica of the store.
+	// Local replica of the store.
 
 	replica replica
-	// members are the controllers of this deployment.
+	// members holds the controllers of this deployment.
 	members membership
-	// teams are in the order of the settings, fleet is the leadership of the machines.
+	// teams lists the teams in the order of the settings. fleet is the shard that covers the
+	// machines.
 	teams  []*team
 	teamBy map[string]*team
 	fleet  *shard
-	// jobs holds the jobs that are not final, ended what is remembered of the others.
+	// jobs holds the jobs without a final state, ended caches those that have one.
 	jobs    map[string]*job.Job
 	ended   endedJobs
 	cordons cordons
 	intents rentalIntents
-	// handoffs holds the hand-offs to and from other sites.
+	// handoffs holds the records of jobs handed off to and from other sites.
 	handoffs handoffReplica
 	upgrade  *upgradeTracker
 
-	// Writes to the store.
+	// Store writes.
 
 	limits storeLimits
 	chunks *chunkPolicy
 	writer *jobWriter
-	// storeOK tells whether the store answers this node.
+	// storeOK reports whether the store answers requests of this node.
 	storeOK bool
 
 	// Jobs and users.
@@ -69,7 +71,7 @@
 	freshness *freshnessTracker
 	relay     *storeRelay
 	isolation isolationDetector
-	// federation connects this site to others, nil without.
+	// federation connects this site to others. It is nil if federation is not configured.
 	federation *federationAdapter
 
 	scheduler  scheduler
@@ -77,17 +79,17 @@
 	timers     timers
 }
 
-// timers hold the next time of each periodic duty.
+// timers holds the time at which each periodic operation is due next.
 type timers struct {
 	// usageUpdated is when the usage records were last updated.
 	usageUpdated time.Duration
 
-	heartbeat, share, record, reconcile time.Duration
-	autoscaler, forget, catalog         time.Duration
-	inventory, evacuation, statistics   time.Duration
+	heartbeat, share, storeUsage, reconcile time.Duration
+	autoscaler, forget, catalog             time.Duration
+	inventory, evacuation, statistics       time.Duration
 }
 
-// New makes a core. The incarnation must differ between runs of the process.
+// New returns a core. The incarnation must be unique to each run of the process.
 func New(cfg *settings.Settings, policy settings.Policy, incarnation string) *Core {
 	c := &Core{
 		environment: newEnvironment(cfg, policy),
@@ -127,14 +129,15 @@
 	return c
 }
 
-// Step works through a batch of commands and returns the effects in order.
+// Step processes a batch of commands, runs the periodic work that is due and returns the
+// resulting effects in order.
 func (c *Core) Step(now Now, commands []Command) []Effect {
 	c.now = now
 	c.effects = nil
 	for _, cmd := range commands {
 		c.handle(cmd)
 	}
-	c.runDuties()
+	c.runPeriodicWork()
 	c.federation.run()
 	c.schedule()
 	c.lookups.sendDue()
@@ -143,7 +146,7 @@
 	return c.effects
 }
 
-// handle hands a command to the component that it concerns.
+// handle dispatches a command to the component that handles it.
 func (c *Core) handle(cmd Command) {
 	switch m := cmd.(type) {
 	case Submit:
@@ -205,7 +208,7 @@
 	}
 }
 
-// Intervals of duties, as parts of a report interval.
+// How often periodic work runs in each report interval.
 const (
 	heartbeatsPerReport   = 3
 	observationsPerReport = 30
@@ -214,11 +217,12 @@
 	autoscalesPerReport   = 3
 )
 
-// usageStoreInterval is after how many updates the usage records are stored.
-const usageStoreInterval = 15
+// usageUpdatesPerStore is the number of updates of the usage records between two writes of them.
+const usageUpdatesPerStore = 15
 
-// runDuties carries out the duties that are due. Their order is part of what a step does.
-func (c *Core) runDuties() {
+// runPeriodicWork runs the periodic operations that are due. Their order affects the result of
+// a step.
+func (c *Core) runPeriodicWork() {
 	report := c.reportInterval()
 	c.updateUsageRecords()
 	c.announcements.resolveLookups()
@@ -228,26 +232,26 @@
 	}
 	c.flushObservations(report / observationsPerReport)
 	if c.replica.loaded {
-		c.runReplicaDuties(report)
+		c.runReplicaWork(report)
 	}
 	if c.every(&c.timers.catalog, c.catalogInterval()) {
 		c.emit(FetchCatalog{})
 	}
 	if c.fleet.leading {
-		c.runFleetDuties(report)
+		c.runFleetWork(report)
 	}
-	if c.replica.loaded && c.every(&c.timers.record, usageStoreInterval*usageRecordInterval) {
+	if c.replica.loaded && c.every(&c.timers.storeUsage, usageUpdatesPerStore*usageRecordInterval) {
 		c.storeUsageRecords()
 	}
 }
 
-// runReplicaDuties carries out the duties that go by the replica.
-func (c *Core) runReplicaDuties(report time.Duration) {
+// runReplicaWork runs the periodic operations that require a loaded replica.
+func (c *Core) runReplicaWork(report time.Duration) {
 	if c.every(&c.members.nextElection, report/electionsPerReport) {
 		c.electLeaders()
 	}
 	if c.every(&c.timers.reconcile, report/reconcilesPerReport) {
-		c.announcements.repeat()
+		c.announcements.resend()
 		c.freshness.check(c.storeOK)
 		c.reconciler.reconcileAll()
 		c.agents.retryPendingRaises()
@@ -261,15 +265,15 @@
 	c.checkIsolation()
 }
 
-// runFleetDuties carries out the duties of the leader of the fleet.
-func (c *Core) runFleetDuties(report time.Duration) {
+// runFleetWork runs the periodic operations of the fleet leader.
+func (c *Core) runFleetWork(report time.Duration) {
 	if c.every(&c.timers.autoscaler, report/autoscalesPerReport) {
 		c.runAutoscaler()
 	}
 	if c.every(&c.timers.inventory, c.listInterval()) {
 		c.emit(FetchInventory{})
 	}
-	if c.every(&c.timers.statistics, statisticsInterval*report) {
+	if c.every(&c.timers.statistics, reportIntervalsPerStatistics*report) {
 		c.logStatistics()
 	}
 }
@@ -283,5 +287,5 @@
 
 func (c *Core) listInterval() time.Duration { return seconds(c.cfg.Params.Cloud.ListLagS) / 2 }
 
-// seconds turns a figure of the settings into a duration.
+// seconds converts a number of seconds from the settings to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/core/deferredstatus.go
+++ b/internal/core/deferredstatus.go
@@ -2,16 +2,16 @@
 
 import "pepperlever/internal/core/lookup"
 
-// deferredStatus is the answer to requests for the state of a job of which the store has said
-// that it has no final state as of a revision. A cancellation that the replica does not show
-// yet may have ended it all the same.
+// deferredStatus is a pending answer to requests for the state of a job that, according to the
+// store, has no final state as of a revision. The job may still have been cancelled with one
+// of its dependencies, which the replica shows only once it has reached that revision.
 type deferredStatus struct {
 	group    lookup.Group
 	revision uint64
 }
 
-// resolveActive answers requests for a job that has no final state as of a revision, at once
-// where nothing else can have ended it.
+// resolveActive answers requests for a job that has no final state as of a revision: at once if
+// nothing else can have ended it, or else once the replica has reached the revision.
 func (l *lookupController) resolveActive(group lookup.Group, revision uint64) {
 	j := l.core.jobs[group.JobID]
 	if j != nil && !j.Cancelled && !l.core.dependencies.Waits(group.JobID) {
@@ -21,16 +21,17 @@
 	l.deferred = append(l.deferred, deferredStatus{group, revision})
 }
 
+// resolveWithProgress answers requests for a job without a final state.
 func (l *lookupController) resolveWithProgress(group lookup.Group) {
 	group.ResolveAll(lookup.Result{Outcome: lookup.Active, State: l.core.jobProgress(group.JobID)})
 }
 
-// answerDeferred answers the requests whose revision the replica has reached, and turns
-// away those whose users will not wait any longer.
+// answerDeferred answers the requests whose revision the replica has reached and fails those
+// whose users are about to time out.
 func (l *lookupController) answerDeferred() {
-	waiting := l.deferred
+	pending := l.deferred
 	l.deferred = nil
-	for _, status := range waiting {
+	for _, status := range pending {
 		switch {
 		case lookup.Expired(status.group.Requests[0], l.core.now.Steady):
 			status.group.ResolveUnavailable()
@@ -42,8 +43,8 @@
 	}
 }
 
-// replicaCovers tells whether the replica shows all that may have cancelled a job up to the
-// revision of its read.
+// replicaCovers reports whether the replica shows every cancellation that may have ended a job up
+// to the revision at which its state was read.
 func (l *lookupController) replicaCovers(status deferredStatus) bool {
 	id := status.group.JobID
 	if l.core.hasEnded(id) {
@@ -58,7 +59,7 @@
 	return !l.core.dependencies.lookUpUpstream(id)
 }
 
-// resolveFromReplica answers by what the replica shows.
+// resolveFromReplica answers requests for a job with the state that the replica shows.
 func (l *lookupController) resolveFromReplica(group lookup.Group) {
 	if !l.core.hasEnded(group.JobID) {
 		l.resolveWithProgress(group)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,24 +10,23 @@
 	"pepperlever/internal/protocol"
 )
 
-// dependencies is what this controller knows of jobs that await others
-// (docs/dependencies.md).
+// dependencies tracks the jobs that depend on others (docs/dependencies.md).
 type dependencies struct {
 	core *Core
 	*dependency.Graph
-	// lookingUp holds the awaited jobs whose state is being read.
+	// lookingUp holds the dependencies whose states are being read.
 	lookingUp map[string]bool
-	// inheriting are the jobs that have the urgency of others.
+	// inheriting holds the jobs that have inherited the urgency of their dependents.
 	inheriting []*job.Job
-	// checkAt is when the states of awaited jobs are looked up again.
-	checkAt time.Duration
+	// nextCheck is when the states of dependencies are looked up again.
+	nextCheck time.Duration
 }
 
 func newDependencies(c *Core) *dependencies {
 	return &dependencies{core: c, Graph: dependency.New(), lookingUp: map[string]bool{}}
 }
 
-// inheritUrgency lets awaited jobs be as urgent as those that need them.
+// inheritUrgency makes jobs at least as urgent as those that depend on them.
 func (d *dependencies) inheritUrgency() {
 	if !d.Changed() {
 		return
@@ -49,8 +48,8 @@
 	d.core.requestRound()
 }
 
-// urgencyEstimate is a job's own urgency and run time. It is not known of one that is not
-// held or is cancelled.
+// urgencyEstimate returns a job's own urgency and run time. They are unknown for a job that is
+// cancelled or not in the replica.
 func urgencyEstimate(j *job.Job) (estimate dependency.Estimate, known bool) {
 	if j == nil || j.Cancelled {
 		return dependency.Estimate{}, false
@@ -59,11 +58,11 @@
 	return dependency.Estimate{Urgency: own, RunTime: j.RunTimeMS()}, true
 }
 
-// track notes which jobs a job awaits, when the replica gets it.
+// track updates the dependency graph when the replica receives a job.
 func (d *dependencies) track(j *job.Job) {
 	if j.Attempt > 0 || len(j.Dependencies) == 0 {
 		d.Forget(j.ID)
-		j.Blocked = false // nothing is bound before all are done
+		j.Blocked = false // no task is bound before all dependencies are done
 		return
 	}
 	if j.WasUnblocked() {
@@ -86,14 +85,14 @@
 	}
 }
 
-// onReady lets a job begin whose last awaited job is done.
+// onReady unblocks a job whose last dependency is done.
 func (d *dependencies) onReady(j *job.Job) {
 	j.Unblock(d.core.now.Steady, d.core.now.Wall)
 	d.core.requestRound()
 	d.core.log(Debug, "job dependencies done", "job", j.ID)
 }
 
-// onEnded tells the jobs that wait for a job of its final state.
+// onEnded applies the final state of a job to its dependents.
 func (d *dependencies) onEnded(id, state string) {
 	if state == protocol.Done {
 		for _, ready := range d.Done(id) {
@@ -103,36 +102,37 @@
 		}
 		return
 	}
-	for _, follower := range d.Followers(id) {
-		d.cancelDependent(d.core.jobs[follower], id)
+	for _, dependent := range d.Followers(id) {
+		d.cancelDependent(d.core.jobs[dependent], id)
 	}
 }
 
-// cancelDependent cancels a job because one that it awaits is cancelled. Nothing of it was ever
-// bound. Every controller derives that for itself; the leader stores it when it next writes
-// the job.
+// cancelDependent cancels a job because one of its dependencies is cancelled. None of its tasks was
+// ever bound. Every controller derives the cancellation by itself; the job's leader stores it
+// when it next writes the job.
 func (d *dependencies) cancelDependent(j *job.Job, upstream string) {
 	if j == nil {
 		return
 	}
 	if !j.Cancelled {
-		d.core.log(Debug, "job cancelled with a dependency", "job", j.ID, "dependency", upstream)
+		d.core.log(Debug, "job cancelled because a dependency is cancelled", "job", j.ID, "dependency", upstream)
 		d.core.counts.CascadedCancellations++
 		d.core.markCancelled(j)
 	}
 	d.core.rememberFinalState(j.ID, protocol.JobState{ID: j.ID, State: protocol.Cancelled})
 }
 
-// checksPerReport is how often the states of awaited jobs are looked up in a report interval.
-const checksPerReport = 6
+// dependencyChecksPerReport is how often the states of dependencies are looked up in each report
+// interval.
+const dependencyChecksPerReport = 6
 
-// check reads what has become of awaited jobs that the replica does not hold: they ended
-// before this controller had read the stored state. Each controller does so for the jobs of all
-// teams, since it plans for all, and the leader of the fleet rents by its own plan: for those of
-// its own teams at once, for the others as far as users' lookups leave room.
+// check looks up the dependencies that the replica does not hold: they ended before this controller
+// loaded the stored state. Every controller does so for all teams, since it plans for all of
+// them and the fleet leader rents machines by its own plan. Dependencies of jobs that this
+// controller leads are looked up at once, the others within the background lookup rate.
 func (d *dependencies) check() {
-	interval := d.core.reportInterval() / checksPerReport
-	if !d.core.every(&d.checkAt, interval) {
+	interval := d.core.reportInterval() / dependencyChecksPerReport
+	if !d.core.every(&d.nextCheck, interval) {
 		return
 	}
 	for _, id := range d.Waiting() {
@@ -140,12 +140,12 @@
 			d.lookUp(d.Awaited(id))
 		}
 	}
-	d.lookUp(d.unseen(d.core.lookups.backgroundRequests(interval)))
+	d.lookUp(d.missingJobs(d.core.lookups.backgroundRequests(interval)))
 }
 
-// unseen lists up to n awaited jobs that the replica does not hold and that are not being looked
-// up.
-func (d *dependencies) unseen(n int) (ids []string) {
+// missingJobs lists up to n dependencies that the replica does not hold and that are not being
+// looked up.
+func (d *dependencies) missingJobs(n int) (ids []string) {
 	for _, id := range d.AwaitedJobs() {
 		if len(ids) == n {
 			break
@@ -157,13 +157,13 @@
 	return ids
 }
 
-// lookUpUpstream reads the states of all that a job waits for, directly or through others, that
-// the replica does not hold, and reports whether there are any.
+// lookUpUpstream reads the states of those direct and transitive dependencies of a job that the
+// replica does not hold, and reports whether there are any.
 func (d *dependencies) lookUpUpstream(id string) (unknown bool) {
 	return d.lookUp(d.Upstream(id))
 }
 
-// lookUp reads the states of those jobs that the replica does not hold, and reports
+// lookUp reads the states of those of the given jobs that the replica does not hold, and reports
 // whether there are any.
 func (d *dependencies) lookUp(ids []string) (unknown bool) {
 	for _, id := range ids {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -14,7 +14,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// stateSeenBy is the state of a job that a controller answers with, or nothing.
+// stateSeenBy returns the state of a job that a controller reports, or "" if it does not answer
+// with one.
 func (w *world) stateSeenBy(node, id string) string {
 	w.t.Helper()
 	if a := w.status(node, id); a.Status == http.StatusOK {
@@ -23,8 +24,9 @@
 	return ""
 }
 
-// A chain of ten over three teams is done in order, although the leaders of two teams end
-// on the way, and after each failover the new leader knows what is done, also an hour ago.
+// A chain of ten jobs of three teams runs in order although the leaders of two teams crash
+// meanwhile. After each failover the new leader knows which dependencies are done, however long ago
+// they ended.
 func TestDependencyChainSurvivesFailovers(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.allowRacingStarts, w.taskTime = true, 3*time.Second
@@ -40,23 +42,24 @@
 	}
 	for n, id := range ids {
 		if n == 2 || n == 5 {
-			next := strings.Split(ids[n], "-")[1]
-			leader := w.leaderOf(next)
+			team := strings.Split(ids[n], "-")[1]
+			leader := w.leaderOf(team)
 			w.crash(leader)
 			w.expire(leader)
-			w.run(20*time.Second, func() bool { h := w.leaderOf(next); return h != "" && h != leader })
+			w.run(20*time.Second, func() bool { successor := w.leaderOf(team); return successor != "" && successor != leader })
 			w.boot(leader)
 		}
 		if !w.run(2*time.Minute, w.finished(id)) {
-			t.Fatalf("%s does not end", id)
+			t.Fatalf("%s did not end", id)
 		}
 	}
 	w.startedOnce()
 }
 
-// A job that waits holds nothing: neither room, nor its team's limit, nor a place in the
-// ranking, nor machines that are rented; and its time begins when it can.
-func TestWaitingJobReservesNothing(t *testing.T) {
+// A job that is blocked by a dependency uses nothing: no capacity, no part of its team's limit and
+// no place in the ranking, and no machines are rented for it. Its waiting time begins when the
+// dependency is done.
+func TestBlockedJobReservesNothing(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.taskTime = 40 * time.Second
 	accepted(t, w.submit("a", "req-red-1", 1, ""))
@@ -65,30 +68,30 @@
 	c := w.cores[w.leaderOf("red")]
 	j, team := c.jobs["req-red-2"], c.teamBy["red"]
 	if !j.Blocked || c.startAllowance(j) != 0 || c.waitingResources(team) != (job.Resources{}) {
-		t.Errorf("it asks for %d tasks, its team for %v", c.startAllowance(j), c.waitingResources(team))
+		t.Errorf("got an allowance of %d tasks and team demand %v, want none", c.startAllowance(j), c.waitingResources(team))
 	}
 	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d scaling.Demand) bool { return d.Spec.ID == j.ID }) {
-		t.Error("machines are rented for it")
+		t.Error("machines are rented for the blocked job")
 	}
-	asked := team.record
+	before := team.record
 	w.run(10*time.Second, nil)
-	if ran := team.record.Base[0] - asked.Base[0]; ran > 2*10.5 {
-		t.Errorf("its team's record counts a demand of %v CPU seconds in 10 s of one task", ran)
+	if used := team.record.Base[0] - before.Base[0]; used > 2*10.5 {
+		t.Errorf("usage record of the team: got %v CPU seconds in 10 s, want those of one task", used)
 	}
 	accepted(t, w.submit("b", "req-red-3", 7, ""))
-	w.started("req-red-3", 7) // the whole limit but for the one that runs
+	w.started("req-red-3", 7) // all of the team's limit except for the running task
 	if !w.run(time.Minute, w.finished("req-red-1")) {
-		t.Fatal("the awaited job does not end")
+		t.Fatal("the dependency did not end")
 	}
 	w.run(time.Second, nil)
 	if waited := w.now - j.PendingSince; waited > 2*time.Second {
-		t.Errorf("it counts as having waited for %v", waited)
+		t.Errorf("got a waiting time of %v, want at most 2 s", waited)
 	}
 	w.started("req-red-2", 1)
 }
 
-// What an urgent job needs is as urgent, whoever asks for it first.
-func TestAwaitedJobInheritsUrgency(t *testing.T) {
+// A job inherits the urgency of a more urgent job that depends on it.
+func TestDependencyInheritsUrgency(t *testing.T) {
 	w := idleWorld(t, 0)
 	w.maxMachines = 0
 	accepted(t, w.submit("a", "req-free-1", 4, `,"urgency":"low","dueS":null`))
@@ -96,23 +99,24 @@
 	w.run(2*time.Second, nil)
 	for _, node := range w.names {
 		c := w.cores[node]
-		j, last := c.jobs["req-free-1"], c.jobs["req-blue-1"]
+		j, dependent := c.jobs["req-free-1"], c.jobs["req-blue-1"]
 		if j.Rank() != 0 || isBestEffort(j) || !j.AboveNormal() || j.EffectiveSpec().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
-			t.Errorf("%s takes it for one of rank %d, its own is %d", node, j.Rank(), j.Priority)
+			t.Errorf("%s: got rank %d of a dependency with priority %d, want rank 0", node, j.Rank(), j.Priority)
 		}
-		if want := last.OwnLatestStart() - j.RunTimeMS(); j.LatestStart() != want || last.OwnLatestStart() == dependency.NoDeadline {
-			t.Errorf("%s has it start by %d, want %d", node, j.LatestStart(), want)
+		if want := dependent.OwnLatestStart() - j.RunTimeMS(); j.LatestStart() != want || dependent.OwnLatestStart() == dependency.NoDeadline {
+			t.Errorf("%s: got latest start %d, want %d", node, j.LatestStart(), want)
 		}
 	}
 	w.cancelJob("b", "req-blue-1")
 	w.run(3*time.Second, nil)
 	if j := w.cores["a"].jobs["req-free-1"]; j.Rank() != j.Priority || !isBestEffort(j) {
-		t.Errorf("nothing needs it any more, and its rank is %d", j.Rank())
+		t.Errorf("got rank %d without dependents, want the job's own priority", j.Rank())
 	}
 }
 
-// A job that names one cancelled long ago, of which no controller holds anything, is accepted
-// and cancelled; one that is answered done lets what needs it go on.
+// The final states of dependencies that ended before the controllers restarted are read from the
+// store. A job whose dependency was cancelled is accepted and cancelled; one whose dependency is
+// done runs.
 func TestEndedDependenciesAreReadFromTheStore(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.taskTime = 2 * time.Second
@@ -120,11 +124,11 @@
 		accepted(t, w.submit("a", id, 1, ""))
 	}
 	if w.cancelJob("b", "req-free-1"); !w.run(time.Minute, w.finished("req-free-2")) {
-		t.Fatal("the job does not end")
+		t.Fatal("the job did not end")
 	}
 	accepted(t, w.submit("a", "req-blue-3", 1, awaiting("req-free-1")))
 	if a := w.cancelJob("b", "req-free-2"); a.Body.(protocol.JobState).State != protocol.Done {
-		t.Fatalf("cancellation of a finished job got %v", a.Body)
+		t.Fatalf("cancellation of a finished job: got %v, want done", a.Body)
 	}
 	w.run(10*time.Second, nil)
 	w.stopAllFor(time.Second)
@@ -132,18 +136,18 @@
 	w.ready().run(10*time.Second, nil)
 	for _, node := range w.names {
 		if c := w.cores[node]; len(c.ended.states) > 1 {
-			t.Fatalf("%s remembers %v", node, c.ended.states)
+			t.Fatalf("%s: got cached final states %v, want at most one", node, c.ended.states)
 		}
 	}
 	accepted(t, w.submit("c", "req-red-1", 1, awaiting("req-free-1")))
 	accepted(t, w.submit("d", "req-red-2", 1, awaiting("req-free-2", "req-red-1")))
 	accepted(t, w.submit("e", "req-red-3", 1, awaiting("req-free-2")))
 	if !w.run(time.Minute, w.finished("req-red-3")) {
-		t.Error("what needs a finished job does not go on")
+		t.Error("the dependent of a finished job did not end")
 	}
 	for _, id := range []string{"req-red-1", "req-red-2", "req-blue-3"} {
 		if got := w.stateSeenBy("a", id); got != protocol.Cancelled {
-			t.Errorf("%s is %q", id, got)
+			t.Errorf("%s: got state %q, want cancelled", id, got)
 		}
 	}
 }
--- a/internal/core/dependencycancel_test.go
+++ b/internal/core/dependencycancel_test.go
@@ -12,13 +12,13 @@
 	"pepperlever/internal/protocol"
 )
 
-// A cancellation takes with it all that needs the job, deep and wide, while the store
-// refuses the leader and then is out for longer than a cancellation may take: whoever answers
-// says cancelled within that time, and so it stays, also where every controller has started over.
+// Cancelling a job cancels all of its direct and transitive dependents within the cancellation
+// deadline, even if the store refuses the leader and then fails for longer than the deadline, or if
+// all controllers restart. Every answer after the deadline reports them as cancelled.
 func TestCancellationCascadesToDependents(t *testing.T) {
-	const wide = 60
+	const directDependents = 60
 	for name, meanwhile := range map[string]func(w *world){
-		"all is well": func(*world) {},
+		"no fault": func(*world) {},
 		"the leader is refused, then an outage": func(w *world) {
 			w.refuseStoreTo(w.leaderOf("blue"))
 			w.run(time.Second, nil)
@@ -26,8 +26,8 @@
 			w.run(w.cancelDeadline()*3/2, nil)
 			w.endOutage()
 		},
-		"all end":          func(w *world) { w.stopAllFor(3 * time.Second) },
-		"changes are late": func(w *world) { w.watchLag = 3 * time.Second },
+		"all controllers restart": func(w *world) { w.stopAllFor(3 * time.Second) },
+		"watches lag":             func(w *world) { w.watchLag = 3 * time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -40,14 +40,14 @@
 				accepted(t, w.submit(w.names[n%5], id, 2, awaiting(ids[len(ids)-1])))
 				ids = append(ids, id)
 			}
-			for n := range wide {
+			for n := range directDependents {
 				id := fmt.Sprintf("req-blue-w%d", n)
 				accepted(t, w.submit(w.names[n%5], id, 2, awaiting("req-free-1")))
 				ids = append(ids, id)
 			}
 			w.started("req-free-1", 2)
 			if a := w.cancelJob("c", "req-free-1"); a.Status != http.StatusOK {
-				t.Fatalf("cancellation got %d", a.Status)
+				t.Fatalf("cancellation: got status %d, want 200", a.Status)
 			}
 			confirmedAt := w.now
 			meanwhile(w)
@@ -61,12 +61,12 @@
 					case "":
 						w.run(3*time.Second, nil)
 					default:
-						t.Fatalf("%s is %s, and one that it needs was cancelled %v ago", id, got, w.now-confirmedAt)
+						t.Fatalf("%s: got state %s, want cancelled: its dependency was cancelled %v ago", id, got, w.now-confirmedAt)
 					}
 				}
 			}
 			if answered < len(ids) {
-				t.Errorf("only %d answers on %d jobs", answered, len(ids))
+				t.Errorf("got %d answers for %d jobs, want at least one each", answered, len(ids))
 			}
 			stored := func() bool {
 				return !slices.ContainsFunc(ids, func(id string) bool {
@@ -76,59 +76,60 @@
 				})
 			}
 			if !w.run(2*time.Minute, stored) {
-				t.Error("not all that ended is stored")
+				t.Error("not all final states were stored")
 			}
 		})
 	}
 }
 
-// The user of a job cancels it at the moment at which it is cancelled with what it awaits: it
-// ends once, and nothing of either cancellation is left in the store.
-func TestCascadeRacesWithTheUsersOwnCancellation(t *testing.T) {
+// A user cancels a job at the moment at which it is cancelled because of its dependency. The job
+// ends once, and no key of either cancellation except the final state remains in the store.
+func TestCascadeRacesWithUserCancellation(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 1, ""))
 	accepted(t, w.submit("a", "req-blue-1", 1, awaiting("req-free-1")))
 	w.started("req-free-1", 1)
 	leader := w.leaderOf("blue")
-	users := protocol.Txn{ // as any controller would store it
+	userCancellation := protocol.Txn{ // as any controller would store it
 		If:   []protocol.Condition{{Key: keyState + "req-blue-1"}},
 		Then: []protocol.Change{putJSON(keyState+"req-blue-1", finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey("req-blue-1"), cancelRecord{})},
 	}
-	met := false
-	w.lateWrite = func(node string, e StoreTxn) time.Duration { // the leader's write waits for the user's
-		if node == leader && !met && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return ch.Delete == jobKey("req-blue-1") }) {
-			met = w.decide(users).Outcome == Applied
+	raced := false
+	w.lateWrite = func(node string, e StoreTxn) time.Duration { // the user's write overtakes the leader's
+		if node == leader && !raced && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return ch.Delete == jobKey("req-blue-1") }) {
+			raced = w.decide(userCancellation).Outcome == Applied
 			return 3 * time.Second
 		}
 		return 0
 	}
-	w.watchLag = 4 * time.Second // and the leader hears of it by its own write
+	w.watchLag = 4 * time.Second // so the leader learns of it from the outcome of its own write
 	w.refuse(everyLink)
 	w.cancelJob(leader, "req-free-1")
-	if !w.run(10*time.Second, func() bool { return met }) {
-		t.Fatal("the leader does not store the cascade")
+	if !w.run(10*time.Second, func() bool { return raced }) {
+		t.Fatal("the leader did not store the cascaded cancellation")
 	}
 	w.restore()
 	w.watchLag, w.lateWrite = 0, nil
 	w.run(w.cancelDeadline(), nil)
 	for key := range w.kv {
 		if strings.HasSuffix(key, "req-blue-1") && key != keyState+"req-blue-1" {
-			t.Errorf("%s is left", key)
+			t.Errorf("key %s is left in the store", key)
 		}
 	}
 	if got := w.stateSeenBy("c", "req-blue-1"); got != protocol.Cancelled {
-		t.Errorf("it is %q", got)
+		t.Errorf("got state %q, want cancelled", got)
 	}
 }
 
-// A wide cascade does not hold up what starts: nobody waits for its stored ends.
+// Storing the final states of many cascaded cancellations does not delay the start of other jobs,
+// since nothing waits for those writes.
 func TestCascadeDoesNotDelayStarts(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 1, ""))
-	const wide = 300
-	for n := range wide {
+	const dependents = 300
+	for n := range dependents {
 		accepted(t, w.submit(w.names[n%5], fmt.Sprintf("req-blue-w%d", n), 1, awaiting("req-free-1")))
 	}
 	w.cancelJob("a", "req-free-1")
@@ -140,13 +141,14 @@
 			left++
 		}
 	}
-	if left < wide/2 {
-		t.Errorf("only %d of the cascade were left to be stored when the next job began", left)
+	if left < dependents/2 {
+		t.Errorf("got %d cancelled jobs still to be stored when the next job started, want at least half", left)
 	}
 }
 
-// A job that names one whose cancellation is known, but whose tasks have not ended yet.
-func TestDependentOfACancelledRunningJobIsCancelled(t *testing.T) {
+// A job is cancelled if it is submitted with a dependency that is cancelled but whose tasks still
+// run.
+func TestDependentOfCancelledRunningJobIsCancelled(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.allowRacingStarts, w.taskTime, w.noCloud = true, 5*time.Minute, true
 	accepted(t, w.submit("a", "req-free-1", 2, ""))
@@ -162,10 +164,10 @@
 	w.run(2*time.Second, nil)
 	for _, node := range w.names {
 		if got := w.stateSeenBy(node, "req-blue-1"); got != protocol.Cancelled {
-			t.Errorf("%s says that it is %q", node, got)
+			t.Errorf("%s: got state %q, want cancelled", node, got)
 		}
 	}
 	if w.kv[jobKey("req-free-1")].Version == 0 {
-		t.Fatal("the awaited job has ended by then")
+		t.Fatal("the dependency has ended already")
 	}
 }
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -5,14 +5,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// Effect is something that the core wants done outside.
+// Effect is an output of the core: an action for its caller to carry out.
 type Effect any
 
-// Effects.
+// Effects of a step.
 type (
 	// SendSite sends a message to another site.
 	SendSite struct{ Message federation.Message }
-	// Answer ends a request of a user or worker.
+	// Answer answers a request of a user or worker.
 	Answer struct {
 		Req    uint64
 		Status int
@@ -20,8 +20,8 @@
 		// RetryAfter is in seconds.
 		RetryAfter int
 	}
-	// StoreTxn runs a transaction; Urgent ones go first. A user waits for
-	// Quick ones, so they are refused early rather than retried for long.
+	// StoreTxn runs a transaction. Urgent and Quick ones go first. A user waits for Quick
+	// ones, so they fail early instead of being retried for long.
 	StoreTxn struct {
 		ID     uint64
 		Txn    protocol.Txn
@@ -34,27 +34,27 @@
 		Key   string
 		Quick bool
 	}
-	// StoreReload reads everything again.
+	// StoreReload reads the whole store again.
 	StoreReload struct{}
-	// SendPeer sends a message to some controllers.
+	// SendPeer sends a message to the given controllers.
 	SendPeer struct {
 		Nodes   []string
 		Message PeerMessage
 	}
-	// Deliver sends commands straight to a worker.
+	// Deliver sends commands directly to a worker, without waiting for its heartbeat.
 	Deliver struct {
 		Machine, Address string
 		Orders           protocol.Orders
 	}
-	// FetchCatalog asks the cloud for its catalogue of machine types.
+	// FetchCatalog requests the cloud's catalog of machine types.
 	FetchCatalog struct{}
-	// FetchInventory asks the cloud for its list of rented machines.
+	// FetchInventory requests the cloud's list of rented machines.
 	FetchInventory struct{}
-	// RequestRental asks the cloud for machines.
+	// RequestRental rents machines from the cloud.
 	RequestRental struct{ Rental protocol.Rental }
-	// ReleaseMachines gives machines back to the cloud.
+	// ReleaseMachines returns machines to the cloud.
 	ReleaseMachines struct{ Machines []string }
-	// Log is a line for the operator.
+	// Log is a log message.
 	Log struct {
 		Level Level
 		Text  string
@@ -62,10 +62,10 @@
 	}
 )
 
-// Level is the importance of a log line.
+// Level is the severity of a log message.
 type Level uint8
 
-// Levels of log lines.
+// Levels of log messages.
 const (
 	Debug Level = iota
 	Info
--- a/internal/core/environment.go
+++ b/internal/core/environment.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/settings"
 )
 
-// environment is what all components share: the settings, the time of the present step, the
-// effects that it has had so far, and the requests to the store that are not answered yet.
+// environment holds what all components share: the settings, the time of the current step, the
+// effects that the step has emitted so far, and the pending store requests.
 type environment struct {
 	cfg    *settings.Settings
 	policy settings.Policy
@@ -15,7 +15,8 @@
 
 	now     Now
 	effects []Effect
-	// ids numbers requests to the store and names what has to be unique in this run.
+	// ids generates the IDs of store requests and other identifiers that are unique within
+	// this run of the process.
 	ids            sequence
 	pendingReplies pendingReplies
 }
@@ -29,8 +30,8 @@
 	}
 }
 
-// every reports whether the duty due at *next is due now, and if so sets its
-// next time.
+// every reports whether the periodic operation scheduled for *next is due, and if so schedules
+// the next one after the interval.
 func (e *environment) every(next *time.Duration, interval time.Duration) bool {
 	if e.now.Steady < *next {
 		return false
@@ -39,13 +40,13 @@
 	return true
 }
 
-// emit adds an effect of this step.
+// emit appends an effect to those of the current step.
 func (e *environment) emit(effect Effect) { e.effects = append(e.effects, effect) }
 
-// log adds a line for the operator, with attributes in pairs of name and value.
+// log emits a log message with attributes as alternating keys and values.
 func (e *environment) log(level Level, text string, attrs ...any) {
 	e.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
 
-// reportInterval is the pause between two heartbeats of a worker.
+// reportInterval is the interval between two heartbeats of a worker.
 func (e *environment) reportInterval() time.Duration { return e.times.reportInterval() }
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -6,18 +6,19 @@
 	"pepperlever/internal/protocol"
 )
 
-// Most errors come from a faulty machine, some from a job that was submitted with a mistake
-// and fails wherever it runs. A job that fails on several machines and succeeds on none is
-// suspected; failures of other jobs speak against the machine. Every controller learns from
-// the reports that are passed on, so that a new leader knows what the one before did.
+// Most task failures are caused by a faulty machine, some by a faulty job that fails wherever it
+// runs. A job that fails on several machines and succeeds on none is suspected to be faulty;
+// failures of other jobs count against the machine. Every controller evaluates the reports
+// that controllers forward to each other, so a new leader knows what its predecessor did.
 
-// cordonThreshold is the failure score from which a machine takes no more tasks.
+// cordonThreshold is the failure score at which a machine is cordoned.
 const cordonThreshold = 3
 
-// maxCanaryDoublings bounds how often the pause between the tries of a suspected job doubles.
+// maxCanaryDoublings bounds how often the backoff between the canary starts of a suspected job
+// doubles.
 const maxCanaryDoublings = 5
 
-// attributeFailures takes the ends of tasks that a report tells of for the first time.
+// attributeFailures evaluates the task exits that appear in a report for the first time.
 func (c *Core) attributeFailures(m *worker.Machine, report *protocol.Report) {
 	for _, t := range report.Tasks {
 		if t.State != protocol.Exited || t.Why != protocol.WhyDone && t.Why != protocol.WhyError {
@@ -34,12 +35,12 @@
 	}
 }
 
-// attributeExit counts the end of a task for or against its job and its machine.
+// attributeExit records the success or failure of a task for its job and its machine.
 func (c *Core) attributeExit(j *job.Job, m *worker.Machine, machine string, t protocol.TaskReport) {
 	if t.Why == protocol.WhyDone {
 		m.ClearFailures()
 		if j.Suspected && c.leads(j) {
-			c.log(Info, "job is no longer suspected of a mistake", "job", j.ID)
+			c.log(Info, "job is no longer suspected to be faulty", "job", j.ID)
 		}
 		j.MarkProven()
 		return
@@ -51,14 +52,14 @@
 	c.requestRound()
 	if c.leads(j) {
 		j.MarkDirty(0)
-		c.log(Info, "job is suspected of a mistake", "job", j.ID, "team", j.Team, "class", j.Class,
-			"failed_on", j.FailedOn, "effect", "tries one task at a time until one succeeds or its user cancels it")
+		c.log(Info, "job is suspected to be faulty", "job", j.ID, "team", j.Team, "class", j.Class,
+			"failed_on", j.FailedOn, "effect", "starts one task at a time until one succeeds or the job is cancelled")
 	}
 }
 
-// failureScore counts what speaks against a machine: each failure of a job that succeeds
-// elsewhere, one of a job that has not succeeded yet, and none of a job that is suspected
-// itself or has ended.
+// failureScore weighs the task failures on a machine. It counts every failure of a job that has
+// succeeded before, at most one failure of a job that has not, and none of a job that is
+// suspected itself or has ended.
 func (c *Core) failureScore(m *worker.Machine) int {
 	return m.FailureScore(func(id string, failures int) int {
 		j := c.jobs[id]
@@ -73,7 +74,7 @@
 	})
 }
 
-// delayCanary delays the next try of a suspected job, longer each time.
+// delayCanary delays the next canary start of a suspected job with exponential backoff.
 func (c *Core) delayCanary(j *job.Job) {
 	if j.Suspected && len(j.Bound) <= 1 {
 		j.NotBefore = c.now.Steady + c.reportInterval()<<min(j.Probes, maxCanaryDoublings)
@@ -81,8 +82,8 @@
 	}
 }
 
-// startAllowance is how many more tasks of a job may be placed now: a suspected one has one at
-// a time.
+// startAllowance returns how many more tasks of a job may be placed now. A suspected job may have
+// one task at a time unless it is a gang; a job handed off to another site may have none.
 func (c *Core) startAllowance(j *job.Job) int {
 	if c.isOutgoing(j.ID) {
 		return 0
--- a/internal/core/failures_test.go
+++ b/internal/core/failures_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startsOf counts the starts of a job's tasks.
+// startsOf returns the number of task starts of a job.
 func (w *world) startsOf(id string) int {
 	n := 0
 	for task, times := range w.starts {
@@ -17,13 +17,13 @@
 	return n
 }
 
-// A job that was submitted with a mistake fails wherever it runs. It is suspected, tried one
-// task at a time, and no machine is returned for it.
-func TestSuspectedJobNeitherOccupiesNorCordonsTheFleet(t *testing.T) {
+// A faulty job fails wherever it runs. It becomes suspected, runs one task at a time, and no
+// machine is returned because of its failures.
+func TestSuspectedJobDoesNotOccupyOrCordonMachines(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 40, ""))
 	if !w.run(2*time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("the job did not end")
 	}
 	w.broken["req-free-1"] = true
 	accepted(t, w.submit("b", "req-free-1", 30, ""))
@@ -32,17 +32,17 @@
 	first := w.startsOf("req-free-1")
 	w.run(30*time.Second, nil)
 	if n := w.startsOf("req-free-1") - first; n > 4 {
-		t.Errorf("%d more starts in half a minute", n)
+		t.Errorf("got %d more starts in 30 s, want at most 4", n)
 	}
 	for _, c := range w.cores {
 		for id, reason := range c.autoscaler.returnReasons {
-			t.Errorf("%s is returned: %s", id, reason)
+			t.Errorf("machine %s is returned: %s", id, reason)
 		}
 	}
 	if !w.run(time.Minute, w.finished("req-red-1")) {
-		t.Error("a sound job does not end beside it")
+		t.Error("another job did not end meanwhile")
 	}
-	// A new leader knows what the one before had learned.
+	// A new leader has the failure information of its predecessor.
 	before := w.startsOf("req-free-1")
 	for _, n := range nodeNames {
 		w.crash(n)
@@ -50,13 +50,14 @@
 		w.boot(n)
 	}
 	w.run(20*time.Second, nil)
-	// Its tries begin again, with pauses of 2, 4 and 8 s.
+	// The canary starts begin again, with backoffs of 2, 4 and 8 s.
 	if n := w.startsOf("req-free-1") - before; n > 4 {
-		t.Errorf("%d starts after a failover", n)
+		t.Errorf("got %d starts after a failover, want at most 4", n)
 	}
 }
 
-// A job that failed on several machines by bad luck runs on as soon as one task succeeds.
+// A job that is suspected although it is not faulty runs normally once one of its tasks has
+// succeeded.
 func TestSuspicionEndsWithTheFirstSuccess(t *testing.T) {
 	w := newWorld(t).ready()
 	w.broken["req-blue-1"] = true
@@ -64,16 +65,16 @@
 	w.run(30*time.Second, nil)
 	w.broken["req-blue-1"] = false
 	if !w.run(3*time.Minute, w.finished("req-blue-1")) {
-		t.Error("job does not end")
+		t.Error("the job did not end")
 	}
 }
 
-// A machine on which all tasks fail does not keep jobs from ending on others.
-func TestFaultyMachineIsReturnedAndItsTasksSucceedElsewhere(t *testing.T) {
+// Jobs end on other machines although all tasks fail on one of them.
+func TestTasksOfFaultyMachineSucceedElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
 	if !w.run(time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("the job did not end")
 	}
 	var faulty string
 	for id := range w.workers {
@@ -84,6 +85,6 @@
 		accepted(t, w.submit("b", id, 12, ""))
 	}
 	if !w.run(2*time.Minute, w.finished("req-blue-2", "req-blue-3", "req-red-1")) {
-		t.Error("jobs do not end")
+		t.Error("the jobs did not end")
 	}
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -9,22 +9,22 @@
 	"pepperlever/internal/protocol"
 )
 
-// list tells an operator of the jobs that have not ended, from the replica: it may
-// lag, and no rule depends on it.
+// list answers a request for the jobs that have not ended. It reads the replica, which may lag
+// behind the store: the list only informs operators.
 func (c *Core) list(m List) {
 	if !c.replica.loaded {
 		c.replyUnavailable(m.Req)
 		return
 	}
 	page := protocol.JobList{Jobs: []protocol.JobRow{}}
-	awaitsBytes := 0
+	dependencyBytes := 0
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if id <= m.After {
 			continue
 		}
 		j := c.jobs[id]
-		awaitsBytes += j.DependencyBytes()
-		if pageFull(len(page.Jobs), awaitsBytes) {
+		dependencyBytes += j.DependencyBytes()
+		if pageFull(len(page.Jobs), dependencyBytes) {
 			page.More = true
 			break
 		}
@@ -33,12 +33,14 @@
 	c.reply(m.Req, http.StatusOK, page)
 }
 
-// pageFull tells whether a page of that many jobs takes no further one, with which the names
-// of all awaited jobs on it have that many bytes. The first job always fits.
-func pageFull(jobs, awaitsBytes int) bool {
-	return jobs == protocol.JobsPage || jobs > 0 && awaitsBytes > protocol.PageAwaitsBytes
+// pageFull reports whether another job does not fit on a page that has the given number of jobs.
+// dependencyBytes is the total size of the dependency lists on the page, that of the other
+// job included. The first job always fits.
+func pageFull(jobs, dependencyBytes int) bool {
+	return jobs == protocol.JobsPage || jobs > 0 && dependencyBytes > protocol.PageAwaitsBytes
 }
 
+// jobRow returns the row of a job in a list.
 func (c *Core) jobRow(j *job.Job) protocol.JobRow {
 	row := protocol.JobRow{
 		JobState: c.jobProgress(j.ID),
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -11,43 +11,43 @@
 	"pepperlever/internal/protocol"
 )
 
-// lookupShare is the part of the requests to the store that the lookups of all controllers
-// may take together.
+// lookupShare is the fraction of the store's request rate that the lookups of all controllers may
+// use together.
 const lookupShare = 1.0 / 4
 
-// backgroundShare is the part of a node's own lookups that may be for no user.
-const backgroundShare = 1.0 / 2
+// backgroundLookupShare is the fraction of a node's lookup rate that lookups without a waiting user
+// may use.
+const backgroundLookupShare = 1.0 / 2
 
-// lookupController finds out what has become of jobs: it queues requests, sends them to the store
-// within this node's share of its rate, and resolves them by the replies.
+// lookupController looks up the states of jobs: it queues requests, sends them to the store within
+// this node's share of the request rate, and resolves them when the replies arrive.
 type lookupController struct {
 	core  *Core
 	queue lookup.Queue
-	// deferred are the answers that wait for the replica.
+	// deferred holds the answers that wait until the replica has caught up.
 	deferred []deferredStatus
 }
 
 func newLookupController(c *Core) *lookupController { return &lookupController{core: c} }
 
-// limits are the bounds on this node's lookups.
+// limits returns the bounds on this node's lookups.
 func (l *lookupController) limits() lookup.Limits {
 	share := lookupShare * l.core.limits.requestRate() / float64(l.core.members.size())
 	return lookup.Limits{Rate: max(1, share), Conditions: l.core.limits.maxConditions()}
 }
 
-// backgroundRequests is how many lookups may begin in an interval that no user waits for.
+// backgroundRequests returns how many lookups that no user waits for may begin in an interval.
 func (l *lookupController) backgroundRequests(interval time.Duration) int {
-	return max(1, int(backgroundShare*l.limits().Rate*interval.Seconds()))
+	return max(1, int(backgroundLookupShare*l.limits().Rate*interval.Seconds()))
 }
 
-// request finds out what has become of a job: from memory when it is final, or else from a
-// read that begins after the request. What could not be answered while the user waits is
-// turned away at once.
+// request looks up the state of a job: in memory if it is final, or else by a read that begins
+// after the request. A request that could not be answered before the user times out fails at once.
 func (l *lookupController) request(id string, resolve func(lookup.Result)) {
 	l.enqueue(lookup.Request{JobID: id, Resolve: resolve})
 }
 
-// requestAcceptance finds out whether a job was accepted, and its final state if it has one.
+// requestAcceptance looks up whether a job was accepted, and its final state if it has one.
 func (l *lookupController) requestAcceptance(id string, resolve func(lookup.Result)) {
 	if l.core.jobs[id] != nil && !l.core.hasEnded(id) {
 		resolve(activeWithoutProgress(id))
@@ -56,11 +56,13 @@
 	l.enqueue(lookup.Request{JobID: id, Resolve: resolve, AcceptanceOnly: true})
 }
 
-// activeWithoutProgress is the result for callers that ask for acceptance alone.
+// activeWithoutProgress returns the result for callers that only ask whether a job was accepted.
 func activeWithoutProgress(id string) lookup.Result {
 	return lookup.Result{Outcome: lookup.Active, State: protocol.JobState{ID: id}}
 }
 
+// enqueue resolves a request at once if the job has ended or the lookup cannot succeed, or else
+// queues it.
 func (l *lookupController) enqueue(request lookup.Request) {
 	request.Since = l.core.now.Steady
 	if l.core.hasEnded(request.JobID) {
@@ -74,8 +76,8 @@
 	l.queue.Add(request, l.core.jobs[request.JobID] != nil)
 }
 
-// resolveEnded answers with the known final state of a job. That of a cancelled one waits
-// until another controller knows it too.
+// resolveEnded resolves a request with the known final state of a job. If the job is cancelled, the
+// result may be deferred until another controller knows of the cancellation.
 func (l *lookupController) resolveEnded(request lookup.Request) {
 	id := request.JobID
 	state, _ := l.core.ended.state(id)
@@ -94,17 +96,17 @@
 	}
 }
 
-// sendAcceptance sends the lookups for submissions at once, whatever the budget is:
-// users wait for much less than for the answer to a poll, and such submissions are few.
-func (l *lookupController) sendAcceptance() {
+// sendAcceptanceLookups sends the lookups for submissions at once, regardless of the budget: users
+// wait much less long for these than for the answer to a poll, and such submissions are few.
+func (l *lookupController) sendAcceptanceLookups() {
 	for _, batch := range l.queue.TakeAcceptance(l.limits()) {
 		l.sendBatch(batch)
 	}
 }
 
-// sendBatch asks the store, in one transaction without changes, whether the jobs
-// still have no final state. A job that was accepted and has none is active; one
-// that has neither that nor an active key was never accepted.
+// sendBatch asks the store, in one transaction without changes, whether the jobs still have no
+// final state. An accepted job without one is active. A job that has neither a final state nor an
+// active key was never accepted.
 func (l *lookupController) sendBatch(batch lookup.Batch) {
 	var txn protocol.Txn
 	for _, group := range batch {
@@ -120,8 +122,8 @@
 	})
 }
 
-// onReply takes what the store says about one job. Whether a failed transaction names
-// every key that failed is not relied on: a job of which it names none is looked up again.
+// onReply handles the store's reply for one job. A failed transaction may not name every key whose
+// condition failed, so a job of which no key is named is looked up again.
 func (l *lookupController) onReply(group lookup.Group, r StoreReply) {
 	switch {
 	case r.Outcome == Applied:
@@ -137,7 +139,7 @@
 	}
 }
 
-// onNoFinalState takes that a job has no final state as of a revision.
+// onNoFinalState resolves the lookups of a job that has no final state as of a revision.
 func (l *lookupController) onNoFinalState(group lookup.Group, revision uint64) {
 	switch {
 	case !group.Accepted:
@@ -149,7 +151,8 @@
 	}
 }
 
-// onAccepted takes that a job was accepted, and looks up its state for those who need it.
+// onAccepted resolves the lookups that only ask whether a job was accepted, which it was, and
+// queues the others again to look up its state.
 func (l *lookupController) onAccepted(group lookup.Group) {
 	var unresolved []lookup.Request
 	for _, request := range group.Requests {
@@ -173,7 +176,7 @@
 	})
 }
 
-// onFinalStateRead takes the final state of a job.
+// onFinalStateRead handles the reply to a read of a job's final state.
 func (l *lookupController) onFinalStateRead(group lookup.Group, r StoreReply) error {
 	if r.Outcome != Applied {
 		group.ResolveUnavailable()
@@ -190,7 +193,7 @@
 	return nil
 }
 
-// noteFinalState notes a final state that the store holds since a revision.
+// noteFinalState applies a final state that the store has held since the given revision.
 func (l *lookupController) noteFinalState(id string, record finalStateRecord, revision uint64) {
 	if record.State != protocol.Cancelled {
 		state := protocol.JobState{ID: id, State: record.State}
@@ -201,7 +204,7 @@
 		return
 	}
 	if j := l.core.jobs[id]; j != nil && j.Blocked {
-		l.core.dependencies.cancelDependent(j, "") // nothing of it runs that others would have to stop
+		l.core.dependencies.cancelDependent(j, "") // none of its tasks ever started, so there is nothing to announce
 		return
 	}
 	l.core.announcements.note(Cancellation{Job: id, Revision: revision})
--- a/internal/core/machinereturns.go
+++ b/internal/core/machinereturns.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// machineReturns tracks the machines that this node wants returned because a cancelled task
-// does not end on them, or because no controller knows of them.
+// machineReturns tracks the machines that this node wants to return to the cloud because a
+// cancelled task does not end on them, or because no controller knows of them.
 type machineReturns struct {
 	*environment
 	core *Core
-	// requestedAt is when the fleet's leader was last asked to return a machine.
+	// requestedAt is when the fleet leader was last asked to return a machine.
 	requestedAt map[string]time.Duration
 	// releasedAt is when this node last decided to release a machine itself.
 	releasedAt map[string]time.Duration
-	// confirmed holds those of them that the cloud has taken back.
+	// confirmed holds the machines in releasedAt whose release the cloud has confirmed.
 	confirmed map[string]bool
-	// pending holds the machines whose release is still to be sent to the cloud.
-	pending []string
+	// pendingReleases holds the machines whose release has not been sent to the cloud yet.
+	pendingReleases []string
 }
 
 func newMachineReturns(core *Core) *machineReturns {
@@ -27,9 +27,9 @@
 	}
 }
 
-// repeatAfter tells whether an interval has passed since a machine's last entry, and if so
-// makes a new one.
-func repeatAfter(last map[string]time.Duration, machine string, now, interval time.Duration) bool {
+// dueAgain reports whether an interval has passed since the time recorded for a machine, and if so
+// records the current time.
+func dueAgain(last map[string]time.Duration, machine string, now, interval time.Duration) bool {
 	if at, ok := last[machine]; ok && now-at < interval {
 		return false
 	}
@@ -37,12 +37,12 @@
 	return true
 }
 
-// confirm notes that the cloud has taken a machine, if this node has released it.
+// confirm records that the cloud has released a machine, if this node has requested that.
 func (r *machineReturns) confirm(machine string) {
 	if _, released := r.releasedAt[machine]; released {
 		r.confirmed[machine] = true
 	}
 }
 
-// isConfirmed tells whether the cloud has taken a machine that this node released.
+// isConfirmed reports whether the cloud has confirmed the release of a machine by this node.
 func (r *machineReturns) isConfirmed(machine string) bool { return r.confirmed[machine] }
--- a/internal/core/machinereturns_test.go
+++ b/internal/core/machinereturns_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// After an outage in which all controllers crashed, each finds in the stored state that a job was
-// cancelled long ago, and nothing of where its tasks are, though they ended in time.
-// Machines are returned only once reports had time to come.
+// Guards against returning machines needlessly after an outage in which all controllers crashed.
+// Each finds in the stored state that a job was cancelled long ago but not that its tasks have
+// ended, and returns machines only once worker reports had time to arrive.
 func TestRestartedControllersWaitForReportsBeforeReturningMachines(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
@@ -16,9 +16,9 @@
 	w.started(cancelledJob, 40)
 	w.send("a", Cancel{Req: 1 << 20, ID: cancelledJob})
 	if !w.run(time.Second, func() bool { return w.kv[cancelKey(cancelledJob)].Version > 0 }) {
-		t.Fatal("the cancellation is not stored")
+		t.Fatal("the cancellation was not stored")
 	}
-	w.outage = true // the ends of the tasks are not
+	w.outage = true // the ends of the tasks are not stored
 	w.run(w.cancelDeadline()*45/100, nil)
 	for _, n := range w.names {
 		w.crash(n)
@@ -37,19 +37,19 @@
 	}
 	w.run(w.cancelDeadline(), nil)
 	if returned > 0 || w.onMachines(cancelledJob) > 0 {
-		t.Errorf("%d times a machine was returned, %d tasks are left", returned, w.onMachines(cancelledJob))
+		t.Errorf("got %d machine returns and %d running tasks, want none", returned, w.onMachines(cancelledJob))
 	}
 }
 
-// A leader that was cut off comes back, and hears all at once of a job that was cancelled long ago.
-// What it last knew of the machines says nothing of where its tasks are.
+// Guards against a leader that reconnects after a partition, learns of a job that was cancelled
+// long ago and returns machines because of outdated information about where the job's tasks are.
 func TestReconnectedLeaderReturnsNoMachines(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
 	accepted(t, w.submit("b", cancelledJob, 30, ""))
 	w.started(cancelledJob, 30)
-	old := w.cores["b"].teamBy["free"].leader
-	w.isolate(old)
+	oldLeader := w.cores["b"].teamBy["free"].leader
+	w.isolate(oldLeader)
 	w.run(reportIntervals(2), nil)
 	w.confirmCancellation()
 	w.run(w.cancelDeadline(), nil)
@@ -63,6 +63,6 @@
 	w.heal()
 	w.run(w.cancelDeadline(), nil)
 	if returned > 0 {
-		t.Errorf("machines are returned %d times", returned)
+		t.Errorf("got %d machine returns, want none", returned)
 	}
 }
--- a/internal/core/pendingtasks.go
+++ b/internal/core/pendingtasks.go
@@ -2,17 +2,17 @@
 
 import "pepperlever/internal/core/job"
 
-// PendingTasks counts the tasks that wait, by what they wait for.
+// PendingTasks counts pending tasks by what they wait for.
 type PendingTasks struct {
-	// Dependencies are those of jobs that await others.
+	// Dependencies counts the tasks of jobs that are blocked by dependencies.
 	Dependencies int
-	// TeamLimit are those that their team's limit holds back.
+	// TeamLimit counts the tasks that exceed their team's limit.
 	TeamLimit int
-	// Capacity are those that could be placed if there were room.
+	// Capacity counts the tasks that only wait for capacity on machines.
 	Capacity int
 }
 
-// add counts the tasks of both.
+// add returns the sums of both counts.
 func (p PendingTasks) add(other PendingTasks) PendingTasks {
 	return PendingTasks{
 		Dependencies: p.Dependencies + other.Dependencies,
@@ -21,8 +21,8 @@
 	}
 }
 
-// pendingTasks counts the waiting tasks of the teams that this node leads, and those of all teams
-// as this node plans for them.
+// pendingTasks counts the pending tasks of the teams that this node leads, and those of all teams
+// in this node's plan.
 func (c *Core) pendingTasks() (led, planned PendingTasks) {
 	for _, t := range c.teams {
 		pending := c.pendingTasksOf(t)
@@ -34,7 +34,7 @@
 	return led, planned
 }
 
-// pendingTasksOf counts the waiting tasks of a team.
+// pendingTasksOf counts the pending tasks of a team.
 func (c *Core) pendingTasksOf(t *team) (pending PendingTasks) {
 	used := t.usage()
 	for _, j := range ordered(t.jobs) {
@@ -51,7 +51,8 @@
 	return pending
 }
 
-// tasksWithinLimit is how many of n tasks a team's limit leaves room for.
+// tasksWithinLimit returns how many of n tasks fit within a team's limit in addition to what it
+// uses.
 func tasksWithinLimit(t *team, used, need job.Resources, n int) (allowed int) {
 	for allowed < n && withinLimit(t, used.Plus(need, float64(allowed+1))) {
 		allowed++
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -7,43 +7,43 @@
 	"pepperlever/internal/protocol"
 )
 
-// retryAfter is the pause in whole seconds that a user is asked for.
-const retryAfter = 1
+// retryAfterSeconds is the Retry-After value of answers that ask users to try again.
+const retryAfterSeconds = 1
 
-// rejection is the reason for which a request of a user is turned down.
+// rejection is the error with which a user's request is rejected.
 type rejection struct {
-	// status is the status code of the answer.
+	// status is the HTTP status code of the answer.
 	status int
 	reason string
 }
 
-// Error returns the reason.
+// Error returns the reason of the rejection.
 func (r *rejection) Error() string { return r.reason }
 
-// reply answers a request.
+// reply answers a request with a status code and a body.
 func (e *environment) reply(req uint64, status int, body any) {
 	e.emit(Answer{Req: req, Status: status, Body: body})
 }
 
-// replyRejected turns a request down.
+// replyRejected answers a request with a rejection.
 func (e *environment) replyRejected(req uint64, r *rejection) {
 	e.reply(req, r.status, protocol.Problem{Error: r.reason})
 }
 
-// replyUnavailable answers at once that the node cannot tell now.
+// replyUnavailable asks the user to retry later, since this node cannot answer now.
 func (e *environment) replyUnavailable(req uint64) {
 	e.emit(Answer{
 		Req:        req,
 		Status:     http.StatusServiceUnavailable,
-		RetryAfter: retryAfter,
+		RetryAfter: retryAfterSeconds,
 		Body:       protocol.Problem{Error: "try again later"},
 	})
 }
 
-// errUnknownJob answers a request about a job that was never accepted.
+// errUnknownJob rejects a request for a job that was never accepted.
 var errUnknownJob = &rejection{http.StatusNotFound, "no such job"}
 
-// replyLookup answers with what was found out about a job.
+// replyLookup answers with the result of a job lookup.
 func (e *environment) replyLookup(req uint64, result lookup.Result) {
 	switch result.Outcome {
 	case lookup.Active, lookup.Final:
@@ -55,11 +55,12 @@
 	}
 }
 
-// userTxn and userGet are compareAndSwap and get for requests that a user waits for.
+// userTxn is compareAndSwap for requests that a user waits for.
 func (e *environment) userTxn(t protocol.Txn, done func(StoreReply)) {
 	e.emit(StoreTxn{ID: e.expectReply(done), Txn: t, Quick: true})
 }
 
+// userGet is get for requests that a user waits for.
 func (e *environment) userGet(key string, done func(StoreReply)) {
 	e.emit(StoreGet{ID: e.expectReply(done), Key: key, Quick: true})
 }
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -9,33 +9,36 @@
 // StatisticsReport answers JobStatistics.
 type StatisticsReport struct {
 	Rows []jobstats.Row
-	// LongestUnanswered is the longest time for which no request for the state of some job
-	// was answered by this controller.
+	// LongestUnanswered is the longest period during which this controller could not answer
+	// any request for the state of some job.
 	LongestUnanswered time.Duration
-	// Unacknowledged is how many cancellations some controller is not known to know.
+	// Unacknowledged is the number of cancellations that at least one controller may not
+	// know of.
 	Unacknowledged int
-	// Staleness is for how long a cancellation may have been confirmed that this controller
-	// does not know of.
+	// Staleness is the maximum age of a confirmed cancellation that this controller may not
+	// know of.
 	Staleness time.Duration
-	// Pending are the waiting tasks of the teams that this controller leads, Planned those of
-	// all teams as this controller plans for them, which all controllers should see alike.
+	// Pending counts the pending tasks of the teams that this controller leads, Planned those
+	// of all teams in this controller's plan, which should be the same on all controllers.
 	Pending, Planned PendingTasks
-	// UnstoredClaims is how many bindings other controllers have announced that the store does
-	// not show yet.
+	// UnstoredClaims is the number of bindings that other controllers have announced and that
+	// the store does not show yet.
 	UnstoredClaims int
 	Counters       Counters
 }
 
-// Counters are what this controller has done since it started.
+// Counters counts events on this controller since it started.
 type Counters struct {
-	// CascadedCancellations is how many jobs were cancelled with one that they await.
+	// CascadedCancellations is the number of jobs cancelled because a dependency was cancelled.
 	CascadedCancellations int
-	// SplitJobs is how many stored jobs were divided into smaller chunks.
+	// SplitJobs is the number of stored jobs that were split into smaller chunks.
 	SplitJobs int
-	// OversizedTransactions is how many transactions the store called malformed or too large.
+	// OversizedTransactions is the number of transactions that the store rejected as malformed
+	// or too large.
 	OversizedTransactions int
 }
 
+// statisticsReport returns the current statistics of this controller.
 func (c *Core) statisticsReport() StatisticsReport {
 	led, planned := c.pendingTasks()
 	return StatisticsReport{
@@ -50,11 +53,11 @@
 	}
 }
 
-// statisticsInterval is the pause, in report intervals, between two reports in the log.
-const statisticsInterval = 15
+// reportIntervalsPerStatistics is the interval at which statistics are logged, in report intervals.
+const reportIntervalsPerStatistics = 15
 
-// logStatistics reports to the operator what has become of jobs. Only the leader of the fleet
-// does, whose replica holds them all.
+// logStatistics logs the job statistics. Only the fleet leader does so, since its replica holds the
+// jobs of all teams.
 func (c *Core) logStatistics() {
 	report := c.statisticsReport()
 	c.log(Info, "pending tasks",
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// status tells the state of a job as of now: only a final one may come from
-// memory, since it never changes.
+// status answers a request for the state of a job. Only a final state may come from memory, since
+// it never changes; any other requires a read that begins after the request.
 func (c *Core) status(m Status) {
 	if !job.ValidID(m.ID) {
 		c.replyRejected(m.Req, errUnknownJob)
@@ -19,7 +19,7 @@
 	})
 }
 
-// jobProgress is what the user of a job that is not final is told of its progress.
+// jobProgress returns the state and progress of a job without a final state.
 func (c *Core) jobProgress(id string) protocol.JobState {
 	state := protocol.JobState{ID: id, State: protocol.Queued, Awaits: c.dependencies.Awaited(id)}
 	if c.isOutgoing(id) {
@@ -34,8 +34,8 @@
 	return state
 }
 
-// runningTasks counts the running tasks of a job, or returns a recent count: users ask often,
-// and the count is for display.
+// runningTasks returns the number of running tasks of a job. The count may be slightly out of date:
+// it is cached because users poll often, and only serves for display.
 func (c *Core) runningTasks(j *job.Job) int {
 	if j.CountedAt > 0 && c.now.Steady-j.CountedAt < c.reportInterval()/6 {
 		return j.Running
--- a/internal/core/submissioncheck.go
+++ b/internal/core/submissioncheck.go
@@ -8,31 +8,32 @@
 	"pepperlever/internal/core/job"
 )
 
-// Rejections of jobs that can never run here.
+// Rejections of jobs that can never run at this site.
 var (
 	errUnknownTeam   = &rejection{http.StatusUnprocessableEntity, "team is unknown"}
 	errOverTeamLimit = &rejection{http.StatusUnprocessableEntity, "job needs more than the limit of its team"}
 	errUnknownZone   = &rejection{http.StatusUnprocessableEntity, "zone is unknown"}
 	errNoMachineType = &rejection{http.StatusUnprocessableEntity, "no allowed machine type can hold a task"}
-	errOneZoneOnly   = &rejection{http.StatusUnprocessableEntity, "its tasks would all be in one zone, over which they are to be spread"}
+	errCannotSpread  = &rejection{http.StatusUnprocessableEntity, "its tasks would all be in one zone, over which they are to be spread"}
 )
 
-// limitTolerance absorbs the rounding of sums of resources.
+// limitTolerance allows for rounding errors in sums of resources.
 const limitTolerance = 1e-6
 
-// submissionCheck decides whether a job can ever run here. What only has to wait, for other
-// tasks to end or for machines to be rented, can.
+// submissionCheck decides whether a job can ever run at this site. A job that only has to wait for
+// other tasks to end or for machines to be rented can run.
 type submissionCheck struct {
 	zones   []string
 	catalog catalog.Catalog
 }
 
-// submissionCheck is the check by the present settings and catalog.
+// submissionCheck returns the check for the current settings and catalog.
 func (c *Core) submissionCheck() submissionCheck {
 	return submissionCheck{zones: c.cfg.Params.Zones, catalog: c.catalog}
 }
 
-// reject returns why a job of a team can never run, or nil. The team is nil if it is unknown.
+// reject returns the reason why a job can never run, or nil if it can. The team is nil if it is
+// unknown.
 func (s submissionCheck) reject(t *team, spec *job.Spec) *rejection {
 	if t == nil {
 		return errUnknownTeam
@@ -49,13 +50,13 @@
 	}
 	spreads := spec.Spread && spec.MinConcurrency() > 1
 	if spreads && (spec.OneZone || zones == 1) {
-		return errOneZoneOnly
+		return errCannotSpread
 	}
 	return nil
 }
 
-// feasibleZones counts the zones in which the cloud has a machine type that the job allows
-// and that holds a task. A type that is listed in no zone can't be rented.
+// feasibleZones counts the zones in which the cloud offers a machine type that the job allows and
+// that is large enough for one task. A type that is listed in no zone cannot be rented.
 func (s submissionCheck) feasibleZones(spec *job.Spec) int {
 	zones := map[string]bool{}
 	for _, machineType := range s.catalog.All() {
@@ -71,7 +72,8 @@
 	return len(zones)
 }
 
-// withinLimit tells whether a team may use that much; a limit of 0 means none.
+// withinLimit reports whether a team's limits allow it to use the given resources. A limit of 0
+// means unlimited.
 func withinLimit(t *team, r job.Resources) bool {
 	cpus := t.CPUsMax <= 0 || r.CPUs <= t.CPUsMax+limitTolerance
 	gpus := t.GPUsMax <= 0 || r.GPUs <= t.GPUsMax+limitTolerance
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -10,10 +10,11 @@
 	"pepperlever/internal/protocol"
 )
 
-// errReservedID turns down a submission whose ID could be that of a job of another site.
+// errReservedID rejects a submission whose ID is reserved for jobs handed off by other sites.
 var errReservedID = &rejection{http.StatusBadRequest, "job id is kept for jobs of other sites"}
 
-// submit accepts a job by one conditional write; only then is it accepted.
+// submit handles the submission of a job. The job is accepted once a single conditional write
+// has stored it.
 func (c *Core) submit(m Submit) {
 	spec, err := job.Parse(m.Body, c.limits.maxSpecBytes())
 	if err != nil {
@@ -21,7 +22,7 @@
 		return
 	}
 	if c.knowsJob(spec.ID) {
-		c.answerRepeated(m.Req, spec.ID)
+		c.replyToDuplicate(m.Req, spec.ID)
 		return
 	}
 	t := c.teamBy[spec.Team]
@@ -45,20 +46,20 @@
 	c.accept(m.Req, t, spec)
 }
 
-// knowsJob tells whether the replica holds a job, or its final state.
+// knowsJob reports whether this node holds a job or its final state.
 func (c *Core) knowsJob(id string) bool {
 	ended := c.ended.has(id)
 	return ended || c.jobs[id] != nil
 }
 
-// isForeign tells whether an ID is one of those that jobs of other sites get here.
+// isForeign reports whether a job ID belongs to a job that another site has handed off to this one.
 func (c *Core) isForeign(id string) bool {
 	return c.federation != nil && strings.HasPrefix(id, federation.LocalIDPrefix)
 }
 
-// rejectSubmission turns a submission down, unless the job was accepted earlier: the settings,
-// the catalog or the checks of a description may have changed since, and an accepted job is
-// never refused. One without a job ID can't have been accepted.
+// rejectSubmission rejects a submission unless the job was accepted earlier: the settings, the
+// catalog or the validation rules may have changed since, and an accepted job is never rejected.
+// A submission without a job ID cannot have been accepted.
 func (c *Core) rejectSubmission(req uint64, id string, r *rejection) {
 	if id == "" {
 		c.replyRejected(req, r)
@@ -73,18 +74,19 @@
 	})
 }
 
-// answerRepeated answers a submission of a known job with its current state.
-func (c *Core) answerRepeated(req uint64, id string) {
+// replyToDuplicate answers the submission of a job that exists already with its current state.
+func (c *Core) replyToDuplicate(req uint64, id string) {
 	c.lookups.request(id, func(result lookup.Result) {
 		if result.Outcome == lookup.Absent {
-			// Its acceptance is on its way, or was never carried out.
+			// The write that accepts the job is still in flight, or was never carried
+			// out.
 			result.Outcome = lookup.Unavailable
 		}
 		c.replyLookup(req, result)
 	})
 }
 
-// accept stores a job, and answers its user once that is done.
+// accept stores a job and answers the user once the store has replied.
 func (c *Core) accept(req uint64, t *team, spec *job.Spec) {
 	spec.Accepted = c.now.Wall
 	head := c.chunks.newJob(*spec).Head()
@@ -100,7 +102,7 @@
 			c.broadcastAccepted(protocol.KeyValue{Key: key, Value: head, Version: r.Revision})
 			c.reply(req, http.StatusCreated, protocol.JobState{ID: spec.ID, State: protocol.Queued})
 		case Conflict:
-			c.answerRepeated(req, spec.ID)
+			c.replyToDuplicate(req, spec.ID)
 		default:
 			c.replyUnavailable(req)
 		}
@@ -119,9 +121,9 @@
 		"awaits", spec.Dependencies)
 }
 
-// broadcastAccepted tells every controller of an accepted job at once, ahead of the watch: the
-// leader of its team starts it, and any other may be asked to accept a job that awaits it a
-// moment later.
+// broadcastAccepted announces an accepted job to every controller at once instead of leaving it to
+// their watches: the team's leader starts it, and any other may receive a submission that
+// depends on it a moment later.
 func (c *Core) broadcastAccepted(item protocol.KeyValue) {
 	c.onPut(item)
 	c.broadcast(PeerMessage{Accepted: &item})
--- a/internal/core/submitdependencies.go
+++ b/internal/core/submitdependencies.go
@@ -9,77 +9,77 @@
 	"pepperlever/internal/protocol"
 )
 
-// Rejections of jobs that await others.
+// Rejections of jobs because of their dependencies.
 var (
-	errAwaitsItself  = &rejection{http.StatusUnprocessableEntity, "job can't await itself"}
-	errAwaitsTooMany = &rejection{http.StatusBadRequest, "job awaits too many others"}
-	errAwaitsService = &rejection{http.StatusUnprocessableEntity, "job can't await a service"}
+	errSelfDependency      = &rejection{http.StatusUnprocessableEntity, "job can't await itself"}
+	errTooManyDependencies = &rejection{http.StatusBadRequest, "job awaits too many others"}
+	errServiceDependency   = &rejection{http.StatusUnprocessableEntity, "job can't await a service"}
 )
 
-// neverAccepted turns down a job that awaits one that does not exist.
-func neverAccepted(id string) *rejection {
+// unknownDependency returns the rejection of a job that depends on one that does not exist.
+func unknownDependency(id string) *rejection {
 	return &rejection{http.StatusUnprocessableEntity, "awaited job " + id + " was never accepted"}
 }
 
-// submitDependent accepts a job that awaits others, once it is known what has become of them.
+// submitDependent accepts a job that depends on others once the states of all of them are known.
 func (c *Core) submitDependent(req uint64, t *team, spec *job.Spec) {
 	switch {
 	case slices.Contains(spec.Dependencies, spec.ID):
-		c.rejectSubmission(req, spec.ID, errAwaitsItself)
+		c.rejectSubmission(req, spec.ID, errSelfDependency)
 	case spec.DependencyBytes() > c.limits.maxDependencyBytes():
-		c.rejectSubmission(req, spec.ID, errAwaitsTooMany)
+		c.rejectSubmission(req, spec.ID, errTooManyDependencies)
 	case !c.upgrade.complete():
-		c.replyUnavailable(req) // a leader of the version before would start it at once
+		c.replyUnavailable(req) // a leader of the previous version would start the job at once
 	default:
 		check := &dependencyCheck{core: c, req: req, team: t, spec: spec, unresolved: len(spec.Dependencies)}
 		for _, id := range slices.Clone(spec.Dependencies) {
 			check.lookUp(id)
 		}
-		c.lookups.sendAcceptance()
+		c.lookups.sendAcceptanceLookups()
 	}
 }
 
-// dependencyCheck finds out what has become of the jobs that a submission awaits.
+// dependencyCheck looks up the states of the jobs that a submission depends on.
 type dependencyCheck struct {
 	core *Core
 	req  uint64
 	team *team
 	spec *job.Spec
-	// unresolved is how many of them have not been looked up.
+	// unresolved is the number of dependencies whose lookups have not finished.
 	unresolved int
 	rejected   *rejection
-	// unavailable is set if nobody can tell what has become of some.
+	// unavailable is set if the state of a dependency could not be determined.
 	unavailable bool
 }
 
-// lookUp finds out about one awaited job: that it was accepted is known for one that the
-// replica holds, and takes an answer of the store otherwise.
+// lookUp looks up one dependency. A job that the replica holds is known to have been accepted;
+// for any other the store has to be asked.
 func (d *dependencyCheck) lookUp(id string) {
-	if awaited := d.core.jobs[id]; awaited != nil && awaited.Kind == job.Service {
-		d.rejected = errAwaitsService
+	if upstream := d.core.jobs[id]; upstream != nil && upstream.Kind == job.Service {
+		d.rejected = errServiceDependency
 	}
 	d.core.lookups.requestAcceptance(id, func(result lookup.Result) {
 		switch result.Outcome {
 		case lookup.Absent:
-			d.rejected = neverAccepted(id)
+			d.rejected = unknownDependency(id)
 		case lookup.Unavailable:
 			d.unavailable = true
 		case lookup.Final:
 			if result.State.State == protocol.Done {
-				d.drop(id)
+				d.removeDependency(id)
 			}
 		}
-		d.resolved()
+		d.onResolved()
 	})
 }
 
-// drop removes a job that is done from those that the submission awaits.
-func (d *dependencyCheck) drop(id string) {
-	d.spec.Dependencies = slices.DeleteFunc(d.spec.Dependencies, func(awaited string) bool { return awaited == id })
+// removeDependency removes a job that is done from the dependencies of the submission.
+func (d *dependencyCheck) removeDependency(id string) {
+	d.spec.Dependencies = slices.DeleteFunc(d.spec.Dependencies, func(dependency string) bool { return dependency == id })
 }
 
-// resolved answers the submission after the last awaited job.
-func (d *dependencyCheck) resolved() {
+// onResolved records the end of one lookup and answers the submission after the last one.
+func (d *dependencyCheck) onResolved() {
 	d.unresolved--
 	if d.unresolved > 0 {
 		return
--- a/internal/core/unseenends_test.go
+++ b/internal/core/unseenends_test.go
@@ -9,17 +9,18 @@
 	"pepperlever/internal/protocol"
 )
 
-// Guards against an accepted job that never begins: the leader of the fleet, which does not lead
-// the job's team, has not seen its dependency end, takes it for blocked and rents nothing.
+// Guards against an accepted job that never starts: the fleet leader, which does not lead the job's
+// team, has missed the end of its dependency, considers the job blocked and rents no machines for
+// it.
 func TestMachinesAreRentedForJobsWhoseDependencyEndedUnseen(t *testing.T) {
-	for name, miss := range map[string]func(w *world, node string, end func()){
-		"state read again": func(w *world, node string, end func()) {
+	for name, missEnd := range map[string]func(w *world, node string, end func()){
+		"state reloaded": func(w *world, node string, end func()) {
 			w.slowWatcher = node
 			end()
 			w.slowWatcher = ""
 			w.read(node)
 		},
-		"started over": func(w *world, node string, end func()) {
+		"restarted": func(w *world, node string, end func()) {
 			w.crash(node)
 			w.expire(node)
 			end()
@@ -30,7 +31,7 @@
 			w := idleWorld(t, 10)
 			fleetLeader := w.cores["a"].fleet.leader
 			if fleetLeader == w.leaderOf("red") {
-				t.Fatal("the leader of the fleet leads the team")
+				t.Fatal("the fleet leader also leads the team")
 			}
 			w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1,
 				Price: 3, SpotPrice: 1.2, BootS: 5, Zones: []string{"z1", "z2"}})
@@ -38,29 +39,29 @@
 			accepted(t, w.submit("a", "req-red-1", 1, ""))
 			accepted(t, w.submit("a", "req-red-2", 2, awaiting("req-red-1")+`,"builds":["large"]`))
 			w.started("req-red-1", 1)
-			miss(w, fleetLeader, func() {
+			missEnd(w, fleetLeader, func() {
 				if !w.run(time.Minute, w.finished("req-red-1")) {
-					t.Fatal("the dependency does not end")
+					t.Fatal("the dependency did not end")
 				}
 			})
-			if !w.run(30*time.Second, func() bool { return w.takesForBlocked(fleetLeader, "req-red-2") }) {
-				t.Fatal("the leader of the fleet has seen the dependency end")
+			if !w.run(30*time.Second, func() bool { return w.wronglyBlocked(fleetLeader, "req-red-2") }) {
+				t.Fatal("the fleet leader has not missed the end of the dependency")
 			}
 			if !w.run(30*time.Second, func() bool { return w.cores[fleetLeader].fleet.leading }) {
-				t.Fatal("it does not lead the fleet")
+				t.Fatal("the controller no longer leads the fleet")
 			}
 			w.maxMachines += 10
 			if !w.run(2*time.Minute, w.finished("req-red-2")) {
-				t.Errorf("a job does not end after its dependency: %d machines, %d tasks on them",
+				t.Errorf("the job did not end after its dependency: got %d machines with %d of its tasks",
 					len(w.workers), w.onMachines("req-red-2"))
 			}
 		})
 	}
 }
 
-// Guards against a controller that reads the state again and then reads the ends of all that is awaited
-// anywhere in one burst, while users wait for their answers.
-func TestUnseenEndsOfOtherTeamsAreLookedUpWithinTheRateOfLookups(t *testing.T) {
+// Guards against a controller that reloads the stored state and then looks up the dependencies of
+// all teams in one burst, which delays the answers to users.
+func TestMissedEndsOfOtherTeamsAreLookedUpWithinRateLimit(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.taskTime = 10 * time.Minute
 	accepted(t, w.submit("a", "req-red-long", 1, ""))
@@ -68,14 +69,14 @@
 	w.taskTime = time.Second
 	node := w.anotherNode(w.leaderOf("red"))
 	w.slowWatcher = node
-	awaited := []string{"req-red-long"}
+	dependencyIDs := []string{"req-red-long"}
 	for n := range 24 {
-		awaited = append(awaited, fmt.Sprintf("req-red-%d", n))
-		accepted(t, w.submit("a", awaited[n+1], 1, ""))
+		dependencyIDs = append(dependencyIDs, fmt.Sprintf("req-red-%d", n))
+		accepted(t, w.submit("a", dependencyIDs[n+1], 1, ""))
 	}
-	accepted(t, w.submit("a", "req-red-last", 1, awaiting(awaited...)))
-	if !w.run(time.Minute, w.finished(awaited[1:]...)) {
-		t.Fatal("the awaited jobs do not end")
+	accepted(t, w.submit("a", "req-red-last", 1, awaiting(dependencyIDs...)))
+	if !w.run(time.Minute, w.finished(dependencyIDs[1:]...)) {
+		t.Fatal("the dependencies did not end")
 	}
 	reads := 0
 	w.onEffect = func(from string, e Effect) {
@@ -87,16 +88,16 @@
 	w.read(node)
 	w.run(time.Second, nil)
 	if rate := w.cores[node].lookups.limits().Rate; reads == 0 || float64(reads) > rate {
-		t.Errorf("%d final states are read in a second, want some and no more than %v", reads, rate)
+		t.Errorf("got %d reads of final states in a second, want some and at most %v", reads, rate)
 	}
 	c := w.cores[node]
 	if !w.run(time.Minute, func() bool { return len(c.dependencies.Awaited("req-red-last")) <= 1 }) {
-		t.Errorf("%d of 25 awaited jobs are not known to have ended", len(c.dependencies.Awaited("req-red-last")))
+		t.Errorf("got %d of 25 dependencies not known to have ended, want at most 1", len(c.dependencies.Awaited("req-red-last")))
 	}
 }
 
-// takesForBlocked tells whether a controller takes a job for blocked that its leader does not.
-func (w *world) takesForBlocked(node, id string) bool {
+// wronglyBlocked reports whether a job is blocked in a controller's replica but not at its leader.
+func (w *world) wronglyBlocked(node, id string) bool {
 	c := w.cores[node]
 	if c == nil || c.jobs[id] == nil {
 		return false
--- a/internal/core/unseenstatistics_test.go
+++ b/internal/core/unseenstatistics_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Guards against statistics that name a job that has ended as the oldest that waits: a controller that
-// heard nothing of it until it read the stored state again.
-func TestJobsThatEndedUnseenAreNotCountedAsPending(t *testing.T) {
+// Guards against statistics that report an ended job as the oldest pending one: a controller
+// learned neither of the job's start nor of its end until it reloaded the stored state.
+func TestJobsWithMissedEndsAreNotCountedAsPending(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.allowRacingStarts, w.taskTime = true, 20*time.Second
 	accepted(t, w.submit("a", "req-red-1", 1, ""))
@@ -18,21 +18,22 @@
 	w.slowWatcher = node
 	w.refuse(func(from, to string) bool { return from == node || to == node })
 	if !w.run(2*time.Minute, w.finished("req-free-1")) {
-		t.Fatal("the job does not end")
+		t.Fatal("the job did not end")
 	}
 	if oldest := w.oldestPending(node, "free"); oldest < 20*time.Second {
-		t.Fatalf("the job has waited for %v as far as %s knows", oldest, node)
+		t.Fatalf("got oldest pending job of %v at %s, want at least 20 s", oldest, node)
 	}
 	w.slowWatcher = ""
 	w.read(node)
 	w.restore()
 	w.run(reportIntervals(2), nil)
 	if oldest := w.oldestPending(node, "free"); oldest > 0 {
-		t.Errorf("a job that has ended is pending for %v", oldest)
+		t.Errorf("got oldest pending job of %v although all jobs have ended, want none", oldest)
 	}
 }
 
-// oldestPending is for how long the oldest pending job of a team has waited, as a controller counts.
+// oldestPending returns the waiting time of a team's oldest pending job in a controller's
+// statistics.
 func (w *world) oldestPending(node, team string) time.Duration {
 	for _, row := range w.cores[node].statisticsReport().Rows {
 		if row.Kind == "team" && row.Name == team {
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -8,55 +8,58 @@
 	"pepperlever/internal/protocol"
 )
 
-// reasonTaskNotStopped is why a machine with a cancelled task is returned.
+// reasonTaskNotStopped is the reason for returning a machine on which a cancelled task does not
+// end.
 const reasonTaskNotStopped = "cancelled task does not end"
 
-// returnUnstopped has a machine returned on which a task of a cancelled job does not
-// end: by the fleet's leader or by a cordon, or by this node itself while neither may help.
+// returnUnstopped returns a machine to the cloud on which a task of a cancelled job does not end in
+// time. It asks the fleet leader, directly or by a cordon, and releases the machine itself
+// while the fleet may have no leader.
 //
-// A node that has just learned of a cancellation goes by its time of day only for the
-// machines that it is responsible for: what it knows of the others may be old.
+// The age of the user's request only counts for the machines that this node is responsible for:
+// a node that has just learned of the cancellation may have outdated information on the others.
 func (r *machineReturns) returnUnstopped(j *job.Job, machine string) {
-	unaware := r.core.announcements.isUnaware(j.ID, machine)
-	patience := r.times.cancelDeadline() / 2
+	unaware := r.core.announcements.controllerMayBeUnaware(j.ID, machine)
+	timeout := r.times.cancelDeadline() / 2
 	if unaware && !r.core.storeOK {
-		// The cloud may fail next, and nothing else is left. While the store answers it is
-		// too early: a controller that is cut off redirects its workers meanwhile.
-		patience = min(patience, r.times.stalenessBound()*3/4)
+		// Returning the machine is the only option left, and the cloud may fail next. While
+		// the store still answers this would be too early: a controller that is partitioned
+		// redirects its workers first.
+		timeout = min(timeout, r.times.stalenessBound()*3/4)
 	}
-	known := r.now.Steady - j.CancelledAt
+	sinceKnown := r.now.Steady - j.CancelledAt
 	responsible := r.isResponsibleFor(j, machine)
-	if unaware && known > patience || responsible && r.isOverdue(j, patience) {
+	if unaware && sinceKnown > timeout || responsible && r.isOverdue(j, timeout) {
 		r.request(machine, reasonTaskNotStopped)
 	}
 	if !r.fleetLeaderUnavailable() {
 		return
 	}
-	patience += r.releaseDelay()
-	if known > patience || responsible && r.isOverdue(j, patience) {
+	timeout += r.releaseDelay()
+	if sinceKnown > timeout || responsible && r.isOverdue(j, timeout) {
 		r.releaseWithoutLeader(machine)
 	}
 }
 
-// isOverdue tells whether a cancellation has taken longer than patience here.
-// Controllers that have restarted begin to count anew, so they go by the time of day of
-// the request too, once reports had time to come, or three quarters of the deadline
-// are over.
-func (r *machineReturns) isOverdue(j *job.Job, patience time.Duration) bool {
-	known := r.now.Steady - j.CancelledAt
-	total := time.Duration(0)
+// isOverdue reports whether a cancellation has taken longer than timeout. A controller counts from
+// when it learned of the cancellation, which starts over when it restarts. It therefore also
+// considers the wall-clock time since the user's request, once reports had time to arrive or
+// three quarters of the cancellation deadline have passed.
+func (r *machineReturns) isOverdue(j *job.Job, timeout time.Duration) bool {
+	sinceKnown := r.now.Steady - j.CancelledAt
+	sinceRequested := time.Duration(0)
 	if j.CancelRequestedAt > 0 {
-		total = time.Duration(r.now.Wall-j.CancelRequestedAt) * time.Millisecond
+		sinceRequested = time.Duration(r.now.Wall-j.CancelRequestedAt) * time.Millisecond
 	}
-	return known > patience ||
-		total > patience*3/2 && known > r.core.silenceLimit() ||
-		total > r.times.cancelDeadline()*3/4
+	return sinceKnown > timeout ||
+		sinceRequested > timeout*3/2 && sinceKnown > r.core.silenceLimit() ||
+		sinceRequested > r.times.cancelDeadline()*3/4
 }
 
-// isResponsibleFor tells whether it is for this node to have a machine returned for a task of
-// a cancelled job: the machine's controller is, which sees what is left there. The
-// leader is too for machines whose controller it is in contact with, or that no live
-// controller serves. It leaves alone those of a live controller that it has no
+// isResponsibleFor reports whether this node is responsible for returning a machine because of a
+// task of a cancelled job. The controller that serves the machine is, since it sees which tasks
+// remain there. The job's leader is too if it is in contact with that controller, or if no live
+// controller serves the machine. It leaves alone the machines of a live controller that it has no
 // contact with: their tasks may have ended long ago.
 func (r *machineReturns) isResponsibleFor(j *job.Job, machine string) bool {
 	m := r.core.machines.Get(machine)
@@ -70,43 +73,44 @@
 	return r.core.leads(j) && (r.core.reach.hasContact(m.Node) || !live)
 }
 
-// fleetLeaderUnavailable tells whether the fleet may have no leader, and a cordon for the
-// next one can't be stored. Then whoever knows of a cancellation releases machines itself.
-// To the others it is as if the cloud had taken them without notice; the fleet's
-// leader finds that out from the inventory.
+// fleetLeaderUnavailable reports whether the fleet may have no leader and a cordon for its next
+// leader may not be stored. Every controller that knows of a cancellation then releases machines
+// itself. To the other controllers this looks as if the cloud had reclaimed the machines without
+// notice; the fleet leader detects it from the inventory.
 func (r *machineReturns) fleetLeaderUnavailable() bool {
 	return !r.core.storeOK || r.core.fleet.leader == ""
 }
 
-// releaseDelay keeps controllers from all releasing the same machine at once: each waits for
-// its own part of a sixteenth of the deadline, since the cloud takes few requests.
+// releaseDelay staggers the controllers, so that they do not all release the same machine at once:
+// the cloud accepts few requests. The delays are spread over a sixteenth of the cancellation
+// deadline.
 func (r *machineReturns) releaseDelay() time.Duration {
 	position := r.core.members.position()
 	return r.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(r.core.members.size())
 }
 
-// releaseWithoutLeader releases a machine without the fleet's leader.
+// releaseWithoutLeader queues the release of a machine without asking the fleet leader.
 func (r *machineReturns) releaseWithoutLeader(machine string) {
-	if !repeatAfter(r.releasedAt, machine, r.now.Steady, r.reportInterval()) {
+	if !dueAgain(r.releasedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
 	r.log(Info, "machine released without the fleet leader", "machine", machine, "reason", reasonTaskNotStopped)
-	r.pending = append(r.pending, machine)
+	r.pendingReleases = append(r.pendingReleases, machine)
 }
 
-// flush asks the cloud to take the machines that this node releases itself.
+// flush asks the cloud to release the machines that are queued for it.
 func (r *machineReturns) flush() {
-	for machines := range slices.Chunk(r.pending, protocol.MaxRelease) {
+	for machines := range slices.Chunk(r.pendingReleases, protocol.MaxRelease) {
 		r.emit(ReleaseMachines{Machines: machines})
 	}
-	r.pending = nil
+	r.pendingReleases = nil
 }
 
-// request asks the fleet's leader to return a machine with all that is on it. Where the
-// leader can't be reached, a cordon in the store tells it of a cancelled task. Any
-// controller may write that, since it costs no more than the machine.
+// request asks the fleet leader to return a machine with everything that runs on it. If the leader
+// cannot be reached, a cordon in the store informs it, but only of a cancelled task. Any
+// controller may write a cordon, since it costs no more than the machine.
 func (r *machineReturns) request(machine, reason string) {
-	if !repeatAfter(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
+	if !dueAgain(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
 	if r.core.fleet.leader != "" && r.core.reach.inDirectContact(r.core.fleet.leader) {
@@ -116,7 +120,7 @@
 	if r.core.cordons.has(machine) || reason == reasonUnknownMachine {
 		return
 	}
-	r.log(Info, "machine cordoned to be returned", "machine", machine, "reason", reason)
+	r.log(Info, "machine cordoned for return to the cloud", "machine", machine, "reason", reason)
 	key := keyCordon + machine
 	r.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{{Key: key}},
