--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -12,11 +12,11 @@
 	"pepperlever/internal/settings"
 )
 
-// fleetSizes are what the costs of one step are compared at.
+// fleetSizes are the numbers of machines that the benchmarks run with.
 var fleetSizes = []int{100, 1400, 2800}
 
-// busyCore is a controller that leads every team, with one running task on each machine and one
-// job to every ten.
+// busyCore returns a core that leads every team, with one running task on each machine and one job
+// per ten machines.
 func busyCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
 	c.now.Steady, c.replica.loaded, c.agents.tokens.current = time.Second, true, 1
@@ -38,17 +38,19 @@
 		c.agents.add(r.Machine, newAgentSession(1, 1, ""))
 	}
 	for _, j := range c.jobs {
-		j.TakeDirty(1) // all is stored
+		j.TakeDirty(1) // everything is stored
 	}
 	return c
 }
 
+// benchReport returns the report of machine n, which runs one task.
 func benchReport(n int, task string) protocol.Report {
 	return protocol.Report{Machine: fmt.Sprintf("vm-%06d", n), Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: 1, Token: 1,
 		Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: protocol.Running}}}
 }
 
-func benchSizes(b *testing.B, f func(b *testing.B, c *Core, machines int)) {
+// benchmarkFleetSizes runs a benchmark on a busyCore of each fleet size.
+func benchmarkFleetSizes(b *testing.B, f func(b *testing.B, c *Core, machines int)) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := busyCore(n)
@@ -58,9 +60,10 @@
 	}
 }
 
-// BenchmarkReport is one worker's report, with a task more or less each time.
+// BenchmarkReport measures handling one worker's report. Consecutive reports of a machine alternate
+// between two fencing tokens.
 func BenchmarkReport(b *testing.B) {
-	benchSizes(b, func(b *testing.B, c *Core, machines int) {
+	benchmarkFleetSizes(b, func(b *testing.B, c *Core, machines int) {
 		for n := 0; b.Loop(); n++ {
 			r := c.machines.Get(c.machines.Names()[n%machines]).Report
 			r.Seq++
@@ -72,11 +75,11 @@
 	})
 }
 
-// BenchmarkRound is one round of placing with room for some of what waits.
+// BenchmarkRound measures one scheduling round with capacity for some of the pending tasks.
 func BenchmarkRound(b *testing.B) {
-	benchSizes(b, func(b *testing.B, c *Core, _ int) {
+	benchmarkFleetSizes(b, func(b *testing.B, c *Core, _ int) {
 		t := c.teams[0]
-		t.leading = false // a plan for another leader changes nothing, so rounds stay alike
+		t.leading = false // tasks of a team that is led elsewhere are placed but not bound, so all rounds are alike
 		for n := range 10 {
 			j := job.New(job.Spec{ID: fmt.Sprintf("req-9%d", n), Team: t.Name, Tasks: 20, Need: job.Resources{CPUs: 2}, Spot: true}, 64, 0)
 			j.Version = 1
@@ -90,9 +93,9 @@
 	})
 }
 
-// BenchmarkStoreReply is one job's write and the store's answer.
+// BenchmarkStoreReply measures writing one job and handling the store's reply.
 func BenchmarkStoreReply(b *testing.B) {
-	benchSizes(b, func(b *testing.B, c *Core, _ int) {
+	benchmarkFleetSizes(b, func(b *testing.B, c *Core, _ int) {
 		j := c.jobs["req-0"]
 		for b.Loop() {
 			c.effects = nil
@@ -103,10 +106,10 @@
 	})
 }
 
-// BenchmarkSwarm is one step while many small jobs wait, for room or for the
-// store's changes.
-func BenchmarkSwarm(b *testing.B) {
-	swarm := func(c *Core, bound bool) {
+// BenchmarkManySmallJobs measures a scheduling round and the writes of jobs while many small jobs
+// wait for free capacity, or for their bindings to be stored.
+func BenchmarkManySmallJobs(b *testing.B) {
+	addSmallJobs := func(c *Core, bindTasks bool) {
 		t := c.teams[0]
 		for n := range 800 {
 			j := job.New(job.Spec{
@@ -119,16 +122,16 @@
 			}, 64, 0)
 			j.Version = 1
 			c.addJob(t, j)
-			if bound {
+			if bindTasks {
 				j.Bind(0, &job.Binding{Machine: c.machines.Names()[n%len(c.machines.Names())], Attempt: 1, Token: 1, Epoch: 1})
 				j.Urgent = true
 			}
 		}
 	}
-	for name, bound := range map[string]bool{"room": false, "changes": true} {
+	for name, bindTasks := range map[string]bool{"room": false, "changes": true} {
 		b.Run(name, func(b *testing.B) {
 			c := busyCore(240)
-			swarm(c, bound)
+			addSmallJobs(c, bindTasks)
 			for b.Loop() {
 				c.now.Steady += time.Nanosecond
 				c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
@@ -140,8 +143,8 @@
 	}
 }
 
-// BenchmarkMixedRound is one round with services, gangs and wide arrays on two types of
-// machines: all full, and some of each kind waiting.
+// BenchmarkMixedRound measures one scheduling round with services, gangs and large arrays on two
+// types of machines. All machines are full, and jobs of each kind wait.
 func BenchmarkMixedRound(b *testing.B) {
 	for _, machines := range fleetSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -159,8 +162,8 @@
 	}
 }
 
-// mixedCore is a controller whose machines are full of array tasks and services, with one
-// in ten that has accelerators and runs a gang's task.
+// mixedCore returns a core whose machines are full of array and service tasks. One machine in ten
+// has GPUs and runs a gang's task.
 func mixedCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
 	c.now.Steady, c.replica.loaded, c.agents.tokens.current = time.Second, true, 1
@@ -169,7 +172,7 @@
 		{Name: "large", CPUs: 48, GPUs: 8, MemoryGB: 288, CacheGB: 50, Price: 20, SpotPrice: 8}}})
 	t := c.teams[2]
 	t.leading, t.leader, t.version = true, "a", 1
-	add := func(id string, kind job.Kind, class string, tasks, priority int, need job.Resources) *job.Job {
+	newJob := func(id string, kind job.Kind, class string, tasks, priority int, need job.Resources) *job.Job {
 		j := job.New(job.Spec{ID: id, Team: t.Name, Class: class, Kind: kind, Tasks: tasks, Priority: priority, Need: need, Image: id, ImageGB: 1,
 			EstimateS: 30, Spot: kind == job.Array, Spread: kind == job.Service, OneZone: kind == job.Gang}, 512, 0)
 		j.Version = 1
@@ -178,68 +181,68 @@
 	}
 	services := []*job.Job{}
 	for n := range 6 {
-		services = append(services, add(fmt.Sprint("req-s", n), job.Service, "watch", machines, 0, job.Resources{CPUs: 4, MemoryGB: 30}))
+		services = append(services, newJob(fmt.Sprint("req-s", n), job.Service, "watch", machines, 0, job.Resources{CPUs: 4, MemoryGB: 30}))
 	}
-	array := add("req-a0", job.Array, "batch", 20*machines, 2, job.Resources{CPUs: 1, MemoryGB: 6})
-	gang := add("req-g0", job.Gang, "train", machines, 1, job.Resources{CPUs: 43, GPUs: 8, MemoryGB: 230})
+	array := newJob("req-a0", job.Array, "batch", 20*machines, 2, job.Resources{CPUs: 1, MemoryGB: 6})
+	gang := newJob("req-g0", job.Gang, "train", machines, 1, job.Resources{CPUs: 43, GPUs: 8, MemoryGB: 230})
 	for n := range machines {
 		r := benchReport(n, "")
 		r.Zone, r.Spot, r.Tasks = fmt.Sprint("z", 1+n%2), n%3 == 0, nil
-		on := func(j *job.Job, i int) {
+		place := func(j *job.Job, i int) {
 			j.Bind(i, &job.Binding{Machine: r.Machine, Attempt: 1, Token: 1, Epoch: 1, Stored: true, Sent: true})
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: j.TaskID(i), Attempt: 1, State: protocol.Running})
 		}
 		switch {
 		case n%10 == 0:
 			r.Type, r.Spot = "large", false
-			on(gang, n)
+			place(gang, n)
 		case r.Spot:
 			for i := range 8 {
-				on(array, 8*n+i)
+				place(array, 8*n+i)
 			}
 		default:
-			on(services[n%6], n)
+			place(services[n%6], n)
 			for i := range 4 {
-				on(array, 8*n+i)
+				place(array, 8*n+i)
 			}
 		}
 		c.applyObservation(Observation{Node: "a", Token: 1, Report: r})
 	}
 	for n := range 20 {
-		add(fmt.Sprint("req-w", n), job.Service, "watch", 6, 0, job.Resources{CPUs: 4, MemoryGB: 30})
-		add(fmt.Sprint("req-b", n), job.Array, "batch", 500, 2, job.Resources{CPUs: 1, MemoryGB: 6})
-		add(fmt.Sprint("req-h", n), job.Gang, "train", 1+n%8, 1, job.Resources{CPUs: 43, GPUs: 8, MemoryGB: 230})
+		newJob(fmt.Sprint("req-w", n), job.Service, "watch", 6, 0, job.Resources{CPUs: 4, MemoryGB: 30})
+		newJob(fmt.Sprint("req-b", n), job.Array, "batch", 500, 2, job.Resources{CPUs: 1, MemoryGB: 6})
+		newJob(fmt.Sprint("req-h", n), job.Gang, "train", 1+n%8, 1, job.Resources{CPUs: 43, GPUs: 8, MemoryGB: 230})
 	}
 	return c
 }
 
-// BenchmarkReload is the whole stored state read again, as after a start or when
-// the store no longer has the changes that were missed: a tenth as many
-// jobs as machines, and as many cordons of returned machines as jobs.
+// BenchmarkReload measures loading a snapshot of the store, as after a start or when the store no
+// longer has the changes that a watch missed. The snapshot has one job per ten machines and as many
+// cordons of terminated machines.
 func BenchmarkReload(b *testing.B) {
-	benchSizes(b, func(b *testing.B, c *Core, machines int) {
-		l := SnapshotLoaded{Revision: 2}
+	benchmarkFleetSizes(b, func(b *testing.B, c *Core, machines int) {
+		snapshot := SnapshotLoaded{Revision: 2}
 		for id, j := range c.jobs {
-			l.Items = append(l.Items, protocol.KeyValue{Key: jobKey(id), Value: j.Head(), Version: 2})
+			snapshot.Items = append(snapshot.Items, protocol.KeyValue{Key: jobKey(id), Value: j.Head(), Version: 2})
 		}
 		for n := range machines / 10 {
-			l.Items = append(l.Items, protocol.KeyValue{Key: fmt.Sprintf("%svm-9%05d", keyCordon, n), Value: mustjson.Marshal(cordonRecord{Terminated: true}), Version: 2})
+			snapshot.Items = append(snapshot.Items, protocol.KeyValue{Key: fmt.Sprintf("%svm-9%05d", keyCordon, n), Value: mustjson.Marshal(cordonRecord{Terminated: true}), Version: 2})
 		}
 		for b.Loop() {
 			fresh := New(c.cfg, settings.DefaultPolicy(), "y")
-			fresh.handle(l)
+			fresh.handle(snapshot)
 			if len(fresh.jobs) != len(c.jobs) {
-				b.Fatalf("%d of %d jobs read", len(fresh.jobs), len(c.jobs))
+				b.Fatalf("loaded %d jobs, want %d", len(fresh.jobs), len(c.jobs))
 			}
 		}
 	})
 }
 
-// BenchmarkHugeArray is one round with an array of 100,000 tasks in front of a
-// fleet half empty. A round binds as many machines as one write may have
-// conditions on, so its time grows with the fleet and not with the array.
+// BenchmarkHugeArray measures one scheduling round with a pending array of 100,000 tasks and a
+// half-empty fleet. A round binds tasks on at most as many machines as one write may have conditions
+// on, so its time grows with the fleet and not with the array.
 func BenchmarkHugeArray(b *testing.B) {
-	benchSizes(b, func(b *testing.B, c *Core, _ int) {
+	benchmarkFleetSizes(b, func(b *testing.B, c *Core, _ int) {
 		s := job.Spec{ID: "req-9", Team: c.teams[0].Name, Tasks: job.MaxTasks, Need: job.Resources{CPUs: 1}, Spot: true, EstimateS: 10}
 		for b.Loop() {
 			b.StopTimer()
@@ -252,7 +255,7 @@
 			c.schedule()
 			b.StopTimer()
 			if len(j.Bound) == 0 {
-				b.Fatal("no task found a place")
+				b.Fatal("no task was placed")
 			}
 			c.forgetJob(j)
 			b.StartTimer()
@@ -260,8 +263,8 @@
 	})
 }
 
-// BenchmarkLongReport is a report as long as a request may be: a machine full of
-// tiny tasks, one of which has ended since the last report.
+// BenchmarkLongReport measures handling a report of about the maximum request size: the machine is
+// full of tiny tasks, one of which has changed its state since the last report.
 func BenchmarkLongReport(b *testing.B) {
 	c := busyCore(100)
 	r := benchReport(0, "")
@@ -283,7 +286,7 @@
 	}
 }
 
-// BenchmarkSubmissions is 500 submissions in one step.
+// BenchmarkSubmissions measures handling 500 submissions in one step.
 func BenchmarkSubmissions(b *testing.B) {
 	c := busyCore(1400)
 	var commands []Command
@@ -298,27 +301,28 @@
 			c.handle(cmd)
 		}
 		if len(c.effects) != len(commands) {
-			b.Fatalf("%d effects", len(c.effects))
+			b.Fatalf("got %d effects, want one per submission", len(c.effects))
 		}
 	}
 }
 
-// BenchmarkList is the cloud's list of all machines, and what the leader of the fleet makes of it.
-func BenchmarkList(b *testing.B) {
-	benchSizes(b, func(b *testing.B, c *Core, _ int) {
+// BenchmarkInventory measures handling the cloud's list of all machines and reconciling the fleet
+// with it, as the leader of the fleet does.
+func BenchmarkInventory(b *testing.B) {
+	benchmarkFleetSizes(b, func(b *testing.B, c *Core, _ int) {
 		c.fleet.leading = true
 		c.autoscaler.reset(0)
-		var l InventoryReceived
+		var inventory InventoryReceived
 		for _, id := range c.machines.Names() {
-			l.Machines = append(l.Machines, protocol.ListedMachine{ID: id, Type: "small", Zone: "z1", Spot: true, State: protocol.Running, AgeS: 60})
+			inventory.Machines = append(inventory.Machines, protocol.ListedMachine{ID: id, Type: "small", Zone: "z1", Spot: true, State: protocol.Running, AgeS: 60})
 		}
 		for b.Loop() {
 			c.effects = nil
-			c.handleInventory(l)
+			c.handleInventory(inventory)
 			c.reconcileInventory()
 		}
 		if len(c.autoscaler.returnReasons) > 0 {
-			b.Fatal("a machine is returned")
+			b.Fatal("got machines to return to the cloud, want none")
 		}
 	})
 }
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -13,27 +13,28 @@
 	"time"
 )
 
-// effectsDigest makes a run of the random days print one hash over everything that
-// left the controllers. Two versions of the program that print the same hash for the
-// same -rapid.seed and -rapid.checks behave alike on those days:
+// effectsDigest makes the test of random scenarios print one hash of all effects of the
+// controllers. Two versions of the program that print the same hash for the same -rapid.seed and
+// -rapid.checks behave the same in those scenarios:
 //
-//	go test ./internal/core -run TestRulesHoldWhicheverTroublesMeet -rapid.seed=7 -rapid.checks=2 -effects-digest
-var effectsDigest = flag.Bool("effects-digest", false, "print a digest of the effects of all random days")
+//	go test ./internal/core -run TestInvariantsHoldUnderRandomFaults -rapid.seed=7 -rapid.checks=2 -v -effects-digest
+var effectsDigest = flag.Bool("effects-digest", false, "print a digest of the effects of all random scenarios")
 
-// dayDigests collects one hash for each day. Days run in parallel, so their hashes are
-// sorted before they are combined.
-var dayDigests struct {
+// scenarioDigests collects one hash for each scenario. Scenarios run in parallel, so the hashes
+// are sorted before they are combined.
+var scenarioDigests struct {
 	sync.Mutex
 	sums []string
 }
 
-// effectRecorder hashes the effects of one day in the order in which they leave.
+// effectRecorder hashes the effects of one scenario in the order in which they occur.
 type effectRecorder struct{ sum hash.Hash }
 
+// newEffectRecorder returns a recorder of no effects yet.
 func newEffectRecorder() *effectRecorder { return &effectRecorder{sum: sha256.New()} }
 
-// record adds an effect, without log lines and without names of Go types or fields of
-// effects, which may be renamed.
+// record adds an effect to the hash. Log lines and the names of effect types and their fields are
+// left out, because rewording and renaming must not change the digest.
 func (r *effectRecorder) record(now time.Duration, node string, e Effect) {
 	if !*effectsDigest {
 		return
@@ -65,7 +66,7 @@
 	case ReleaseMachines:
 		parts = []any{"release", e.Machines}
 	default:
-		panic(fmt.Sprintf("effect %T has no form in the digest", e))
+		panic(fmt.Sprintf("effect type %T is not supported by the digest", e))
 	}
 	raw, err := json.Marshal(parts)
 	if err != nil {
@@ -74,21 +75,21 @@
 	fmt.Fprintf(r.sum, "%d %s %s\n", now, node, raw)
 }
 
-// finish adds the day's hash to those of the run.
+// finish adds the scenario's hash to scenarioDigests.
 func (r *effectRecorder) finish() {
-	dayDigests.Lock()
-	defer dayDigests.Unlock()
-	dayDigests.sums = append(dayDigests.sums, fmt.Sprintf("%x", r.sum.Sum(nil)))
+	scenarioDigests.Lock()
+	defer scenarioDigests.Unlock()
+	scenarioDigests.sums = append(scenarioDigests.sums, fmt.Sprintf("%x", r.sum.Sum(nil)))
 }
 
-// printEffectsDigest prints the number of days and the hash over all of them.
+// printEffectsDigest prints the number of scenarios and the combined hash of all of them.
 func printEffectsDigest() {
 	if !*effectsDigest {
 		return
 	}
-	dayDigests.Lock()
-	defer dayDigests.Unlock()
-	slices.Sort(dayDigests.sums)
-	all := sha256.Sum256([]byte(strings.Join(dayDigests.sums, "\n")))
-	fmt.Fprintf(os.Stdout, "effects digest: %d days %x\n", len(dayDigests.sums), all[:16])
+	scenarioDigests.Lock()
+	defer scenarioDigests.Unlock()
+	slices.Sort(scenarioDigests.sums)
+	all := sha256.Sum256([]byte(strings.Join(scenarioDigests.sums, "\n")))
+	fmt.Fprintf(os.Stdout, "effects digest: %d days %x\n", len(scenarioDigests.sums), all[:16])
 }
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -10,146 +10,153 @@
 	"pepperlever/internal/protocol"
 )
 
-// checkDependentsEnd checks that what needs a cancelled job ends cancelled.
-func (d *randomDay) checkDependentsEnd() {
-	needsCancelled := func(id string) bool {
-		return slices.ContainsFunc(d.specs[id].Dependencies, func(awaited string) bool {
-			s, _ := d.state(awaited)
+// checkDependentsEnd checks that every job that depends on a cancelled job ends cancelled.
+func (r *randomScenario) checkDependentsEnd() {
+	dependsOnCancelled := func(id string) bool {
+		return slices.ContainsFunc(r.specs[id].Dependencies, func(dependency string) bool {
+			s, _ := r.state(dependency)
 			return s.State == protocol.Cancelled
 		})
 	}
-	late := func(id string) bool {
-		s, _ := d.state(id)
-		return s.State != protocol.Cancelled && needsCancelled(id)
+	notCancelled := func(id string) bool {
+		s, _ := r.state(id)
+		return s.State != protocol.Cancelled && dependsOnCancelled(id)
 	}
-	if !d.run(time.Minute, func() bool { return !slices.ContainsFunc(d.all, late) }) {
-		d.t.Errorf("%s does not end cancelled with what it awaits", d.all[slices.IndexFunc(d.all, late)])
+	if !r.run(time.Minute, func() bool { return !slices.ContainsFunc(r.acceptedJobs, notCancelled) }) {
+		r.t.Errorf("%s did not end cancelled within a minute, but one of its dependencies is cancelled", r.acceptedJobs[slices.IndexFunc(r.acceptedJobs, notCancelled)])
 	}
 }
 
-// served tells whether all jobs are done, and all replicas of services up.
-func (d *randomDay) served() bool {
-	return !slices.ContainsFunc(d.open, func(id string) bool {
-		s, _ := d.state(id)
-		return s.State != protocol.Done && (d.specs[id].Kind != job.Service || d.onMachines(id) < d.specs[id].Tasks)
+// allServed reports whether all open jobs are done, or have all tasks on machines if they are
+// services.
+func (r *randomScenario) allServed() bool {
+	return !slices.ContainsFunc(r.openJobs, func(id string) bool {
+		s, _ := r.state(id)
+		return s.State != protocol.Done && (r.specs[id].Kind != job.Service || r.onMachines(id) < r.specs[id].Tasks)
 	})
 }
 
-// isReady tells whether all that a job awaits has been done for that long.
-func (d *randomDay) isReady(id string, since time.Duration) bool {
-	return !slices.ContainsFunc(d.specs[id].Dependencies, func(awaited string) bool {
-		s, _ := d.state(awaited)
-		return s.State != protocol.Done || d.now-d.endedAt[awaited] < since
+// dependenciesDone reports whether all dependencies of a job have been done for at least duration.
+func (r *randomScenario) dependenciesDone(id string, duration time.Duration) bool {
+	return !slices.ContainsFunc(r.specs[id].Dependencies, func(dependency string) bool {
+		s, _ := r.state(dependency)
+		return s.State != protocol.Done || r.now-r.endedAt[dependency] < duration
 	})
 }
 
-// checkNoneWaitsBesideRoom checks that no job has nothing on machines for that long while there is room
-// for it and its team is under its limit.
-func (d *randomDay) checkNoneWaitsBesideRoom(within time.Duration) {
-	since := map[string]time.Duration{}
-	for end := d.now + 3*within; d.now < end && !d.served(); d.run(time.Second, nil) {
-		for _, id := range d.open {
-			s, _ := d.state(id)
-			if s.State != "" || d.onMachines(id) > 0 || !d.isReady(id, 0) || !d.hasRoom(d.specs[id]) {
-				delete(since, id)
+// checkNoneWaitsDespiteCapacity checks that no job whose dependencies are done waits longer than
+// within for its first task to start while machines have capacity for it and its team's limit
+// allows it.
+func (r *randomScenario) checkNoneWaitsDespiteCapacity(within time.Duration) {
+	waitingSince := map[string]time.Duration{}
+	for end := r.now + 3*within; r.now < end && !r.allServed(); r.run(time.Second, nil) {
+		for _, id := range r.openJobs {
+			s, _ := r.state(id)
+			if s.State != "" || r.onMachines(id) > 0 || !r.dependenciesDone(id, 0) || !r.hasCapacityFor(r.specs[id]) {
+				delete(waitingSince, id)
 				continue
 			}
-			if _, waits := since[id]; !waits {
-				since[id] = d.now
+			if _, waiting := waitingSince[id]; !waiting {
+				waitingSince[id] = r.now
 			}
-			if d.now-since[id] > within {
-				d.t.Fatalf("%v: %s waits for %v beside room", d.now, id, within)
+			if r.now-waitingSince[id] > within {
+				r.t.Fatalf("%v: %s has waited longer than %v although machines have capacity for it", r.now, id, within)
 			}
 		}
 	}
 }
 
-// answerChecker takes an answer to a request on a job that is sent now: it may not be older than
-// what its user had been told by then, and a job has one final state.
-func (d *randomDay) answerChecker(id string) func(Answer) {
-	before, asked := d.final[id], d.now
+// answerChecker returns a check for the answer to a request about a job that is sent now. The answer
+// must not be older than what the user was told before the request, and a job has only one final
+// state. The job must not be queued or running if the cancellation of a dependency was reported more
+// than cancel_s before the request.
+func (r *randomScenario) answerChecker(id string) func(Answer) {
+	reportedBefore, askedAt := r.reportedFinalStates[id], r.now
 	return func(a Answer) {
-		d.checkAnswer(id, before, a)
-		if at, told := d.dependencyToldAt(id); told && asked-at > d.cancelDeadline() {
-			if s, is := a.Body.(protocol.JobState); is && (s.State == protocol.Queued || s.State == protocol.Running) {
-				d.t.Errorf("%v: %s is %s, and one that it needs was cancelled at %v", d.now, id, s.State, at)
+		r.checkAnswer(id, reportedBefore, a)
+		if reportedAt, reported := r.dependencyCancelReportedAt(id); reported && askedAt-reportedAt > r.cancelDeadline() {
+			if s, isState := a.Body.(protocol.JobState); isState && (s.State == protocol.Queued || s.State == protocol.Running) {
+				r.t.Errorf("%v: %s is still %s, but the cancellation of a dependency was reported at %v", r.now, id, s.State, reportedAt)
 			}
 		}
 	}
 }
 
-// checkAnswer checks an answer against what was told before it was asked for.
-func (d *randomDay) checkAnswer(id, before string, a Answer) {
-	s, is := a.Body.(protocol.JobState)
-	switch now := d.final[id]; {
+// checkAnswer checks an answer against the final state that was reported before the request, and
+// records a final state that it contains.
+func (r *randomScenario) checkAnswer(id, reportedBefore string, a Answer) {
+	s, isState := a.Body.(protocol.JobState)
+	switch now := r.reportedFinalStates[id]; {
 	case a.Status == http.StatusNotFound:
-		d.t.Errorf("%v: %s was accepted and is not known", d.now, id)
-	case !is || a.Status != http.StatusOK:
-	case before != "" && s.State != before,
+		r.t.Errorf("%v: %s was accepted, but its state is not found", r.now, id)
+	case !isState || a.Status != http.StatusOK:
+	case reportedBefore != "" && s.State != reportedBefore,
 		now != "" && s.State != now && (s.State == protocol.Done || s.State == protocol.Cancelled):
-		d.t.Errorf("%v: %s was %s and is %s", d.now, id, now, s.State)
+		r.t.Errorf("%v: final state of %s changed from %s to %s", r.now, id, now, s.State)
 	case s.State == protocol.Cancelled:
-		if d.final[id] = s.State; now == "" {
-			d.cancellationToldAt[id], d.cancelledAt[id] = d.now, d.now
+		if r.reportedFinalStates[id] = s.State; now == "" {
+			r.cancellationToldAt[id], r.firstCancelReports[id] = r.now, r.now
 		}
-		if !d.mayBeCancelled(id) {
-			d.t.Errorf("%v: %s is cancelled, and nobody has asked for it", d.now, id)
+		if !r.mayBeCancelled(id) {
+			r.t.Errorf("%v: %s is cancelled, but no user cancelled it or a dependency", r.now, id)
 		}
 	case s.State == protocol.Done:
-		d.final[id] = s.State
+		r.reportedFinalStates[id] = s.State
 	}
 }
 
-// checkKnown checks that each job is answered by some controller within that time.
-func (d *randomDay) checkKnown(within time.Duration) {
-	asked, learn := map[uint64]string{}, map[uint64]func(Answer){}
-	known := map[string]bool{}
-	for end := d.now + within; d.now < end && len(known) < len(d.all); d.run(5*time.Second, nil) {
-		for _, id := range d.all {
-			if !known[id] {
-				d.nextReq++
-				asked[d.nextReq], learn[d.nextReq] = id, d.answerChecker(id)
-				d.send(d.names[d.rng.IntN(len(d.names))], Status{Req: d.nextReq, ID: id})
+// checkAllAnswered checks that for each accepted job some controller answers a status request
+// within the given time.
+func (r *randomScenario) checkAllAnswered(within time.Duration) {
+	pending, checks := map[uint64]string{}, map[uint64]func(Answer){}
+	answered := map[string]bool{}
+	for end := r.now + within; r.now < end && len(answered) < len(r.acceptedJobs); r.run(5*time.Second, nil) {
+		for _, id := range r.acceptedJobs {
+			if !answered[id] {
+				r.nextReq++
+				pending[r.nextReq], checks[r.nextReq] = id, r.answerChecker(id)
+				r.send(r.names[r.rng.IntN(len(r.names))], Status{Req: r.nextReq, ID: id})
 			}
 		}
-		d.run(2*time.Second, nil)
-		for req, id := range asked {
-			if a, there := d.answers[req]; there {
-				delete(asked, req)
-				learn[req](a)
+		r.run(2*time.Second, nil)
+		for req, id := range pending {
+			if a, ok := r.answers[req]; ok {
+				delete(pending, req)
+				checks[req](a)
 				if a.Status == http.StatusOK {
-					known[id] = true
+					answered[id] = true
 				}
 			}
 		}
 	}
-	for _, id := range d.all {
-		if !known[id] {
-			d.t.Errorf("no question about %s is answered for %v", id, within)
+	for _, id := range r.acceptedJobs {
+		if !answered[id] {
+			r.t.Errorf("no controller answered a status request for %s within %v", id, within)
 		}
 	}
 }
 
-// checkAllStart checks that all jobs begin in time. A team at its limit waits for its own
-// tasks; what may be asked of it is that it does not wait while it has room for one. Of the
-// other one with a limit, whose jobs are of all shapes, checkNoneWaitsBesideRoom asks the same.
-func (d *randomDay) checkAllStart(within time.Duration) {
-	waits := func(team string) bool {
-		return slices.ContainsFunc(d.open, func(id string) bool {
+// checkAllStart checks that all jobs start within the given time. Jobs of team red wait for the
+// team's other tasks when it is at its limit, so it is only an error if they wait below the limit.
+// Team blue also has a limit, but its jobs vary in kind and size: checkNoneWaitsDespiteCapacity
+// checks them instead.
+func (r *randomScenario) checkAllStart(within time.Duration) {
+	isWaiting := func(team string) bool {
+		return slices.ContainsFunc(r.openJobs, func(id string) bool {
 			limited := !strings.HasPrefix(id, "req-free")
-			return limited == (team == "red") && !strings.HasPrefix(id, "req-blue") && d.startsOf(id) == 0 && d.isReady(id, within/2)
+			return limited == (team == "red") && !strings.HasPrefix(id, "req-blue") && r.startsOf(id) == 0 && r.dependenciesDone(id, within/2)
 		})
 	}
-	idle := time.Duration(0)
-	for end := d.now + within; d.now < end && (waits("red") || waits("")); d.run(time.Second, nil) {
-		if idle += time.Second; d.inUse("red") > 16-2 || !waits("red") {
-			idle = 0
+	waitedFor := time.Duration(0)
+	for end := r.now + within; r.now < end && (isWaiting("red") || isWaiting("")); r.run(time.Second, nil) {
+		if waitedFor += time.Second; r.inUse("red") > 16-2 || !isWaiting("red") {
+			waitedFor = 0
 		}
-		if idle > within/8 {
-			d.t.Fatalf("%v: a job of red waits for %v while red has room", d.now, idle)
+		if waitedFor > within/8 {
+			r.t.Fatalf("%v: a job of team red has waited for %v while the team is below its limit", r.now, waitedFor)
 		}
 	}
-	if waits("") {
-		d.t.Errorf("jobs do not begin within %v once all troubles are over", within)
+	if isWaiting("") {
+		r.t.Errorf("not all jobs started within %v after all faults had ended", within)
 	}
 }
--- a/internal/core/randomdays_test.go
+++ b/internal/core/randomdays_test.go
@@ -16,95 +16,99 @@
 	"pepperlever/internal/testseed"
 )
 
-// TestMain fixes the seed and the number of the property tests; -rapid.seed and
-// -rapid.checks search further.
+// TestMain fixes the seed and the number of checks of the property tests. The flags -rapid.seed and
+// -rapid.checks override them to search further.
 func TestMain(m *testing.M) {
 	status := testseed.Run(m, testseed.Flags{"rapid.checks": "2"})
 	printEffectsDigest()
 	os.Exit(status)
 }
 
-// faultEvent is one moment of a day of troubles: jobs come, one may be cancelled, and
-// something fails, after a pause.
-type faultEvent struct {
-	What string
-	// Node and Other are controllers it may happen to, Seed is for what else is open.
+// scenarioStep is one step of a random scenario: it submits jobs, injects a fault, waits and may
+// cancel a job.
+type scenarioStep struct {
+	Fault string
+	// Node and Other index the controllers that the fault may affect; Seed seeds the other random
+	// choices of the step.
 	Node, Other int
 	Seed        uint64
 	Pause       time.Duration
-	// Tasks is how many each of three new jobs has, Long that they run long, Cancel
-	// which of the open jobs is cancelled, from 1.
-	Tasks  int
-	Long   bool
-	Cancel int
-	// Shape is what kind of jobs they are.
-	Shape int
-	// Awaits is how many earlier jobs each of them awaits.
-	Awaits int
+	// Tasks is the number of tasks of each new job, 0 to submit none; LongTasks gives all tasks a
+	// long run time; Cancel is the number of the open job to cancel, counted from 1, 0 for none.
+	Tasks     int
+	LongTasks bool
+	Cancel    int
+	// Variant selects from jobVariants; a higher index submits plain arrays.
+	Variant int
+	// Dependencies is the number of earlier jobs that each new job depends on.
+	Dependencies int
 }
 
-// drawFaultEvent draws one moment; every third has the trouble that the days are about.
-func drawFaultEvent(about string) *rapid.Generator[faultEvent] {
+// drawScenarioStep returns a generator of steps. About one step in three has the fault in focus, the
+// others have any fault.
+func drawScenarioStep(focus string) *rapid.Generator[scenarioStep] {
 	names := slices.Sorted(maps.Keys(faults))
-	return rapid.Custom(func(t *rapid.T) faultEvent {
-		e := faultEvent{What: about}
-		if rapid.IntRange(0, 2).Draw(t, "about") > 0 {
-			e.What = rapid.SampledFrom(names).Draw(t, "what")
+	return rapid.Custom(func(t *rapid.T) scenarioStep {
+		step := scenarioStep{Fault: focus}
+		if rapid.IntRange(0, 2).Draw(t, "focus") > 0 {
+			step.Fault = rapid.SampledFrom(names).Draw(t, "fault")
 		}
-		e.Node, e.Other = rapid.IntRange(0, 4).Draw(t, "node"), rapid.IntRange(0, 4).Draw(t, "other")
-		e.Seed = rapid.Uint64().Draw(t, "seed")
-		e.Pause = time.Duration(rapid.IntRange(0, 12).Draw(t, "pause")) * time.Second
-		e.Tasks = rapid.IntRange(0, 9).Draw(t, "tasks")
-		e.Long = rapid.Bool().Draw(t, "long")
-		e.Cancel = rapid.IntRange(0, 8).Draw(t, "cancel")
-		e.Shape = rapid.IntRange(0, 2*len(jobShapes)).Draw(t, "shape")
-		e.Awaits = max(0, rapid.IntRange(-2, 3).Draw(t, "awaits"))
-		return e
+		step.Node, step.Other = rapid.IntRange(0, 4).Draw(t, "node"), rapid.IntRange(0, 4).Draw(t, "other")
+		step.Seed = rapid.Uint64().Draw(t, "seed")
+		step.Pause = time.Duration(rapid.IntRange(0, 12).Draw(t, "pause")) * time.Second
+		step.Tasks = rapid.IntRange(0, 9).Draw(t, "tasks")
+		step.LongTasks = rapid.Bool().Draw(t, "long")
+		step.Cancel = rapid.IntRange(0, 8).Draw(t, "cancel")
+		step.Variant = rapid.IntRange(0, 2*len(jobVariants)).Draw(t, "shape")
+		step.Dependencies = max(0, rapid.IntRange(-2, 3).Draw(t, "awaits"))
+		return step
 	})
 }
 
-// Days on which any two troubles meet, and more, with jobs that are submitted, asked for
-// and cancelled at any moment. A day that fails shrinks to a short one.
-func TestRulesHoldWhicheverTroublesMeet(t *testing.T) {
-	for about := range faults {
-		t.Run(about, func(t *testing.T) {
+// TestInvariantsHoldUnderRandomFaults runs random scenarios in which two or more faults overlap while
+// jobs are submitted, queried and cancelled at any time. A failing scenario is shrunk to a short one.
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
+	for fault := range faults {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, func(t *rapid.T) {
-				playRandomDay(t, rapid.SliceOfN(drawFaultEvent(about), 2, 24).Draw(t, "day"))
+				runRandomScenario(t, rapid.SliceOfN(drawScenarioStep(fault), 2, 24).Draw(t, "steps"))
 			})
 		})
 	}
 }
 
-// randomDay is what the users of one day know.
-type randomDay struct {
+// randomScenario is a world with random faults, and what its users have been told.
+type randomScenario struct {
 	*world
-	// open are the jobs to be done, all those that were accepted.
-	open, all []string
-	// told is the newest final state that any user of a job was told.
-	final map[string]string
-	// replies are what waits for the answers to requests.
-	replies map[uint64]func(Answer)
-	// cancelRequested are the jobs whose users have asked for their end, cancelledAt when they
-	// were told first of it.
-	cancelRequested map[string]bool
-	cancelledAt     map[string]time.Duration
-	// cancelAtEndUntil is until when jobs are called off as they end.
+	// acceptedJobs are all jobs that were accepted; openJobs are those that must complete, which
+	// excludes jobs that may be cancelled.
+	openJobs, acceptedJobs []string
+	// reportedFinalStates holds the newest final state that any user of a job was told.
+	reportedFinalStates map[string]string
+	// replyHandlers holds the handlers of outstanding answers by request.
+	replyHandlers map[uint64]func(Answer)
+	// cancelRequested holds the jobs whose cancellation a user has requested; firstCancelReports
+	// is when a user was first told that a job is cancelled.
+	cancelRequested    map[string]bool
+	firstCancelReports map[string]time.Duration
+	// cancelAtEndUntil is the time until which jobs are cancelled as their last task completes.
 	cancelAtEndUntil time.Duration
-	// recorder hashes what leaves the controllers.
+	// recorder hashes the effects of the controllers.
 	recorder *effectRecorder
 }
 
-// newRandomDay has five controllers in two zones, one of which may be upgraded during the day,
-// machines of two types and two teams with a limit.
-func newRandomDay(t tester, former bool) *randomDay {
+// newRandomScenario returns a scenario with five controllers in two zones, machines of two types
+// and two teams with a limit. With mixedVersions, controller c runs the previous version until a
+// fault upgrades it.
+func newRandomScenario(t tester, mixedVersions bool) *randomScenario {
 	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
 		s.Params.Teams[1].CPUsMax = 24
 		s.Params.State.ValueKB = 2
 		s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
 	})
-	w.notUpgraded["c"] = former
-	if !former {
+	w.notUpgraded["c"] = mixedVersions
+	if !mixedVersions {
 		clear(w.notUpgraded)
 	}
 	w.maxMachines, w.allowRacingStarts = 60, true
@@ -118,55 +122,56 @@
 		}
 	}
 	w.ready().run(10*time.Second, nil)
-	d := &randomDay{world: w, final: map[string]string{}, replies: map[uint64]func(Answer){}, cancelRequested: map[string]bool{}, cancelledAt: map[string]time.Duration{}}
+	r := &randomScenario{world: w, reportedFinalStates: map[string]string{}, replyHandlers: map[uint64]func(Answer){}, cancelRequested: map[string]bool{}, firstCancelReports: map[string]time.Duration{}}
 	recorder := newEffectRecorder()
-	d.recorder = recorder
+	r.recorder = recorder
 	w.onEffect = func(node string, e Effect) {
 		recorder.record(w.now, node, e)
-		if a, is := e.(Answer); is && d.replies[a.Req] != nil {
-			d.replies[a.Req](a)
-			delete(d.replies, a.Req)
+		if a, isAnswer := e.(Answer); isAnswer && r.replyHandlers[a.Req] != nil {
+			r.replyHandlers[a.Req](a)
+			delete(r.replyHandlers, a.Req)
 		}
 	}
-	w.scheduled = append(w.scheduled, func() bool { d.cancelEndingJobs(); return false })
-	return d
+	w.scheduledActions = append(w.scheduledActions, func() bool { r.cancelEndingJobs(); return false })
+	return r
 }
 
-// playRandomDay plays a day, and checks over what users and workers see that every rule holds,
-// and that all that was accepted is known, begins and ends once all troubles are over.
-func playRandomDay(t tester, events []faultEvent) {
-	d := newRandomDay(t, len(events)%4 == 0)
-	defer d.recorder.finish()
-	for n, e := range events {
-		d.rng = rand.New(rand.NewPCG(e.Seed, 23))
-		d.submitAll(n, e)
-		faults[e.What](d, d.names[e.Node], d.names[e.Other])
-		d.pollSome()
-		d.run(e.Pause, nil)
-		if node := d.serving(); node != "" && e.Cancel > 0 && e.Cancel <= len(d.open) {
-			id := d.open[e.Cancel-1]
-			learn := d.answerChecker(id)
-			d.expectCancelled(id)
-			learn(d.requestAndWait(node, func(req uint64) Command { return Cancel{Req: req, ID: id} }))
+// runRandomScenario runs the steps of a scenario and then ends all faults. From what users and
+// workers observe, it checks that every invariant holds and that every accepted job is known,
+// starts and ends.
+func runRandomScenario(t tester, steps []scenarioStep) {
+	r := newRandomScenario(t, len(steps)%4 == 0)
+	defer r.recorder.finish()
+	for n, step := range steps {
+		r.rng = rand.New(rand.NewPCG(step.Seed, 23))
+		r.submitForEachTeam(n, step)
+		faults[step.Fault](r, r.names[step.Node], r.names[step.Other])
+		r.pollRandomJobs()
+		r.run(step.Pause, nil)
+		if node := r.serving(); node != "" && step.Cancel > 0 && step.Cancel <= len(r.openJobs) {
+			id := r.openJobs[step.Cancel-1]
+			checkAnswer := r.answerChecker(id)
+			r.expectCancelled(id)
+			checkAnswer(r.requestAndWait(node, func(req uint64) Command { return Cancel{Req: req, ID: id} }))
 		}
 	}
-	d.recover()
-	d.checkKnown(75 * time.Second)
-	d.checkAllStart(4 * time.Minute)
-	d.checkNoneWaitsBesideRoom(90 * time.Second)
-	if !d.run(20*time.Minute, d.served) {
-		for _, id := range d.open {
-			if s, _ := d.state(id); s.State != protocol.Done {
-				t.Errorf("%s (%d tasks, %d on machines) does not end once all troubles have", id, d.specs[id].Tasks, d.onMachines(id))
+	r.recover()
+	r.checkAllAnswered(75 * time.Second)
+	r.checkAllStart(4 * time.Minute)
+	r.checkNoneWaitsDespiteCapacity(90 * time.Second)
+	if !r.run(20*time.Minute, r.allServed) {
+		for _, id := range r.openJobs {
+			if s, _ := r.state(id); s.State != protocol.Done {
+				t.Errorf("%s (%d tasks, %d on machines) did not end within 20m after all faults had ended", id, r.specs[id].Tasks, r.onMachines(id))
 			}
 		}
 	}
-	d.checkDependentsEnd()
-	for _, id := range d.all {
-		if s, _ := d.state(id); s.State == protocol.Done {
+	r.checkDependentsEnd()
+	for _, id := range r.acceptedJobs {
+		if s, _ := r.state(id); s.State == protocol.Done {
 			for n := range s.Tasks {
-				if task := fmt.Sprintf("%s/%d", id, n); !d.completed[task] {
-					t.Errorf("%s is done, and %s has not completed", id, task)
+				if task := fmt.Sprintf("%s/%d", id, n); !r.completed[task] {
+					t.Errorf("%s is done, but its task %s has not completed", id, task)
 				}
 			}
 		}
--- a/internal/core/randomfaults_test.go
+++ b/internal/core/randomfaults_test.go
@@ -11,202 +11,213 @@
 	"pepperlever/internal/protocol"
 )
 
-// faults are what may happen on a day; each is a meeting with all others.
-var faults = map[string]func(w *randomDay, node, other string){
-	"all links refused": func(w *randomDay, _, _ string) { w.refuse(everyLink) },
-	"one link refused": func(w *randomDay, node, other string) {
-		w.refuse(func(f, t string) bool { return f == node && t == other })
-	},
-	"all of one refused": func(w *randomDay, node, _ string) { w.refuse(func(f, t string) bool { return f == node || t == node }) },
-	"all links slow":     func(w *randomDay, _, _ string) { w.hold(everyLink) },
-	"one link slow": func(w *randomDay, node, other string) {
-		w.hold(func(f, t string) bool { return f == node && t == other })
-	},
-	"no store for one": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.cutStore(node)
+// faults holds the faults that a random scenario injects, by name. Any of them may overlap. A
+// deaf machine receives nothing, a mute one sends no reports. The sorted names determine which fault
+// a seed draws.
+var faults = map[string]func(r *randomScenario, node, other string){
+	"all links refused": func(r *randomScenario, _, _ string) { r.refuse(everyLink) },
+	"one link refused": func(r *randomScenario, node, other string) {
+		r.refuse(func(f, t string) bool { return f == node && t == other })
+	},
+	"all of one refused": func(r *randomScenario, node, _ string) {
+		r.refuse(func(f, t string) bool { return f == node || t == node })
+	},
+	"all links slow": func(r *randomScenario, _, _ string) { r.hold(everyLink) },
+	"one link slow": func(r *randomScenario, node, other string) {
+		r.hold(func(f, t string) bool { return f == node && t == other })
+	},
+	"no store for one": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.cutStore(node)
 		}
 	},
-	"one freezes": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.freeze(node)
+	"one freezes": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.freeze(node)
 		}
 	},
-	"one ends": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.crash(node)
-			w.expire(node)
+	"one ends": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.crash(node)
+			r.expire(node)
 		}
 	},
-	"one is back at once": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.restartAtOnce(node)
-			w.after(300*time.Millisecond, func() { w.restartAtOnce(node) })
+	"one is back at once": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.restartImmediately(node)
+			r.after(300*time.Millisecond, func() { r.restartImmediately(node) })
 		}
 	},
-	"all end and one is back": func(w *randomDay, node, _ string) {
-		w.stopAllFor(8 * time.Second)
-		w.boot(node)
+	"all end and one is back": func(r *randomScenario, node, _ string) {
+		r.stopAllFor(8 * time.Second)
+		r.boot(node)
 	},
-	"handed over and back": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.cutStore(node)
-			w.after(700*time.Millisecond, func() {
-				if w.withoutStore[node] && w.cores[node] != nil {
-					w.restoreStore(node)
+	"handed over and back": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.cutStore(node)
+			r.after(700*time.Millisecond, func() {
+				if r.withoutStore[node] && r.cores[node] != nil {
+					r.restoreStore(node)
 				}
 			})
 		}
 	},
-	"workers only": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.isolate(node)
+	"workers only": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.isolate(node)
 		}
 	},
-	"refused, then an outage": func(w *randomDay, node, _ string) {
-		if w.isHealthy(node) {
-			w.refuseStoreTo(node)
-			w.after(time.Duration(w.rng.IntN(6))*time.Second, func() { w.outage = true })
-			w.after(time.Duration(10+w.rng.IntN(40))*time.Second, w.endOutage)
+	"refused, then an outage": func(r *randomScenario, node, _ string) {
+		if r.canFail(node) {
+			r.refuseStoreTo(node)
+			r.after(time.Duration(r.rng.IntN(6))*time.Second, func() { r.outage = true })
+			r.after(time.Duration(10+r.rng.IntN(40))*time.Second, r.endOutage)
 		}
 	},
-	"an outage": func(w *randomDay, _, _ string) {
-		w.outage = true
-		w.after(time.Duration(3+w.rng.IntN(40))*time.Second, w.endOutage)
+	"an outage": func(r *randomScenario, _, _ string) {
+		r.outage = true
+		r.after(time.Duration(3+r.rng.IntN(40))*time.Second, r.endOutage)
 	},
-	"slow watches": func(w *randomDay, _, _ string) { w.watchLag = time.Duration(1+w.rng.IntN(3)) * time.Second },
-	"late writes": func(w *randomDay, _, _ string) {
-		w.lateWrite = func(string, StoreTxn) time.Duration {
-			if w.rng.IntN(4) > 0 {
+	"slow watches": func(r *randomScenario, _, _ string) { r.watchLag = time.Duration(1+r.rng.IntN(3)) * time.Second },
+	"late writes": func(r *randomScenario, _, _ string) {
+		r.lateWrite = func(string, StoreTxn) time.Duration {
+			if r.rng.IntN(4) > 0 {
 				return 0
 			}
-			return time.Duration(2+w.rng.IntN(11)) * time.Second
+			return time.Duration(2+r.rng.IntN(11)) * time.Second
 		}
 	},
-	"held commands":    func(w *randomDay, _, _ string) { w.delayDeliveries = true },
-	"late reports":     func(w *randomDay, _, _ string) { w.replayReports = true },
-	"a machine is cut": func(w *randomDay, _, _ string) { w.eachOfSome(20, func(id string) { w.cutWorkers[id] = true }) },
-	"deaf machines":    func(w *randomDay, _, _ string) { w.eachOfSome(5, func(id string) { w.unreachableWorkers[id] = true }) },
-	"deaf to one": func(w *randomDay, node, _ string) {
-		w.eachOfSome(2, func(id string) { w.workerCannotReach[link{node, id}] = true })
+	"held commands":    func(r *randomScenario, _, _ string) { r.delayDeliveries = true },
+	"late reports":     func(r *randomScenario, _, _ string) { r.replayReports = true },
+	"a machine is cut": func(r *randomScenario, _, _ string) { r.eachOfSome(20, func(id string) { r.cutWorkers[id] = true }) },
+	"deaf machines": func(r *randomScenario, _, _ string) {
+		r.eachOfSome(5, func(id string) { r.unreachableWorkers[id] = true })
 	},
-	"machines taken": func(w *randomDay, _, _ string) { w.eachOfSome(10, func(id string) { delete(w.workers, id) }) },
-	"the cloud refuses": func(w *randomDay, _, _ string) {
-		w.noCloud = true
-		w.after(30*time.Second, func() { w.noCloud = false })
+	"deaf to one": func(r *randomScenario, node, _ string) {
+		r.eachOfSome(2, func(id string) { r.workerCannotReach[link{node, id}] = true })
 	},
-	"mute machines": func(w *randomDay, _, _ string) {
-		w.eachOfSome(5, func(id string) { w.silentWorkers[id] = true })
-		w.after(time.Duration(4+w.rng.IntN(40))*time.Second, func() { clear(w.silentWorkers) })
+	"machines taken": func(r *randomScenario, _, _ string) { r.eachOfSome(10, func(id string) { delete(r.workers, id) }) },
+	"the cloud refuses": func(r *randomScenario, _, _ string) {
+		r.noCloud = true
+		r.after(30*time.Second, func() { r.noCloud = false })
 	},
-	"a mute zone": func(w *randomDay, _, _ string) {
-		for id, f := range w.workers {
+	"mute machines": func(r *randomScenario, _, _ string) {
+		r.eachOfSome(5, func(id string) { r.silentWorkers[id] = true })
+		r.after(time.Duration(4+r.rng.IntN(40))*time.Second, func() { clear(r.silentWorkers) })
+	},
+	"a mute zone": func(r *randomScenario, _, _ string) {
+		for id, f := range r.workers {
 			if f.Zone == "z2" {
-				w.silentWorkers[id] = true
+				r.silentWorkers[id] = true
 			}
 		}
-		w.after(time.Duration(4+w.rng.IntN(30))*time.Second, func() { clear(w.silentWorkers) })
-	},
-	"machines hang": func(w *randomDay, _, _ string) {
-		w.eachOfSome(10, func(id string) { w.hang(id, time.Duration(2+w.rng.IntN(30))*time.Second) })
-	},
-	"cancelled now":        func(w *randomDay, node, _ string) { w.cancelRunningJobs(node) },
-	"cancelled at the end": func(w *randomDay, _, _ string) { w.cancelAtEndUntil = w.now + 30*time.Second },
-	"odd requests":         func(w *randomDay, _, _ string) { w.sendInvalidRequests() },
-	"held reports":         func(w *randomDay, _, _ string) { w.holdReports = true },
-	"leaders change": func(w *randomDay, _, _ string) {
-		w.changeLeaders([]string{"red", "blue", "free"}[w.rng.IntN(3)], 10, time.Duration(3+w.rng.IntN(10))*time.Second)
-	},
-	"all away":      func(w *randomDay, _, _ string) { w.stopAllFor(w.lease() + time.Duration(w.rng.IntN(12))*time.Second) },
-	"a zone is cut": func(w *randomDay, _, _ string) { w.cutSecondZoneFor(time.Duration(5+w.rng.IntN(40)) * time.Second) },
-	"a zone is full": func(w *randomDay, _, _ string) {
-		w.fullZone = []string{"z1", "z2"}[w.rng.IntN(2)]
-		w.after(30*time.Second, func() { w.fullZone = "" })
-	},
-	"limits become lower":  func(w *randomDay, _, _ string) { w.lowLimits = len(w.notUpgraded) == 0 },
-	"the last is upgraded": func(w *randomDay, _, _ string) { clear(w.notUpgraded) },
-	"all is well":          func(w *randomDay, _, _ string) { w.recover() },
+		r.after(time.Duration(4+r.rng.IntN(30))*time.Second, func() { clear(r.silentWorkers) })
+	},
+	"machines hang": func(r *randomScenario, _, _ string) {
+		r.eachOfSome(10, func(id string) { r.hang(id, time.Duration(2+r.rng.IntN(30))*time.Second) })
+	},
+	"cancelled now":        func(r *randomScenario, node, _ string) { r.cancelRunningJobs(node) },
+	"cancelled at the end": func(r *randomScenario, _, _ string) { r.cancelAtEndUntil = r.now + 30*time.Second },
+	"odd requests":         func(r *randomScenario, _, _ string) { r.sendInvalidRequests() },
+	"held reports":         func(r *randomScenario, _, _ string) { r.delayReports = true },
+	"leaders change": func(r *randomScenario, _, _ string) {
+		r.changeLeaders([]string{"red", "blue", "free"}[r.rng.IntN(3)], 10, time.Duration(3+r.rng.IntN(10))*time.Second)
+	},
+	"all away": func(r *randomScenario, _, _ string) {
+		r.stopAllFor(r.lease() + time.Duration(r.rng.IntN(12))*time.Second)
+	},
+	"a zone is cut": func(r *randomScenario, _, _ string) {
+		r.cutSecondZoneFor(time.Duration(5+r.rng.IntN(40)) * time.Second)
+	},
+	"a zone is full": func(r *randomScenario, _, _ string) {
+		r.fullZone = []string{"z1", "z2"}[r.rng.IntN(2)]
+		r.after(30*time.Second, func() { r.fullZone = "" })
+	},
+	"limits become lower":  func(r *randomScenario, _, _ string) { r.lowLimits = len(r.notUpgraded) == 0 },
+	"the last is upgraded": func(r *randomScenario, _, _ string) { clear(r.notUpgraded) },
+	"all is well":          func(r *randomScenario, _, _ string) { r.recover() },
 }
 
-// cancelRunningJobs has jobs called off that run, some of whose machines hang, while the state
-// service refuses one controller; then it is out for all, for longer than a cancellation
+// cancelRunningJobs cancels running jobs, some of whose machines hang, while the store refuses one
+// controller. A second later the store becomes unavailable to all, for longer than a cancellation
 // may take.
-func (d *randomDay) cancelRunningJobs(node string) {
+func (r *randomScenario) cancelRunningJobs(node string) {
 	hung := 0
 	for range 4 {
-		if len(d.open) == 0 {
+		if len(r.openJobs) == 0 {
 			break
 		}
-		id := d.open[d.rng.IntN(len(d.open))]
-		if d.onMachines(id) == 0 {
+		id := r.openJobs[r.rng.IntN(len(r.openJobs))]
+		if r.onMachines(id) == 0 {
 			continue
 		}
-		for _, m := range slices.Sorted(maps.Keys(d.workers)) {
-			if hung < 8 && slices.ContainsFunc(d.workers[m].Tasks, func(t protocol.TaskReport) bool { return strings.HasPrefix(t.Task, id+"/") }) && d.rng.IntN(3) == 0 {
+		for _, m := range slices.Sorted(maps.Keys(r.workers)) {
+			if hung < 8 && slices.ContainsFunc(r.workers[m].Tasks, func(t protocol.TaskReport) bool { return strings.HasPrefix(t.Task, id+"/") }) && r.rng.IntN(3) == 0 {
 				hung++
-				d.hang(m, time.Duration(2+d.rng.IntN(34))*time.Second)
+				r.hang(m, time.Duration(2+r.rng.IntN(34))*time.Second)
 			}
 		}
-		d.cancelAndPoll(id)
+		r.cancelAndPoll(id)
 	}
-	if d.isHealthy(node) {
-		d.refuseStoreTo(node)
+	if r.canFail(node) {
+		r.refuseStoreTo(node)
 	}
-	d.after(time.Second, func() { d.outage = true })
-	d.after(time.Second+d.cancelDeadline()*6/5, d.endOutage)
+	r.after(time.Second, func() { r.outage = true })
+	r.after(time.Second+r.cancelDeadline()*6/5, r.endOutage)
 }
 
-// cancelEndingJobs calls jobs off at the moment at which their last task ends, for a while.
-func (d *randomDay) cancelEndingJobs() {
-	if d.now >= d.cancelAtEndUntil {
+// cancelEndingJobs cancels jobs at the moment when their last task completes, until
+// cancelAtEndUntil.
+func (r *randomScenario) cancelEndingJobs() {
+	if r.now >= r.cancelAtEndUntil {
 		return
 	}
-	for _, id := range slices.Clone(d.open) {
+	for _, id := range slices.Clone(r.openJobs) {
 		n := 0
-		for d.completed[fmt.Sprintf("%s/%d", id, n)] {
+		for r.completed[fmt.Sprintf("%s/%d", id, n)] {
 			n++
 		}
-		if s, _ := d.state(id); n == d.specs[id].Tasks && s.State == "" {
-			d.cancelAndPoll(id)
+		if s, _ := r.state(id); n == r.specs[id].Tasks && s.State == "" {
+			r.cancelAndPoll(id)
 		}
 	}
 }
 
-// sendInvalidRequests repeats submissions, also in other words, calls off what has ended, and hands
-// in what is malformed or can never run.
-func (d *randomDay) sendInvalidRequests() {
-	for range min(3, len(d.all)) {
-		id := d.all[d.rng.IntN(len(d.all))]
-		body := submission(id, d.specs[id].Team, d.specs[id].Tasks, []string{"", `,"vcpus":900.0`, `,"guessS":null`}[d.rng.IntN(3)])
-		learn := d.answerChecker(id)
-		d.sendRequest(func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }, func(a Answer) {
-			if learn(a); a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity {
-				d.t.Errorf("%v: a repeated submission of %s got %d", d.now, id, a.Status)
+// sendInvalidRequests repeats submissions, also with changed fields, cancels jobs that are done, and
+// submits jobs that are malformed or can never run.
+func (r *randomScenario) sendInvalidRequests() {
+	for range min(3, len(r.acceptedJobs)) {
+		id := r.acceptedJobs[r.rng.IntN(len(r.acceptedJobs))]
+		body := submission(id, r.specs[id].Team, r.specs[id].Tasks, []string{"", `,"vcpus":900.0`, `,"guessS":null`}[r.rng.IntN(3)])
+		checkAnswer := r.answerChecker(id)
+		r.sendRequest(func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }, func(a Answer) {
+			if checkAnswer(a); a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity {
+				r.t.Errorf("%v: repeated submission of %s got status %d, want neither 400 nor 422", r.now, id, a.Status)
 			}
 		})
-		if d.final[id] == protocol.Done {
-			d.sendRequest(func(req uint64) Command { return Cancel{Req: req, ID: id} }, d.answerChecker(id))
+		if r.reportedFinalStates[id] == protocol.Done {
+			r.sendRequest(func(req uint64) Command { return Cancel{Req: req, ID: id} }, r.answerChecker(id))
 		}
 	}
-	for more, want := range ordered(map[string]int{
+	for extraFields, want := range ordered(map[string]int{
 		`,"bundle":null`: http.StatusBadRequest,
 		`,"vcpus":64.0`:  http.StatusUnprocessableEntity,
 		`,"shape":"group","yard":"z1","spread":true`: http.StatusUnprocessableEntity,
 	}) {
-		body := submission(fmt.Sprintf("req-free-odd-%d", d.rng.Uint64()), "free", 4, more)
-		d.sendRequest(func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }, func(a Answer) {
+		body := submission(fmt.Sprintf("req-free-odd-%d", r.rng.Uint64()), "free", 4, extraFields)
+		r.sendRequest(func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }, func(a Answer) {
 			if a.Status != want && a.Status != http.StatusServiceUnavailable {
-				d.t.Errorf("%v: what has %s got %d", d.now, more, a.Status)
+				r.t.Errorf("%v: invalid submission with %s got status %d, want its rejection or 503", r.now, extraFields, a.Status)
 			}
 		})
 	}
 }
 
-// cutSecondZoneFor cuts the second zone off for a while.
-func (d *randomDay) cutSecondZoneFor(t time.Duration) {
-	if d.zoneCut != "" {
+// cutSecondZoneFor partitions zone z2 from the rest for a while.
+func (r *randomScenario) cutSecondZoneFor(duration time.Duration) {
+	if r.isolatedZone != "" {
 		return
 	}
-	d.cutZone("z2")
-	d.after(t, d.reconnectZone)
+	r.cutZone("z2")
+	r.after(duration, r.reconnectZone)
 }
--- a/internal/core/randomusers_test.go
+++ b/internal/core/randomusers_test.go
@@ -10,133 +10,141 @@
 	"pepperlever/internal/core/job"
 )
 
-// jobShapes are the kinds of jobs beside arrays that may run anywhere.
-var jobShapes = []string{
+// jobVariants are submission fields that change a plain array, which may run anywhere, to another
+// kind, placement, size or priority.
+var jobVariants = []string{
 	`,"shape":"group"`, `,"shape":"group","samePlace":true`, `,"shape":"group","spread":true`,
 	`,"shape":"service","guessS":0.0,"dueS":null`, `,"shape":"service","guessS":0.0,"dueS":null,"spread":true`,
 	`,"yard":"z1"`, `,"yard":"z2"`, `,"samePlace":true`, `,"spread":true`, `,"builds":["large"]`, `,"loaners":false`,
 	`,"vcpus":4.0`, `,"urgency":"critical"`, `,"urgency":"low","dueS":null`, `,"pieces":40,"vcpus":0.5`,
 }
 
-// services counts the open services: they never end, and may not fill all machines.
-func (d *randomDay) services() (n int) {
-	for _, id := range d.open {
-		if d.specs[id].Kind == job.Service {
+// openServices counts the open services. They never end, so they must not fill all machines.
+func (r *randomScenario) openServices() (n int) {
+	for _, id := range r.openJobs {
+		if r.specs[id].Kind == job.Service {
 			n++
 		}
 	}
 	return n
 }
 
-// submitAll submits a job of each team.
-func (d *randomDay) submitAll(n int, e faultEvent) {
-	d.taskTime, d.unevenRunTimes = 8*time.Second, n%2 == 0
-	if e.Long {
-		d.taskTime = 60 * time.Second
+// submitForEachTeam submits a job for each team, as step n of the scenario says.
+func (r *randomScenario) submitForEachTeam(n int, step scenarioStep) {
+	r.taskTime, r.unevenRunTimes = 8*time.Second, n%2 == 0
+	if step.LongTasks {
+		r.taskTime = 60 * time.Second
 	}
 	for _, team := range []string{"red", "blue", "free"} {
-		node := d.serving()
-		if node == "" || e.Tasks == 0 {
+		node := r.serving()
+		if node == "" || step.Tasks == 0 {
 			return
 		}
 		id := fmt.Sprintf("req-%s-%d", team, n)
-		more := ""
-		if e.Shape < len(jobShapes) && team != "red" && !(strings.Contains(jobShapes[e.Shape], "service") && (team == "blue" || d.services() > 2)) {
-			more = jobShapes[e.Shape]
+		extraFields := ""
+		if step.Variant < len(jobVariants) && team != "red" && !(strings.Contains(jobVariants[step.Variant], "service") && (team == "blue" || r.openServices() > 2)) {
+			extraFields = jobVariants[step.Variant]
 		}
-		more += d.randomDependencies(e.Awaits)
-		body := []byte(submission(id, team, e.Tasks, more))
-		if d.requestAndWait(node, func(req uint64) Command { return Submit{Req: req, Body: body} }).Status == http.StatusCreated {
-			d.all = append(d.all, id)
-			if !d.mayBeCancelled(id) {
-				d.open = append(d.open, id)
+		extraFields += r.randomDependencies(step.Dependencies)
+		body := []byte(submission(id, team, step.Tasks, extraFields))
+		if r.requestAndWait(node, func(req uint64) Command { return Submit{Req: req, Body: body} }).Status == http.StatusCreated {
+			r.acceptedJobs = append(r.acceptedJobs, id)
+			if !r.mayBeCancelled(id) {
+				r.openJobs = append(r.openJobs, id)
 			}
 		}
 	}
 }
 
-// randomDependencies is the field of a submission that awaits some earlier jobs, in any state.
-func (d *randomDay) randomDependencies(n int) string {
-	ids := slices.DeleteFunc(slices.Clone(d.all), func(id string) bool { return d.specs[id].Kind == job.Service })
+// randomDependencies returns the submission field that makes a job depend on up to n earlier jobs,
+// in any state.
+func (r *randomScenario) randomDependencies(n int) string {
+	ids := slices.DeleteFunc(slices.Clone(r.acceptedJobs), func(id string) bool { return r.specs[id].Kind == job.Service })
 	if n = min(n, len(ids)); n == 0 {
 		return ""
 	}
-	d.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	r.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	return `,"awaits":["` + strings.Join(ids[:n], `","`) + `"]`
 }
 
-// pollSome asks for some jobs at controllers that may know less than others, and for one
-// that nobody has submitted.
-func (d *randomDay) pollSome() {
-	node := d.serving()
+// pollRandomJobs requests the state of some jobs from a controller that may lag behind others, and
+// of a job that was never submitted.
+func (r *randomScenario) pollRandomJobs() {
+	node := r.serving()
 	if node == "" {
 		return
 	}
-	for range min(2, len(d.all)) {
-		id := d.all[d.rng.IntN(len(d.all))]
-		d.answerChecker(id)(d.poll(node, id))
+	for range min(2, len(r.acceptedJobs)) {
+		id := r.acceptedJobs[r.rng.IntN(len(r.acceptedJobs))]
+		r.answerChecker(id)(r.poll(node, id))
 	}
-	if a := d.poll(node, "req-nobody-1"); a.Status == http.StatusOK {
-		d.t.Errorf("a job that nobody has submitted is %v", a.Body)
+	if a := r.poll(node, "req-nobody-1"); a.Status == http.StatusOK {
+		r.t.Errorf("a job that was never submitted has the state %v", a.Body)
 	}
 }
 
-// requestAndWait asks a controller, which may end before it answers.
-func (d *randomDay) requestAndWait(node string, ask func(req uint64) Command) Answer {
-	d.nextReq++
-	req := d.nextReq
-	d.send(node, ask(req))
-	d.run(5*time.Second, func() bool { _, there := d.answers[req]; return there })
-	return d.answers[req]
+// requestAndWait sends a request and waits for the answer for up to 5s. It returns the zero Answer
+// if none arrives, as when the controller crashes first.
+func (r *randomScenario) requestAndWait(node string, newCommand func(req uint64) Command) Answer {
+	r.nextReq++
+	req := r.nextReq
+	r.send(node, newCommand(req))
+	r.run(5*time.Second, func() bool { _, answered := r.answers[req]; return answered })
+	return r.answers[req]
 }
 
-func (d *randomDay) poll(node, id string) Answer {
-	return d.requestAndWait(node, func(req uint64) Command { return Status{Req: req, ID: id} })
+// poll requests the state of a job and waits for the answer.
+func (r *randomScenario) poll(node, id string) Answer {
+	return r.requestAndWait(node, func(req uint64) Command { return Status{Req: req, ID: id} })
 }
 
-// sendRequest sends a request whose answer is taken whenever it comes.
-func (d *randomDay) sendRequest(make1 func(req uint64) Command, take func(Answer)) {
-	node := d.serving()
+// sendRequest sends a request to a serving controller, if there is one, and does not wait:
+// handleAnswer is called when the answer arrives.
+func (r *randomScenario) sendRequest(newCommand func(req uint64) Command, handleAnswer func(Answer)) {
+	node := r.serving()
 	if node == "" {
 		return
 	}
-	d.nextReq++
-	d.replies[d.nextReq] = take
-	d.send(node, make1(d.nextReq))
+	r.nextReq++
+	r.replyHandlers[r.nextReq] = handleAnswer
+	r.send(node, newCommand(r.nextReq))
 }
 
-// cancelAndPoll cancels an open job, and asks for it.
-func (d *randomDay) cancelAndPoll(id string) {
-	d.expectCancelled(id)
-	d.sendRequest(func(req uint64) Command { return Cancel{Req: req, ID: id} }, d.answerChecker(id))
-	d.sendRequest(func(req uint64) Command { return Status{Req: req, ID: id} }, d.answerChecker(id))
+// cancelAndPoll cancels an open job and requests its state.
+func (r *randomScenario) cancelAndPoll(id string) {
+	r.expectCancelled(id)
+	r.sendRequest(func(req uint64) Command { return Cancel{Req: req, ID: id} }, r.answerChecker(id))
+	r.sendRequest(func(req uint64) Command { return Status{Req: req, ID: id} }, r.answerChecker(id))
 }
 
-// expectCancelled takes a job whose user asks for its end, and all that need it, from the open ones:
-// whatever the answer, they may end cancelled.
-func (d *randomDay) expectCancelled(id string) {
-	d.cancelRequested[id] = true
-	d.open = slices.DeleteFunc(d.open, func(o string) bool { return d.mayBeCancelled(o) })
+// expectCancelled records that a user requests the cancellation of a job. The job and all that depend
+// on it are no longer open: whatever the answer, they may end cancelled.
+func (r *randomScenario) expectCancelled(id string) {
+	r.cancelRequested[id] = true
+	r.openJobs = slices.DeleteFunc(r.openJobs, func(openJob string) bool { return r.mayBeCancelled(openJob) })
 }
 
-// mayBeCancelled tells whether the user of a job, or of one that it needs, has asked for its end.
-func (d *randomDay) mayBeCancelled(id string) bool {
-	return d.cancelRequested[id] || slices.ContainsFunc(d.specs[id].Dependencies, d.mayBeCancelled)
+// mayBeCancelled reports whether a user has requested the cancellation of a job or of any of its
+// direct or indirect dependencies.
+func (r *randomScenario) mayBeCancelled(id string) bool {
+	return r.cancelRequested[id] || slices.ContainsFunc(r.specs[id].Dependencies, r.mayBeCancelled)
 }
 
-// dependencyToldAt is when the user of a job that a job needs was told, first, that it is cancelled.
-func (d *randomDay) dependencyToldAt(id string) (at time.Duration, told bool) {
-	for _, awaited := range d.specs[id].Dependencies {
-		for _, when := range []func(string) (time.Duration, bool){d.dependencyToldAt, d.toldAt} {
-			if t, is := when(awaited); is && (!told || t < at) {
-				at, told = t, true
+// dependencyCancelReportedAt returns when a user was first told that any direct or indirect
+// dependency of a job is cancelled, if one was.
+func (r *randomScenario) dependencyCancelReportedAt(id string) (reportedAt time.Duration, reported bool) {
+	for _, dependency := range r.specs[id].Dependencies {
+		for _, lookup := range []func(string) (time.Duration, bool){r.dependencyCancelReportedAt, r.cancelReportedAt} {
+			if firstReport, ok := lookup(dependency); ok && (!reported || firstReport < reportedAt) {
+				reportedAt, reported = firstReport, true
 			}
 		}
 	}
-	return at, told
+	return reportedAt, reported
 }
 
-func (d *randomDay) toldAt(id string) (time.Duration, bool) {
-	at, told := d.cancelledAt[id]
-	return at, told
+// cancelReportedAt returns when a user was first told that a job is cancelled, if one was.
+func (r *randomScenario) cancelReportedAt(id string) (time.Duration, bool) {
+	reportedAt, reported := r.firstCancelReports[id]
+	return reportedAt, reported
 }
--- a/internal/core/repeat_test.go
+++ b/internal/core/repeat_test.go
@@ -8,8 +8,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// The same commands give the same effects in the same order: without that no day
-// can be played again to find out why something happened.
+// TestSameCommandsGiveTheSameEffects checks that the core is deterministic: the same commands produce
+// the same effects in the same order. Otherwise a failed simulation could not be replayed to find
+// its cause.
 func TestSameCommandsGiveTheSameEffects(t *testing.T) {
 	script := func() []string {
 		w := newWorld(t)
@@ -42,7 +43,7 @@
 		again := script()
 		for i := range first {
 			if i >= len(again) || first[i] != again[i] {
-				t.Fatalf("effect %d of %d differs:\n%.300s\n%.300s", i, len(first), first[i], again[min(i, len(again)-1)])
+				t.Fatalf("effect %d of %d differs between runs:\nfirst %.300s\nagain %.300s", i, len(first), first[i], again[min(i, len(again)-1)])
 			}
 		}
 	}
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -12,148 +12,152 @@
 	"pepperlever/internal/settings"
 )
 
-// world plays scripted controllers, workers, cloud and state service against a
-// fake clock, and checks the rules on every start.
+// world simulates controllers, workers, the cloud and the store on a fake clock, and checks
+// the scheduling invariants whenever a task starts.
 type world struct {
 	t            tester
 	rng          *rand.Rand
 	now          time.Duration
-	tick         time.Duration
-	cores        map[string]*Core
-	inbox        map[string][]Command
-	withoutStore map[string]bool // nodes without the store
+	tick         time.Duration        // the time between two steps of each controller
+	cores        map[string]*Core     // running controllers by node
+	inbox        map[string][]Command // commands for the next step of each node
+	withoutStore map[string]bool      // nodes that cannot reach the store
 
 	kv       map[string]protocol.KeyValue
 	revision uint64
 	events   []protocol.Event
-	seen     map[string]uint64
-	leases   map[uint64]string
-	outage   bool
+	seen     map[string]uint64 // the number of events that each node has received
+	leases   map[uint64]string // the node that holds each lease
+	outage   bool              // the store is unavailable to all controllers
 
 	workers map[string]*fakeWorker
-	rented  int
-	// loseDeliveries holds deliveries back instead of carrying them out.
+	rented  int // the number of machines added so far
+	// loseDeliveries keeps deliveries in heldDeliveries instead of executing them.
 	loseDeliveries bool
 	heldDeliveries []Deliver
-	// delayDeliveries lets every fourth delivery be carried out seconds later, without an answer.
+	// delayDeliveries makes one delivery in four run seconds later, without a reply.
 	delayDeliveries bool
-	// lateWrite says for a transaction with changes how late it is carried out, without an
-	// answer, or 0.
+	// lateWrite returns the delay after which a transaction with changes is executed, its
+	// outcome unknown to the sender. Zero executes it at once.
 	lateWrite func(node string, e StoreTxn) time.Duration
-	// lostReplies makes transactions be applied without an answer.
+	// lostReplies is the number of coming transactions whose reply is lost.
 	lostReplies int
 
-	answers map[uint64]Answer
-	nextReq uint64
-	starts  map[string]int
+	answers map[uint64]Answer // by request
+	nextReq uint64            // the number last used, for requests, leases and incarnations
+	starts  map[string]int    // the number of starts of each task
 	cfg     map[string]*settings.Settings
-	// unlisted is a machine that the cloud has taken back without notice.
+	// unlisted is a machine that is missing from the cloud's inventory.
 	unlisted string
-	// requests counts what the controllers ask of the state service.
+	// requests counts the requests that the controllers send to the store.
 	requests int
-	// nameOneFailedKey makes a failed transaction name one failed key only.
+	// nameOneFailedKey makes the store report only the first failed condition of a transaction.
 	nameOneFailedKey bool
-	// unreachableNodes cannot be reached by workers; redirected counts how many workers were
-	// sent to each node.
+	// unreachableNodes are the controllers that no worker can reach; redirected counts the
+	// redirects of workers to each controller.
 	unreachableNodes map[string]bool
 	redirected       map[string]int
-	// allowRacingStarts lets tasks start whose start was on its way when their job was
-	// cancelled.
+	// allowRacingStarts permits starts that were already in flight when their job was cancelled.
 	allowRacingStarts bool
-	// broken jobs fail wherever they run, on faulty machines everything does.
+	// broken holds jobs whose tasks fail on any machine, faulty machines on which any task fails.
 	broken, faulty map[string]bool
-	// gateways holds the gateway files of the nodes that have one; sent is what was
-	// sent to other sites.
+	// gateways holds the federation configuration of each node that has one; sent holds the
+	// messages to other sites.
 	gateways map[string]*federation.Config
 	sent     []federation.Message
-	// onEffect, if set, is told of every effect.
+	// onEffect, if set, is called with every effect of a controller.
 	onEffect func(node string, e Effect)
-	// names are the controllers; maxMachines is how many machines the cloud has.
+	// names lists the controllers; maxMachines is the capacity of the cloud.
 	names       []string
 	maxMachines int
-	// taskTime is how long a task runs.
+	// taskTime is the normal run time of a task.
 	taskTime time.Duration
-	// types is the cloud's catalogue.
+	// types is the cloud's catalogue of machine types.
 	types []protocol.MachineType
-	// refusedLinks holds the links between controllers over which nothing passes.
+	// refusedLinks holds the links between controllers that are down and drop all messages.
 	refusedLinks map[link]bool
-	// slowLinks hold back what is sent over them until they are restored.
+	// slowLinks holds the links that queue messages in heldMessages until they are restored.
 	slowLinks    map[link]bool
 	heldMessages map[link][]PeerMessage
-	// frozen holds the controllers that stand still, cutWorkers the workers without a network.
+	// frozen holds the controllers whose process is paused, cutWorkers the machines without a
+	// network.
 	frozen     map[string]bool
 	cutWorkers map[string]bool
-	// unreachableWorkers are the machines whose reports arrive while nothing reaches them;
-	// workerCannotReach holds the links from a controller to a machine that carry nothing.
+	// unreachableWorkers are the machines whose reports arrive but which receive nothing;
+	// workerCannotReach holds broken links from a controller to a machine.
 	unreachableWorkers map[string]bool
 	workerCannotReach  map[link]bool
-	// silentWorkers are the machines that reach no controller, while direct calls reach them.
+	// silentWorkers are the machines whose reports reach no controller, while deliveries to them
+	// succeed.
 	silentWorkers map[string]bool
-	// replayReports lets copies of past reports come late, to any controller.
+	// replayReports sends late duplicates of reports from pastReports to random controllers.
 	replayReports bool
 	pastReports   []Heartbeat
-	// noCloud keeps the cloud from taking machines back.
+	// noCloud makes the cloud return no catalogue and release no machines.
 	noCloud bool
-	// storeLostAt is since when the state service answers a controller nothing, as it notices
-	// after a report interval; storeLossNoticed holds those that have.
-	storeLostAt      map[string]time.Duration
-	storeLossNoticed map[string]bool
-	// watchLag is the pause between two watches of a controller, watchedAt its last.
+	// storeUnavailableSince is when a controller lost the store. It is told so after a report
+	// interval; storeLossReported holds the controllers that have been told.
+	storeUnavailableSince map[string]time.Duration
+	storeLossReported     map[string]bool
+	// watchLag is the minimum interval between watch events for a controller, watchedAt the time
+	// of its last ones.
 	watchLag  time.Duration
 	watchedAt map[string]time.Duration
-	// slowWatcher is a controller whose watch brings nothing.
+	// slowWatcher is a controller whose watch delivers no events.
 	slowWatcher string
-	// awaitingSnapshot holds the controllers that wait for the stored state, awaitingLease those
-	// that wait for a lease.
+	// awaitingSnapshot holds the controllers that wait for a snapshot of the store, awaitingLease
+	// those that wait for a lease.
 	awaitingSnapshot, awaitingLease map[string]bool
-	// scheduled holds what goes on beside, until it says that it is over.
-	scheduled []func() bool
-	// latency keeps messages between controllers flying from one tick to the next; those
-	// of a controller that ends are lost.
+	// scheduledActions are called on every tick until they return true.
+	scheduledActions []func() bool
+	// latency delays messages between controllers by one tick; a crash of their sender loses
+	// those in flight.
 	latency          bool
-	messagesInFlight []flight
-	// previousRelease are controllers of the release before, which know less of messages.
+	messagesInFlight []inFlightMessage
+	// previousRelease lists controllers of the previous release, which do not know the newer
+	// message fields.
 	previousRelease []string
-	// unevenRunTimes lets every second task of a job run three times as long; recoveries counts
-	// how often all faults ended.
+	// unevenRunTimes makes every second task of a job run three times as long; recoveryCount
+	// counts the calls of recover.
 	unevenRunTimes bool
-	recoveries     int
-	// tokenOwners tells which run has acquired each fencing token.
+	recoveryCount  int
+	// tokenOwners maps each fencing token to the incarnation that acquired it.
 	tokenOwners map[uint64]string
-	// completed are the tasks that have ended by themselves.
+	// completed holds the tasks that ran to their end.
 	completed map[string]bool
-	// cancellationToldAt is when the user of a job was told that it is cancelled.
+	// cancellationToldAt is when a controller told the user of a job that it is cancelled.
 	cancellationToldAt map[string]time.Duration
-	// specs are the submitted jobs, as their users described them.
+	// specs holds the specification of each submitted job.
 	specs map[string]*job.Spec
-	// tune changes the settings that every controller is given.
-	tune func(*settings.Settings)
-	// zoned lets the cloud have as many machines in each zone; zoneOf is where
-	// controllers are, zoneCut a zone that is cut off from everything else.
-	zoned   bool
-	zoneOf  map[string]string
-	zoneCut string
-	// fullZone is a zone of which the cloud has no machines.
+	// adjustSettings, if set, changes the settings of each controller before it starts.
+	adjustSettings func(*settings.Settings)
+	// limitZoneCapacity limits each zone to half of maxMachines; controllerZones holds the zone
+	// of each controller; isolatedZone is a zone that is partitioned from the rest.
+	limitZoneCapacity bool
+	controllerZones   map[string]string
+	isolatedZone      string
+	// fullZone is a zone in which the cloud has no capacity left.
 	fullZone string
-	// hungUntil is until when machines hang.
+	// hungUntil is when a machine that hangs continues.
 	hungUntil map[string]time.Duration
-	// completeGangs are the attempts of gangs that were on machines with all their tasks.
+	// completeGangs holds the gang attempts all of whose tasks have been on machines at once.
 	completeGangs map[taskAttempt]bool
-	// allRestarted is set once all controllers have ended at once. What they had told users of is
-	// in the state service alone then, and if that is out for longer than a cancellation may
-	// take, nothing but its lease ends what is on a machine that hangs.
+	// allRestarted is set once all controllers have stopped at the same time. From then on only
+	// the store knows which cancellations users were told of. If the store is unavailable for
+	// longer than cancel_s, only the expiry of its lease ends the tasks of a hung machine.
 	allRestarted bool
-	// holdReports lets some reports get no answer and arrive much later, anywhere.
-	holdReports bool
-	// endedAt is when the final state of a job was stored.
+	// delayReports makes some reports get no answer and arrive much later, at any controller.
+	delayReports bool
+	// endedAt is when the final state of each job was stored.
 	endedAt map[string]time.Duration
-	// notUpgraded are the controllers that have the version before: they do not state theirs.
+	// notUpgraded holds the controllers that run the previous version, which does not store its
+	// version.
 	notUpgraded map[string]bool
-	// lowLimits is set once the state service has the limits to come.
+	// lowLimits makes the store enforce the announced lower limits.
 	lowLimits bool
 }
 
-// tester is what a world needs of a test, or of one try of a property.
+// tester is the common subset of testing.T and rapid.T that a world uses.
 type tester interface {
 	Helper()
 	Error(args ...any)
@@ -163,55 +167,57 @@
 	Logf(format string, args ...any)
 }
 
+// newWorld returns a world of three controllers.
 func newWorld(t tester) *world { return newWorldOf(t, nodeNames) }
 
+// newWorldOf returns a world of the given controllers.
 func newWorldOf(t tester, names []string) *world { return newTunedWorld(t, names, nil) }
 
-// newTunedWorld is a world whose controllers are given other settings.
-func newTunedWorld(t tester, names []string, tune func(*settings.Settings)) *world {
+// newTunedWorld returns a world that starts each controller with adjusted settings.
+func newTunedWorld(t tester, names []string, adjustSettings func(*settings.Settings)) *world {
 	w := &world{
-		t:                  t,
-		rng:                rand.New(rand.NewPCG(1, 2)),
-		tick:               100 * time.Millisecond,
-		names:              names,
-		tune:               tune,
-		maxMachines:        40,
-		taskTime:           5 * time.Second,
-		specs:              map[string]*job.Spec{},
-		endedAt:            map[string]time.Duration{},
-		notUpgraded:        map[string]bool{},
-		hungUntil:          map[string]time.Duration{},
-		completeGangs:      map[taskAttempt]bool{},
-		cores:              map[string]*Core{},
-		inbox:              map[string][]Command{},
-		withoutStore:       map[string]bool{},
-		kv:                 map[string]protocol.KeyValue{},
-		seen:               map[string]uint64{},
-		leases:             map[uint64]string{},
-		workers:            map[string]*fakeWorker{},
-		answers:            map[uint64]Answer{},
-		starts:             map[string]int{},
-		broken:             map[string]bool{},
-		faulty:             map[string]bool{},
-		unreachableNodes:   map[string]bool{},
-		redirected:         map[string]int{},
-		cfg:                map[string]*settings.Settings{},
-		refusedLinks:       map[link]bool{},
-		slowLinks:          map[link]bool{},
-		heldMessages:       map[link][]PeerMessage{},
-		frozen:             map[string]bool{},
-		cutWorkers:         map[string]bool{},
-		unreachableWorkers: map[string]bool{},
-		silentWorkers:      map[string]bool{},
-		workerCannotReach:  map[link]bool{},
-		storeLostAt:        map[string]time.Duration{},
-		storeLossNoticed:   map[string]bool{},
-		awaitingSnapshot:   map[string]bool{},
-		awaitingLease:      map[string]bool{},
-		watchedAt:          map[string]time.Duration{},
-		cancellationToldAt: map[string]time.Duration{},
-		completed:          map[string]bool{},
-		tokenOwners:        map[uint64]string{},
+		t:                     t,
+		rng:                   rand.New(rand.NewPCG(1, 2)),
+		tick:                  100 * time.Millisecond,
+		names:                 names,
+		adjustSettings:        adjustSettings,
+		maxMachines:           40,
+		taskTime:              5 * time.Second,
+		specs:                 map[string]*job.Spec{},
+		endedAt:               map[string]time.Duration{},
+		notUpgraded:           map[string]bool{},
+		hungUntil:             map[string]time.Duration{},
+		completeGangs:         map[taskAttempt]bool{},
+		cores:                 map[string]*Core{},
+		inbox:                 map[string][]Command{},
+		withoutStore:          map[string]bool{},
+		kv:                    map[string]protocol.KeyValue{},
+		seen:                  map[string]uint64{},
+		leases:                map[uint64]string{},
+		workers:               map[string]*fakeWorker{},
+		answers:               map[uint64]Answer{},
+		starts:                map[string]int{},
+		broken:                map[string]bool{},
+		faulty:                map[string]bool{},
+		unreachableNodes:      map[string]bool{},
+		redirected:            map[string]int{},
+		cfg:                   map[string]*settings.Settings{},
+		refusedLinks:          map[link]bool{},
+		slowLinks:             map[link]bool{},
+		heldMessages:          map[link][]PeerMessage{},
+		frozen:                map[string]bool{},
+		cutWorkers:            map[string]bool{},
+		unreachableWorkers:    map[string]bool{},
+		silentWorkers:         map[string]bool{},
+		workerCannotReach:     map[link]bool{},
+		storeUnavailableSince: map[string]time.Duration{},
+		storeLossReported:     map[string]bool{},
+		awaitingSnapshot:      map[string]bool{},
+		awaitingLease:         map[string]bool{},
+		watchedAt:             map[string]time.Duration{},
+		cancellationToldAt:    map[string]time.Duration{},
+		completed:             map[string]bool{},
+		tokenOwners:           map[uint64]string{},
 	}
 	w.types = []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"z1", "z2"}},
@@ -222,9 +228,11 @@
 	return w
 }
 
-func testSettings(node string) *settings.Settings { return settingsAmong(node, nodeNames) }
+// testSettings returns the settings of a controller in a cluster of nodeNames.
+func testSettings(node string) *settings.Settings { return settingsForNodes(node, nodeNames) }
 
-func settingsAmong(node string, names []string) *settings.Settings {
+// settingsForNodes returns the settings of a controller in a cluster of the given names.
+func settingsForNodes(node string, names []string) *settings.Settings {
 	s := &settings.Settings{Node: node}
 	for _, n := range names {
 		if n != node {
@@ -242,13 +250,14 @@
 	return s
 }
 
+// nodeNames are the controllers of newWorld.
 var nodeNames = []string{"a", "b", "c"}
 
-// boot starts a controller, or starts it again.
+// boot starts or restarts a controller.
 func (w *world) boot(node string) {
-	w.cfg[node] = settingsAmong(node, w.names)
-	if w.tune != nil {
-		w.tune(w.cfg[node])
+	w.cfg[node] = settingsForNodes(node, w.names)
+	if w.adjustSettings != nil {
+		w.adjustSettings(w.cfg[node])
 	}
 	w.assignZone(node)
 	w.nextReq++
@@ -257,12 +266,12 @@
 		w.cores[node].Join(g)
 	}
 	w.inbox[node] = nil
-	delete(w.storeLostAt, node)
-	delete(w.storeLossNoticed, node)
+	delete(w.storeUnavailableSince, node)
+	delete(w.storeLossReported, node)
 	if w.awaitingSnapshot[node] = true; !w.outage && !w.withoutStore[node] {
 		w.read(node)
 	}
-	w.grant(node)
+	w.grantLease(node)
 	for _, other := range w.names {
 		if w.cores[other] != nil && other != node {
 			w.connect(node, other)
@@ -271,22 +280,23 @@
 	}
 }
 
+// send queues a command for a controller's next step.
 func (w *world) send(node string, c Command) {
-	if s, is := c.(Submit); is {
+	if s, isSubmission := c.(Submit); isSubmission {
 		w.recordSubmission(s.Body)
 	}
 	w.inbox[node] = append(w.inbox[node], c)
 }
 
-// run plays for d, or until done says so.
+// run advances the simulation by d, or until done returns true. It reports whether done did.
 func (w *world) run(d time.Duration, done func() bool) bool {
 	for end := w.now + d; w.now < end; w.now += w.tick {
 		if done != nil && done() {
 			return true
 		}
-		w.scheduled = slices.DeleteFunc(w.scheduled, func(over func() bool) bool { return over() })
+		w.scheduledActions = slices.DeleteFunc(w.scheduledActions, func(action func() bool) bool { return action() })
 		for _, f := range w.messagesInFlight {
-			w.send(f.to, PeerMessageReceived{Node: f.from, Message: f.msg})
+			w.send(f.to, PeerMessageReceived{Node: f.from, Message: f.message})
 		}
 		w.messagesInFlight = nil
 		w.stepWorkers()
@@ -294,33 +304,34 @@
 		for _, node := range w.names {
 			w.step(node)
 		}
-		w.checkCancelled()
+		w.checkCancelDeadlines()
 	}
 	return done != nil && done()
 }
 
+// step delivers a controller's queued commands and applies the effects.
 func (w *world) step(node string) {
 	c := w.cores[node]
 	if c == nil || w.frozen[node] {
 		return
 	}
 	w.sendEvents(node)
-	w.noticeStore(node)
+	w.updateStoreHealth(node)
 	batch := w.inbox[node]
 	w.inbox[node] = nil
 	effects := c.Step(Now{Steady: w.now, Wall: w.now.Milliseconds()}, batch)
 	for token := range c.agents.tokens.acquired {
-		w.checkToken(node, token)
+		w.checkTokenOwner(node, token)
 	}
 	for _, e := range effects {
-		w.carryOut(node, e)
+		w.applyEffect(node, e)
 	}
 }
 
-// sendEvents lets a controller's watch bring what has changed, unless something holds it back.
+// sendEvents delivers new store events to a controller, unless its watch is blocked or lags.
 func (w *world) sendEvents(node string) {
-	cut := w.outage || w.withoutStore[node] || w.awaitingSnapshot[node] || w.slowWatcher == node
-	if cut || w.seen[node] >= uint64(len(w.events)) || w.now < w.watchedAt[node]+w.watchLag {
+	blocked := w.outage || w.withoutStore[node] || w.awaitingSnapshot[node] || w.slowWatcher == node
+	if blocked || w.seen[node] >= uint64(len(w.events)) || w.now < w.watchedAt[node]+w.watchLag {
 		return
 	}
 	w.watchedAt[node] = w.now
@@ -328,10 +339,10 @@
 	w.seen[node] = uint64(len(w.events))
 }
 
-// crash ends a controller; expire ends its lease.
+// crash stops a controller. Its lease stays until expire is called.
 func (w *world) crash(node string) {
 	delete(w.cores, node)
-	w.messagesInFlight = slices.DeleteFunc(w.messagesInFlight, func(f flight) bool { return f.from == node })
+	w.messagesInFlight = slices.DeleteFunc(w.messagesInFlight, func(f inFlightMessage) bool { return f.from == node })
 	for _, other := range w.names {
 		if w.cores[other] != nil {
 			w.send(other, PeerDisconnected{Node: node})
@@ -339,7 +350,7 @@
 	}
 }
 
-// ready plays until every node can take requests.
+// ready runs the simulation until every node can take requests.
 func (w *world) ready() *world {
 	w.t.Helper()
 	if !w.run(20*time.Second, func() bool {
@@ -351,12 +362,13 @@
 		}
 		return true
 	}) {
-		w.t.Fatal("controllers do not get ready")
+		w.t.Fatal("controllers did not become ready")
 	}
 	return w
 }
 
-func (w *world) carryOut(node string, e Effect) {
+// applyEffect carries out an effect of a controller in the simulated environment.
+func (w *world) applyEffect(node string, e Effect) {
 	if w.onEffect != nil {
 		w.onEffect(node, e)
 	}
@@ -364,9 +376,9 @@
 	case Answer:
 		w.answers[e.Req] = e
 	case StoreTxn:
-		w.txn(node, e)
+		w.executeTxn(node, e)
 	case StoreGet:
-		w.get(node, e)
+		w.executeGet(node, e)
 	case StoreReload:
 		w.read(node)
 	case SendPeer:
@@ -381,15 +393,15 @@
 			w.send(node, CatalogReceived{Types: w.types})
 		}
 	case FetchInventory:
-		w.list(node)
+		w.listMachines(node)
 	case RequestRental:
-		w.rent(node, e)
+		w.rentMachines(node, e)
 	case ReleaseMachines:
-		w.release(node, e)
+		w.releaseMachines(node, e)
 	}
 }
 
-// sendPeer passes a message on, unless a link refuses or holds it.
+// sendPeer sends a message to other controllers, as the state of each link allows.
 func (w *world) sendPeer(node string, e SendPeer) {
 	if slices.Contains(w.previousRelease, node) {
 		e.Message = asPreviousRelease(e.Message)
@@ -399,34 +411,34 @@
 		if slices.Contains(w.previousRelease, to) {
 			msg = asPreviousRelease(msg)
 		}
-		switch l := (link{node, to}); {
-		case w.cores[to] == nil || w.refusedLinks[l]:
-		case w.slowLinks[l]:
-			w.heldMessages[l] = append(w.heldMessages[l], msg)
+		switch messageLink := (link{node, to}); {
+		case w.cores[to] == nil || w.refusedLinks[messageLink]:
+		case w.slowLinks[messageLink]:
+			w.heldMessages[messageLink] = append(w.heldMessages[messageLink], msg)
 		case w.latency:
-			w.messagesInFlight = append(w.messagesInFlight, flight{l, msg})
+			w.messagesInFlight = append(w.messagesInFlight, inFlightMessage{messageLink, msg})
 		default:
 			w.send(to, PeerMessageReceived{Node: node, Message: msg})
 		}
 	}
 }
 
-// startDelivery carries out a direct call, now, later or never.
-func (w *world) startDelivery(node string, e Deliver) {
+// startDelivery executes a delivery at once, delays it or loses it.
+func (w *world) startDelivery(node string, delivery Deliver) {
 	if w.loseDeliveries {
-		w.heldDeliveries = append(w.heldDeliveries, e)
-		w.send(node, DeliveryResult{Machine: e.Machine, Orders: e.Orders})
+		w.heldDeliveries = append(w.heldDeliveries, delivery)
+		w.send(node, DeliveryResult{Machine: delivery.Machine, Orders: delivery.Orders})
 		return
 	}
 	if w.delayDeliveries && w.rng.IntN(4) == 0 {
-		w.delayDelivery(node, e, time.Duration(1+w.rng.IntN(12))*time.Second)
+		w.delayDelivery(node, delivery, time.Duration(1+w.rng.IntN(12))*time.Second)
 		return
 	}
-	w.deliver(node, e)
+	w.deliver(node, delivery)
 }
 
-// rent lets the cloud add machines while it has any.
-func (w *world) rent(node string, e RequestRental) {
+// rentMachines adds the requested machines, or refuses the rental for lack of capacity.
+func (w *world) rentMachines(node string, e RequestRental) {
 	if len(w.workers) >= w.maxMachines || w.isZoneFull(e.Rental.Zone) {
 		w.send(node, RentalResult{Rental: e.Rental, Outcome: Refused})
 		return
@@ -440,8 +452,8 @@
 	w.send(node, RentalResult{Rental: e.Rental, Outcome: Applied, Machines: names})
 }
 
-// release lets the cloud take machines back.
-func (w *world) release(node string, e ReleaseMachines) {
+// releaseMachines returns machines to the cloud.
+func (w *world) releaseMachines(node string, e ReleaseMachines) {
 	if w.noCloud {
 		w.send(node, ReleaseResult{Machines: e.Machines})
 		return
@@ -452,11 +464,11 @@
 	w.send(node, ReleaseResult{Machines: e.Machines, OK: true})
 }
 
-// asPreviousRelease is what a controller of the release before makes of a message, or sends.
+// asPreviousRelease removes the message fields that the previous release does not know.
 func asPreviousRelease(m PeerMessage) PeerMessage {
 	m.Cancellations, m.Acknowledged = nil, nil
-	if b := m.Heartbeat; b != nil {
-		m.Heartbeat = &NodeHeartbeat{StoreOK: b.StoreOK, PendingWrites: b.PendingWrites, Records: b.Records, ReportingMachines: b.ReportingMachines, ReportSeqs: b.ReportSeqs, Unreachable: b.Unreachable}
+	if heartbeat := m.Heartbeat; heartbeat != nil {
+		m.Heartbeat = &NodeHeartbeat{StoreOK: heartbeat.StoreOK, PendingWrites: heartbeat.PendingWrites, Records: heartbeat.Records, ReportingMachines: heartbeat.ReportingMachines, ReportSeqs: heartbeat.ReportSeqs, Unreachable: heartbeat.Unreachable}
 	}
 	return m
 }
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// stopAllFor ends all controllers and lets them be back after a while.
+// stopAllFor stops all controllers and restarts them after d.
 func (w *world) stopAllFor(d time.Duration) {
 	w.allRestarted = true
 	for _, n := range w.names {
@@ -24,22 +24,22 @@
 	})
 }
 
-// changeLeaders moves the leader of a team every so often, by an end or by a lease that runs
-// out.
-func (w *world) changeLeaders(team string, times int, every time.Duration) {
+// changeLeaders repeatedly forces a leader change of a team: alternately it restarts the leader and
+// lets its lease expire.
+func (w *world) changeLeaders(team string, times int, interval time.Duration) {
 	for i := range times {
-		w.after(time.Duration(i)*every, func() {
+		w.after(time.Duration(i)*interval, func() {
 			leader := w.leaderOf(team)
 			if leader == "" || w.cores[leader] == nil || w.frozen[leader] {
 				return
 			}
 			if i%2 == 0 {
-				w.restartAtOnce(leader)
-				w.expireFormer(leader)
+				w.restartImmediately(leader)
+				w.expireOldLeases(leader)
 				return
 			}
 			w.cutStore(leader)
-			w.after(every/4, func() {
+			w.after(interval/4, func() {
 				if w.withoutStore[leader] && w.cores[leader] != nil {
 					w.restoreStore(leader)
 				}
@@ -48,8 +48,9 @@
 	}
 }
 
-// isHealthy tells whether a controller and at least two more are well, so that it may fail.
-func (w *world) isHealthy(node string) bool {
+// canFail reports whether a controller and at least two others are healthy, so that two healthy
+// ones remain if it fails.
+func (w *world) canFail(node string) bool {
 	n := 0
 	for _, other := range w.names {
 		if w.cores[other] != nil && !w.withoutStore[other] && !w.frozen[other] {
@@ -59,48 +60,50 @@
 	return n > 2 && w.cores[node] != nil && !w.withoutStore[node] && !w.frozen[node]
 }
 
-// after lets something happen later, unless the day's troubles are over by then.
+// after calls f once d has passed, unless recover has been called by then.
 func (w *world) after(d time.Duration, f func()) {
-	at, day := w.now+d, w.recoveries
-	w.scheduled = append(w.scheduled, func() bool {
-		if w.now >= at && w.recoveries == day {
+	at, recoveriesBefore := w.now+d, w.recoveryCount
+	w.scheduledActions = append(w.scheduledActions, func() bool {
+		if w.now >= at && w.recoveryCount == recoveriesBefore {
 			f()
 		}
 		return w.now >= at
 	})
 }
 
-// eachOfSome visits a part of all machines.
-func (w *world) eachOfSome(part int, f func(id string)) {
+// eachOfSome calls f for a random selection of machines, on average one in oneIn.
+func (w *world) eachOfSome(oneIn int, f func(id string)) {
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if w.rng.IntN(part) == 0 {
+		if w.rng.IntN(oneIn) == 0 {
 			f(id)
 		}
 	}
 }
 
+// isolate cuts a controller off from the store and from all other controllers.
 func (w *world) isolate(node string) {
 	w.cutStore(node)
-	w.refuse(func(f, t string) bool { return f == node || t == node })
+	w.refuse(func(from, to string) bool { return from == node || to == node })
 }
 
-// restartAtOnce ends a controller that is back at once; the lease of its former run lives on for
-// a while.
-func (w *world) restartAtOnce(node string) {
+// restartImmediately restarts a controller without downtime. The lease of its previous
+// incarnation stays until it times out.
+func (w *world) restartImmediately(node string) {
 	if w.cores[node] == nil {
 		return
 	}
-	former := w.leasesOf(node)
+	previousLeases := w.leasesOf(node)
 	w.crash(node)
 	w.boot(node)
-	w.after(controllerLease, func() { w.endLeases(former) })
+	w.after(controllerLease, func() { w.endLeases(previousLeases) })
 }
 
-// recover ends all troubles.
+// recover ends all faults, except that a machine that hangs continues at its own time and lowered
+// limits stay.
 func (w *world) recover() {
-	w.recoveries++
+	w.recoveryCount++
 	w.endOutage()
-	w.noCloud, w.delayDeliveries, w.watchLag, w.lateWrite, w.holdReports, w.fullZone = false, false, 0, nil, false, ""
+	w.noCloud, w.delayDeliveries, w.watchLag, w.lateWrite, w.delayReports, w.fullZone = false, false, 0, nil, false, ""
 	w.reconnectZone()
 	w.heal()
 	clear(w.cutWorkers)
--- a/internal/core/simnetwork_test.go
+++ b/internal/core/simnetwork_test.go
@@ -1,27 +1,27 @@
 package core
 
-// link is one direction between two controllers.
+// link is one direction of the connection between two controllers, or from a controller to a
+// machine.
 type link struct{ from, to string }
 
-// flight is a message on its way.
-type flight struct {
+// inFlightMessage is a message that has been sent but not received.
+type inFlightMessage struct {
 	link
-	msg PeerMessage
+	message PeerMessage
 }
 
-// connect tells a controller that it can send to another, unless it can't.
+// connect tells a controller that it can send to another, unless the link between them is down.
 func (w *world) connect(from, to string) {
 	if !w.refusedLinks[link{from, to}] {
 		w.send(from, PeerConnected{Node: to})
 	}
 }
 
-// refuse cuts the links for which is holds, one direction at a time; restore mends
-// all.
-func (w *world) refuse(is func(from, to string) bool) {
+// refuse takes down the links for which matches returns true. Each direction is a link of its own.
+func (w *world) refuse(matches func(from, to string) bool) {
 	for _, from := range w.names {
 		for _, to := range w.names {
-			if from != to && is(from, to) && !w.refusedLinks[link{from, to}] {
+			if from != to && matches(from, to) && !w.refusedLinks[link{from, to}] {
 				w.refusedLinks[link{from, to}] = true
 				w.send(from, PeerDisconnected{Node: to})
 			}
@@ -29,6 +29,7 @@
 	}
 }
 
+// restore repairs all links between controllers and delivers the messages that slow links held.
 func (w *world) restore() {
 	clear(w.slowLinks)
 	for _, from := range w.names {
@@ -45,35 +46,35 @@
 	}
 }
 
-// hold lets all links for which is holds be slow.
-func (w *world) hold(is func(from, to string) bool) {
+// hold makes the links for which matches returns true hold messages until restore.
+func (w *world) hold(matches func(from, to string) bool) {
 	for _, from := range w.names {
 		for _, to := range w.names {
-			if from != to && is(from, to) {
+			if from != to && matches(from, to) {
 				w.slowLinks[link{from, to}] = true
 			}
 		}
 	}
 }
 
-// assignZone tells a controller where it and the others are.
+// assignZone sets the zones of a controller and its peers in its settings.
 func (w *world) assignZone(node string) {
-	if w.zoneOf == nil {
+	if w.controllerZones == nil {
 		return
 	}
 	c := w.cfg[node]
-	c.Zone = w.zoneOf[node]
+	c.Zone = w.controllerZones[node]
 	for i, p := range c.Peers {
-		c.Peers[i].Zone = w.zoneOf[p.Node]
+		c.Peers[i].Zone = w.controllerZones[p.Node]
 	}
 }
 
-// twoZones puts the last two controllers into the second zone, the others into the first.
+// twoZones assigns the last two controllers to zone z2 and the others to z1.
 func (w *world) twoZones() {
-	w.zoned, w.zoneOf = true, map[string]string{}
+	w.limitZoneCapacity, w.controllerZones = true, map[string]string{}
 	for i, n := range w.names {
-		if w.zoneOf[n] = "z1"; i >= len(w.names)-2 {
-			w.zoneOf[n] = "z2"
+		if w.controllerZones[n] = "z1"; i >= len(w.names)-2 {
+			w.controllerZones[n] = "z2"
 		}
 	}
 	for _, n := range w.names {
@@ -81,33 +82,36 @@
 	}
 }
 
-// cutZone cuts a zone off, with its machines and controllers, which go on hearing each
-// other; reconnectZone ends that.
+// cutZone partitions a zone from the other zones and from the store. Controllers and machines
+// inside it still reach each other.
 func (w *world) cutZone(zone string) {
-	w.zoneCut = zone
-	w.refuse(func(f, t string) bool { return (w.zoneOf[f] == zone) != (w.zoneOf[t] == zone) })
+	w.isolatedZone = zone
+	w.refuse(func(from, to string) bool {
+		return (w.controllerZones[from] == zone) != (w.controllerZones[to] == zone)
+	})
 	for _, n := range w.names {
-		if w.zoneOf[n] == zone {
+		if w.controllerZones[n] == zone {
 			w.cutStore(n)
 		}
 	}
 }
 
+// reconnectZone ends the partition that cutZone began.
 func (w *world) reconnectZone() {
-	if w.zoneCut == "" {
+	if w.isolatedZone == "" {
 		return
 	}
-	zone := w.zoneCut
-	w.zoneCut = ""
+	zone := w.isolatedZone
+	w.isolatedZone = ""
 	w.restore()
 	for _, n := range w.names {
-		if w.zoneOf[n] == zone && w.withoutStore[n] && w.cores[n] != nil {
+		if w.controllerZones[n] == zone && w.withoutStore[n] && w.cores[n] != nil {
 			w.restoreStore(n)
 		}
 	}
 }
 
-// isAcrossZoneCut tells whether a cut is between a controller and a machine.
-func (w *world) isAcrossZoneCut(node string, f *fakeWorker) bool {
-	return w.zoneCut != "" && (w.zoneOf[node] == w.zoneCut) != (f.Zone == w.zoneCut)
+// crossesZonePartition reports whether a zone partition separates a controller from a machine.
+func (w *world) crossesZonePartition(node string, f *fakeWorker) bool {
+	return w.isolatedZone != "" && (w.controllerZones[node] == w.isolatedZone) != (f.Zone == w.isolatedZone)
 }
--- a/internal/core/simpartitions_test.go
+++ b/internal/core/simpartitions_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// fiveNodes are enough controllers for connections to be cut in many ways.
+// fiveNodes is a cluster large enough for varied network partitions.
 var fiveNodes = []string{"a", "b", "c", "d", "e"}
 
-// idleWorld has five controllers and that many machines, which all report.
+// idleWorld returns a world of five controllers and the given number of machines, all of which
+// report.
 func idleWorld(t tester, machines int) *world {
 	t.Helper()
 	w := newWorldOf(t, fiveNodes)
@@ -23,7 +24,8 @@
 	return w
 }
 
-// loadedWorld has five controllers, that many machines, and an array of long tasks that fills them.
+// loadedWorld returns an idleWorld whose machines are filled by an array of long tasks, and the
+// leader of the array's team.
 func loadedWorld(t *testing.T, machines int, id string) (w *world, leader string) {
 	t.Helper()
 	w = idleWorld(t, machines)
@@ -33,32 +35,33 @@
 	return w, w.cores["a"].teamBy["free"].leader
 }
 
-// nodeWithStore names a controller that has the store.
+// nodeWithStore returns a controller that can reach the store.
 func (w *world) nodeWithStore() string {
 	for _, n := range w.names {
 		if w.cores[n] != nil && !w.withoutStore[n] && !w.frozen[n] && w.cores[n].storeOK {
 			return n
 		}
 	}
-	w.t.Fatal("no controller has the store")
+	w.t.Fatal("no controller can reach the store")
 	return ""
 }
 
-// everyLink selects all links between controllers.
+// everyLink matches all links between controllers.
 func everyLink(string, string) bool { return true }
 
-// anotherNode names a controller other than the given one.
+// anotherNode returns a controller other than the given one.
 func (w *world) anotherNode(node string) string {
 	return w.names[(slices.Index(w.names, node)+1)%len(w.names)]
 }
 
-// freeze makes a controller stand still, whose lease then expires.
+// freeze pauses a controller's process and expires its lease.
 func (w *world) freeze(node string) {
 	w.frozen[node] = true
 	w.expire(node)
 }
 
-// heal ends all faults.
+// heal ends the faults of links, workers and controllers. Those of the store, the cloud and zones
+// are ended by recover.
 func (w *world) heal() {
 	w.restore()
 	clear(w.unreachableWorkers)
@@ -80,12 +83,12 @@
 // controllerLease is the time to live of a controller's lease, an eighth of a worker's.
 const controllerLease = 2 * time.Second
 
-// refuseStoreTo makes the store refuse one controller alone. Its lease expires, unless an outage
-// comes before: then every lease has its full time again.
+// refuseStoreTo makes the store refuse requests of one controller only. Its lease expires after
+// its full time to live, which begins anew after an outage of the store, as for every lease.
 func (w *world) refuseStoreTo(node string) {
 	w.withoutStore[node] = true
 	refusedAt := w.now
-	w.scheduled = append(w.scheduled, func() bool {
+	w.scheduledActions = append(w.scheduledActions, func() bool {
 		if w.outage || !w.withoutStore[node] {
 			refusedAt = w.now
 		}
@@ -97,7 +100,7 @@
 	})
 }
 
-// endOutage gives the store back to all.
+// endOutage makes the store available to all controllers.
 func (w *world) endOutage() {
 	w.outage = false
 	for _, node := range w.names {
@@ -110,34 +113,35 @@
 	}
 }
 
-// reportIntervals is the time of that many report intervals.
+// reportIntervals returns the duration of n report intervals.
 func reportIntervals(n int) time.Duration { return time.Duration(n) * 2 * time.Second }
 
-// cancelDeadline is the time that a cancellation may take.
+// cancelDeadline returns the time within which a cancelled job must have stopped.
 func (w *world) cancelDeadline() time.Duration { return seconds(w.cfg["a"].Params.Workers.CancelS) }
 
-// countLeaderChanges returns a function that counts the leaders that a team has had since.
+// countLeaderChanges returns a function that returns the number of leader changes of a team since
+// this call.
 func (w *world) countLeaderChanges(team string) func() int {
-	seen, last := 0, w.leaderOf(team)
-	w.scheduled = append(w.scheduled, func() bool {
-		if leader := w.leaderOf(team); leader != "" && leader != last {
-			seen, last = seen+1, leader
+	changes, lastLeader := 0, w.leaderOf(team)
+	w.scheduledActions = append(w.scheduledActions, func() bool {
+		if leader := w.leaderOf(team); leader != "" && leader != lastLeader {
+			changes, lastLeader = changes+1, leader
 		}
 		return false
 	})
-	return func() int { return seen }
+	return func() int { return changes }
 }
 
-// checkRejectsUsers checks that a controller without the store turns all users away.
+// checkRejectsUsers checks that a controller without the store answers all users with 503.
 func (w *world) checkRejectsUsers(node string) {
 	w.t.Helper()
-	for what, a := range map[string]Answer{
-		"question":     w.status(node, "req-free-1"),
+	for requestKind, a := range map[string]Answer{
+		"state query":  w.status(node, "req-free-1"),
 		"cancellation": w.cancelJob(node, "req-free-1"),
 		"submission":   w.submit(node, "req-free-2", 4, ""),
 	} {
 		if a.Status != http.StatusServiceUnavailable {
-			w.t.Errorf("%s answers a %s with %d", node, what, a.Status)
+			w.t.Errorf("%s answers a %s with %d, want 503", node, requestKind, a.Status)
 		}
 	}
 }
--- a/internal/core/simstore_test.go
+++ b/internal/core/simstore_test.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/settings"
 )
 
-// grant gives a controller a lease, which ends at once while it is refused.
-func (w *world) grant(node string) {
+// grantLease grants a controller a new lease, as soon as it can reach the store.
+func (w *world) grantLease(node string) {
 	if w.awaitingLease[node] = w.outage || w.withoutStore[node]; w.awaitingLease[node] {
 		return
 	}
@@ -20,22 +20,23 @@
 	w.send(node, LeaseGranted{Lease: w.nextReq})
 }
 
-// cutStore takes the state service from a controller, whose lease then ends;
-// restoreStore gives it back.
+// cutStore cuts a controller off from the store and expires its lease.
 func (w *world) cutStore(node string) {
 	w.withoutStore[node] = true
 	w.expire(node)
 }
 
+// restoreStore reconnects a controller to the store and grants it a new lease.
 func (w *world) restoreStore(node string) {
 	delete(w.withoutStore, node)
 	w.send(node, LeaseExpired{})
-	w.grant(node)
+	w.grantLease(node)
 }
 
+// expire expires all leases of a controller.
 func (w *world) expire(node string) { w.endLeases(w.leasesOf(node)) }
 
-// leasesOf lists the leases of a controller's runs that live.
+// leasesOf lists the active leases of a controller, including those of previous incarnations.
 func (w *world) leasesOf(node string) (out []uint64) {
 	for _, lease := range slices.Sorted(maps.Keys(w.leases)) {
 		if w.leases[lease] == node {
@@ -45,6 +46,7 @@
 	return out
 }
 
+// endLeases ends leases and deletes the keys attached to them.
 func (w *world) endLeases(leases []uint64) {
 	for _, lease := range leases {
 		delete(w.leases, lease)
@@ -56,64 +58,68 @@
 	}
 }
 
-// expireFormer ends the leases of a controller's runs but for its newest.
-func (w *world) expireFormer(node string) {
+// expireOldLeases ends all leases of a controller except its newest.
+func (w *world) expireOldLeases(node string) {
 	if all := w.leasesOf(node); len(all) > 1 {
 		w.endLeases(all[:len(all)-1])
 	}
 }
 
-// read gives a controller the stored state, now or once it is answered again.
+// read sends a controller a snapshot of the store, as soon as it can reach the store.
 func (w *world) read(node string) {
 	if w.awaitingSnapshot[node] = w.outage || w.withoutStore[node]; !w.awaitingSnapshot[node] {
 		w.load(node)
 	}
 }
 
+// load sends a controller a snapshot of all stored keys.
 func (w *world) load(node string) {
-	l := SnapshotLoaded{Revision: w.revision}
+	snapshot := SnapshotLoaded{Revision: w.revision}
 	for _, key := range slices.Sorted(maps.Keys(w.kv)) {
 		if strings.HasPrefix(key, Root) {
-			l.Items = append(l.Items, w.kv[key])
+			snapshot.Items = append(snapshot.Items, w.kv[key])
 		}
 	}
 	w.seen[node] = uint64(len(w.events))
-	w.send(node, l)
+	w.send(node, snapshot)
 }
 
-// noticeStore tells a controller when the state service stops or starts to answer it.
-func (w *world) noticeStore(node string) {
-	switch since, dark := w.storeLostAt[node]; {
+// updateStoreHealth tells a controller when it has lost the store for a report interval, and when
+// it reaches it again.
+func (w *world) updateStoreHealth(node string) {
+	switch since, unavailable := w.storeUnavailableSince[node]; {
 	case !w.outage && !w.withoutStore[node]:
-		delete(w.storeLostAt, node)
+		delete(w.storeUnavailableSince, node)
 		if w.awaitingSnapshot[node] {
 			w.read(node)
 		}
 		if w.awaitingLease[node] {
-			w.grant(node)
+			w.grantLease(node)
 		}
-		if w.storeLossNoticed[node] {
-			delete(w.storeLossNoticed, node)
+		if w.storeLossReported[node] {
+			delete(w.storeLossReported, node)
 			w.send(node, StoreHealth{OK: true})
 		}
-	case !dark:
-		w.storeLostAt[node] = w.now
-	case !w.storeLossNoticed[node] && w.now-since > seconds(w.cfg[node].Params.Workers.ReportS):
-		w.storeLossNoticed[node] = true
+	case !unavailable:
+		w.storeUnavailableSince[node] = w.now
+	case !w.storeLossReported[node] && w.now-since > seconds(w.cfg[node].Params.Workers.ReportS):
+		w.storeLossReported[node] = true
 		w.send(node, StoreHealth{})
 	}
 }
 
+// change applies one change as a revision of its own.
 func (w *world) change(ch protocol.Change) {
 	w.revision++
-	w.apply(ch)
+	w.applyChange(ch)
 }
 
-func (w *world) apply(ch protocol.Change) {
+// applyChange applies a change at the current revision and records its event.
+func (w *world) applyChange(ch protocol.Change) {
 	if ch.Delete != "" {
 		if _, ok := w.kv[ch.Delete]; ok {
 			delete(w.kv, ch.Delete)
-			w.note(protocol.Event{Delete: ch.Delete, Version: w.revision})
+			w.recordEvent(protocol.Event{Delete: ch.Delete, Version: w.revision})
 		}
 		return
 	}
@@ -121,16 +127,19 @@
 		w.endedAt[id] = w.now
 	}
 	w.kv[ch.Put] = protocol.KeyValue{Key: ch.Put, Value: slices.Clone(ch.Value), Version: w.revision, Lease: ch.Lease}
-	w.note(protocol.Event{Put: ch.Put, Value: slices.Clone(ch.Value), Version: w.revision})
+	w.recordEvent(protocol.Event{Put: ch.Put, Value: slices.Clone(ch.Value), Version: w.revision})
 }
 
-func (w *world) note(e protocol.Event) {
+// recordEvent appends an event for the controllers' watches.
+func (w *world) recordEvent(e protocol.Event) {
 	if strings.HasPrefix(e.Put+e.Delete, Root) {
 		w.events = append(w.events, e)
 	}
 }
 
-func (w *world) txn(node string, e StoreTxn) {
+// executeTxn executes a controller's transaction and sends the reply, unless a fault refuses or
+// delays the transaction or loses the reply.
+func (w *world) executeTxn(node string, e StoreTxn) {
 	if w.outage || w.withoutStore[node] {
 		w.send(node, StoreReply{ID: e.ID, Outcome: Refused})
 		return
@@ -139,13 +148,13 @@
 		w.send(node, StoreReply{ID: e.ID, Outcome: Refused})
 		return
 	}
-	if !w.fits(e.Txn) {
-		w.t.Errorf("%v: transaction of %d changes and %d conditions, the first on %s, does not fit", w.now, len(e.Txn.Then), len(e.Txn.If), e.Txn.Then[0].Put+e.Txn.Then[0].Delete)
+	if !w.fitsStoreLimits(e.Txn) {
+		w.t.Errorf("%v: transaction of %d changes and %d conditions, the first change on %s, exceeds the limits of the store", w.now, len(e.Txn.Then), len(e.Txn.If), e.Txn.Then[0].Put+e.Txn.Then[0].Delete)
 	}
 	w.requests++
 	if w.lateWrite != nil && len(e.Txn.Then) > 0 {
 		if d := w.lateWrite(node, e); d > 0 {
-			w.carryOutLate(node, e, d)
+			w.executeTxnLate(node, e, d)
 			return
 		}
 	}
@@ -158,7 +167,7 @@
 	w.send(node, r)
 }
 
-// decide carries a transaction out if its conditions hold and its leases live.
+// decide commits a transaction if its conditions hold and its leases are active.
 func (w *world) decide(txn protocol.Txn) (r StoreReply) {
 	for _, ch := range txn.Then {
 		if ch.Lease != 0 && w.leases[ch.Lease] == "" {
@@ -181,14 +190,15 @@
 			w.revision++
 		}
 		for _, ch := range txn.Then {
-			w.apply(ch)
+			w.applyChange(ch)
 		}
 		r.Revision = w.revision
 	}
 	return r
 }
 
-func (w *world) get(node string, e StoreGet) {
+// executeGet sends a controller the value of a key.
+func (w *world) executeGet(node string, e StoreGet) {
 	w.requests++
 	r := StoreReply{ID: e.ID, Outcome: Missing, Revision: w.revision}
 	if kv, ok := w.kv[e.Key]; ok {
@@ -200,8 +210,8 @@
 	w.send(node, r)
 }
 
-// limits are those of the state service now.
-func (w *world) limits() settings.StateLimits {
+// storeLimits returns the limits that the store enforces now.
+func (w *world) storeLimits() settings.StateLimits {
 	state := w.cfg[w.names[0]].Params.State
 	if w.lowLimits {
 		return state.Tightest()
@@ -209,40 +219,41 @@
 	return state.StateLimits
 }
 
-// fits tells whether a transaction is within the limits of the state service.
-func (w *world) fits(txn protocol.Txn) bool {
-	p := w.limits()
+// fitsStoreLimits reports whether a transaction is within the limits of the store.
+func (w *world) fitsStoreLimits(txn protocol.Txn) bool {
+	p := w.storeLimits()
 	return len(txn.Then) <= p.TxnOps && len(txn.If) <= 4*p.TxnOps && !slices.ContainsFunc(txn.Then, func(ch protocol.Change) bool {
 		return float64(len(ch.Value)) > p.ValueKB*1024
 	})
 }
 
-// carryOutLate lets a transaction get no answer and be carried out after d, by then.
-func (w *world) carryOutLate(node string, e StoreTxn, d time.Duration) {
-	sent, run := w.now, w.cores[node]
-	w.scheduled = append(w.scheduled, func() bool {
-		if w.now < sent+d || w.outage {
+// executeTxnLate executes a transaction after delay. Its sender is told after at most a second that
+// the outcome is unknown.
+func (w *world) executeTxnLate(node string, e StoreTxn, delay time.Duration) {
+	sentAt, sender := w.now, w.cores[node]
+	w.scheduledActions = append(w.scheduledActions, func() bool {
+		if w.now < sentAt+delay || w.outage {
 			return false
 		}
-		if w.fits(e.Txn) { // limits may have become lower since
+		if w.fitsStoreLimits(e.Txn) { // the limits may have been lowered since
 			w.decide(e.Txn)
 		}
 		return true
 	})
-	w.scheduled = append(w.scheduled, func() bool {
-		if w.now < sent+min(d, time.Second) {
+	w.scheduledActions = append(w.scheduledActions, func() bool {
+		if w.now < sentAt+min(delay, time.Second) {
 			return false
 		}
-		if w.cores[node] == run {
+		if w.cores[node] == sender {
 			w.send(node, StoreReply{ID: e.ID, Outcome: Unknown})
 		}
 		return true
 	})
 }
 
-// checkFenced checks that a transaction which is carried out late, after newer ones of
-// the same controller, changes nothing: it changes a key that it has a condition on, and
-// so does whatever else changes it.
+// checkFenced checks that a transaction would have no effect if it was executed after newer ones
+// of the same controller: it must have a condition on a key that it changes, so that any newer
+// change of that key makes it fail.
 func (w *world) checkFenced(txn protocol.Txn) {
 	for _, ch := range txn.Then {
 		key := ch.Put + ch.Delete
@@ -250,21 +261,21 @@
 		case slices.ContainsFunc(txn.If, func(c protocol.Condition) bool { return c.Key == key }):
 			return
 		case strings.HasPrefix(key, keyCordon), strings.HasPrefix(key, keyIntent), strings.HasPrefix(key, keyRecord):
-			// That a machine is gone is true for good, a rental's name is never used for
-			// another, and records are advice: an old one changes the ranking a little.
+			// A terminated machine never returns, a rental's name is never reused, and usage
+			// records are hints: an outdated one changes the fairness ranking only slightly.
 			return
 		}
 	}
 	if len(txn.Then) > 0 {
-		w.t.Errorf("%v: a late write of %s would take the place of a newer one", w.now, txn.Then[0].Put+txn.Then[0].Delete)
+		w.t.Errorf("%v: a late write of %s could overwrite a newer one: no condition on a changed key", w.now, txn.Then[0].Put+txn.Then[0].Delete)
 	}
 }
 
-// checkToken checks that each term belongs to one run of one controller.
-func (w *world) checkToken(node string, term uint64) {
-	run := w.cores[node].members.incarnation
-	if other, taken := w.tokenOwners[term]; taken && other != run {
-		w.t.Errorf("%v: %s and %s both have the term %d", w.now, other, run, term)
+// checkTokenOwner checks that no two incarnations acquire the same fencing token.
+func (w *world) checkTokenOwner(node string, token uint64) {
+	owner := w.cores[node].members.incarnation
+	if otherOwner, owned := w.tokenOwners[token]; owned && otherOwner != owner {
+		w.t.Errorf("%v: %s and %s both acquired fencing token %d", w.now, otherOwner, owner, token)
 	}
-	w.tokenOwners[term] = run
+	w.tokenOwners[token] = owner
 }
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -12,18 +12,19 @@
 	"pepperlever/internal/protocol"
 )
 
-// fakeWorker follows the worker's side of the protocol.
+// fakeWorker simulates a machine and implements the worker's side of the protocol.
 type fakeWorker struct {
 	protocol.Report
-	node           int
-	next           time.Duration
-	leaseRenewedAt time.Duration                 // when the last answered report was sent
-	running        map[taskAttempt]time.Duration // when it ends
-	dead           bool
-	// missingPeerSince is since when a gang's task misses one of the others.
+	node           int                           // the index of the controller it reports to, modulo their number
+	next           time.Duration                 // when the next report is due
+	leaseRenewedAt time.Duration                 // when the last report that was answered was sent
+	running        map[taskAttempt]time.Duration // when each attempt ends
+	dead           bool                          // the machine has stopped for good
+	// missingPeerSince is when a gang's task first lacked one of its peers.
 	missingPeerSince map[taskAttempt]time.Duration
 }
 
+// addWorker adds a machine that sends its first report in three seconds.
 func (w *world) addWorker(zone string, spot bool) string {
 	w.rented++
 	id := fmt.Sprintf("vm-%06d", w.rented)
@@ -33,13 +34,13 @@
 	return id
 }
 
-// stepWorkers lets tasks end and reports go out.
+// stepWorkers ends tasks, expires leases and sends the reports that are due.
 func (w *world) stepWorkers() {
 	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
 		f := w.workers[id]
-		if f == nil || f.dead || w.hangs(id) {
+		if f == nil || f.dead || w.isHung(id) {
 			if f != nil && w.allRestarted {
-				w.expireWorkerLease(f) // it may go on within its lease alone
+				w.expireWorkerLease(f) // its tasks may run on only within its lease
 			}
 			continue
 		}
@@ -48,7 +49,7 @@
 			end, ok := f.running[taskAttempt{task.Task, task.Attempt}]
 			if ok && task.State == protocol.Running && w.now >= end {
 				f.Tasks[i].State, f.Tasks[i].Why = protocol.Exited, protocol.WhyDone
-				w.complete(task.Task)
+				w.recordCompletion(task.Task)
 				if id, _, _ := job.ParseTaskID(task.Task); w.broken[id] || w.faulty[f.Machine] {
 					f.Tasks[i].Why = protocol.WhyError
 				}
@@ -62,12 +63,12 @@
 	}
 }
 
-// report sends a report to the worker's node and takes the answer at once.
+// report sends a worker's report to its controller and handles the answer at once.
 func (w *world) report(f *fakeWorker) {
 	f.next = w.now + 2*time.Second
 	node := w.names[f.node%len(w.names)]
 	c := w.cores[node]
-	if c == nil || w.unreachableNodes[node] || w.frozen[node] || w.cutWorkers[f.Machine] || w.silentWorkers[f.Machine] || w.isAcrossZoneCut(node, f) {
+	if c == nil || w.unreachableNodes[node] || w.frozen[node] || w.cutWorkers[f.Machine] || w.silentWorkers[f.Machine] || w.crossesZonePartition(node, f) {
 		f.node++
 		return
 	}
@@ -78,8 +79,8 @@
 	if w.replayReports && w.rng.IntN(4) == 0 {
 		w.pastReports = append(w.pastReports, heartbeat)
 	}
-	if w.holdReports && w.rng.IntN(4) == 0 {
-		w.holdReport(heartbeat)
+	if w.delayReports && w.rng.IntN(4) == 0 {
+		w.delayReport(heartbeat)
 		f.node++
 		f.next = w.now + 5*time.Second
 		return
@@ -88,9 +89,9 @@
 	for range 4 {
 		w.step(node)
 	}
-	if !w.workerReaches(f, node) {
+	if !w.reachesWorker(f, node) {
 		f.node++
-		f.next = w.now + 5*time.Second // a time-out and a pause
+		f.next = w.now + 5*time.Second // a timeout and a pause before the retry
 		return
 	}
 	a, ok := w.answers[req]
@@ -108,78 +109,80 @@
 	}
 	if orders.Token >= f.Token {
 		f.Token, f.leaseRenewedAt = orders.Token, w.now
-		w.execute(f, orders.Commands)
+		w.executeCommands(f, orders.Commands)
 	}
 }
 
-// workerReaches tells whether what a controller tells a machine reaches it.
-func (w *world) workerReaches(f *fakeWorker, node string) bool {
+// reachesWorker reports whether messages from a controller to a machine arrive.
+func (w *world) reachesWorker(f *fakeWorker, node string) bool {
 	return !w.unreachableWorkers[f.Machine] && !w.workerCannotReach[link{node, f.Machine}]
 }
 
-// replayPastReports lets a copy of a past report arrive, now and then.
+// replayPastReports sometimes sends a duplicate of a past report to a random controller.
 func (w *world) replayPastReports() {
 	if !w.replayReports || len(w.pastReports) == 0 || w.rng.IntN(3) > 0 {
 		return
 	}
-	b := w.pastReports[w.rng.IntN(len(w.pastReports))]
+	heartbeat := w.pastReports[w.rng.IntN(len(w.pastReports))]
 	w.nextReq++
-	b.Req = w.nextReq
+	heartbeat.Req = w.nextReq
 	if node := w.names[w.rng.IntN(len(w.names))]; w.cores[node] != nil && !w.frozen[node] {
-		w.send(node, b)
+		w.send(node, heartbeat)
 	}
 }
 
+// snapshot returns a copy of a worker's current report.
 func (w *world) snapshot(f *fakeWorker) protocol.Report {
 	r := f.Report
 	r.Tasks = slices.Clone(f.Tasks)
 	return r
 }
 
-// deliver carries a direct call out as a worker would, early or late.
-func (w *world) deliver(node string, d Deliver) {
-	f := w.workers[d.Machine]
-	out := DeliveryResult{Machine: d.Machine, Orders: d.Orders}
-	if f != nil && w.hangs(f.Machine) && !w.isAcrossZoneCut(node, f) {
-		// It is carried out when the machine goes on, unless its lease is over by then.
-		w.delayDelivery(node, d, w.hungUntil[f.Machine]-w.now+2*w.tick)
+// deliver executes a delivery as a worker does and sends the result to the controller. A hung
+// machine executes it later.
+func (w *world) deliver(node string, delivery Deliver) {
+	f := w.workers[delivery.Machine]
+	result := DeliveryResult{Machine: delivery.Machine, Orders: delivery.Orders}
+	if f != nil && w.isHung(f.Machine) && !w.crossesZonePartition(node, f) {
+		// Executed when the machine continues, unless its lease has expired by then.
+		w.delayDelivery(node, delivery, w.hungUntil[f.Machine]-w.now+2*w.tick)
 		return
 	}
-	if f != nil && !f.dead && !w.cutWorkers[f.Machine] && w.workerReaches(f, node) && !w.isAcrossZoneCut(node, f) {
+	if f != nil && !f.dead && !w.cutWorkers[f.Machine] && w.reachesWorker(f, node) && !w.crossesZonePartition(node, f) {
 		f.Seq++
-		if d.Orders.Token >= f.Token && d.Orders.Session == f.Session {
-			f.Token = d.Orders.Token
-			w.execute(f, d.Orders.Commands)
-			out.Executed = true
+		if delivery.Orders.Token >= f.Token && delivery.Orders.Session == f.Session {
+			f.Token = delivery.Orders.Token
+			w.executeCommands(f, delivery.Orders.Commands)
+			result.Executed = true
 		}
 		r := w.snapshot(f)
-		out.Report = &r
+		result.Report = &r
 	}
 	if w.cores[node] != nil {
-		w.send(node, out)
+		w.send(node, result)
 	}
 }
 
-// delayDelivery lets a direct call get no answer and be carried out later, as when the machine
-// hangs for a while.
-func (w *world) delayDelivery(node string, d Deliver, d2 time.Duration) {
-	w.send(node, DeliveryResult{Machine: d.Machine, Orders: d.Orders})
-	at := w.now + d2
-	w.scheduled = append(w.scheduled, func() bool {
+// delayDelivery executes a delivery later and gives it no reply, as when the machine hangs for a
+// while.
+func (w *world) delayDelivery(node string, delivery Deliver, delay time.Duration) {
+	w.send(node, DeliveryResult{Machine: delivery.Machine, Orders: delivery.Orders})
+	at := w.now + delay
+	w.scheduledActions = append(w.scheduledActions, func() bool {
 		if w.now < at {
 			return false
 		}
-		if f := w.workers[d.Machine]; f != nil && !f.dead && d.Orders.Token >= f.Token && d.Orders.Session == f.Session {
+		if f := w.workers[delivery.Machine]; f != nil && !f.dead && delivery.Orders.Token >= f.Token && delivery.Orders.Session == f.Session {
 			f.Seq++
-			f.Token = d.Orders.Token
-			w.execute(f, d.Orders.Commands)
+			f.Token = delivery.Orders.Token
+			w.executeCommands(f, delivery.Orders.Commands)
 		}
 		return true
 	})
 }
 
-// execute carries commands out in order.
-func (w *world) execute(f *fakeWorker, commands []protocol.Command) {
+// executeCommands executes commands in order.
+func (w *world) executeCommands(f *fakeWorker, commands []protocol.Command) {
 	for _, cmd := range commands {
 		key := taskAttempt{cmd.Task, cmd.Attempt}
 		at := slices.IndexFunc(f.Tasks, func(t protocol.TaskReport) bool {
@@ -187,7 +190,7 @@
 		})
 		switch cmd.Op {
 		case protocol.OpStart:
-			if why := w.rejectionOf(f, cmd.Task); at < 0 && why != "" {
+			if why := w.rejectionReason(f, cmd.Task); at < 0 && why != "" {
 				f.Tasks = append(f.Tasks, protocol.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: protocol.Exited, Why: why})
 			} else if at < 0 {
 				w.checkStart(f, cmd.Task)
@@ -210,11 +213,11 @@
 	}
 }
 
-// hang lets a machine stand still for a while: its tasks take that much longer, and what
-// it is told meanwhile it carries out when it goes on.
+// hang makes a machine hang for d. Its tasks take that much longer, and commands that arrive
+// meanwhile are executed afterwards.
 func (w *world) hang(id string, d time.Duration) {
 	f := w.workers[id]
-	if f == nil || w.hangs(id) {
+	if f == nil || w.isHung(id) {
 		return
 	}
 	w.hungUntil[id] = w.now + d
@@ -223,9 +226,10 @@
 	}
 }
 
-func (w *world) hangs(id string) bool { return w.now < w.hungUntil[id] }
+// isHung reports whether a machine hangs.
+func (w *world) isHung(id string) bool { return w.now < w.hungUntil[id] }
 
-// expireWorkerLease ends a worker's session with all its tasks once its lease is over.
+// expireWorkerLease ends a worker's session and all its tasks once its lease has expired.
 func (w *world) expireWorkerLease(f *fakeWorker) {
 	if w.now-f.leaseRenewedAt > w.lease() {
 		f.Session, f.Tasks, f.leaseRenewedAt = f.Session+1, nil, w.now
@@ -234,25 +238,26 @@
 	}
 }
 
-// holdReport lets a report arrive later than any answer is waited for, at any controller:
-// nobody has had one that is as new from that machine, unless it has reported again.
-func (w *world) holdReport(b Heartbeat) {
+// delayReport delivers a report to a random controller after the worker has stopped waiting for an
+// answer. It is still the newest from that machine, unless the machine has reported again since.
+func (w *world) delayReport(heartbeat Heartbeat) {
 	at := w.now + time.Duration(2+w.rng.IntN(30))*time.Second
 	node := w.names[w.rng.IntN(len(w.names))]
-	w.scheduled = append(w.scheduled, func() bool {
+	w.scheduledActions = append(w.scheduledActions, func() bool {
 		if w.now < at {
 			return false
 		}
 		if w.cores[node] != nil && !w.frozen[node] {
 			w.nextReq++
-			b.Req = w.nextReq
-			w.send(node, b)
+			heartbeat.Req = w.nextReq
+			w.send(node, heartbeat)
 		}
 		return true
 	})
 }
 
-// runTime is how long a task runs: a replica for good, what has been done before no time.
+// runTime returns how long a task runs. A service's task never ends, and one that completed in an
+// earlier attempt has nothing left to do.
 func (w *world) runTime(task string) time.Duration {
 	id, n, _ := job.ParseTaskID(task)
 	s := w.specs[id]
@@ -267,8 +272,8 @@
 	return w.taskTime
 }
 
-// checkGangPeers has the tasks of gangs on a machine exit that miss one of the others for too
-// long: gang_peer_s once the gang was whole, gang_wait_s before.
+// checkGangPeers makes gang tasks on a machine exit that have lacked a peer for too long:
+// gang_peer_s if the gang has been complete before, else gang_wait_s.
 func (w *world) checkGangPeers(f *fakeWorker) (changed bool) {
 	p := w.cfg[w.names[0]].Params.Workers
 	for i, t := range f.Tasks {
@@ -277,29 +282,29 @@
 		if s == nil || s.Kind != job.Gang || t.State == protocol.Exited || w.completed[t.Task] {
 			continue
 		}
-		there, done := w.ofAttempt(id, t.Attempt)
-		switch since, misses := f.missingPeerSince[key]; {
-		case done:
-			// They complete together.
+		present, anyCompleted := w.attemptProgress(id, t.Attempt)
+		switch since, missing := f.missingPeerSince[key]; {
+		case anyCompleted:
+			// All tasks of a gang complete together.
 			f.running[key] = min(f.running[key], w.now)
-		case there == s.Tasks:
+		case present == s.Tasks:
 			delete(f.missingPeerSince, key)
-		case !misses:
+		case !missing:
 			f.missingPeerSince[key] = w.now
 		case w.now-since > seconds(p.GangPeerS) && w.completeGangs[taskAttempt{id, t.Attempt}] || w.now-since > seconds(p.GangWaitS):
 			f.Tasks[i].State, f.Tasks[i].Why = protocol.Exited, "mates_gone"
 			changed = true
 		}
-		if there == s.Tasks {
+		if present == s.Tasks {
 			w.completeGangs[taskAttempt{id, t.Attempt}] = true
 		}
 	}
 	return changed
 }
 
-// complete notes that a task has ended by itself. The tasks of a gang complete together, and
-// the results are kept: one that is started again has nothing left to do.
-func (w *world) complete(task string) {
+// recordCompletion records that a task ran to its end. The tasks of a gang complete together.
+// Results are kept, so a task that is started again has nothing left to do.
+func (w *world) recordCompletion(task string) {
 	w.completed[task] = true
 	id, _, _ := job.ParseTaskID(task)
 	if s := w.specs[id]; s != nil && s.Kind == job.Gang {
@@ -309,26 +314,26 @@
 	}
 }
 
-// ofAttempt counts the tasks of an attempt that are on machines, and tells whether one has
-// completed.
-func (w *world) ofAttempt(id string, attempt uint64) (there int, done bool) {
+// attemptProgress counts the tasks of a job's attempt that are on machines, and reports whether any
+// of its tasks has completed.
+func (w *world) attemptProgress(id string, attempt uint64) (present int, anyCompleted bool) {
 	for _, f := range w.workers {
 		for _, t := range f.Tasks {
 			if t.Attempt != attempt || !strings.HasPrefix(t.Task, id+"/") {
 				continue
 			}
 			if t.State != protocol.Exited {
-				there++
+				present++
 			}
-			done = done || t.Why == protocol.WhyDone
+			anyCompleted = anyCompleted || t.Why == protocol.WhyDone
 		}
 	}
-	return there, done
+	return present, anyCompleted
 }
 
-// rejectionOf tells why a worker refuses a start: there is no room, or the task is there with
-// another attempt.
-func (w *world) rejectionOf(f *fakeWorker, task string) string {
+// rejectionReason returns why a worker rejects a start: the machine lacks free resources, or
+// another attempt of the task is on it. It returns "" if the start is accepted.
+func (w *world) rejectionReason(f *fakeWorker, task string) string {
 	id, _, _ := job.ParseTaskID(task)
 	s := w.specs[id]
 	if s == nil {
@@ -337,7 +342,7 @@
 	if slices.ContainsFunc(f.Tasks, func(t protocol.TaskReport) bool { return t.Task == task && t.State != protocol.Exited }) {
 		return protocol.WhyBusy
 	}
-	if room := w.sizeOf(f.Type).Plus(w.loadOf(f, ""), -1); !s.Need.Fits(room) {
+	if available := w.capacityOf(f.Type).Plus(w.loadOf(f, ""), -1); !s.Need.Fits(available) {
 		return protocol.WhyNoRoom
 	}
 	return ""
