--- a/internal/core/agentcontroller.go
+++ b/internal/core/agentcontroller.go
@@ -7,9 +7,9 @@
 	"pepperlever/internal/core/worker"
 )
 
-// agentController is this node's part as the controller of machines: it answers the heartbeats
-// of their agents, delivers commands to them, and fences what it can't be sure of. All that it
-// sends to an agent is under the fencing token of the agent's session.
+// agentController serves the agents of the machines that report to this node: it answers their
+// heartbeats, delivers commands to them, and fences starts whose outcome is unknown. Everything
+// that it sends to an agent is under the fencing token of the agent's session.
 type agentController struct {
 	core *Core
 	*environment
@@ -30,8 +30,8 @@
 	}
 }
 
-// ownMachines visits the machines that report to this node and no newer controller, with the
-// sessions of their agents, in order.
+// ownMachines yields the machines that report to this node, and not to a newer controller, with
+// the sessions of their agents, ordered by machine.
 func (a *agentController) ownMachines() iter.Seq2[*agentSession, *worker.Machine] {
 	return func(yield func(*agentSession, *worker.Machine) bool) {
 		for machine, session := range a.all() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// takeReported lists the machines that have reported since the last call, with the sequence
+// takeReported returns the machines that have reported since the last call, and the sequence
 // numbers of their newest reports.
 func (a *agentController) takeReported() (machines []string, seqs []uint64) {
 	for _, m := range a.ownMachines() {
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Now is the time of one step: Steady for intervals, Wall (Unix milliseconds) for
-// what has to be compared between controllers and decides about no rule.
+// Now is the time of one step. Steady is monotonic and is used for intervals. Wall (Unix
+// milliseconds) is used where times are compared between controllers; no safety rule depends on
+// it.
 type Now struct {
 	Steady time.Duration
 	Wall   int64
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// deliverAll sends the starts and stops that this step has queued.
+// deliverAll makes the deliveries that this step has scheduled.
 func (a *agentController) deliverAll() {
 	for machine := range ordered(a.dueDeliveries) {
 		if session := a.session(machine); session != nil {
@@ -29,7 +29,8 @@
 	}
 }
 
-// deliverTo sends what is queued for an agent. One delivery is under way at a time.
+// deliverTo sends everything that is queued for an agent. Only one delivery is in flight at a
+// time.
 func (a *agentController) deliverTo(machine string, session *agentSession) {
 	idle := len(session.queuedStarts) == 0 && len(session.queuedCommands) == 0 && !session.probeDue
 	if session.delivering || idle {
@@ -47,11 +48,11 @@
 	})
 }
 
-// dropCancelledStarts drops queued starts of jobs that have been cancelled since: a stop that
-// goes out with a start would be carried out before it.
+// dropCancelledStarts drops queued starts of jobs that have since been cancelled, because an
+// agent would execute a stop before a start of the same delivery.
 func (a *agentController) dropCancelledStarts(session *agentSession) {
 	session.queuedStarts = slices.DeleteFunc(session.queuedStarts, func(start protocol.Command) bool {
-		drop := a.isOfCancelledJob(start.Task)
+		drop := a.belongsToCancelledJob(start.Task)
 		if drop {
 			delete(session.pendingStarts, taskAttempt{start.Task, start.Attempt})
 		}
@@ -59,9 +60,9 @@
 	})
 }
 
-// handleDelivery takes the outcome of a delivery. Without an answer its starts may yet be
-// carried out, so the agent's token is raised above theirs. Starts that were turned down
-// never are.
+// handleDelivery processes the outcome of a delivery. If there is no answer, its starts may
+// still be executed, so the agent's token is raised above theirs. Starts that the agent has
+// rejected never are.
 func (a *agentController) handleDelivery(d DeliveryResult) {
 	session := a.session(d.Machine)
 	if session == nil {
@@ -81,13 +82,13 @@
 		return
 	}
 	if !d.Executed {
-		a.refuseStarts(d)
+		a.reportRefusedStarts(d)
 	}
 	a.deliverTo(d.Machine, session)
 }
 
-// deliveryUnanswered fences the starts of a delivery that got no answer. Without a start
-// nothing is unresolved: a machine that hangs costs one token, not one for each probe.
+// deliveryUnanswered fences the starts of a delivery that got no answer. A delivery without
+// starts needs no fence, so a hung machine costs one token rather than one per probe.
 func (a *agentController) deliveryUnanswered(session *agentSession, d DeliveryResult) {
 	session.unanswered = true
 	a.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.Orders.Commands))
@@ -98,9 +99,9 @@
 
 func isStart(command protocol.Command) bool { return command.Op == protocol.OpStart }
 
-// refuseStarts tells the leaders of starts that the agent has turned down with all that was
-// delivered beside them.
-func (a *agentController) refuseStarts(d DeliveryResult) {
+// reportRefusedStarts informs the leaders of starts that the agent has rejected together with
+// the rest of the delivery.
+func (a *agentController) reportRefusedStarts(d DeliveryResult) {
 	for _, command := range d.Orders.Commands {
 		if !isStart(command) {
 			continue
--- a/internal/core/deliveries_test.go
+++ b/internal/core/deliveries_test.go
@@ -9,30 +9,34 @@
 	"pepperlever/internal/protocol"
 )
 
-// A reply to a direct call may be anything: what goes back, was never given out, or is of
-// another machine changes nothing, and nothing is concluded from it.
+// The reply to a direct call may be anything. A report that is outdated, belongs to another
+// machine, or refers to tokens, attempts or jobs that never existed changes nothing.
 func TestMalformedDeliveryReportsChangeNothing(t *testing.T) {
 	for name, change := range map[string]func(r *protocol.Report, other *fakeWorker) *protocol.Report{
-		"no report":         func(*protocol.Report, *fakeWorker) *protocol.Report { return nil },
-		"empty":             func(*protocol.Report, *fakeWorker) *protocol.Report { return &protocol.Report{} },
-		"another machine's": func(_ *protocol.Report, o *fakeWorker) *protocol.Report { r := o.Report; r.Seq += 50; return &r },
-		"the session before": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
+		"no report": func(*protocol.Report, *fakeWorker) *protocol.Report { return nil },
+		"empty":     func(*protocol.Report, *fakeWorker) *protocol.Report { return &protocol.Report{} },
+		"report of another machine": func(_ *protocol.Report, o *fakeWorker) *protocol.Report {
+			r := o.Report
+			r.Seq += 50
+			return &r
+		},
+		"previous session": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Session--
 			r.Seq += 50
 			r.Tasks = nil
 			return r
 		},
-		"a number before": func(r *protocol.Report, _ *fakeWorker) *protocol.Report { r.Seq -= 2; r.Tasks = nil; return r },
-		"a token never given": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
+		"earlier sequence number": func(r *protocol.Report, _ *fakeWorker) *protocol.Report { r.Seq -= 2; r.Tasks = nil; return r },
+		"token never issued": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq, r.Token, r.Tasks = r.Seq+50, r.Token+1000, nil
 			return r
 		},
-		"an attempt never given": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
+		"attempt never issued": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: silentMachinesJob + "/0", Attempt: 999, State: protocol.Exited, Why: protocol.WhyDone})
 			return r
 		},
-		"a task never handed in": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
+		"task never submitted": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: "req-nobody-1/0", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
 				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: silentMachinesJob + "/99999", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone})
@@ -52,7 +56,7 @@
 			w.send(node, DeliveryResult{Machine: f.Machine, Orders: orders, Executed: true, Report: change(&r, w.workers[ids[4]])})
 			w.run(time.Minute, nil)
 			if a := w.status("b", silentMachinesJob); stateOf(t, a).Done > 0 || w.onMachines(silentMachinesJob) != 20 || f.Session != 1 {
-				t.Errorf("%v, %d tasks are left", a.Body, w.onMachines(silentMachinesJob))
+				t.Errorf("got state %v with %d tasks left, want 20 tasks left, none done, and no new session", a.Body, w.onMachines(silentMachinesJob))
 			}
 			w.startedOnce()
 		})
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The jobs of teams whose leader has crashed go on with another, until one controller is left.
+// The jobs of teams whose leader has crashed continue under another leader, until only one
+// controller is left.
 func TestTeamsOfACrashedLeaderContinueElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
@@ -18,12 +19,12 @@
 		w.expire(n)
 	}
 	if !w.run(4*time.Minute, w.finished(ids...)) {
-		t.Fatal("jobs do not end after two crashes")
+		t.Fatal("jobs did not end after two crashes")
 	}
 }
 
-// All controllers crash while the store is down, and what ran before does not run twice.
-func TestAllControllersCrashInAnOutageAndNothingRunsTwice(t *testing.T) {
+// All controllers crash while the store is down. Tasks that ran before must not run twice.
+func TestNoTaskRunsTwiceAfterAllControllersCrashInAnOutage(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
 	w.run(9*time.Second, nil)
@@ -38,12 +39,12 @@
 		w.boot(n)
 	}
 	if !w.run(4*time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("job did not end")
 	}
 }
 
-// Leaders lose contact with the store one after the other, and their late starts do no harm.
-func TestLeaderCutFromTheStoreIsDeposedAndItsStartsAreHarmless(t *testing.T) {
+// Leaders lose the store one after the other. The starts that they send late must do no harm.
+func TestLateStartsOfLeadersWithoutTheStoreAreHarmless(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-red-1", 12, ""))
 	w.run(8*time.Second, nil)
@@ -58,14 +59,14 @@
 		w.send(n, LeaseGranted{Lease: w.nextReq})
 	}
 	if !w.run(4*time.Minute, w.finished("req-red-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("job did not end")
 	}
 }
 
-// A leader that alone cannot reach the store does not know that it was superseded. It must not
-// stop what the new leader starts (docs/incidents/inc-491b.md).
-func TestDeposedLeaderStopsNothingOfItsSuccessor(t *testing.T) {
-	for name, inFlight := range map[string]bool{"idle": false, "with a write on its way": true} {
+// A leader that alone cannot reach the store does not know that it has been replaced. It must
+// not stop tasks that the new leader has started (docs/incidents/inc-491b.md).
+func TestDeposedLeaderDoesNotStopTasksOfItsSuccessor(t *testing.T) {
+	for name, inFlight := range map[string]bool{"idle": false, "with a write in flight": true} {
 		w := newWorld(t).ready()
 		leader := w.cores["a"].teamBy["free"].leader
 		accepted(t, w.submit(leader, "req-free-1", 6, ""))
@@ -75,17 +76,17 @@
 		w.withoutStore[leader] = true
 		w.expire(leader)
 		if !w.run(2*time.Minute, w.finished("req-free-1")) {
-			t.Fatalf("%s: job does not end", name)
+			t.Fatalf("%s: job did not end", name)
 		}
 		for task, n := range w.starts {
 			if n > 2 {
-				t.Errorf("%s: %s was started %d times", name, task, n)
+				t.Errorf("%s: %s was started %d times, want at most 2", name, task, n)
 			}
 		}
 	}
 }
 
-// What became of a transaction whose reply was lost is found out by its nonce.
+// The outcome of a transaction whose reply was lost is determined from its nonce.
 func TestUnansweredTransactionsAreResolvedByTheirNonce(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 4, ""))
@@ -95,13 +96,13 @@
 	}
 	w.lostReplies = 0
 	if !w.run(2*time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("job did not end")
 	}
 	w.startedOnce()
 }
 
 // A new leader of the fleet keeps machines whose workers have not found it yet.
-func TestNewFleetLeaderKeepsMachinesThatTurnToIt(t *testing.T) {
+func TestNewFleetLeaderKeepsMachinesThatHaveNotReportedToIt(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 12, ""))
 	w.run(40*time.Second, w.finished("req-blue-1"))
@@ -113,7 +114,7 @@
 		w.expire(n)
 		w.boot(n)
 	}
-	w.now += 5 * time.Minute // the machines are old by the cloud's list
+	w.now += 5 * time.Minute // the cloud lists the machines as old
 	for _, f := range w.workers {
 		f.next, f.leaseRenewedAt = w.now+5*time.Second, w.now
 		for k := range f.running {
@@ -126,7 +127,7 @@
 	}
 }
 
-// Agents that all turned to one controller are rebalanced once the others are back.
+// Agents that have all switched to one controller are rebalanced once the others are back.
 func TestAgentsAreRebalancedAfterACrash(t *testing.T) {
 	w := newWorld(t).ready()
 	for range 12 {
@@ -143,7 +144,7 @@
 	w.run(20*time.Second, nil)
 	for _, n := range nodeNames {
 		if got := len(w.cores[n].agents.byMachine); got < 3 {
-			t.Errorf("%s hears %d workers of %d", n, got, len(w.workers))
+			t.Errorf("%s serves %d of %d workers, want at least 3", n, got, len(w.workers))
 		}
 	}
 }
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -8,100 +8,101 @@
 	"pepperlever/internal/protocol"
 )
 
-// freshnessTracker tracks the time up to which this node knows of every cancellation that any
-// controller has confirmed. Two things prove it: an answer of the store to a request of
-// this node, once the replica has caught up with it; and the heartbeats of all other
-// controllers that acknowledge a heartbeat of this node and have no cancellations
-// left for it. Neither compares clocks: what counts is when this node sent its own
+// freshnessTracker tracks the time up to which this node knows every cancellation that any
+// controller has confirmed. There are two proofs: a reply from the store to a request from this
+// node, once the replica has reached its revision; and heartbeats from all other controllers that
+// acknowledge a heartbeat of this node and list no cancellations that this node has yet to
+// acknowledge. Neither compares clocks: the time that counts is when this node sent its own
 // request or heartbeat.
 type freshnessTracker struct {
 	*environment
 	peers *peerTable
-	// provenAt is when the newest request to the store was sent that is such a proof.
-	provenAt time.Duration
-	// pending is an answered request whose revision the replica has yet to reach.
-	pending struct {
+	// storeFreshUntil is when the newest store request was sent that serves as such a proof.
+	storeFreshUntil time.Duration
+	// pendingReply is an answered request whose revision the replica has not reached yet.
+	pendingReply struct {
 		sentAt   time.Duration
 		revision uint64
 	}
-	// sent holds the newest heartbeats of this node, sentCount how many there were.
-	sent      [heartbeatsKept]sentHeartbeat
+	// sent is a ring buffer of this node's newest heartbeats; sentCount counts all of them.
+	sent      [retainedHeartbeats]sentHeartbeat
 	sentCount int
-	// cloudOutage is set while the cloud refuses to act.
+	// cloudOutage is set while the cloud refuses requests because of an outage.
 	cloudOutage bool
 	// stale is set while workers are turned away.
 	stale bool
-	// nextStoreCheck and nextCloudCheck are when the store and the cloud are asked next.
+	// nextStoreCheck and nextCloudCheck are when the store and the cloud are next queried.
 	nextStoreCheck, nextCloudCheck time.Duration
 }
 
-// sentHeartbeat is a heartbeat of this node and when it was sent.
+// sentHeartbeat is a heartbeat of this node and the time when it was sent.
 type sentHeartbeat struct {
 	id     string
 	sentAt time.Duration
 }
 
-// heartbeatsKept is by how many heartbeats an acknowledgement may be late.
-const heartbeatsKept = 16
+// retainedHeartbeats is how many sent heartbeats are kept to match against acknowledgements.
+const retainedHeartbeats = 16
 
-// nextHeartbeatID returns a unique ID for the heartbeat that is sent now.
+// nextHeartbeatID returns a unique ID for a heartbeat that is sent now, and records the time.
 func (f *freshnessTracker) nextHeartbeatID(incarnation string) string {
 	f.sentCount++
 	id := fmt.Sprintf("%s.%d", incarnation, f.sentCount)
-	f.sent[f.sentCount%heartbeatsKept] = sentHeartbeat{id, f.now.Steady}
+	f.sent[f.sentCount%retainedHeartbeats] = sentHeartbeat{id, f.now.Steady}
 	return id
 }
 
-// noteAcknowledgements takes what a peer's heartbeat acknowledges of this node's. A peer
-// that has not read the stored state yet can't tell what an earlier run of it has confirmed.
-func (f *freshnessTracker) noteAcknowledgements(p *peerState, b *NodeHeartbeat) {
+// recordAcknowledgements updates a peer's freshness from the heartbeats of this node that the
+// peer acknowledges. A peer that has not loaded the stored state does not count: it cannot know
+// what its earlier incarnation has confirmed.
+func (f *freshnessTracker) recordAcknowledgements(peer *peerState, received *NodeHeartbeat) {
 	self := f.cfg.Node
-	if b.Revision == 0 || slices.Contains(b.Unacknowledged, self) {
+	if received.Revision == 0 || slices.Contains(received.Unacknowledged, self) {
 		return
 	}
-	for _, acknowledged := range b.Acknowledgements {
-		if acknowledged.Node != self {
+	for _, acknowledgement := range received.Acknowledgements {
+		if acknowledgement.Node != self {
 			continue
 		}
-		for _, own := range f.sent {
-			if own.id == acknowledged.HeartbeatID {
-				p.freshUntil = max(p.freshUntil, own.sentAt)
+		for _, heartbeat := range f.sent {
+			if heartbeat.id == acknowledgement.HeartbeatID {
+				peer.freshUntil = max(peer.freshUntil, heartbeat.sentAt)
 			}
 		}
 	}
 }
 
-// storeAnswered notes an answer of the store as of a revision. It covers all that was stored
-// when the request was sent.
+// storeAnswered records a reply from the store as of a revision. The reply covers everything that
+// was stored when the request was sent.
 func (f *freshnessTracker) storeAnswered(sentAt time.Duration, revision, replicaRevision uint64) {
 	if revision <= replicaRevision {
-		f.provenAt = max(f.provenAt, sentAt)
-	} else if f.pending.revision == 0 {
-		f.pending.sentAt, f.pending.revision = sentAt, revision
+		f.storeFreshUntil = max(f.storeFreshUntil, sentAt)
+	} else if f.pendingReply.revision == 0 {
+		f.pendingReply.sentAt, f.pendingReply.revision = sentAt, revision
 	}
 }
 
-// replicaAdvanced notes that the replica has reached a revision.
+// replicaAdvanced records that the replica has reached a revision.
 func (f *freshnessTracker) replicaAdvanced(revision uint64) {
-	if f.pending.revision > 0 && f.pending.revision <= revision {
-		f.provenAt = max(f.provenAt, f.pending.sentAt)
-		f.pending.revision = 0
+	if f.pendingReply.revision > 0 && f.pendingReply.revision <= revision {
+		f.storeFreshUntil = max(f.storeFreshUntil, f.pendingReply.sentAt)
+		f.pendingReply.revision = 0
 	}
 }
 
-// until is the time up to which this node knows of every confirmed cancellation.
+// until returns the time up to which this node knows every confirmed cancellation.
 func (f *freshnessTracker) until() time.Duration {
-	return max(f.peers.freshUntil(f.now.Steady), f.provenAt)
+	return max(f.peers.freshUntil(f.now.Steady), f.storeFreshUntil)
 }
 
-// setStale notes whether workers have to be turned away, and tells whether that has changed.
+// setStale sets whether workers are turned away, and reports whether that has changed.
 func (f *freshnessTracker) setStale(stale bool) (changed bool) {
 	changed = stale != f.stale
 	f.stale = stale
 	return changed
 }
 
-// noteStoreReply takes an answer of the store to a request sent at sentAt.
+// noteStoreReply processes a reply from the store to a request that was sent at sentAt.
 func (c *Core) noteStoreReply(sentAt time.Duration, r StoreReply) {
 	if r.Oversized {
 		c.counts.OversizedTransactions++
@@ -112,38 +113,38 @@
 	}
 }
 
-// checkLease tells the operator of settings that leave too little time.
+// checkLease logs an error if the settings leave too little time to enforce cancellations.
 func (f *freshnessTracker) checkLease() {
-	if f.times.coverLease() {
+	if f.times.cancelDeadlineCoversLease() {
 		return
 	}
 	f.log(Error, "cancel_s is shorter than the worker lease and two report intervals",
 		"cancel_s", f.cfg.Params.Workers.CancelS,
 		"lease_s", f.cfg.Params.Workers.LeaseS,
-		"effect", "a controller that is cut off turns its workers away at once")
+		"effect", "a partitioned controller turns its workers away at once")
 }
 
-// check turns workers away while a cancellation may have been confirmed that this
-// node does not know of and that nobody else can enforce: other controllers would
-// return the machines, so workers are turned away only while the cloud refuses to act. In
-// a zone that is cut off they must not be, since that would end the work there.
+// check turns workers away while a confirmed cancellation may be unknown here and nobody else
+// can enforce it. Other controllers enforce it by returning the machines to the cloud, so
+// workers are turned away only while the cloud refuses requests. Staleness alone is not enough:
+// in a partitioned zone, turning workers away would end all work there.
 func (f *freshnessTracker) check(storeOK bool) {
 	bound := f.times.stalenessBound()
 	freshUntil := f.until()
-	gap := f.now.Steady - freshUntil
-	if gap > bound/4 && storeOK && f.every(&f.nextStoreCheck, f.reportInterval()) {
-		anyAnswer := protocol.Txn{If: []protocol.Condition{{Key: keyNode + f.cfg.Node}}}
-		f.compareAndSwap(anyAnswer, false, func(StoreReply) {})
+	staleness := f.now.Steady - freshUntil
+	if staleness > bound/4 && storeOK && f.every(&f.nextStoreCheck, f.reportInterval()) {
+		probe := protocol.Txn{If: []protocol.Condition{{Key: keyNode + f.cfg.Node}}}
+		f.compareAndSwap(probe, false, func(StoreReply) {})
 	}
-	if gap > bound/2 && f.every(&f.nextCloudCheck, f.reportInterval()) {
+	if staleness > bound/2 && f.every(&f.nextCloudCheck, f.reportInterval()) {
 		f.emit(FetchCatalog{})
 	}
-	if !f.setStale(f.cloudOutage && gap > bound) {
+	if !f.setStale(f.cloudOutage && staleness > bound) {
 		return
 	}
-	message := "workers answered again: cancellations are known or the cloud acts again"
+	message := "serving workers again: cancellations are known or the cloud accepts requests"
 	if f.stale {
-		message = "workers turned away: cancellations may be unknown and the cloud refuses to act"
+		message = "turning workers away: cancellations may be unknown and the cloud refuses requests"
 	}
 	f.log(Info, message, "fresh_until", freshUntil.Round(time.Second))
 }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -2,12 +2,13 @@
 
 import "net/http"
 
-// health tells the load balancer to look elsewhere when others can reach the store and this
-// node cannot. In an outage that half of its reachable peers see too it stays up, since
-// refusing at once serves users better than an empty list of nodes. A node that reaches
-// neither the store nor a peer takes itself to be cut off.
+// health answers a load balancer's health check. A node that cannot reach the store is
+// unhealthy while other controllers can. In an outage that at least half of its reachable peers
+// see as well it stays healthy, because refusing requests at once serves users better than an
+// empty list of nodes. A node that reaches neither the store nor any peer counts as partitioned
+// and is unhealthy.
 func (c *Core) health(m Health) {
-	serves := c.replica.loaded && c.catalog.Loaded() && (c.storeOK || c.peers.lackStore(c.now.Steady))
+	serves := c.replica.loaded && c.catalog.Loaded() && (c.storeOK || c.peers.reportStoreOutage(c.now.Steady))
 	if !serves {
 		c.replyUnavailable(m.Req)
 		return
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A controller without the store is unhealthy while most of its peers have it, also where another
-// one lacks it too, and healthy in an outage for most of them.
+// A controller without the store is unhealthy while more than half of its peers reach the
+// store, and healthy if at least half of them do not.
 func TestHealthWhilePeersReachTheStore(t *testing.T) {
 	for cut, healthy := range map[string]bool{"": true, "a": false, "ab": false, "abc": true, "abcd": true, "abcde": true} {
 		w := newWorldOf(t, fiveNodes).ready()
@@ -18,7 +18,7 @@
 		w.run(5*time.Second, nil)
 		got := w.request("a", func(req uint64) Command { return Health{Req: req} }).Status == 200
 		if got != healthy {
-			t.Errorf("with %q cut off a is healthy: %v", cut, got)
+			t.Errorf("with %q cut off from the store, a is healthy: %v", cut, got)
 		}
 	}
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// handleHeartbeat answers an agent's heartbeat: with the commands that are queued for it, or
-// with the controller that it should report to instead.
+// handleHeartbeat answers an agent's heartbeat with the commands that are queued for it, or
+// redirects the agent to another controller.
 func (a *agentController) handleHeartbeat(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	if a.tokens.current == 0 || !a.core.replica.loaded || a.core.freshness.stale {
@@ -19,7 +19,7 @@
 		a.answerStaleReport(heartbeat)
 		return
 	}
-	if a.core.isolation.redirect(report.Machine, report.Zone, a.now.Steady, a.reportInterval()) {
+	if a.core.isolation.redirectOnce(report.Machine, report.Zone, a.now.Steady, a.reportInterval()) {
 		a.replyUnavailable(heartbeat.Req)
 		return
 	}
@@ -48,14 +48,15 @@
 	a.reply(heartbeat.Req, http.StatusOK, orders)
 }
 
-// openSession begins a session with an agent that has turned to this node.
+// openSession opens a session for an agent that has switched to this node.
 func (a *agentController) openSession(report *protocol.Report) *agentSession {
 	session := newAgentSession(a.tokens.current, report.Session, report.Address)
 	a.add(report.Machine, session)
 	a.log(Info, "agent session opened", "machine", report.Machine, "type", report.Type,
 		"spot", report.Spot, "token", session.token)
-	// Starts that the controller before had not delivered are resolved by a report under
-	// this token; the next one may be a report interval away.
+	// A report under this token resolves the starts that the previous controller has not
+	// delivered. The agent is probed for it, since its next report may be a report interval
+	// away.
 	if report.Token < session.token && a.core.machines.HasBindings(report.Machine) {
 		session.probeDue = true
 		a.scheduleDelivery(report.Machine)
@@ -63,16 +64,16 @@
 	return session
 }
 
-// isStaleReport tells whether a report is a copy, or older than one that is known: it may
-// come minutes late, to any controller.
+// isStaleReport reports whether a report is a duplicate, or older than a known one. Reports may
+// arrive minutes late, at any controller.
 func (a *agentController) isStaleReport(report *protocol.Report) bool {
 	m := a.core.machines.Get(report.Machine)
 	return a.core.cordons.isTerminated(report.Machine) || m != nil && m.IsOutdated(report)
 }
 
-// answerStaleReport answers a report that says nothing new. An agent may be waiting for the
-// answer: the reply to a direct call can overtake its report. Nothing follows from it, and
-// what is queued for the agent is kept for a report that does say something.
+// answerStaleReport answers a report that contains nothing new. The agent may be waiting for
+// the answer, since its reply to a direct call can overtake its report. Nothing is concluded
+// from the report, and queued commands are kept for a newer one.
 func (a *agentController) answerStaleReport(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	session := a.session(report.Machine)
@@ -83,8 +84,8 @@
 	a.reply(heartbeat.Req, http.StatusOK, protocol.Orders{Token: session.token})
 }
 
-// handleReport takes a report of an agent of this node, or its reply to a direct call, and
-// passes it on if it is of interest to the other controllers.
+// handleReport processes a report of an agent of this node, or its reply to a direct call, and
+// shares it with the other controllers if they need it.
 func (a *agentController) handleReport(session *agentSession, report protocol.Report, direct bool) {
 	session.unanswered = false
 	for _, t := range report.Tasks {
@@ -101,39 +102,39 @@
 	a.core.machines.RecordContact(m, direct, a.now.Steady)
 }
 
-// sharedExitInterval is after how many report intervals a report with exited tasks is passed
-// on again, lest the command to forget them was lost.
-const sharedExitInterval = 3
+// exitReshareIntervals is the number of report intervals after which a report with exited tasks
+// is shared again, in case the command to forget the tasks was lost.
+const exitReshareIntervals = 3
 
-// mustShare tells whether the other controllers have to see a report. Of one that says the
-// same as the one before, this node's own heartbeats say enough: the machine is alive. The first
-// of a session is passed on whatever it says: when a connection is back the others are sent the
-// reports of the sessions that there are.
+// mustShare reports whether the other controllers need to see a report. For an unchanged report
+// this node's heartbeats suffice, as they show that the machine is alive. The first report of a
+// session is always shared: when a connection is restored, peers receive only the reports of
+// the sessions that exist then.
 func (a *agentController) mustShare(
 	session *agentSession, m *worker.Machine, report *protocol.Report, direct bool,
 ) bool {
-	known := m.Node == a.cfg.Node && m.GrantedToken == session.token &&
+	unchanged := m.Node == a.cfg.Node && m.GrantedToken == session.token &&
 		m.HasSameContent(report) && m.IsNewer(report) && !m.MissedAnswer(report.Token)
 	switch {
-	case !known || !session.hasShared():
+	case !unchanged || !session.hasSharedReport():
 		return true
 	case direct && a.reportOverdue(m):
-		// Heartbeats don't name machines whose own reports don't come.
+		// Heartbeats do not list machines whose own reports are overdue.
 		return true
 	default:
-		return m.ExitedTasks > 0 && a.now.Steady-session.lastSharedAt >= sharedExitInterval*a.reportInterval()
+		return m.ExitedTasks > 0 && a.now.Steady-session.lastSharedAt >= exitReshareIntervals*a.reportInterval()
 	}
 }
 
-// expireSessions forgets the sessions of agents that have gone elsewhere or fallen silent,
-// and asks those whose reports don't come.
+// expireSessions removes the sessions of agents that report elsewhere or have gone silent, and
+// probes agents whose reports are overdue.
 func (a *agentController) expireSessions() {
 	for machine, session := range a.all() {
 		m := a.core.machines.Get(machine)
 		silence := a.now.Steady - session.lastReportAt
-		elsewhere := m != nil && m.Node != a.cfg.Node
+		reportsElsewhere := m != nil && m.Node != a.cfg.Node
 		switch {
-		case elsewhere || silence > a.times.lease()+2*a.reportInterval() || a.core.cordons.isTerminated(machine):
+		case reportsElsewhere || silence > a.times.lease()+2*a.reportInterval() || a.core.cordons.isTerminated(machine):
 			a.remove(machine)
 		case m != nil && a.isProbeDue(session, m):
 			session.lastProbeAt = a.now.Steady
@@ -143,8 +144,8 @@
 	}
 }
 
-// isProbeDue tells whether an agent is to be asked for a report, since none comes. It is
-// asked no more often than it would report.
+// isProbeDue reports whether an agent should be probed because its reports are overdue. It is
+// probed no more often than it would report.
 func (a *agentController) isProbeDue(session *agentSession, m *worker.Machine) bool {
 	return a.reportOverdue(m) && !session.unanswered && a.now.Steady-session.lastProbeAt >= a.reportInterval()
 }
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -8,20 +8,20 @@
 	"pepperlever/internal/protocol"
 )
 
-// Reports of tasks with malformed or unknown names are answered as others are.
-func TestMalformedReportsAreHarmless(t *testing.T) {
+// Reports of tasks with malformed or unknown IDs are answered like any other.
+func TestMalformedReportsAreAnswered(t *testing.T) {
 	w := newWorld(t).ready()
 	for i, task := range []string{"", "x", "req-1/", "req-1/-4", "req-1/99999999999", "req-unknown/0"} {
 		r := protocol.Report{Machine: "vm-odd", Address: "x", Type: "odd", Session: 1, Seq: uint64(i + 1),
 			Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: "odd"}}}
 		if a := w.request("a", func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusOK {
-			t.Errorf("report of %q got %d", task, a.Status)
+			t.Errorf("report of task %q: got status %d, want 200", task, a.Status)
 		}
 	}
 }
 
-// Leaders must not bind tasks to the machines of a controller that has fallen silent: the
-// starts would be lost, and each task would wait for a fence.
+// Leaders must not bind tasks to the machines of a silent controller: the starts would be lost,
+// and each task would wait for a fence.
 func TestMachinesOfASilentControllerAreNotSchedulable(t *testing.T) {
 	w := busyWorld(t, 6)
 	var lost []string
@@ -39,14 +39,14 @@
 	w.run(a.reportInterval()+time.Second, nil)
 	for _, id := range lost {
 		if m := a.machines.Get(id); m != nil && a.isSchedulable(m) {
-			t.Errorf("%s takes tasks though its controller is silent", id)
+			t.Errorf("machine %s is schedulable although its controller is silent", id)
 		}
 	}
 }
 
-// An agent that turns to a new controller is asked for a report under the new token, which
-// proves what was lost with the controller before.
-func TestNewAgentIsProbedAtOnce(t *testing.T) {
+// An agent that switches to another controller is probed at once. Its report under the new
+// token proves what was lost with the previous controller.
+func TestAgentIsProbedAfterSwitchingControllers(t *testing.T) {
 	w := busyWorld(t, 1)
 	w.crash("c")
 	w.expire("c")
@@ -63,6 +63,6 @@
 		}
 	}
 	if probed == 0 {
-		t.Error("no worker of c was asked")
+		t.Error("no worker of c was probed")
 	}
 }
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// isolationDetector follows whether this controller has lost the store and all other
-// controllers, but not its workers. It then learns of no cancellation and no new leader
-// any more, and the others learn nothing of its machines and would return them with all
-// that runs on them. So it redirects each worker to another controller, once:
-// one that comes back has found none, and is answered as before.
+// isolationDetector tracks whether this controller has lost the store and all other
+// controllers, while workers may still reach it. It then learns of no new cancellations or
+// leaders, and the other controllers learn nothing of its machines and would return them
+// together with their tasks. So it redirects each worker once: a worker that comes back has
+// found no other controller, and is served as before.
 //
-// In a zone that is cut off it must not: there workers have nowhere to go, and a search
-// would cost them their leases. Machines of a second zone that go on reporting here
-// show that this is not the case.
+// If the whole zone is partitioned it must not redirect workers: they can reach no other
+// controller, and searching for one would cost them their leases. Reports from machines of a
+// second zone show that this is not the case.
 type isolationDetector struct {
 	isolated bool
 	// since is when the isolation began.
 	since time.Duration
-	// zones holds the zones of the workers that have reported since.
+	// zones holds the zones of the workers that have reported since then.
 	zones map[string]bool
-	// redirected holds the workers that have been sent to another controller.
+	// redirected holds the machines whose workers have been redirected.
 	redirected map[string]bool
 }
 
-// update notes whether the controller is isolated now, and tells whether that has just begun.
+// update records whether the controller is isolated now, and reports whether isolation has just
+// begun.
 func (d *isolationDetector) update(isolated bool, now time.Duration) (began bool) {
 	if !isolated {
 		*d = isolationDetector{}
@@ -34,9 +35,9 @@
 	return true
 }
 
-// redirect tells whether a worker that reports is to look for another controller.
-// Isolation has to last for minDuration first.
-func (d *isolationDetector) redirect(machine, zone string, now, minDuration time.Duration) bool {
+// redirectOnce reports whether a reporting worker should look for another controller, which is
+// true at most once per machine. The isolation must have lasted for at least minDuration.
+func (d *isolationDetector) redirectOnce(machine, zone string, now, minDuration time.Duration) bool {
 	if !d.isolated || now-d.since < minDuration {
 		return false
 	}
@@ -48,7 +49,7 @@
 	return true
 }
 
-// checkIsolation follows whether this node is isolated.
+// checkIsolation updates whether this node is isolated.
 func (c *Core) checkIsolation() {
 	if c.isolation.update(!c.storeOK && c.reach.isolated(), c.now.Steady) {
 		c.log(Info, "controller is isolated", "effect", "redirects each worker once if more than one zone reports here")
--- a/internal/core/isolation_test.go
+++ b/internal/core/isolation_test.go
@@ -8,24 +8,24 @@
 	"pepperlever/internal/settings"
 )
 
-// One, two, and all but one controllers have their workers only, and neither the store nor any
-// peer: they redirect the workers, so that no machine is returned and no task lost.
+// One, two, or all but one controllers lose the store and all peers but not their workers. They
+// redirect the workers, so that no machine is returned and no task is lost.
 func TestIsolatedControllerRedirectsItsWorkers(t *testing.T) {
-	for _, alone := range []int{1, 2, 4} {
-		t.Run(fmt.Sprint(alone), func(t *testing.T) {
+	for _, isolated := range []int{1, 2, 4} {
+		t.Run(fmt.Sprint(isolated), func(t *testing.T) {
 			t.Parallel()
 			w := gpuWorld(t, 30, 0)
 			w.taskTime = 10 * time.Minute
 			accepted(t, w.submit("a", "req-free-1", 60, ""))
 			w.started("req-free-1", 60)
-			for _, n := range w.names[:alone] {
+			for _, n := range w.names[:isolated] {
 				w.cutStore(n)
 				w.refuse(func(f, t string) bool { return f == n || t == n })
-				w.checkRejectsUsers(n) // it does not know yet
+				w.checkRejectsUsers(n) // before it has noticed the loss
 				w.send(n, StoreHealth{})
 			}
 			w.run(40*time.Second, nil)
-			for _, n := range w.names[:alone] {
+			for _, n := range w.names[:isolated] {
 				w.checkRejectsUsers(n)
 			}
 			if n := w.onMachines("req-free-1"); len(w.workers) != 30 || n != 60 {
@@ -38,27 +38,28 @@
 	}
 }
 
-// In a zone that is cut off workers have nowhere to go.
-func TestNoRedirectFromAZoneThatIsCutOff(t *testing.T) {
+// Workers in a partitioned zone must not be redirected, because they can reach no other
+// controller.
+func TestNoRedirectInAPartitionedZone(t *testing.T) {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "a1")
 	c.replica.loaded, c.storeOK = true, false
 	c.now.Steady = time.Minute
 	c.checkIsolation()
 	c.now.Steady += 5 * time.Second
-	away := func(machine, zone string) bool {
-		return c.isolation.redirect(machine, zone, c.now.Steady, c.reportInterval())
+	redirected := func(machine, zone string) bool {
+		return c.isolation.redirectOnce(machine, zone, c.now.Steady, c.reportInterval())
 	}
 	for range 3 {
-		if away("vm-1", "z1") {
-			t.Fatal("sent on although no other zone is heard")
+		if redirected("vm-1", "z1") {
+			t.Fatal("worker was redirected although no other zone reports")
 		}
 	}
-	if !away("vm-2", "z2") || away("vm-2", "z2") || !away("vm-1", "z1") {
-		t.Error("not sent on once each with two zones heard")
+	if !redirected("vm-2", "z2") || redirected("vm-2", "z2") || !redirected("vm-1", "z1") {
+		t.Error("workers were not redirected exactly once each while two zones report")
 	}
 	c.storeOK = true
 	c.checkIsolation()
-	if away("vm-3", "z1") {
-		t.Error("sent on although the store is back")
+	if redirected("vm-3", "z1") {
+		t.Error("worker was redirected although the store is back")
 	}
 }
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -8,48 +8,49 @@
 	"pepperlever/internal/protocol"
 )
 
-// shard is a part of the work that has one leader at a time: a team, the fleet of machines, or
-// the federation with other sites.
+// shard is a unit of work that has one leader at a time: a team, the fleet of machines, or the
+// federation with other sites.
 type shard struct {
 	name string
-	// key is the store key that names the leader.
+	// key is the store key of the leader's record.
 	key string
-	// version is the revision of the key, 0 while the shard has no leader.
+	// version is the store revision of key, or 0 while the shard has no leader.
 	version           uint64
 	leader            string
 	leaderIncarnation string
-	// leading is set while this run of this node is the leader.
+	// leading is set while this incarnation of this node is the leader.
 	leading bool
-	// electing is set while a write of the leader is not answered.
+	// electing is set while a write of the leader's record awaits its reply.
 	electing bool
 }
 
-// leaderCondition is the condition that the shard's leader is the one that this node knows of.
+// leaderCondition returns the condition that the stored leader is the one that this node knows.
 func (s *shard) leaderCondition() protocol.Condition {
 	return protocol.Condition{Key: s.key, Version: s.version}
 }
 
-// hasLeader tells whether the shard's leader is live.
+// hasLeader reports whether the shard has a leader whose incarnation is registered.
 func (s *shard) hasLeader(members *membership) bool {
 	leader := leaderRecord{Node: s.leader, Incarnation: s.leaderIncarnation}
 	return s.version > 0 && members.isCurrent(leader)
 }
 
-// allShards lists the shards in the order by which leaders are assigned to them.
+// allShards returns all shards. A shard's position in the list determines its preferred leader.
 func (c *Core) allShards() []*shard {
-	var all []*shard
+	var shards []*shard
 	for _, t := range c.teams {
-		all = append(all, &t.shard)
+		shards = append(shards, &t.shard)
 	}
-	all = append(all, c.fleet)
+	shards = append(shards, c.fleet)
 	if c.federation != nil {
-		all = append(all, c.federation.shard)
+		shards = append(shards, c.federation.shard)
 	}
-	return all
+	return shards
 }
 
-// electLeaders takes the lead of shards that have no leader, or that an earlier run of this node
-// led, and hands surplus ones to the controllers that should lead them.
+// electLeaders claims shards without a live leader if this node is their preferred leader or
+// led them in an earlier incarnation. It transfers shards that it leads to their preferred
+// leaders, if those are connected.
 func (c *Core) electLeaders() {
 	c.register()
 	members := &c.members
@@ -71,8 +72,8 @@
 	}
 }
 
-// assignLeader writes a shard's leader, on the condition that nobody else has. The watch tells
-// what came of it.
+// assignLeader writes a shard's leader, provided that nobody else has changed it. The outcome
+// arrives through the watch.
 func (c *Core) assignLeader(s *shard, name string) {
 	node := c.members.live[name]
 	leader := leaderRecord{Node: name, Incarnation: node.Incarnation}
@@ -83,8 +84,8 @@
 	}, true, func(StoreReply) { s.electing = false })
 }
 
-// onLeaderPut notes a shard's new leader. Events arrive in order, so all that an earlier leader
-// has stored is in the replica by now.
+// onLeaderPut records a shard's new leader. Events arrive in order, so the replica already
+// holds everything that an earlier leader has stored.
 func (c *Core) onLeaderPut(item protocol.KeyValue) error {
 	var leader leaderRecord
 	if err := json.Unmarshal(item.Value, &leader); err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// onLeaderDelete notes that a shard has no leader.
+// onLeaderDelete records that a shard has no leader.
 func (c *Core) onLeaderDelete(key string, revision uint64) {
 	for _, s := range c.allShards() {
 		if s.key == key && s.version < revision {
@@ -116,7 +117,7 @@
 	}
 }
 
-// jobsOf lists the jobs of a shard, which are none unless it is a team.
+// jobsOf returns the jobs of a team's shard, or nil for other shards.
 func (c *Core) jobsOf(s *shard) map[string]*job.Job {
 	if t := c.teamBy[s.name]; t != nil && s == &t.shard {
 		return t.jobs
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// becameLeader begins this node's work as the leader of a shard.
+// becameLeader starts this node's work as the leader of a shard.
 func (c *Core) becameLeader(s *shard) {
 	s.leading = true
 	jobs := c.jobsOf(s)
@@ -139,8 +140,9 @@
 	c.requestRound()
 }
 
-// recoverJobs begins to lead jobs. The leader before may or may not have sent the start of a
-// binding, so none is sent again: only evidence tells what became of it.
+// recoverJobs takes over the jobs of a previous leader. That leader may or may not have sent
+// the starts of its bindings, so all starts count as sent and none is repeated; only evidence
+// from the machines shows their outcome.
 func (c *Core) recoverJobs(jobs map[string]*job.Job) {
 	for _, j := range ordered(jobs) {
 		j.InFlight = false
@@ -154,15 +156,15 @@
 	}
 }
 
-// lostLeadership ends this node's work as the leader of a shard. What it had not stored is void,
-// so the jobs are read again.
+// lostLeadership ends this node's work as the leader of a shard. Changes that were not stored
+// are void, so the jobs are dropped and the stored state is reloaded.
 func (c *Core) lostLeadership(s *shard) {
-	led := s.leading
+	wasLeading := s.leading
 	s.leading, s.leader, s.leaderIncarnation, s.version = false, "", "", 0
 	if c.federation.owns(s) {
 		c.federation.stop()
 	}
-	if !led {
+	if !wasLeading {
 		return
 	}
 	c.log(Info, "leadership lost", "shard", s.name)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -4,14 +4,14 @@
 	"pepperlever/internal/core/worker"
 )
 
-// addMachine enters a machine that has not been heard of before.
+// addMachine adds a machine that was unknown until now.
 func (c *Core) addMachine(id string) *worker.Machine {
 	m := c.machines.Add(id, c.now.Steady)
 	c.requestRound()
 	return m
 }
 
-// removeMachine forgets a machine that is gone for good.
+// removeMachine removes a machine that is permanently gone.
 func (c *Core) removeMachine(id string) {
 	c.machines.Remove(id)
 	c.rebalancer.forget(id)
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -12,25 +12,25 @@
 	"pepperlever/internal/settings"
 )
 
-// membership is what this node knows of the controllers of its deployment, and its own
-// registration among them.
+// membership holds the known controllers of this deployment and this node's own registration.
 type membership struct {
 	self string
-	// incarnation tells this run of the process from earlier ones.
+	// incarnation identifies this run of the process.
 	incarnation string
-	// roster lists all controllers that the settings name, in the same order on every node.
+	// roster lists all configured controllers, in the same order on every node.
 	roster []string
-	// live holds the registered controllers, by name.
+	// live holds the registered controllers by name.
 	live map[string]nodeRecord
-	// lease is this node's lease in the store, 0 without one.
+	// lease is this node's lease in the store, or 0 if it has none.
 	lease uint64
-	// registering is set while this node's own key is being written, registeredAt is the
-	// revision of the last write.
+	// registering is set while a write of this node's own key awaits its reply; registeredAt is
+	// the revision of the last successful write.
 	registering  bool
 	registeredAt uint64
-	// tokenLease is the lease under which this node first acquired a fencing token.
+	// tokenLease is the last lease for whose registration this node has requested a fencing
+	// token.
 	tokenLease uint64
-	// nextElection is when leaderless shards are looked for again.
+	// nextElection is when electLeaders runs next.
 	nextElection time.Duration
 }
 
@@ -48,39 +48,40 @@
 	}
 }
 
-// size is the number of controllers that the settings name.
+// size returns the number of configured controllers.
 func (m *membership) size() int { return len(m.roster) }
 
-// position is this node's place among all controllers.
+// position returns this node's index among the configured controllers.
 func (m *membership) position() int { return slices.Index(m.roster, m.self) }
 
-// missing is how many controllers are not registered.
+// missing returns how many configured controllers are not registered.
 func (m *membership) missing() int { return max(0, len(m.roster)-len(m.live)) }
 
-// isLive tells whether a controller is registered.
+// isLive reports whether a controller is registered.
 func (m *membership) isLive(node string) bool {
 	_, live := m.live[node]
 	return live
 }
 
-// isCurrent tells whether a leader's run of the process is the one that is registered.
+// isCurrent reports whether the leader's incarnation is the registered one of its node.
 func (m *membership) isCurrent(leader leaderRecord) bool {
 	node, live := m.live[leader.Node]
 	return live && node.Incarnation == leader.Incarnation
 }
 
-// isSelf tells whether a leader is this run of this node.
+// isSelf reports whether a leader is this incarnation of this node.
 func (m *membership) isSelf(leader leaderRecord) bool {
 	return leader == leaderRecord{Node: m.self, Incarnation: m.incarnation}
 }
 
-// registered tells whether the store shows this run's own key under its lease.
+// registered reports whether the replica shows this incarnation's own key under its current
+// lease.
 func (m *membership) registered() bool {
 	own, live := m.live[m.self]
 	return live && own.Incarnation == m.incarnation && own.Lease == m.lease
 }
 
-// allKnowFederation tells whether all live controllers keep away from jobs that were handed off.
+// allKnowFederation reports whether all live controllers leave jobs alone that were handed off.
 func (m *membership) allKnowFederation() bool {
 	for _, node := range m.live {
 		if !node.Federation {
@@ -90,21 +91,23 @@
 	return true
 }
 
-// preferredLeader is the controller that should lead the shard with an index: the same one for as
-// long as it lives, so that the end of another moves only that one's shards. Where needed, those
-// that do not keep away from jobs that were handed off are left out.
-func (m *membership) preferredLeader(index int, needsFederation bool) string {
+// preferredLeader returns the controller that should lead the shard with the given index. The
+// choice is stable while that controller is live, so the failure of a controller moves only its
+// own shards. If federation support is required, controllers that do not leave handed-off jobs
+// alone are skipped.
+func (m *membership) preferredLeader(index int, requiresFederation bool) string {
 	for offset := range m.roster {
 		name := m.roster[(index+offset)%len(m.roster)]
-		if node, live := m.live[name]; live && (node.Federation || !needsFederation) {
+		if node, live := m.live[name]; live && (node.Federation || !requiresFederation) {
 			return name
 		}
 	}
 	return m.self
 }
 
-// registration is the transaction that writes this node's own key. It is applied only while the
-// key is as the replica has it: a former run may write it late, under a lease that still lives.
+// registration returns the transaction that writes this node's own key. It applies only if the
+// key is as the replica shows it, because a delayed write of an earlier incarnation, whose
+// lease may still be live, must not replace a newer key.
 func (m *membership) registration(federation bool) protocol.Txn {
 	key := keyNode + m.self
 	own := nodeRecord{Incarnation: m.incarnation, Lease: m.lease, Federation: federation}
@@ -114,8 +117,8 @@
 	}
 }
 
-// register writes this node's own key while it has a lease and the stored state, and the store
-// does not show it.
+// register writes this node's own key if the store does not show it yet, once the stored state
+// is loaded and a lease is granted.
 func (c *Core) register() {
 	m := &c.members
 	if !c.replica.loaded || m.lease == 0 || m.registered() || m.registering || c.replica.revision < m.registeredAt {
@@ -123,7 +126,7 @@
 	}
 	m.registering = true
 	c.compareAndSwap(m.registration(c.federation != nil), true, func(r StoreReply) {
-		m.registering = false // electLeaders tries again, unless the watch shows it
+		m.registering = false // electLeaders retries unless the watch shows the key
 		if r.Outcome == Applied {
 			m.registeredAt = r.Revision
 		}
@@ -134,13 +137,13 @@
 	}
 }
 
-// leaseGranted registers this node under a fresh lease.
+// leaseGranted registers this node under a new lease.
 func (c *Core) leaseGranted(lease uint64) {
 	c.members.lease = lease
 	c.register()
 }
 
-// leaseExpired gives up every leadership: others may have been elected by now.
+// leaseExpired gives up all leaderships, because other leaders may have been elected.
 func (c *Core) leaseExpired() {
 	c.members.lease = 0
 	for _, s := range c.allShards() {
@@ -150,18 +153,18 @@
 	}
 }
 
-// onNodePut notes a registered controller.
+// onNodePut records a registered controller.
 func (c *Core) onNodePut(item protocol.KeyValue) error {
 	node := nodeRecord{version: item.Version}
 	if err := json.Unmarshal(item.Value, &node); err != nil {
 		return err
 	}
 	c.members.live[strings.TrimPrefix(item.Key, keyNode)] = node
-	c.members.nextElection = 0 // shards may be waiting for it
+	c.members.nextElection = 0 // it may be the preferred leader of some shards
 	return nil
 }
 
-// onNodeDelete notes that a controller's lease has ended.
+// onNodeDelete removes a controller whose lease has ended.
 func (c *Core) onNodeDelete(key string) {
 	node := strings.TrimPrefix(key, keyNode)
 	c.log(Info, "controller lease ended", "node", node)
--- a/internal/core/messenger.go
+++ b/internal/core/messenger.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// messenger sends messages to other controllers, over an intermediary where there is no
-// connection, and gathers observations into few messages.
+// messenger sends messages to other controllers, through an intermediary where there is no
+// connection, and batches observations.
 type messenger struct {
 	*environment
 	peers *peerTable
-	// pendingObservations holds the observations that are still to be passed on.
+	// pendingObservations holds the observations that wait for the next broadcast.
 	pendingObservations []Observation
-	// nextObservations is when they may be passed on again.
-	nextObservations time.Duration
+	// nextFlush is when they may be broadcast next.
+	nextFlush time.Duration
 }
 
-// route sends a message to a peer, over an intermediary while there is no connection to it.
-// What finds no route is dropped: nothing depends on a message's arrival.
+// route sends a message to a peer, through an intermediary while there is no connection to it.
+// A message without a route is dropped: correctness does not depend on its arrival.
 func (s *messenger) route(node string, m PeerMessage) {
 	p := s.peers.get(node)
 	if p == nil {
@@ -28,7 +28,7 @@
 		return
 	}
 	if m.To != "" {
-		return // it has come from an intermediary, and is not passed on twice
+		return // already forwarded by an intermediary, and forwarded at most once
 	}
 	m.To, m.From = node, s.cfg.Node
 	if via := s.peers.intermediary(node); via != "" {
@@ -47,46 +47,46 @@
 	}
 }
 
-// queueObservation keeps an observation until the next ones are passed on.
+// queueObservation queues an observation for the next broadcast.
 func (s *messenger) queueObservation(o Observation) {
 	s.pendingObservations = append(s.pendingObservations, o)
 }
 
-// flushObservations passes on what was observed since the last time, at most once an interval:
-// one message for many reports costs each controller far less than one for each.
+// flushObservations broadcasts the queued observations, at most once per interval. One message
+// with many reports costs each controller far less than one message per report.
 func (s *messenger) flushObservations(interval time.Duration) {
-	if len(s.pendingObservations) == 0 || !s.every(&s.nextObservations, interval) {
+	if len(s.pendingObservations) == 0 || !s.every(&s.nextFlush, interval) {
 		return
 	}
-	for part := range batchObservations(s.pendingObservations) {
-		s.broadcast(PeerMessage{Observations: part})
+	for batch := range batchObservations(s.pendingObservations) {
+		s.broadcast(PeerMessage{Observations: batch})
 	}
 	s.pendingObservations = nil
 }
 
 const (
-	// tasksPerMessage bounds the size of a message: the reports of machines with hundreds
-	// of small tasks each would exceed the longest line that a peer reads.
-	tasksPerMessage = 1024
-	// tasksPerReport is how many tasks take as much room as a report without tasks.
-	tasksPerReport = 8
+	// maxTasksPerMessage bounds the size of a message: the reports of machines with hundreds of
+	// small tasks each would exceed the longest line that a peer reads.
+	maxTasksPerMessage = 1024
+	// reportOverheadTasks is the size of a report without tasks, in tasks.
+	reportOverheadTasks = 8
 )
 
-// batchObservations splits observations into messages. One report is never split.
+// batchObservations splits observations into messages of bounded size. A report is never split.
 func batchObservations(all []Observation) iter.Seq[[]Observation] {
 	return func(yield func([]Observation) bool) {
-		from, size := 0, 0
+		start, size := 0, 0
 		for i, o := range all {
-			n := tasksPerReport + len(o.Report.Tasks)
-			if size += n; size > tasksPerMessage && i > from {
-				if !yield(all[from:i]) {
+			reportSize := reportOverheadTasks + len(o.Report.Tasks)
+			if size += reportSize; size > maxTasksPerMessage && i > start {
+				if !yield(all[start:i]) {
 					return
 				}
-				from, size = i, n
+				start, size = i, reportSize
 			}
 		}
-		if from < len(all) {
-			yield(all[from:])
+		if start < len(all) {
+			yield(all[start:])
 		}
 	}
 }
--- a/internal/core/messenger_test.go
+++ b/internal/core/messenger_test.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// Reports of hundreds of tasks each are divided into messages that a peer reads as one line.
+// Reports with hundreds of tasks each are split into messages that a peer can read as one line.
 func TestBatchObservationsBoundsMessages(t *testing.T) {
 	var all []Observation
 	for n := range 200 {
@@ -16,45 +16,47 @@
 		all = append(all, o)
 	}
 	seen := 0
-	for part := range batchObservations(all) {
+	for batch := range batchObservations(all) {
 		tasks := 0
-		for _, o := range part {
+		for _, o := range batch {
 			tasks += len(o.Report.Tasks)
 		}
-		if tasks > tasksPerMessage && len(part) > 1 {
-			t.Errorf("%d tasks in %d reports of one message", tasks, len(part))
+		if tasks > maxTasksPerMessage && len(batch) > 1 {
+			t.Errorf("message with %d tasks in %d reports exceeds the limit", tasks, len(batch))
 		}
-		seen += len(part)
+		seen += len(batch)
 	}
 	if seen != len(all) {
-		t.Errorf("%d of %d reports are passed on", seen, len(all))
+		t.Errorf("batches contain %d of %d reports", seen, len(all))
 	}
 }
 
-// A message takes the connection to its receiver, or one intermediary, and is dropped otherwise.
+// A message goes over the connection to its receiver or through one intermediary, and is
+// dropped otherwise.
 func TestRoute(t *testing.T) {
 	const receiver = "b"
 	for name, test := range map[string]struct {
 		connected []string
-		// without names the peers that have said that they are not connected to the receiver.
-		without []string
-		message PeerMessage
-		// via is the node that the message is sent to, empty for none.
+		// reportDisconnected lists the peers that have reported that they are not connected to the
+		// receiver.
+		reportDisconnected []string
+		message            PeerMessage
+		// via is the node that the message is sent to, or empty if it is dropped.
 		via string
 	}{
-		"connected":                        {connected: []string{"b", "c"}, via: "b"},
-		"over an intermediary":             {connected: []string{"c", "d"}, via: "c"},
-		"over one connected to it":         {connected: []string{"c", "d"}, without: []string{"c"}, via: "d"},
-		"over one that is not, if need be": {connected: []string{"c"}, without: []string{"c"}, via: "c"},
-		"not connected to anyone":          {},
-		"passed on already":                {connected: []string{"c"}, message: PeerMessage{To: receiver, From: "d"}},
-		"passed on already, and connected": {connected: []string{"b"}, message: PeerMessage{To: receiver, From: "d"}, via: "b"},
+		"connected":                             {connected: []string{"b", "c"}, via: "b"},
+		"through an intermediary":               {connected: []string{"c", "d"}, via: "c"},
+		"connected intermediary preferred":      {connected: []string{"c", "d"}, reportDisconnected: []string{"c"}, via: "d"},
+		"disconnected intermediary as fallback": {connected: []string{"c"}, reportDisconnected: []string{"c"}, via: "c"},
+		"no connections":                        {},
+		"already forwarded":                     {connected: []string{"c"}, message: PeerMessage{To: receiver, From: "d"}},
+		"already forwarded, receiver connected": {connected: []string{"b"}, message: PeerMessage{To: receiver, From: "d"}, via: "b"},
 	} {
 		c := newWorldOf(t, fiveNodes).cores["a"]
 		for _, node := range c.peers.names {
 			c.peers.setConnected(node, slices.Contains(test.connected, node))
 		}
-		for _, node := range test.without {
+		for _, node := range test.reportDisconnected {
 			c.peers.get(node).disconnected = []string{receiver}
 		}
 		c.effects = nil
@@ -70,6 +72,6 @@
 	c := newWorldOf(t, fiveNodes).cores["a"]
 	c.effects = nil
 	if c.route("stranger", PeerMessage{}); len(c.effects) > 0 {
-		t.Errorf("a message to an unknown node is sent: %+v", c.effects)
+		t.Errorf("message to an unknown node was sent: %+v", c.effects)
 	}
 }
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -2,18 +2,19 @@
 
 import "pepperlever/internal/core/fairness"
 
-// sendHeartbeat broadcasts this node's heartbeat, with the records of the teams that it
-// leads every record interval.
+// sendHeartbeat broadcasts this node's heartbeat. Once per usage record interval it includes
+// the usage records of the teams that this node leads.
 func (c *Core) sendHeartbeat() {
-	b := c.newHeartbeat()
+	heartbeat := c.newHeartbeat()
 	if c.every(&c.timers.share, usageRecordInterval) {
-		b.Records = c.ownRecords()
+		heartbeat.Records = c.ownUsageRecords()
 	}
-	b.ReportingMachines, b.ReportSeqs = c.agents.takeReported()
-	c.broadcast(PeerMessage{Heartbeat: &b})
+	heartbeat.ReportingMachines, heartbeat.ReportSeqs = c.agents.takeReported()
+	c.broadcast(PeerMessage{Heartbeat: &heartbeat})
 }
 
-// newHeartbeat makes a heartbeat with what it says both over connections and through the store.
+// newHeartbeat returns a heartbeat with the fields that are sent both over connections and
+// through the store.
 func (c *Core) newHeartbeat() NodeHeartbeat {
 	_, disconnected := c.peers.connections()
 	return NodeHeartbeat{
@@ -21,46 +22,46 @@
 		StoreOK:          c.storeOK,
 		PendingWrites:    c.writer.budget.due,
 		ID:               c.freshness.nextHeartbeatID(c.members.incarnation),
-		Acknowledgements: c.peers.heartbeatIDs(c.members.roster),
+		Acknowledgements: c.peers.acknowledgements(c.members.roster),
 		Unacknowledged:   c.announcements.unacknowledgedBy(c.members.roster, c.peers),
 		Unreachable:      c.reach.unreachable(),
 		Disconnected:     disconnected,
 	}
 }
 
-// ownRecords returns the records of the teams that this node leads. From now on it ranks
-// by them, as the receivers do.
-func (c *Core) ownRecords() map[string]fairness.Record {
-	out := map[string]fairness.Record{}
+// ownUsageRecords returns the usage records of the teams that this node leads. From now on this
+// node ranks the teams by these records, as the receivers do.
+func (c *Core) ownUsageRecords() map[string]fairness.Record {
+	records := map[string]fairness.Record{}
 	for _, t := range c.teams {
 		if t.leading {
 			t.ranked = t.record
-			out[t.Name] = t.record
+			records[t.Name] = t.record
 		}
 	}
-	return out
+	return records
 }
 
-// handleNodeHeartbeat takes in the heartbeat of another controller.
-func (c *Core) handleNodeHeartbeat(node string, b NodeHeartbeat) {
-	p := c.peers.get(node)
-	if p == nil {
+// handleNodeHeartbeat processes a heartbeat from another controller.
+func (c *Core) handleNodeHeartbeat(node string, heartbeat NodeHeartbeat) {
+	peer := c.peers.get(node)
+	if peer == nil {
 		return
 	}
-	p.applyHeartbeat(&b)
-	c.freshness.noteAcknowledgements(p, &b)
-	for name, r := range b.Records {
+	peer.applyHeartbeat(&heartbeat)
+	c.freshness.recordAcknowledgements(peer, &heartbeat)
+	for name, usage := range heartbeat.Records {
 		if t := c.teamBy[name]; t != nil && !t.leading {
-			t.record, t.ranked = r, r
+			t.record, t.ranked = usage, usage
 		}
 	}
-	for i, id := range b.ReportingMachines {
+	for i, id := range heartbeat.ReportingMachines {
 		m := c.machines.Get(id)
 		if m == nil {
 			continue
 		}
-		if m.Node == node && i < len(b.ReportSeqs) {
-			m.AnnouncedSeq = max(m.AnnouncedSeq, b.ReportSeqs[i])
+		if m.Node == node && i < len(heartbeat.ReportSeqs) {
+			m.AnnouncedSeq = max(m.AnnouncedSeq, heartbeat.ReportSeqs[i])
 		}
 		c.machines.RecordContact(m, false, c.now.Steady)
 	}
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -4,17 +4,17 @@
 	"pepperlever/internal/core/worker"
 )
 
-// shareObservation passes an observation to every controller, this one included.
+// shareObservation sends an observation to all controllers, including this one.
 func (c *Core) shareObservation(o Observation) {
 	c.queueObservation(o)
 	c.applyObservation(o)
 }
 
-// applyObservation takes a report that any controller has passed on.
+// applyObservation processes a report that was shared by any controller.
 func (c *Core) applyObservation(o Observation) {
 	report := &o.Report
 	if c.cordons.isTerminated(report.Machine) {
-		return // a late copy: the cloud has taken the machine with all that was on it
+		return // a delayed duplicate: the cloud has taken the machine and everything on it
 	}
 	m := c.machines.Get(report.Machine)
 	if m == nil {
@@ -37,7 +37,7 @@
 	c.reconciler.reconcileMachine(m)
 }
 
-// applyNewerToken takes from a report that is known already that its machine has been given a
+// applyNewerToken updates a machine whose report is already known but was answered under a
 // newer token.
 func (c *Core) applyNewerToken(m *worker.Machine, o *Observation) {
 	if m.Session == o.Report.Session && o.Token > m.GrantedToken {
@@ -46,18 +46,18 @@
 	}
 }
 
-// trackReachability follows whether a machine receives what it is answered.
+// trackReachability tracks whether a machine receives the answers to its reports.
 func (c *Core) trackReachability(m *worker.Machine, o *Observation) {
-	before := m.IsUnreachable()
+	wasUnreachable := m.IsUnreachable()
 	m.RecordAnswer(o.Report.Token, o.Token)
-	if m.IsUnreachable() == before {
+	if m.IsUnreachable() == wasUnreachable {
 		return
 	}
 	c.requestRound()
 	if o.Node != c.cfg.Node {
 		return
 	}
-	if before {
+	if wasUnreachable {
 		c.log(Info, "machine receives its answers again", "machine", m.Machine)
 	} else {
 		c.log(Info, "machine does not receive its answers", "machine", m.Machine)
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -1,6 +1,6 @@
 package core
 
-// sendTo sends a message to a node, this one included.
+// sendTo sends a message to a controller, which may be this one.
 func (c *Core) sendTo(node string, m PeerMessage) {
 	if node == c.cfg.Node {
 		c.handlePeerMessage(PeerMessageReceived{Node: node, Message: m})
@@ -9,22 +9,22 @@
 	c.route(node, m)
 }
 
-// peerConnected sends a controller that can be reached again all reports that it missed.
+// peerConnected sends a reconnected controller all reports that it may have missed.
 func (c *Core) peerConnected(node string) {
 	c.peers.setConnected(node, true)
-	var all []Observation
+	var observations []Observation
 	for session, m := range c.agents.ownMachines() {
-		all = append(all, Observation{Node: c.cfg.Node, Token: session.token, Report: m.Report, Direct: c.reportOverdue(m)})
+		observations = append(observations, Observation{Node: c.cfg.Node, Token: session.token, Report: m.Report, Direct: c.reportOverdue(m)})
 	}
-	for part := range batchObservations(all) {
-		c.route(node, PeerMessage{Observations: part})
+	for batch := range batchObservations(observations) {
+		c.route(node, PeerMessage{Observations: batch})
 	}
 	if progress := c.handoffs.progressCopy(); len(progress) > 0 {
 		c.route(node, PeerMessage{Federation: &FederationNote{Progress: progress}})
 	}
 }
 
-// handlePeerMessage dispatches a message of another controller, or passes it on.
+// handlePeerMessage dispatches a message from another controller, or forwards it to its receiver.
 func (c *Core) handlePeerMessage(in PeerMessageReceived) {
 	m, from := in.Message, in.Node
 	if m.To != "" && m.To != c.cfg.Node {
@@ -34,17 +34,17 @@
 	if m.From != "" {
 		from = m.From
 	}
-	c.peers.noteContact(from, c.now.Steady)
+	c.peers.recordContact(from, c.now.Steady)
 	switch {
 	case m.Observations != nil:
-		for _, o := range m.Observations {
-			c.applyObservation(o)
+		for _, observation := range m.Observations {
+			c.applyObservation(observation)
 		}
 	case m.Accepted != nil:
 		c.onPut(*m.Accepted)
 	case m.Claims != nil:
-		for _, k := range m.Claims {
-			c.handleClaim(from, k)
+		for _, claim := range m.Claims {
+			c.handleClaim(from, claim)
 		}
 	case m.Start != nil:
 		c.agents.forwardStart(from, *m.Start)
--- a/internal/core/peertable.go
+++ b/internal/core/peertable.go
@@ -8,35 +8,36 @@
 	"pepperlever/internal/settings"
 )
 
-// peerTable holds what is known of the other controllers: whether a connection to them is
-// open, when their last message came, and what their newest heartbeats say.
+// peerTable holds what is known of the other controllers: whether a connection to them is open,
+// when their last message arrived, and the contents of their newest heartbeats.
 type peerTable struct {
 	self string
 	// names lists the other controllers in the order of the settings.
 	names  []string
 	states map[string]*peerState
-	// contactTimeout is after how long without a message a peer counts as out of contact.
+	// contactTimeout is the time without messages after which a peer counts as out of contact.
 	contactTimeout time.Duration
 }
 
 // peerState is what is known of another controller.
 type peerState struct {
-	// connected is set while messages can be sent to it.
+	// connected is set while messages can be sent to the peer.
 	connected bool
-	// storeOK tells whether the store answers it.
+	// storeOK is set while the store answers the peer.
 	storeOK     bool
 	lastContact time.Duration
-	// pendingWrites is how many changes of jobs wait there to be stored.
+	// pendingWrites counts the peer's job changes that wait to be stored.
 	pendingWrites changesByRank
-	// revision is how far its replica has been.
+	// revision is the newest revision that the peer's replica is known to have reached.
 	revision uint64
-	// lastHeartbeatID names its newest heartbeat, which is empty in releases that do not
-	// acknowledge heartbeats.
+	// lastHeartbeatID is the ID of the peer's newest heartbeat. It is empty for releases that
+	// do not acknowledge heartbeats.
 	lastHeartbeatID string
-	// freshUntil is the time up to which it has passed on every cancellation that it knew of.
+	// freshUntil is the time up to which the peer has passed on every cancellation that it knew
+	// of.
 	freshUntil time.Duration
-	// unreachable names the controllers that it gets no messages from, disconnected those
-	// that it can't send to.
+	// unreachable lists the controllers whose messages do not reach the peer, disconnected
+	// those that it cannot send to.
 	unreachable, disconnected []string
 }
 
@@ -53,20 +54,20 @@
 	return t
 }
 
-// get returns what is known of a peer, nil for an unknown node.
+// get returns the state of a peer, or nil for an unknown node.
 func (t *peerTable) get(node string) *peerState { return t.states[node] }
 
 func (t *peerTable) setConnected(node string, connected bool) {
 	t.states[node].connected = connected
 }
 
-// isConnected tells whether messages can be sent to a node.
+// isConnected reports whether messages can be sent to a node.
 func (t *peerTable) isConnected(node string) bool {
 	p := t.states[node]
 	return p != nil && p.connected
 }
 
-// connections divides the peers into those that messages can be sent to and the rest.
+// connections splits the peers into connected and disconnected ones.
 func (t *peerTable) connections() (connected, disconnected []string) {
 	for _, node := range t.names {
 		if t.states[node].connected {
@@ -78,27 +79,29 @@
 	return connected, disconnected
 }
 
-// noteContact notes that a message of a node has come, directly or over an intermediary.
-func (t *peerTable) noteContact(node string, now time.Duration) {
+// recordContact records that a message from a node has arrived, directly or through an
+// intermediary.
+func (t *peerTable) recordContact(node string, now time.Duration) {
 	if p := t.states[node]; p != nil {
 		p.lastContact = now
 	}
 }
 
-// inContact tells whether a message of a node has come lately. A node is always in
+// inContact reports whether a message from a node has arrived recently. A node is always in
 // contact with itself.
 func (t *peerTable) inContact(node string, now time.Duration) bool {
 	p := t.states[node]
 	return node == t.self || p != nil && now-p.lastContact < t.contactTimeout
 }
 
-// servesWorkers tells whether a peer can be reached and is likely to be able to serve workers.
-func (t *peerTable) servesWorkers(node string, now time.Duration) bool {
+// canServeWorkers reports whether a peer is connected and is likely to be able to serve
+// workers.
+func (t *peerTable) canServeWorkers(node string, now time.Duration) bool {
 	return t.isConnected(node) && t.states[node].storeOK && t.inContact(node, now)
 }
 
-// intermediary names a connected peer that can pass a message on to a node, preferably
-// one that has said that it is connected to that node. It is empty if there is none.
+// intermediary returns a connected peer that can forward a message to a node, or an empty
+// string if there is none. Peers that do not report the node as disconnected are preferred.
 func (t *peerTable) intermediary(node string) (via string) {
 	for _, other := range t.names {
 		p := t.states[other]
@@ -115,13 +118,14 @@
 	return via
 }
 
-// cannotHear tells whether a peer has said that it gets no messages from this node.
-func (t *peerTable) cannotHear(node string) bool {
+// reportsSelfUnreachable reports whether a peer has said that it receives no messages from this
+// node.
+func (t *peerTable) reportsSelfUnreachable(node string) bool {
 	return slices.Contains(t.states[node].unreachable, t.self)
 }
 
-// heartbeatIDs names the newest heartbeat of each of the given controllers that has sent one.
-func (t *peerTable) heartbeatIDs(nodes []string) (out []Acknowledgement) {
+// acknowledgements returns the newest heartbeat of each given controller that has sent one.
+func (t *peerTable) acknowledgements(nodes []string) (out []Acknowledgement) {
 	for _, node := range nodes {
 		if p := t.states[node]; p != nil && p.lastHeartbeatID != "" {
 			out = append(out, Acknowledgement{Node: node, HeartbeatID: p.lastHeartbeatID})
@@ -130,7 +134,7 @@
 	return out
 }
 
-// pendingWrites yields how many changes of jobs wait at each peer to be stored.
+// pendingWrites yields the number of job changes that wait to be stored at each peer.
 func (t *peerTable) pendingWrites() iter.Seq2[string, changesByRank] {
 	return func(yield func(string, changesByRank) bool) {
 		for _, node := range t.names {
@@ -141,9 +145,10 @@
 	}
 }
 
-// lackStore tells whether at least half of the peers with recent contact, and at least one,
-// say that the store does not answer them. A controller without peers takes that for granted.
-func (t *peerTable) lackStore(now time.Duration) bool {
+// reportStoreOutage reports whether at least half of the peers with recent contact, and at
+// least one, say that the store does not answer them. It is always true for a controller
+// without peers.
+func (t *peerTable) reportStoreOutage(now time.Duration) bool {
 	recent, withoutStore := 0, 0
 	for _, p := range t.states {
 		if now-p.lastContact >= 2*t.contactTimeout {
@@ -157,8 +162,8 @@
 	return len(t.states) == 0 || withoutStore > 0 && 2*withoutStore >= recent
 }
 
-// freshUntil is the time up to which all peers have passed on every cancellation that they
-// knew of, now if there are no peers.
+// freshUntil returns the time up to which all peers have passed on every cancellation that they
+// knew of, or now if there are no peers.
 func (t *peerTable) freshUntil(now time.Duration) time.Duration {
 	for _, p := range t.states {
 		now = min(now, p.freshUntil)
@@ -166,11 +171,11 @@
 	return now
 }
 
-// applyHeartbeat notes what a heartbeat says of its sender.
-func (p *peerState) applyHeartbeat(b *NodeHeartbeat) {
-	p.revision = max(p.revision, b.Revision)
-	p.lastHeartbeatID = b.ID
-	p.storeOK = b.StoreOK
-	p.pendingWrites = b.PendingWrites
-	p.unreachable, p.disconnected = b.Unreachable, b.Disconnected
+// applyHeartbeat updates the peer's state from its heartbeat.
+func (p *peerState) applyHeartbeat(heartbeat *NodeHeartbeat) {
+	p.revision = max(p.revision, heartbeat.Revision)
+	p.lastHeartbeatID = heartbeat.ID
+	p.storeOK = heartbeat.StoreOK
+	p.pendingWrites = heartbeat.PendingWrites
+	p.unreachable, p.disconnected = heartbeat.Unreachable, heartbeat.Disconnected
 }
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// reachability tells which controllers this node is in contact with, directly or through the
-// store relay, and which it is partitioned from. It has no state of its own.
+// reachability determines which controllers this node is in contact with, directly or through
+// the store relay, and which it is partitioned from. It has no state of its own.
 type reachability struct {
 	*environment
 	members *membership
@@ -15,40 +15,40 @@
 	relay   *storeRelay
 }
 
-// inDirectContact tells whether a message of a controller has come lately, directly or over
-// an intermediary. Starts for the machines of one that is silent are lost, and
-// its workers need seconds to turn to another.
+// inDirectContact reports whether a message from a controller has arrived recently, over a
+// connection or through an intermediary. Starts for the machines of a silent controller are
+// lost, and its workers need seconds to switch to another one.
 func (r *reachability) inDirectContact(node string) bool {
 	return r.peers.inContact(node, r.now.Steady)
 }
 
-// isUnreachable tells whether a controller lives, by its lease in the store, and no message of
-// it comes here.
+// isUnreachable reports whether a controller has a live lease in the store although none of its
+// messages arrive here.
 func (r *reachability) isUnreachable(node string) bool {
 	return r.members.isLive(node) && !r.inDirectContact(node)
 }
 
-// unreachable lists the live controllers that this node gets no messages from.
+// unreachable returns the live controllers whose messages do not arrive here.
 func (r *reachability) unreachable() []string {
-	var out []string
+	var nodes []string
 	for _, node := range r.members.roster {
 		if r.isUnreachable(node) {
-			out = append(out, node)
+			nodes = append(nodes, node)
 		}
 	}
-	return out
+	return nodes
 }
 
-// partitionedFrom tells whether messages between this node and a live controller may be
-// lost, one way or both.
+// partitionedFrom reports whether messages between this node and a live controller may be lost,
+// in either direction.
 func (r *reachability) partitionedFrom(node string) bool {
 	if !r.members.isLive(node) || r.peers.get(node) == nil {
 		return false
 	}
-	return r.peers.cannotHear(node) || !r.inDirectContact(node)
+	return r.peers.reportsSelfUnreachable(node) || !r.inDirectContact(node)
 }
 
-// partitioned tells whether this node is partitioned from any controller.
+// partitioned reports whether this node is partitioned from any controller.
 func (r *reachability) partitioned() bool {
 	for node := range r.members.live {
 		if r.partitionedFrom(node) {
@@ -58,7 +58,8 @@
 	return false
 }
 
-// isolated tells whether no message of any peer comes here. A node without peers is not isolated.
+// isolated reports whether no messages from any peer arrive here. A node without peers is not
+// isolated.
 func (r *reachability) isolated() bool {
 	for _, node := range r.peers.names {
 		if r.inDirectContact(node) {
@@ -68,40 +69,44 @@
 	return len(r.peers.names) > 0
 }
 
-// hasContact tells whether heartbeats of a controller come here, by messages or by the store
-// relay. What is bound to the machines of one without contact is not started.
+// hasContact reports whether heartbeats from a controller arrive here, as messages or through the
+// store relay. Tasks that are bound to machines of a controller without contact are not
+// started.
 func (r *reachability) hasContact(node string) bool {
 	return r.inDirectContact(node) ||
-		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.now.Steady, r.relayPatience())
+		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.now.Steady, r.relayTimeout())
 }
 
-// relayPatience is the longest expected time between two heartbeats by the store relay.
-func (r *reachability) relayPatience() time.Duration {
+// relayTimeout returns the longest expected time between two heartbeats through the store
+// relay.
+func (r *reachability) relayTimeout() time.Duration {
 	return r.reportInterval() + 2*r.relay.interval()
 }
 
-// knowsMachinesOf tells whether this node knows which machines a controller serves: from a
-// controller that is known by the store relay alone, only once its pages name them.
+// knowsMachinesOf reports whether this node knows which machines a controller serves. For a
+// controller that is known only through the store relay, it does once that controller's pages
+// list them.
 func (r *reachability) knowsMachinesOf(node string) bool {
-	return r.inDirectContact(node) || r.hasContact(node) && r.relay.namesMachines(node)
+	return r.inDirectContact(node) || r.hasContact(node) && r.relay.listsMachines(node)
 }
 
-// knownToAnother tells whether a second controller knows of a cancellation, or there is none.
-// One of an older release can't say so: it is left to its watch.
+// knownToAnother reports whether a second controller knows of a cancellation, or there is no
+// second one. A controller of an older release cannot report what it knows and is trusted to
+// learn of the cancellation from its watch.
 func (r *reachability) knownToAnother(a *cancelAnnouncement) bool {
-	alone := true
-	for node, p := range r.peers.states {
+	onlyLiveNode := true
+	for node, peer := range r.peers.states {
 		inContact := r.inDirectContact(node)
-		if a.knownTo(node, r.peers) || inContact && p.lastHeartbeatID == "" {
+		if a.knownTo(node, r.peers) || inContact && peer.lastHeartbeatID == "" {
 			return true
 		}
-		alone = alone && !inContact && !r.members.isLive(node)
+		onlyLiveNode = onlyLiveNode && !inContact && !r.members.isLive(node)
 	}
-	return alone
+	return onlyLiveNode
 }
 
-// partitionedFromLeader tells whether a job's leader is a controller that this node is
-// partitioned from, so that this node has to act for it on the machines that it serves.
+// partitionedFromLeader reports whether this node is partitioned from the leader of a job's
+// team, and therefore has to act for that leader on the machines that it serves.
 func (c *Core) partitionedFromLeader(j *job.Job) bool {
 	t := c.teamBy[j.Team]
 	return t != nil && !t.leading && c.reach.partitionedFrom(t.leader)
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -9,11 +9,12 @@
 	"pepperlever/internal/protocol"
 )
 
-// noticeStepSeconds is to how many seconds the time of a termination notice is rounded: a page
-// that changed every second would be written every second.
+// noticeStepSeconds is the step to which the remaining time of a termination notice is rounded.
+// Without rounding a page would change every second, and be written as often.
 const noticeStepSeconds = 5
 
-// update acts for the leaders that this node is partitioned from, and publishes to them.
+// update acts for the leaders that this node is partitioned from. It publishes pages while this
+// node is partitioned from any controller, and deletes them otherwise.
 func (r *storeRelay) update() {
 	partitioned := r.core.reach.partitioned()
 	if partitioned && r.every(&r.nextStartCheck, r.reportInterval()/30) {
@@ -22,82 +23,82 @@
 	if !r.every(&r.nextPublish, r.interval()) || r.writing || r.core.members.lease == 0 {
 		return
 	}
-	var want map[string]json.RawMessage
+	var pages map[string]json.RawMessage
 	if partitioned {
-		want = relay.Pages(r.nextHeartbeat(), r.entries(), r.servedMachines(), r.core.limits.relayPageBytes())
+		pages = relay.Pages(r.nextHeartbeat(), r.entries(), r.servedMachines(), r.core.limits.relayPageBytes())
 	}
-	r.publish(r.publication.Diff(want, r.core.limits.maxRelayPages()))
+	r.publish(r.publication.Diff(pages, r.core.limits.maxRelayPages()))
 }
 
-// nextHeartbeat makes a heartbeat for a page.
+// nextHeartbeat returns the next heartbeat for the first page.
 func (r *storeRelay) nextHeartbeat() json.RawMessage {
-	number := r.ids.next()
-	b := r.core.newHeartbeat()
-	b.Records = r.core.ownRecords()
-	return mustjson.Marshal(relayHeartbeat{Sequence: number, NodeHeartbeat: b})
+	sequenceNumber := r.ids.next()
+	heartbeat := r.core.newHeartbeat()
+	heartbeat.Records = r.core.ownUsageRecords()
+	return mustjson.Marshal(relayHeartbeat{Sequence: sequenceNumber, NodeHeartbeat: heartbeat})
 }
 
-// entries lists the outcome of tasks on this node's machines whose leaders may not hear
-// of it, for as long as the store shows them bound.
+// entries returns the outcomes of tasks on this node's machines that may not reach their
+// leaders otherwise, for as long as the store shows the tasks as bound.
 func (r *storeRelay) entries() []relay.Entry {
-	var out []relay.Entry
+	var outcomes []relay.Entry
 	for _, m := range r.core.agents.ownMachines() {
 		id, load := m.Machine, r.core.machines.Load(m.Machine)
 		if load == nil {
 			continue
 		}
-		for ref, b := range load.Tasks {
-			if !b.Stored || !r.core.partitionedFromLeader(ref.Job) {
+		for ref, binding := range load.Tasks {
+			if !binding.Stored || !r.core.partitionedFromLeader(ref.Job) {
 				continue
 			}
 			task := ref.Job.TaskID(ref.Index)
-			evidence, t := m.Evidence(task, b)
-			start, decided := r.core.agents.startLedgers.find(id, b.Token, taskAttempt{task, b.Attempt})
-			if evidence == worker.Exited || evidence == worker.Absent || decided && start.refused {
-				out = append(out, relay.Entry{
+			evidence, taskReport := m.Evidence(task, binding)
+			decision, decided := r.core.agents.startLedgers.find(id, binding.Token, taskAttempt{task, binding.Attempt})
+			if evidence == worker.Exited || evidence == worker.Absent || decided && decision.refused {
+				outcomes = append(outcomes, relay.Entry{
 					Job:     ref.Job.ID,
 					Index:   ref.Index,
-					Attempt: b.Attempt,
+					Attempt: binding.Attempt,
 					Machine: id,
-					Reason:  t.Why,
+					Reason:  taskReport.Why,
 				})
 			}
 		}
 	}
-	return out
+	return outcomes
 }
 
-// servedMachines lists the machines that report to this node.
+// servedMachines returns the machines that report to this node, grouped by kind.
 func (r *storeRelay) servedMachines() map[relay.MachineKind][]string {
-	out := map[relay.MachineKind][]string{}
+	machines := map[relay.MachineKind][]string{}
 	for session, m := range r.core.agents.ownMachines() {
 		if r.now.Steady-m.LastContact > 2*r.reportInterval() {
 			continue
 		}
 		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: session.token, Epoch: m.Session}
 		if m.ReclaimAt > 0 {
-			left := (m.ReclaimAt - r.now.Steady).Seconds()
-			kind.NoticeS = max(1, int(left/noticeStepSeconds)*noticeStepSeconds)
+			remaining := (m.ReclaimAt - r.now.Steady).Seconds()
+			kind.NoticeS = max(1, int(remaining/noticeStepSeconds)*noticeStepSeconds)
 		}
-		out[kind] = append(out[kind], m.Machine)
+		machines[kind] = append(machines[kind], m.Machine)
 	}
-	return out
+	return machines
 }
 
-// publish writes changes of this node's pages, attached to its lease, so that they
-// expire with this node.
+// publish writes changes to this node's pages. The pages are attached to its lease, so that
+// they expire with it.
 func (r *storeRelay) publish(changes []relay.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	var txn protocol.Txn
-	for _, ch := range changes {
-		key := pageKey(r.cfg.Node, ch.Page)
-		txn.If = append(txn.If, protocol.Condition{Key: key, Version: ch.Version})
-		if ch.Value == nil {
+	for _, change := range changes {
+		key := pageKey(r.cfg.Node, change.Page)
+		txn.If = append(txn.If, protocol.Condition{Key: key, Version: change.Version})
+		if change.Value == nil {
 			txn.Then = append(txn.Then, protocol.Change{Delete: key})
 		} else {
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: ch.Value, Lease: r.core.members.lease})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: change.Value, Lease: r.core.members.lease})
 		}
 	}
 	r.writing = true
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -9,7 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// onPagePut takes in a page of another controller.
+// onPagePut processes a page that the store holds: one of another controller, or this node's
+// own.
 func (r *storeRelay) onPagePut(item protocol.KeyValue) error {
 	node, name := splitPageKey(item.Key)
 	if node == r.cfg.Node {
@@ -22,7 +23,7 @@
 	if err := json.Unmarshal(item.Value, page); err != nil {
 		return err
 	}
-	inbox := r.put(node, name, page)
+	inbox := r.putPage(node, name, page)
 	if page.Heartbeat != nil {
 		if err := r.applyHeartbeat(node, inbox, page.Heartbeat); err != nil {
 			return err
@@ -32,31 +33,32 @@
 	return r.applyEntries(page)
 }
 
-// applyHeartbeat takes in a heartbeat of another controller. It confirms the machines on
-// all of that controller's pages.
+// applyHeartbeat processes a heartbeat from another controller. It also counts as contact with
+// the machines on all of that controller's pages.
 func (r *storeRelay) applyHeartbeat(node string, inbox *relayInbox, raw json.RawMessage) error {
-	var b relayHeartbeat
-	if err := json.Unmarshal(raw, &b); err != nil {
+	var heartbeat relayHeartbeat
+	if err := json.Unmarshal(raw, &heartbeat); err != nil {
 		return err
 	}
 	inbox.lastHeartbeat = r.now.Steady
-	r.core.handleNodeHeartbeat(node, b.NodeHeartbeat)
+	r.core.handleNodeHeartbeat(node, heartbeat.NodeHeartbeat)
 	for _, page := range ordered(inbox.pages) {
 		r.applyMachines(node, page)
 	}
 	return nil
 }
 
+// onPageDelete processes the deletion of a page.
 func (r *storeRelay) onPageDelete(key string, revision uint64) {
 	node, name := splitPageKey(key)
 	if node == r.cfg.Node {
 		r.publication.Observe(name, nil, revision)
 	}
-	r.remove(node, name)
+	r.removePage(node, name)
 }
 
-// applyMachines notes which machines another controller serves. That proves nothing of
-// the tasks on them: that takes reports, or entries.
+// applyMachines records which machines another controller serves. This proves nothing about the
+// tasks on them; only reports and entries do.
 func (r *storeRelay) applyMachines(node string, p *relay.Page) {
 	for _, group := range p.Machines {
 		for _, id := range group.Machines {
@@ -67,6 +69,7 @@
 	}
 }
 
+// applyMachine records that a controller serves a machine of the given kind.
 func (r *storeRelay) applyMachine(node, id string, kind relay.MachineKind) {
 	m := r.core.machines.Get(id)
 	switch {
@@ -74,10 +77,10 @@
 		r.core.noteProvisioned(&protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot})
 		m = r.core.addMachine(id)
 	case kind.Token < m.GrantedToken || kind.Epoch < m.Session:
-		return // a newer controller serves it
+		return // a newer token or epoch is known, so the page is outdated
 	}
 	if m.Session < kind.Epoch {
-		// A new epoch has none of the tasks of the one before.
+		// A new epoch starts without the tasks of the previous one.
 		fresh := protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Session: kind.Epoch}
 		m.Update(fresh, r.now.Steady)
 		r.core.machines.InvalidateLoad(id)
@@ -92,48 +95,48 @@
 	r.core.machines.RecordContact(m, false, r.now.Steady)
 }
 
-// applyEntries ends the bindings of this node's teams whose outcome a page tells. Of a
-// page with a malformed entry it applies none.
+// applyEntries ends the bindings of this node's teams whose outcomes are on a page. If one
+// entry is malformed, none of the page is applied.
 func (r *storeRelay) applyEntries(p *relay.Page) error {
 	entries, err := p.Entries()
 	if err != nil {
 		return err
 	}
-	for _, e := range entries {
-		j := r.core.jobs[e.Job]
+	for _, entry := range entries {
+		j := r.core.jobs[entry.Job]
 		if j == nil || !r.core.leads(j) {
 			continue
 		}
-		b := j.Bound[e.Index]
-		if b != nil && b.Stored && b.Attempt == e.Attempt && b.Machine == e.Machine {
-			r.applyEntry(j, b, e)
+		binding := j.Bound[entry.Index]
+		if binding != nil && binding.Stored && binding.Attempt == entry.Attempt && binding.Machine == entry.Machine {
+			r.applyEntry(j, binding, entry)
 		}
 	}
 	return nil
 }
 
-// applyEntry ends one binding.
-func (r *storeRelay) applyEntry(j *job.Job, b *job.Binding, e relay.Entry) {
-	m := r.core.machines.Get(e.Machine)
+// applyEntry ends the binding of one task with the outcome that an entry states.
+func (r *storeRelay) applyEntry(j *job.Job, binding *job.Binding, entry relay.Entry) {
+	m := r.core.machines.Get(entry.Machine)
 	if m == nil {
-		m = &worker.Machine{Report: protocol.Report{Machine: e.Machine}}
+		m = &worker.Machine{Report: protocol.Report{Machine: entry.Machine}}
 	}
-	task := j.TaskID(e.Index)
-	if e.Reason == "" {
+	task := j.TaskID(entry.Index)
+	if entry.Reason == "" {
 		m.FullAt = r.now.Steady
-		r.log(Debug, "task was not started", "task", task, "machine", e.Machine)
-		r.core.unbind(j, e.Index)
+		r.log(Debug, "task was not started", "task", task, "machine", entry.Machine)
+		r.core.unbind(j, entry.Index)
 		return
 	}
-	t := protocol.TaskReport{Task: task, Attempt: e.Attempt, State: protocol.Exited, Why: e.Reason}
-	if e.Reason == protocol.WhyDone || e.Reason == protocol.WhyError {
-		r.core.attributeExit(j, m, e.Machine, t)
+	taskReport := protocol.TaskReport{Task: task, Attempt: entry.Attempt, State: protocol.Exited, Why: entry.Reason}
+	if entry.Reason == protocol.WhyDone || entry.Reason == protocol.WhyError {
+		r.core.attributeExit(j, m, entry.Machine, taskReport)
 	}
-	r.core.reconciler.taskEnded(j, e.Index, m, t)
+	r.core.reconciler.taskEnded(j, entry.Index, m, taskReport)
 }
 
-// reapplyEntries applies the entries of all pages once more: this node may have become
-// a leader since they were written.
+// reapplyEntries applies the entries of all pages again, because this node may have become a
+// leader since they arrived.
 func (r *storeRelay) reapplyEntries() {
 	for _, inbox := range ordered(r.inboxes) {
 		for _, page := range ordered(inbox.pages) {
--- a/internal/core/sharedreports_test.go
+++ b/internal/core/sharedreports_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Guards against a job that never ends: its tasks were lost with their machine's lease, and the
-// only controller that had seen it forgot the agent's session while it was cut from all others. The next
-// report said nothing new to it, so the leader kept the tasks for running.
-func TestFirstReportOfASessionIsSharedThoughItSaysNothingNew(t *testing.T) {
+// Guards against a job that never ends. Its tasks were lost with their machine's lease, and the
+// only controller that had seen this dropped the agent's session while it was partitioned from
+// all others. The next report contained nothing new for that controller and was not shared, so
+// the leader still considered the tasks running.
+func TestFirstReportOfASessionIsSharedEvenIfUnchanged(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.noCloud, w.allowRacingStarts, w.taskTime = true, true, 10*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 20, ""))
@@ -19,27 +20,28 @@
 
 	w.silentWorkers[machine] = true
 	w.refuse(func(from, to string) bool { return from == node || to == node })
-	w.withoutStore[node] = true // its lease goes on
+	w.withoutStore[node] = true // its lease stays live
 	if !w.run(w.lease()+reportIntervals(4), func() bool { return w.cores[node].agents.session(machine) == nil }) {
-		t.Fatal("the session of a silent agent is kept")
+		t.Fatal("session of a silent agent was not dropped")
 	}
 	if held := w.cores[node].machines.Get(machine).Session; held != 2 || leaderView() != 1 {
-		t.Fatalf("epoch %d is known to the agent's controller, %d to the leader", held, leaderView())
+		t.Fatalf("agent's controller knows epoch %d and the leader epoch %d, want 2 and 1", held, leaderView())
 	}
 	w.restore()
 	delete(w.withoutStore, node)
 	w.run(time.Second, nil)
 	w.reportTo(machine, node)
 	if !w.run(reportIntervals(3), func() bool { return w.cores[node].agents.session(machine) != nil }) {
-		t.Fatal("the agent opens no session")
+		t.Fatal("agent did not open a session")
 	}
 	w.run(reportIntervals(1), nil)
 	if leaderView() < 2 {
-		t.Errorf("the leader holds a report of epoch %d, the machine is in epoch %d", leaderView(), w.workers[machine].Session)
+		t.Errorf("leader has a report of epoch %d, machine is in epoch %d", leaderView(), w.workers[machine].Session)
 	}
 }
 
-// machineServedBy names a machine with tasks, and a controller that serves it and matches.
+// machineServedBy returns a controller that matches, and a machine with tasks that reports to
+// it.
 func (w *world) machineServedBy(matches func(node string) bool) (node, machine string) {
 	w.t.Helper()
 	for _, node := range w.names {
@@ -52,11 +54,11 @@
 			}
 		}
 	}
-	w.t.Fatal("no such controller serves a machine with tasks")
+	w.t.Fatal("no matching controller serves a machine with tasks")
 	return "", ""
 }
 
-// reportTo lets a silent machine report again, to a controller.
+// reportTo makes a silent machine report again, to the given controller.
 func (w *world) reportTo(machine, node string) {
 	delete(w.silentWorkers, machine)
 	for w.names[w.workers[machine].node%len(w.names)] != node {
--- a/internal/core/slowlinks_test.go
+++ b/internal/core/slowlinks_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// There is more work than capacity, urgent and not, and all links are slow: claims and starts take
-// seconds. No machine is overcommitted for long, no limit is exceeded, and all work ends.
+// There is more work than capacity, at several priorities, and all links are slow: claims and
+// starts take seconds. No machine is overcommitted for long, no limit is exceeded, and all jobs
+// end.
 func TestMoreWorkThanCapacityOverSlowLinks(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.allowRacingStarts, w.latency, w.taskTime = true, true, 8*time.Second
@@ -19,25 +20,25 @@
 			accepted(t, w.submit(w.names[(n+i)%5], id, 12, []string{"", `,"urgency":"critical"`, `,"urgency":"low"`}[n%3]))
 		}
 	}
-	slow := 0
-	for range 30 { // links hold everything for three seconds and let it go for one
+	delayed := 0
+	for range 30 { // links delay all messages for three seconds and deliver them during the next
 		w.hold(everyLink)
 		w.run(3*time.Second, nil)
 		for _, held := range w.heldMessages {
-			slow += len(held)
+			delayed += len(held)
 		}
 		w.restore()
 		w.run(time.Second, nil)
 	}
-	if slow == 0 || w.inUse("red") == 0 && w.startsOf("req-red-0") == 0 {
-		t.Fatal("nothing was slow, or nothing ran")
+	if delayed == 0 || w.inUse("red") == 0 && w.startsOf("req-red-0") == 0 {
+		t.Fatal("no message was delayed, or no task ran")
 	}
 	if !w.run(6*time.Minute, w.finished(ids...)) {
-		t.Error("jobs do not end")
+		t.Error("jobs did not end")
 	}
 	for task, n := range w.starts {
 		if n > 3 {
-			t.Errorf("%s was started %d times", task, n)
+			t.Errorf("%s was started %d times, want at most 3", task, n)
 		}
 	}
 }
--- a/internal/core/startforwarding.go
+++ b/internal/core/startforwarding.go
@@ -6,7 +6,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// refusalReason says why a start is refused, empty if it is not.
+// refusalReason is the reason why a start is refused, or empty if it is not.
 type refusalReason string
 
 // Reasons to refuse a start.
@@ -22,12 +22,12 @@
 	refusedBefore     refusalReason = "refused before"
 )
 
-// taskAttempt names the attempt that a start is of.
+// taskAttempt returns the attempt that is to be started.
 func (s *Start) taskAttempt() taskAttempt { return taskAttempt{s.Task, s.Attempt} }
 
-// forwardStart forwards a bound task's start to its agent, or refuses it for good. One that
-// was decided on before is not decided again: it may come over a slow link long after this
-// node has started the task by what the store shows.
+// forwardStart forwards the start of a bound task to its agent, or refuses it permanently. A
+// start is decided only once: the request may arrive over a slow link long after this node has
+// started the task from the stored binding.
 func (a *agentController) forwardStart(from string, s Start) {
 	reason, decided := a.earlierDecision(&s)
 	if !decided {
@@ -45,12 +45,12 @@
 	a.scheduleDelivery(s.Machine)
 }
 
-// earlierDecision tells whether a start was decided on before, and why it is refused if it
-// is. What was decided under a token that has passed, or by an earlier run of this process, is
-// not known any more, and then only a report that proves the task absent is a reason: a
-// refusal would have its leader start the task elsewhere while it runs here.
+// earlierDecision reports whether a start has been decided before, and the reason if it is
+// refused. Decisions under a superseded token or by an earlier incarnation are no longer known.
+// Then the start is refused only if a report proves the task absent, because a refusal makes
+// the leader start the task elsewhere, and it may be running here.
 func (a *agentController) earlierDecision(s *Start) (reason refusalReason, decided bool) {
-	if !a.tokens.acquired[s.Token] || a.startLedgers.hasPassed(s.Machine, s.Token) {
+	if !a.tokens.acquired[s.Token] || a.startLedgers.isSuperseded(s.Machine, s.Token) {
 		if a.isProvenAbsent(s) {
 			reason = refusedToken
 		}
@@ -63,8 +63,8 @@
 	return reason, decided
 }
 
-// isProvenAbsent tells whether the newest report of its machine proves that a start has not
-// been carried out and never will be.
+// isProvenAbsent reports whether the machine's newest report proves that a start has not been
+// carried out and never will be.
 func (a *agentController) isProvenAbsent(s *Start) bool {
 	m := a.core.machines.Get(s.Machine)
 	if m == nil {
@@ -75,9 +75,9 @@
 	return evidence == worker.Absent
 }
 
-// refusalReasonFor tells why a start is refused. A start under another token or for another
-// epoch is refused for good: that its binding can only ever be started under the token that
-// it was made for is what makes late ones safe.
+// refusalReasonFor returns the reason to refuse a start, or an empty one. A start under another
+// token or epoch is refused permanently: late starts are safe only because a binding can be
+// started under no other token than its own.
 func (a *agentController) refusalReasonFor(s *Start) refusalReason {
 	session, m := a.session(s.Machine), a.core.machines.Get(s.Machine)
 	switch {
@@ -93,7 +93,7 @@
 		return refusedSilent
 	case s.Revision > 0 && a.core.replica.shows(s.Revision) && !a.storeHasBinding(s.Machine, s.taskAttempt()):
 		return refusedUnbound
-	case a.isOfCancelledJob(s.Task):
+	case a.belongsToCancelledJob(s.Task):
 		return refusedCancelled
 	case m == nil || !s.Need.Fits(a.freeResources(m, session)):
 		return refusedNoRoom
@@ -101,14 +101,14 @@
 	return ""
 }
 
-// isOfCancelledJob tells whether a task is of a cancelled job.
-func (a *agentController) isOfCancelledJob(task string) bool {
+// belongsToCancelledJob reports whether a task belongs to a cancelled job.
+func (a *agentController) belongsToCancelledJob(task string) bool {
 	id, _, _ := job.ParseTaskID(task)
 	return a.core.cancelled(id)
 }
 
-// freeResources is the room on a machine as its newest report and the starts on their way
-// show it.
+// freeResources returns the resources of a machine that neither its newest report nor the
+// pending starts use.
 func (a *agentController) freeResources(m *worker.Machine, session *agentSession) job.Resources {
 	free := a.core.catalog.Capacity(m.Type)
 	for _, need := range session.pendingStarts {
@@ -125,7 +125,7 @@
 	return free
 }
 
-// storeHasBinding tells whether the replica shows an attempt bound to a machine.
+// storeHasBinding reports whether the replica shows an attempt as bound to a machine.
 func (a *agentController) storeHasBinding(machine string, attempt taskAttempt) bool {
 	id, i, ok := job.ParseTaskID(attempt.task)
 	j := a.core.jobs[id]
@@ -136,8 +136,8 @@
 	return b != nil && b.Stored && b.Attempt == attempt.attempt && b.Machine == machine
 }
 
-// expireStartDecisions drops decisions whose binding the store no longer holds: a start that
-// still comes for one is refused, since the replica is past it.
+// expireStartDecisions drops the decisions whose bindings are no longer stored. A start that
+// still arrives for one is refused, since the replica is past the revision of the binding.
 func (a *agentController) expireStartDecisions() {
 	isObsolete := func(machine string, attempt taskAttempt, decision startDecision) bool {
 		return a.core.replica.shows(decision.revision) &&
@@ -150,10 +150,10 @@
 	a.startLedgers.expire(isObsolete, isKnown)
 }
 
-// isReplicaCurrent tells whether the replica has a task's job as the store does, or knows that
-// nothing of the job is bound any more. That its user has cancelled it says nothing of the
-// kind: its tasks run on until they are stopped. A job that is not in the replica may be one
-// that is being read again.
+// isReplicaCurrent reports whether the replica shows a task's job as it is stored, or that none
+// of the job's tasks is bound any more. A user's cancellation does not show that, because the
+// tasks run until they are stopped. A job that is missing from the replica may be about to be
+// reloaded.
 func (a *agentController) isReplicaCurrent(attempt taskAttempt) bool {
 	id, _, _ := job.ParseTaskID(attempt.task)
 	j := a.core.jobs[id]
--- a/internal/core/startledger.go
+++ b/internal/core/startledger.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// startLedger holds what this node has decided on the starts of tasks that were bound to a
-// machine under one fencing token. The token is this run's alone, so it decides on each such
-// start at most once: forwarded or refused, by a leader's message or by what the store shows,
-// and no other controller can forward it. A decision is kept for as long as the start could
-// come up again.
+// startLedger holds this node's decisions on the starts of tasks that were bound to a machine
+// under one fencing token. The token belongs to this incarnation alone, so no other controller
+// can forward these starts, and each is decided at most once: it is forwarded or refused, on
+// the leader's request or on behalf of an unreachable leader. A decision is kept for as long as
+// the start may arrive again.
 type startLedger struct {
 	token     uint64
 	decisions map[taskAttempt]startDecision
 }
 
-// startDecision is what was decided on one start, when, and the newest revision of the store
-// at which its binding is known to have been there.
+// startDecision is the decision on one start, when it was made, and the newest store revision
+// at which the binding is known to have existed.
 type startDecision struct {
 	refused  bool
 	at       time.Duration
 	revision uint64
 }
 
-// startLedgers holds the ledger of each machine for the newest token that a start came under.
+// startLedgers holds the ledger of each machine for the newest token of its starts.
 type startLedgers struct{ byMachine map[string]*startLedger }
 
 func newStartLedgers() startLedgers {
 	return startLedgers{byMachine: map[string]*startLedger{}}
 }
 
-// record notes a decision, unless it is under a token that has passed. A refusal is for good
-// even where the agent comes back under the same token.
+// record stores a decision, unless its token is superseded. A refusal is final even if the
+// agent returns under the same token.
 func (l *startLedgers) record(s *Start, refused bool, now time.Duration) {
 	ledger := l.byMachine[s.Machine]
 	if ledger == nil || s.Token > ledger.token {
@@ -40,7 +40,7 @@
 	}
 }
 
-// find looks up the decision on an attempt that was bound to a machine under a token.
+// find returns the decision on an attempt that was bound to a machine under a token.
 func (l *startLedgers) find(machine string, token uint64, attempt taskAttempt) (startDecision, bool) {
 	ledger := l.byMachine[machine]
 	if ledger == nil || ledger.token != token {
@@ -50,15 +50,14 @@
 	return decision, ok
 }
 
-// hasPassed tells whether starts on a machine have come under a newer token than this one,
-// so that decisions under this one are not known any more.
-func (l *startLedgers) hasPassed(machine string, token uint64) bool {
+// isSuperseded reports whether a start on a machine has come under a newer token, so that
+// decisions under this one are no longer known.
+func (l *startLedgers) isSuperseded(machine string, token uint64) bool {
 	ledger := l.byMachine[machine]
 	return ledger != nil && ledger.token > token
 }
 
-// expire drops the decisions that are obsolete, and the ledgers without decisions of machines
-// that are unknown.
+// expire drops obsolete decisions, and the empty ledgers of unknown machines.
 func (l *startLedgers) expire(
 	isObsolete func(machine string, attempt taskAttempt, decision startDecision) bool,
 	isKnown func(machine string) bool,
--- a/internal/core/startledger_test.go
+++ b/internal/core/startledger_test.go
@@ -7,14 +7,15 @@
 	"pepperlever/internal/protocol"
 )
 
-// A leader's message that comes over a slow link, long after the machine's controller has
-// started the task by what the store shows and the task has ended, must not start it again.
+// A leader's message arrives over a slow link after the machine's controller has already
+// started the task from the stored binding and the task has ended. The task must not be started
+// again.
 func TestLateStartIsNotForwardedAgain(t *testing.T) {
 	w := idleWorld(t, 10)
 	w.hold(everyLink)
 	accepted(t, w.submit("a", "req-free-1", 20, ""))
 	if !w.run(45*time.Second, w.finished("req-free-1")) {
-		t.Fatal("job does not end while links are slow")
+		t.Fatal("job did not end while links were slow")
 	}
 	held := 0
 	for _, ms := range w.heldMessages {
@@ -27,38 +28,38 @@
 	w.restore()
 	w.run(20*time.Second, nil)
 	if held == 0 {
-		t.Error("no start was held back")
+		t.Error("no start message was delayed")
 	}
 	w.startedOnce()
 }
 
-// The decision on a start that was forwarded is kept where the job is cancelled while this
-// node reads everything again: otherwise the leader's message, if it comes after that, would be
-// refused although the task runs.
-func TestStartDecisionIsKeptWhileACancelledJobIsReadAgain(t *testing.T) {
-	for name, k := range map[string]struct {
+// If a job is cancelled while this node reloads the stored state, the decision on a forwarded
+// start is kept. Otherwise the leader's message would be refused if it arrived later, although
+// the task runs.
+func TestStartDecisionIsKeptWhileACancelledJobIsReloaded(t *testing.T) {
+	for name, test := range map[string]struct {
 		state string
-		gone  bool
+		ended bool
 		kept  bool
 	}{
-		"not known":          {kept: true},
-		"cancelled":          {state: protocol.Cancelled, kept: true},
-		"cancelled and over": {state: protocol.Cancelled, gone: true},
-		"done":               {state: protocol.Done},
+		"unknown":             {kept: true},
+		"cancelled":           {state: protocol.Cancelled, kept: true},
+		"cancelled and ended": {state: protocol.Cancelled, ended: true},
+		"done":                {state: protocol.Done},
 	} {
 		c := newWorld(t).cores["a"]
 		c.replica.revision = 9
 		c.agents.add("vm", newAgentSession(1, 0, ""))
 		c.agents.startLedgers.record(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Revision: 5}, false, c.now.Steady)
-		if k.state != "" {
-			c.rememberFinalState("req-free-1", protocol.JobState{ID: "req-free-1", State: k.state})
+		if test.state != "" {
+			c.rememberFinalState("req-free-1", protocol.JobState{ID: "req-free-1", State: test.state})
 		}
-		if k.gone {
+		if test.ended {
 			c.noteEnd("req-free-1", 8)
 		}
 		c.agents.expireStartDecisions()
-		if _, kept := c.agents.startLedgers.find("vm", 1, taskAttempt{"req-free-1/0", 1}); kept != k.kept {
-			t.Errorf("%s: kept %v", name, kept)
+		if _, kept := c.agents.startLedgers.find("vm", 1, taskAttempt{"req-free-1/0", 1}); kept != test.kept {
+			t.Errorf("%s: decision kept: %v", name, kept)
 		}
 	}
 }
@@ -71,23 +72,23 @@
 	ledgers := newStartLedgers()
 	ledgers.record(start(5), true, time.Second)
 	if decision, ok := ledgers.find("vm", 5, attempt); !ok || !decision.refused {
-		t.Errorf("got %v, %v for what was refused", decision, ok)
+		t.Errorf("got %v, %v for a refused start", decision, ok)
 	}
 	ledgers.record(start(4), false, time.Second)
-	if _, ok := ledgers.find("vm", 4, attempt); ok || !ledgers.hasPassed("vm", 4) || ledgers.hasPassed("vm", 5) {
-		t.Error("a decision is kept under a token that has passed")
+	if _, ok := ledgers.find("vm", 4, attempt); ok || !ledgers.isSuperseded("vm", 4) || ledgers.isSuperseded("vm", 5) {
+		t.Error("decision under a superseded token was kept")
 	}
 	ledgers.record(start(6), false, time.Second)
-	if _, ok := ledgers.find("vm", 5, attempt); ok || !ledgers.hasPassed("vm", 5) {
-		t.Error("a decision is kept though a newer token has come")
+	if _, ok := ledgers.find("vm", 5, attempt); ok || !ledgers.isSuperseded("vm", 5) {
+		t.Error("decision was kept although a newer token was recorded")
 	}
 	obsolete := func(string, taskAttempt, startDecision) bool { return true }
 	ledgers.expire(obsolete, func(string) bool { return true })
-	if _, ok := ledgers.find("vm", 6, attempt); ok || ledgers.hasPassed("vm", 6) || !ledgers.hasPassed("vm", 5) {
-		t.Error("the token of a known machine is forgotten, or an obsolete decision kept")
+	if _, ok := ledgers.find("vm", 6, attempt); ok || ledgers.isSuperseded("vm", 6) || !ledgers.isSuperseded("vm", 5) {
+		t.Error("token of a known machine was dropped, or an obsolete decision was kept")
 	}
 	ledgers.expire(obsolete, func(string) bool { return false })
-	if ledgers.hasPassed("vm", 5) {
-		t.Error("the ledger of an unknown machine is kept")
+	if ledgers.isSuperseded("vm", 5) {
+		t.Error("ledger of an unknown machine was kept")
 	}
 }
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// relayWriteShare is the part of the store's limit on changes that the pages of all
-	// controllers may take together.
+	// relayWriteShare is the share of the store's write rate that the pages of all controllers
+	// may use together.
 	relayWriteShare = 1.0 / 4
-	pagesPerWrite   = 2
+	// pagesPerWrite is the assumed number of pages in one write.
+	pagesPerWrite = 2
 )
 
 // storeRelay exchanges messages through the store with live controllers that this node is
-// partitioned from: each controller publishes pages under keys of its own, and reads
-// those of the others. For leaders among them it starts and forgets tasks here.
+// partitioned from. Each controller publishes pages under its own keys and reads those of the
+// others. On behalf of unreachable leaders this node starts and forgets tasks on its machines.
 type storeRelay struct {
 	*environment
 	core *Core
-	// nextPublish is when the pages are compared with the store again, nextStartCheck when
-	// bindings of unreachable leaders are looked at again.
+	// nextPublish is when the pages are next compared with the store, nextStartCheck when
+	// bindings of unreachable leaders are next checked.
 	nextPublish, nextStartCheck time.Duration
 	publication                 relay.Publication
-	// writing is set while a write of pages has not been answered.
+	// writing is set while a write of pages awaits its reply.
 	writing bool
-	// inboxes holds the pages of the other controllers.
+	// inboxes holds the pages of the other controllers, by controller.
 	inboxes map[string]*relayInbox
 }
 
-// relayInbox holds the pages of another controller.
+// relayInbox holds the pages of one other controller, by name.
 type relayInbox struct {
-	// lastHeartbeat is when the newest page with a heartbeat came.
+	// lastHeartbeat is when the newest page with a heartbeat arrived.
 	lastHeartbeat time.Duration
 	pages         map[string]*relay.Page
 }
 
-// relayHeartbeat is a heartbeat on a page. Its sequence number makes each unlike the one before.
+// relayHeartbeat is a heartbeat on a page. Its sequence number changes with every heartbeat, so
+// that the page is written even if nothing else has changed.
 type relayHeartbeat struct {
 	Sequence uint64 `json:"#"`
 	NodeHeartbeat
@@ -47,22 +49,23 @@
 	return &storeRelay{environment: core.environment, core: core, inboxes: map[string]*relayInbox{}}
 }
 
-// interval is the pause between two writes of pages, each of about pagesPerWrite pages.
+// interval returns the time between two writes of pages, of about pagesPerWrite pages each.
 func (r *storeRelay) interval() time.Duration {
 	share := relayWriteShare * r.core.limits.writeRate()
 	controllers := float64(r.core.members.size())
 	return max(r.reportInterval()/5, seconds(pagesPerWrite*controllers/share))
 }
 
+// pageKey returns the store key of a controller's page.
 func pageKey(node, page string) string { return keyRelay + node + "/" + page }
 
-// splitPageKey is the reverse of pageKey.
+// splitPageKey is the inverse of pageKey.
 func splitPageKey(key string) (node, page string) {
 	node, page, _ = strings.Cut(strings.TrimPrefix(key, keyRelay), "/")
 	return node, page
 }
 
-// keys lists the store keys of all known pages, self's own included.
+// keys returns the store keys of all known pages, including those of this node.
 func (r *storeRelay) keys(self string) (out []string) {
 	for _, page := range r.publication.StoredPages() {
 		out = append(out, pageKey(self, page))
@@ -75,8 +78,8 @@
 	return out
 }
 
-// put notes a page of another controller and returns that controller's inbox.
-func (r *storeRelay) put(node, name string, page *relay.Page) *relayInbox {
+// putPage records a page of another controller and returns that controller's inbox.
+func (r *storeRelay) putPage(node, name string, page *relay.Page) *relayInbox {
 	inbox := r.inboxes[node]
 	if inbox == nil {
 		inbox = &relayInbox{pages: map[string]*relay.Page{}}
@@ -86,22 +89,22 @@
 	return inbox
 }
 
-// remove notes that a page of another controller has been deleted.
-func (r *storeRelay) remove(node, name string) {
+// removePage records that a page of another controller has been deleted.
+func (r *storeRelay) removePage(node, name string) {
 	if inbox := r.inboxes[node]; inbox != nil {
 		delete(inbox.pages, name)
 	}
 }
 
-// heartbeatWithin tells whether a controller's page with a heartbeat has come within the
-// given time.
+// heartbeatWithin reports whether a page with a controller's heartbeat has arrived within the
+// limit.
 func (r *storeRelay) heartbeatWithin(node string, now, limit time.Duration) bool {
 	inbox := r.inboxes[node]
 	return inbox != nil && now-inbox.lastHeartbeat < limit
 }
 
-// namesMachines tells whether some page of a controller names machines.
-func (r *storeRelay) namesMachines(node string) bool {
+// listsMachines reports whether any page of a controller lists machines.
+func (r *storeRelay) listsMachines(node string) bool {
 	inbox := r.inboxes[node]
 	if inbox == nil {
 		return false
--- a/internal/core/storerelay_test.go
+++ b/internal/core/storerelay_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// The page with the heartbeat leaves room in a transaction for the pages that name machines,
-// whatever the limit on values: no machine is returned as silent while controllers have no
-// connections (docs/incidents/pages.md).
-func TestNoMachineIsReturnedWithoutLinksForAnyValueLimit(t *testing.T) {
+// The page with the heartbeat leaves room in a transaction for the pages that list machines,
+// whatever the limit on value sizes. Otherwise machines would be returned as silent while
+// controllers have no connections (docs/incidents/pages.md).
+func TestNoMachineIsReturnedWithoutLinksAtAnyValueLimit(t *testing.T) {
 	for _, kb := range []float64{4, 16, 32, 64} {
 		t.Run(fmt.Sprint(kb), func(t *testing.T) {
 			t.Parallel()
@@ -32,22 +32,23 @@
 			w.refuse(everyLink)
 			w.run(40*time.Second, nil)
 			if now := slices.Sorted(maps.Keys(w.workers)); !slices.Equal(names, now) {
-				t.Errorf("of %d machines %d are left after 40 s without links", len(names), len(now))
+				t.Errorf("of %d machines, %d are left after 40 s without links", len(names), len(now))
 			}
 			w.startedOnce()
 		})
 	}
 }
 
-// Starts, ends and free capacity travel through the store while connections between controllers
-// fail: teams are not left with the machines that their leaders serve themselves.
+// Starts, outcomes and free capacity are relayed through the store while connections between
+// controllers fail. Otherwise teams could use only the machines that their leaders serve
+// themselves.
 func TestJobsEndWithoutLinksBetweenControllers(t *testing.T) {
 	for name, cut := range map[string]func(w *world){
-		"refused":      func(w *world) { w.refuse(everyLink) },
-		"slow":         func(w *world) { w.hold(everyLink) },
-		"one way":      func(w *world) { w.refuse(func(f, t string) bool { return f < t }) },
-		"in two parts": func(w *world) { w.refuse(func(f, t string) bool { return (f < "c") != (t < "c") }) },
-		"none":         func(w *world) {},
+		"refused":        func(w *world) { w.refuse(everyLink) },
+		"slow":           func(w *world) { w.hold(everyLink) },
+		"one way":        func(w *world) { w.refuse(func(f, t string) bool { return f < t }) },
+		"two partitions": func(w *world) { w.refuse(func(f, t string) bool { return (f < "c") != (t < "c") }) },
+		"no fault":       func(w *world) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -63,22 +64,22 @@
 				ids = append(ids, id)
 			}
 			if !w.run(45*time.Second, w.finished(ids...)) {
-				t.Fatal("jobs do not end without links")
+				t.Fatal("jobs did not end without links")
 			}
 			w.restore()
 			w.run(20*time.Second, nil)
 			w.startedOnce()
 			for key := range w.kv {
 				if strings.HasPrefix(key, keyRelay) {
-					t.Errorf("%s is left when all links are back", key)
+					t.Errorf("relay page %s is left after all links were restored", key)
 				}
 			}
 		})
 	}
 }
 
-// A write of a page is carried out after newer ones, or after all pages were deleted since the
-// connections are back: no page is left behind.
+// The write of a page is delayed until after newer writes, or until all pages have been deleted
+// because the connections are back. No page may be left behind.
 func TestLateRelayPageIsDeleted(t *testing.T) {
 	w := idleWorld(t, 20)
 	w.taskTime = 10 * time.Minute
@@ -96,7 +97,7 @@
 	w.run(30*time.Second, nil)
 	for key := range w.kv {
 		if strings.HasPrefix(key, keyRelay) {
-			t.Errorf("%s is left", key)
+			t.Errorf("relay page %s is left", key)
 		}
 	}
 	w.startedOnce()
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -6,18 +6,21 @@
 	"pepperlever/internal/protocol"
 )
 
-// fencingTokens holds this node's fencing token and what waits for a newer one. Tokens come
-// from a counter in the store. A worker obeys only commands under the highest token that it
-// has seen, so raising an agent's token voids all starts under lower ones.
+// fencingTokens holds this node's fencing token and the requests that wait for a newer one.
+// Tokens come from a counter in the store. A worker obeys only commands under the highest token
+// that it has seen, so raising an agent's token voids all starts under lower ones.
 type fencingTokens struct {
-	// current is the newest token of this node, 0 before the first.
+	// current is the newest token of this node, or 0 before the first.
 	current uint64
-	// acquired holds all tokens that this run of the process has acquired.
-	acquired  map[uint64]bool
+	// acquired holds all tokens that this incarnation has acquired.
+	acquired map[uint64]bool
+	// acquiring is set while a token is being taken from the counter.
 	acquiring bool
-	// waitingHeartbeats are those of agents that have seen a newer token than the current one.
+	// waitingHeartbeats holds the heartbeats of agents that have seen a newer token than the
+	// current one.
 	waitingHeartbeats []Heartbeat
-	// pendingRaises holds, by machine, the token above which its agent's has to be raised.
+	// pendingRaises maps machines to the token above which their agent's token has to be
+	// raised.
 	pendingRaises map[string]uint64
 }
 
@@ -25,15 +28,15 @@
 	return fencingTokens{acquired: map[uint64]bool{}, pendingRaises: map[string]uint64{}}
 }
 
-// takeWaitingHeartbeats hands out the heartbeats that wait for a newer token.
+// takeWaitingHeartbeats removes and returns the heartbeats that wait for a newer token.
 func (t *fencingTokens) takeWaitingHeartbeats() []Heartbeat {
 	waiting := t.waitingHeartbeats
 	t.waitingHeartbeats = nil
 	return waiting
 }
 
-// acquireToken takes the next token from the counter in the store, by one conditional write,
-// for all agents that wait for one.
+// acquireToken takes the next token from the counter in the store with a conditional write. All
+// agents that wait for a newer token share it.
 func (a *agentController) acquireToken() {
 	if a.tokens.acquiring {
 		return
@@ -56,7 +59,7 @@
 	})
 }
 
-// writeToken writes a token to the counter if that still has the given version.
+// writeToken writes a token to the counter if the counter still has the given version.
 func (a *agentController) writeToken(token, version uint64) {
 	next := tokenCounter{Token: token, Node: a.cfg.Node, Incarnation: a.core.members.incarnation}
 	txn := protocol.Txn{
@@ -69,7 +72,7 @@
 		case Applied:
 			a.tokenAcquired(token)
 		case Conflict, Unknown:
-			// Another node has the token, or nobody knows who has: take the next.
+			// Another node may hold this token, so try the next one.
 			a.acquireToken()
 		default:
 			a.tokenUnavailable()
@@ -77,7 +80,8 @@
 	})
 }
 
-// tokenUnavailable sends the waiting agents to other controllers.
+// tokenUnavailable refuses the waiting heartbeats, so that their agents turn to other
+// controllers.
 func (a *agentController) tokenUnavailable() {
 	a.tokens.acquiring = false
 	for _, heartbeat := range a.tokens.takeWaitingHeartbeats() {
@@ -85,7 +89,7 @@
 	}
 }
 
-// tokenAcquired makes a token the current one, for all agents that wait for it.
+// tokenAcquired makes a token the current one, and applies it to all agents that wait for it.
 func (a *agentController) tokenAcquired(token uint64) {
 	a.tokens.current = token
 	a.tokens.acquired[token] = true
@@ -102,18 +106,18 @@
 	}
 }
 
-// raiseToken moves an agent to the current token and tells it at once.
+// raiseToken moves an agent to the current token and delivers that token at once.
 func (a *agentController) raiseToken(machine string, session *agentSession) {
 	session.setToken(a.tokens.current)
 	session.probeDue = true
-	// Leaders must not bind under the token before any more.
+	// Leaders must not bind tasks under the previous token any more.
 	if m := a.core.machines.Get(machine); m != nil {
 		a.core.shareObservation(Observation{Node: a.cfg.Node, Token: session.token, Report: m.Report})
 	}
 	a.deliverTo(machine, session)
 }
 
-// fence raises an agent's token above one under which a start is unresolved.
+// fence raises an agent's token above one under which the outcome of a start is unknown.
 func (a *agentController) fence(f Fence) {
 	session := a.session(f.Machine)
 	if session == nil || session.token > f.Above {
@@ -127,8 +131,8 @@
 	a.acquireToken()
 }
 
-// retryPendingRaises asks for a token again if it was not to be had before: the leaders that
-// asked for a fence may not be heard any more.
+// retryPendingRaises requests a token again if none was available before. It does not rely on
+// the leaders to repeat their fence requests, which may no longer arrive.
 func (a *agentController) retryPendingRaises() {
 	if len(a.tokens.pendingRaises) > 0 {
 		a.acquireToken()
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// A token whose write got no answer may belong to whoever writes the same number next.
+// If a token write got no reply, the token may belong to another controller that writes the
+// same number next. It must not be used.
 func TestTokenOfAnUnansweredWriteIsNotUsed(t *testing.T) {
-	for _, late := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
+	for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
 		w := newWorldOf(t, fiveNodes).ready()
-		n := 0
+		writes := 0
 		w.lateWrite = func(_ string, e StoreTxn) time.Duration {
 			if e.Txn.Then[0].Put != keyToken {
 				return 0
 			}
-			if n++; n%2 == 0 {
+			if writes++; writes%2 == 0 {
 				return 0
 			}
-			return late
+			return delay
 		}
 		for i := range 10 {
 			for _, f := range w.workers {
-				f.Token += 100 // a controller that hears of it acquires a newer token
+				f.Token += 100 // a controller that sees this token acquires a newer one
 			}
 			w.addWorker("z1", false)
 			w.workers[fmt.Sprintf("vm-%06d", w.rented)].Token = uint64(1000 + i)
 			w.run(2*time.Second, nil)
 		}
-		w.run(20*time.Second, nil) // the world checks whose each token is
-		if n < 5 {
-			t.Errorf("%d tokens were written", n)
+		w.run(20*time.Second, nil) // the simulation checks that each token has one owner
+		if writes < 5 {
+			t.Errorf("got %d token writes, want at least 5", writes)
 		}
 	}
 }
 
-// A probe without an answer leaves no start unresolved, and needs no newer token.
+// An unanswered probe leaves no start with an unknown outcome, so it needs no newer token.
 func TestHungMachineCostsOneTokenNotOnePerProbe(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 2, ""))
 	if !w.run(time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("job did not end")
 	}
-	highest := func() uint64 {
-		most := uint64(0)
+	highestToken := func() uint64 {
+		token := uint64(0)
 		for _, c := range w.cores {
-			most = max(most, c.agents.tokens.current)
+			token = max(token, c.agents.tokens.current)
 		}
-		return most
+		return token
 	}
 	for _, f := range w.workers {
 		f.dead = true
 	}
-	before := highest()
+	before := highestToken()
 	accepted(t, w.submit("b", "req-blue-2", 2, ""))
 	w.run(15*time.Second, nil)
-	if taken := highest() - before; taken == 0 || taken > 4 {
-		t.Errorf("%d tokens were acquired, want one or a few", taken)
+	if acquiredTokens := highestToken() - before; acquiredTokens == 0 || acquiredTokens > 4 {
+		t.Errorf("%d tokens were acquired, want 1 to 4", acquiredTokens)
 	}
 }
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/unreachableleaders.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// actForUnreachableLeaders starts and forgets tasks on this node's machines for the leaders
-// that this node is partitioned from.
+// actForUnreachableLeaders starts and forgets tasks on this node's machines on behalf of the
+// leaders that this node is partitioned from.
 func (r *storeRelay) actForUnreachableLeaders() {
 	for session, m := range r.core.agents.ownMachines() {
 		r.startForUnreachableLeaders(session, m)
@@ -15,9 +15,9 @@
 	}
 }
 
-// startForUnreachableLeaders starts what is bound to a machine in the store, for leaders whose
-// messages may be lost: once, under exactly the token and epoch of the binding, as the
-// leader's own message would.
+// startForUnreachableLeaders starts the tasks that the store shows as bound to a machine, for
+// leaders whose messages may be lost. Each is started once, under exactly the token and epoch
+// of its binding, as if its leader had asked for it.
 func (r *storeRelay) startForUnreachableLeaders(session *agentSession, m *worker.Machine) {
 	if session.unanswered {
 		return
@@ -29,15 +29,15 @@
 			r.startForLeader(j, i, b)
 			return
 		}
-		// Whether the start has come to the worker is not known: a newer token shows it, as
-		// the leader would ask for.
+		// It is unknown whether the start has reached the worker. The leader would request a
+		// fence to find out, since a report under a newer token is conclusive.
 		if !start.refused && r.now.Steady-start.at > 2*r.reportInterval() {
 			r.core.agents.fence(Fence{Machine: m.Machine, Above: b.Token})
 		}
 	})
 }
 
-// dueForUnreachableLeader tells whether a bound task is to be started by this node.
+// dueForUnreachableLeader reports whether this node should start a bound task for its leader.
 func (r *storeRelay) dueForUnreachableLeader(
 	ref job.TaskRef, b *job.Binding, session *agentSession, m *worker.Machine,
 ) bool {
@@ -51,11 +51,11 @@
 	return evidence == worker.Inconclusive
 }
 
-// isIncompleteGang tells whether tasks of a gang are not bound yet: its tasks are started once
-// all of them are.
+// isIncompleteGang reports whether some tasks of a gang are not bound yet. The tasks of a gang
+// start only once all of them are bound.
 func isIncompleteGang(j *job.Job) bool { return j.Kind == job.Gang && len(j.Bound) < j.Tasks }
 
-// startForLeader forwards the start of a task that its leader may not be able to ask for.
+// startForLeader forwards the start of a task whose leader may not be able to request it.
 func (r *storeRelay) startForLeader(j *job.Job, i int, b *job.Binding) {
 	r.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
 	r.core.agents.forwardStart(r.core.teamBy[j.Team].leader, Start{
@@ -69,22 +69,23 @@
 	})
 }
 
-// forgetForUnreachableLeaders makes a machine forget exited tasks whose end their leader has stored.
+// forgetForUnreachableLeaders makes a machine forget exited tasks whose end their leaders have
+// already stored.
 func (r *storeRelay) forgetForUnreachableLeaders(m *worker.Machine) {
 	if m.ExitedTasks == 0 {
 		return
 	}
-	for _, t := range m.Tasks {
-		if t.State != protocol.Exited {
+	for _, taskReport := range m.Tasks {
+		if taskReport.State != protocol.Exited {
 			continue
 		}
-		id, i, ok := job.ParseTaskID(t.Task)
+		id, i, ok := job.ParseTaskID(taskReport.Task)
 		j := r.core.jobs[id]
-		if !ok || j == nil || t.Attempt > j.StoredAttempt || !r.core.partitionedFromLeader(j) {
+		if !ok || j == nil || taskReport.Attempt > j.StoredAttempt || !r.core.partitionedFromLeader(j) {
 			continue
 		}
-		if b := j.Bound[i]; b == nil || b.Attempt != t.Attempt {
-			r.core.reconciler.stopOrForgetTask(m, t)
+		if binding := j.Bound[i]; binding == nil || binding.Attempt != taskReport.Attempt {
+			r.core.reconciler.stopOrForgetTask(m, taskReport)
 		}
 	}
 }
--- a/internal/core/wire_test.go
+++ b/internal/core/wire_test.go
@@ -8,10 +8,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// The JSON library (segmentio, v0.5.4) corrupts memory where it reads a map from strings to slices
-// of strings, and the garbage collector then ends the process. So no type that is read may have
-// such a map, however deep.
-func TestNothingThatIsReadIsAMapOfStringSlices(t *testing.T) {
+// The JSON library (segmentio, v0.5.4) corrupts memory when it decodes a map from strings to
+// slices of strings, and the garbage collector then aborts the process. So no decoded type may
+// contain such a map, at any depth.
+func TestNoDecodedTypeHasAMapOfStringSlices(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type, string)
 	walk = func(typ reflect.Type, path string) {
@@ -22,7 +22,7 @@
 		switch typ.Kind() {
 		case reflect.Map:
 			if e := typ.Elem(); e.Kind() == reflect.Slice && e.Elem().Kind() == reflect.String {
-				t.Errorf("%s is %s", path, typ)
+				t.Errorf("%s is %s, which must not be decoded", path, typ)
 			}
 			walk(typ.Elem(), path+"[]")
 		case reflect.Pointer, reflect.Slice, reflect.Array:
@@ -53,6 +53,6 @@
 		walk(reflect.TypeOf(v), reflect.TypeOf(v).Name())
 	}
 	if len(seen) < 30 {
-		t.Errorf("only %d types were looked at", len(seen))
+		t.Errorf("only %d types were checked, want at least 30", len(seen))
 	}
 }
