--- a/internal/core/backoff.go
+++ b/internal/core/backoff.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// backoff is how long something is left alone; it grows each time.
+// backoff is an exponential backoff: the time until which an operation is not retried, and the
+// duration of the last pause.
 type backoff struct {
 	until time.Duration
 	last  time.Duration
 }
 
-// grow starts the next pause, twice as long as the last one, between least and most.
-func (b backoff) grow(now, least, most time.Duration) backoff {
-	b.last = min(max(2*b.last, least), most)
+// grow starts the next pause, which is twice as long as the last one, within minimum and maximum.
+func (b backoff) grow(now, minimum, maximum time.Duration) backoff {
+	b.last = min(max(2*b.last, minimum), maximum)
 	b.until = now + b.last
 	return b
 }
--- a/internal/core/bindings.go
+++ b/internal/core/bindings.go
@@ -2,14 +2,15 @@
 
 import "pepperlever/internal/core/job"
 
-// unbind ends a binding, on proof that the task is gone or was never sent.
+// unbind ends the binding of task i. The caller has proof that the task is gone or that its start
+// was never sent.
 func (c *Core) unbind(j *job.Job, i int) {
 	j.Unbind(i)
 	j.Urgent = j.Urgent || j.Kind != job.Array
 	c.requestRound()
 }
 
-// unbindUnstored ends the bindings that the store does not hold.
+// unbindUnstored ends the bindings that are not stored yet.
 func (c *Core) unbindUnstored(j *job.Job) {
 	for i, b := range ordered(j.Bound) {
 		if !b.Stored {
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -11,20 +11,20 @@
 	"pepperlever/internal/mustjson"
 )
 
-// maxOfferedJobs is how many waiting jobs the coordinator is told of at a time; more come next
-// time.
-const maxOfferedJobs = 64
+// maxWaitingJobs is the maximum number of waiting jobs in one JobsWaiting input. The rest follow in
+// later inputs.
+const maxWaitingJobs = 64
 
-// waitingJobs lists the waiting jobs that may go to another site, the most urgent first,
-// and for how long work waits here.
+// waitingJobs returns the waiting jobs that may be handed off to another site, the most urgent first,
+// and the longest wait at this site.
 func (f *federationAdapter) waitingJobs() federation.JobsWaiting {
-	jobs, longestWait := f.unboundJobs()
+	jobs, longestWait := f.handoffCandidates()
 	waiting := federation.JobsWaiting{LongestWaitS: longestWait.Seconds()}
 	if !f.core.members.allKnowFederation() {
 		return waiting
 	}
 	for _, j := range jobs {
-		if len(waiting.Jobs) == maxOfferedJobs {
+		if len(waiting.Jobs) == maxWaitingJobs {
 			break
 		}
 		infeasible := f.core.catalog.Loaded() && f.core.submissionCheck().reject(f.core.teamBy[j.Team], &j.Spec) != nil
@@ -36,9 +36,9 @@
 	return waiting
 }
 
-// unboundJobs lists the jobs that may be handed off, the most urgent first, and for how long
-// the oldest of them has waited that is neither suspected nor of the lowest priority.
-func (f *federationAdapter) unboundJobs() (jobs []*job.Job, longestWait time.Duration) {
+// handoffCandidates returns the jobs that may be handed off, the most urgent first, and the longest
+// wait among those that are neither suspected nor best-effort.
+func (f *federationAdapter) handoffCandidates() (jobs []*job.Job, longestWait time.Duration) {
 	for _, t := range f.core.teams {
 		for _, j := range ordered(t.jobs) {
 			if !f.canHandOff(j) {
@@ -59,16 +59,17 @@
 	return jobs, longestWait
 }
 
-// canHandOff tells whether nothing of a job was ever bound: only such are handed off, and
-// none that awaits others, which another site does not know.
+// canHandOff reports whether a job may be handed off: it is stored, none of its tasks was ever bound,
+// it is neither cancelled nor already handed off, and it has no dependencies, which other sites don't
+// know.
 func (f *federationAdapter) canHandOff(j *job.Job) bool {
 	neverBound := j.Attempt == 0 && len(j.Bound) == 0
 	stored := j.Version > 0 && !j.InFlight
 	return neverBound && stored && !j.Cancelled && len(j.Dependencies) == 0 && !f.core.isOutgoing(j.ID)
 }
 
-// offerableJob describes a waiting job to the coordinator. Clocks of sites differ, so of a
-// deadline it is told what is left.
+// offerableJob describes a waiting job to the coordinator. The deadline is given as the remaining
+// time, because the clocks of sites differ.
 func (f *federationAdapter) offerableJob(j *job.Job, waited time.Duration, infeasible bool) federation.WaitingJob {
 	spec := j.Spec
 	if spec.DeadlineS > 0 {
@@ -90,8 +91,8 @@
 	return offer
 }
 
-// lookUpIncomingJobs reads the final states of jobs of other sites that have ended here, for the
-// coordinator.
+// lookUpIncomingJobs looks up the final states of other sites' jobs that have ended here, and passes
+// them to the coordinator.
 func (f *federationAdapter) lookUpIncomingJobs() {
 	for _, incoming := range orderedBy(f.core.handoffs.Incoming, federation.CompareIncomingIDs) {
 		if !incoming.Accepted || incoming.FinalState != "" {
@@ -105,12 +106,12 @@
 }
 
 func (f *federationAdapter) lookUpIncomingJob(id string) {
-	if f.lookingUp[id] {
+	if f.pendingLookups[id] {
 		return
 	}
-	f.lookingUp[id] = true
+	f.pendingLookups[id] = true
 	f.core.lookups.request(id, func(result lookup.Result) {
-		delete(f.lookingUp, id)
+		delete(f.pendingLookups, id)
 		if result.Outcome == lookup.Final && f.running() {
 			f.add(federation.LocalJobEnded{LocalID: id, FinalState: result.State.State})
 		}
--- a/internal/core/federationmessages.go
+++ b/internal/core/federationmessages.go
@@ -2,9 +2,9 @@
 
 import "pepperlever/internal/federation"
 
-// FederationNote is what controllers tell one another about the federation. One of its
-// fields is set: a message of another site, a job to be cancelled, the progress of
-// jobs, an operator's request, or the reply to one.
+// FederationNote is a message about the federation between controllers of one site. Exactly one
+// field is set: a message from another site, the ID of a job to cancel, the progress of jobs at
+// other sites, an operator's request, or the reply to such a request.
 type FederationNote struct {
 	Message  *federation.Message `json:"m,omitempty"`
 	Cancel   string              `json:"c,omitempty"`
@@ -13,27 +13,27 @@
 	Reply    *OperatorReply      `json:"t,omitempty"`
 }
 
-// Progress is how many tasks of a job at another site are done and running.
+// Progress counts the done and the running tasks of a job at another site.
 type Progress struct {
 	Done    int `json:"d,omitempty"`
 	Running int `json:"r,omitempty"`
 }
 
-// OperatorRequest is an operator's query or instruction to the federation adapter.
+// OperatorRequest is an operator's query or command for the federation adapter.
 type OperatorRequest struct {
 	Req uint64         `json:"q"`
 	Op  OperatorAction `json:"o"`
-	// Name is a job or a site.
+	// Name is the job or site that the request is about.
 	Name     string `json:"name"`
 	On       bool   `json:"on"`
 	Operator string `json:"operator"`
 	Reason   string `json:"why"`
 }
 
-// OperatorAction is what an operator wants.
+// OperatorAction is the kind of an operator's request.
 type OperatorAction string
 
-// Actions of operators.
+// Operator actions.
 const (
 	ActionStatus   OperatorAction = "status"
 	ActionHandoffs OperatorAction = "handoffs"
@@ -42,20 +42,20 @@
 	ActionRenew    OperatorAction = "renew"
 )
 
-// OperatorReply answers OperatorRequest to the node that it came from.
+// OperatorReply is the reply to an OperatorRequest, sent to the node that forwarded it.
 type OperatorReply struct {
 	Req    uint64 `json:"q"`
 	Status int    `json:"s"`
 	Body   []byte `json:"b"`
 }
 
-// SiteStatus is the state of the federation adapter, and the controller that leads it.
+// SiteStatus is the status of the federation at this site, and the controller that leads it.
 type SiteStatus struct {
 	Node string `json:"node"`
 	federation.Status
 }
 
-// OperatorResult is the outcome of an operator's instruction.
+// OperatorResult is the outcome of an operator's command.
 type OperatorResult struct {
 	Message string `json:"said"`
 }
--- a/internal/core/federationoperators.go
+++ b/internal/core/federationoperators.go
@@ -8,30 +8,32 @@
 	"pepperlever/internal/protocol"
 )
 
-// errNoFederation answers operators of a controller without a federation.
+// errNoFederation rejects operators' requests to a controller without a federation.
 var errNoFederation = &rejection{http.StatusNotFound, "this controller has no gateway"}
 
-// operator is where an operator's request came from.
-type operator struct {
+// requestOrigin identifies the node that an operator's request came from, and the request's ID there.
+type requestOrigin struct {
 	node string
 	req  uint64
 }
 
-// operatorRequests holds the requests of operators that the coordinator has not answered, by
-// the number that it answers to.
-type operatorRequests struct {
-	pending map[uint64]operator
+// operatorRequestTable holds the origins of operators' requests that the coordinator has not answered
+// yet, by the ID that the coordinator uses for them.
+type operatorRequestTable struct {
+	pending map[uint64]requestOrigin
 	lastID  uint64
 }
 
-func newOperatorRequests() operatorRequests { return operatorRequests{pending: map[uint64]operator{}} }
+func newOperatorRequestTable() operatorRequestTable {
+	return operatorRequestTable{pending: map[uint64]requestOrigin{}}
+}
 
-// maxOperatorRequests bounds the pending requests. Past it all are dropped: their clients have
-// long gone.
+// maxOperatorRequests limits the pending requests. When it is reached, all of them are dropped:
+// their clients have timed out long before.
 const maxOperatorRequests = 64
 
-// add numbers a request.
-func (r *operatorRequests) add(from operator) (id uint64) {
+// add registers a request and returns its ID.
+func (r *operatorRequestTable) add(from requestOrigin) (id uint64) {
 	if len(r.pending) >= maxOperatorRequests {
 		clear(r.pending)
 	}
@@ -40,14 +42,15 @@
 	return r.lastID
 }
 
-// take removes the request of a number.
-func (r *operatorRequests) take(id uint64) (from operator, pending bool) {
+// take removes and returns the request with an ID, if it is pending.
+func (r *operatorRequestTable) take(id uint64) (from requestOrigin, pending bool) {
 	from, pending = r.pending[id]
 	delete(r.pending, id)
 	return from, pending
 }
 
-// handleOperatorRequest takes an operator's request, and passes it to the coordinator's leader.
+// handleOperatorRequest handles an operator's request, or forwards it to the controller that runs the
+// coordinator.
 func (c *Core) handleOperatorRequest(m OperatorRequest) {
 	f := c.federation
 	switch {
@@ -56,7 +59,7 @@
 	case m.Op == ActionHandoffs:
 		c.reply(m.Req, http.StatusOK, federation.ListHandOffs(&c.handoffs.Records))
 	case f.running():
-		c.federation.runOperatorRequest(operator{c.cfg.Node, m.Req}, m)
+		c.federation.runOperatorRequest(requestOrigin{c.cfg.Node, m.Req}, m)
 	case f.shard.leader == "":
 		c.replyUnavailable(m.Req)
 	default:
@@ -64,9 +67,9 @@
 	}
 }
 
-// runOperatorRequest answers a query at the coordinator's leader, or hands an instruction to the
-// coordinator.
-func (f *federationAdapter) runOperatorRequest(from operator, m OperatorRequest) {
+// runOperatorRequest answers a status query or passes a command to the coordinator. It is called
+// where the coordinator runs.
+func (f *federationAdapter) runOperatorRequest(from requestOrigin, m OperatorRequest) {
 	if m.Op == ActionStatus {
 		f.replyStatus(from)
 		return
@@ -82,8 +85,9 @@
 	}
 }
 
-// replyStatus answers an operator with the state of the hand-offs, once the records are loaded.
-func (f *federationAdapter) replyStatus(to operator) {
+// replyStatus replies to an operator with the status of the hand-offs. It fails while the coordinator
+// has not loaded its records.
+func (f *federationAdapter) replyStatus(to requestOrigin) {
 	if !f.coordinator.Loaded() {
 		f.replyOperator(to, http.StatusServiceUnavailable, protocol.Problem{Error: "records are not loaded yet"})
 		return
@@ -91,8 +95,9 @@
 	f.replyOperator(to, http.StatusOK, SiteStatus{Node: f.core.cfg.Node, Status: f.coordinator.Status()})
 }
 
-// answerOperator ends an operator's request; users were answered at once.
-func (f *federationAdapter) answerOperator(answer federation.Answer) {
+// handleAnswer replies to the operator's request that the coordinator has answered. Answers for which
+// no request is pending are dropped.
+func (f *federationAdapter) handleAnswer(answer federation.Answer) {
 	from, pending := f.operators.take(answer.Req)
 	switch {
 	case !pending:
@@ -103,8 +108,8 @@
 	}
 }
 
-// replyOperator answers an operator, by way of the controller that the request came from.
-func (f *federationAdapter) replyOperator(to operator, status int, body any) {
+// replyOperator sends a reply to an operator, through the controller that the request came from.
+func (f *federationAdapter) replyOperator(to requestOrigin, status int, body any) {
 	if to.node == f.core.cfg.Node {
 		f.core.reply(to.req, status, body)
 		return
--- a/internal/core/federationrouting.go
+++ b/internal/core/federationrouting.go
@@ -7,45 +7,46 @@
 	"pepperlever/internal/federation"
 )
 
-// handleSiteMessage takes a message of another site, and passes it to the coordinator's leader
-// if that is another controller.
+// handleSiteMessage handles a message from another site, or forwards it to the controller that runs
+// the coordinator.
 func (f *federationAdapter) handleSiteMessage(m federation.Message) {
 	switch {
 	case f == nil:
 	case f.running():
-		f.handleMessageAsLeader(m)
+		f.passToCoordinator(m)
 	case f.shard.leader != "" && f.shard.leader != f.core.cfg.Node:
 		f.core.route(f.shard.leader, PeerMessage{Federation: &FederationNote{Message: &m}})
 	}
 }
 
-// handleMessageAsLeader hands a message of another site to the coordinator.
-func (f *federationAdapter) handleMessageAsLeader(m federation.Message) {
+// passToCoordinator passes a message from another site to the coordinator.
+func (f *federationAdapter) passToCoordinator(m federation.Message) {
 	input := federation.MessageReceived{Message: m}
 	if m.Kind == federation.KindOffer && m.Ticket != nil {
 		if !f.core.catalog.Loaded() {
-			return // it is offered again
+			return // the other site offers the job again
 		}
 		input.Infeasible = f.infeasibleReason(m.Ticket)
 	}
 	if m.Kind == federation.KindDecision && m.Accepted {
-		f.noteRemoteProgress(m)
+		f.recordRemoteProgress(m)
 	}
 	f.add(input)
 }
 
-// noteRemoteProgress notes how a job at another site gets on, and tells all controllers.
-func (f *federationAdapter) noteRemoteProgress(m federation.Message) {
+// recordRemoteProgress records the progress of a job at another site and broadcasts it to all
+// controllers.
+func (f *federationAdapter) recordRemoteProgress(m federation.Message) {
 	id, found := f.coordinator.OutgoingJob(m.From, m.Epoch)
 	if !found {
 		return
 	}
-	f.core.handoffs.noteProgress(id, Progress{m.Done, m.Running})
+	f.core.handoffs.recordProgress(id, Progress{m.Done, m.Running})
 	progress := map[string]Progress{id: f.core.handoffs.progressOf(id)}
 	f.core.broadcast(PeerMessage{Federation: &FederationNote{Progress: progress}})
 }
 
-// infeasibleReason tells why a job of another site can never run here, or nothing.
+// infeasibleReason returns why a job of another site can never run here, or "" if it can.
 func (f *federationAdapter) infeasibleReason(t *federation.Ticket) string {
 	spec, err := job.Parse(t.Body, f.core.limits.maxSpecBytes())
 	if err != nil {
@@ -60,14 +61,15 @@
 	return ""
 }
 
-// cancelOutgoing has the site that a job was handed to asked for its end. The user is told when
-// it has one.
+// cancelOutgoing forwards the cancellation of an outgoing job to the other site. The user gets a
+// temporary error and must retry: the cancellation is confirmed only once that site has reported the
+// end of the job.
 func (c *Core) cancelOutgoing(m Cancel) {
 	c.replyUnavailable(m.Req)
 	c.federation.forward(FederationNote{Cancel: m.ID})
 }
 
-// forward passes a note to the coordinator's leader.
+// forward passes a note to the controller that runs the coordinator.
 func (f *federationAdapter) forward(note FederationNote) {
 	switch {
 	case f == nil || f.shard.leader == "":
@@ -78,22 +80,22 @@
 	}
 }
 
-// handleNote takes what another controller says about the federation.
+// handleNote handles a note about the federation from a controller of this site.
 func (f *federationAdapter) handleNote(from string, note FederationNote) {
 	switch {
 	case f == nil:
 	case note.Message != nil:
-		if f.running() { // it is not passed on a second time
-			f.handleMessageAsLeader(*note.Message)
+		if f.running() { // never forwarded a second time
+			f.passToCoordinator(*note.Message)
 		}
 	case note.Progress != nil:
 		for id, progress := range note.Progress {
-			f.core.handoffs.noteProgress(id, progress)
+			f.core.handoffs.recordProgress(id, progress)
 		}
 	case note.Cancel != "" && f.running():
 		f.add(federation.CancelRequested{JobID: note.Cancel})
 	case note.Request != nil && f.running():
-		f.runOperatorRequest(operator{from, note.Request.Req}, *note.Request)
+		f.runOperatorRequest(requestOrigin{from, note.Request.Req}, *note.Request)
 	case note.Reply != nil:
 		f.core.reply(note.Reply.Req, note.Reply.Status, json.RawMessage(note.Reply.Body))
 	}
--- a/internal/core/federationstatus_test.go
+++ b/internal/core/federationstatus_test.go
@@ -10,16 +10,17 @@
 	"pepperlever/internal/federation"
 )
 
-// Guards against a controller that ends: an operator asked for the state of hand-offs in the step in
-// which it took the federation's leadership and had not loaded the records.
-func TestOperatorsStatusRequestWaitsForTheRecords(t *testing.T) {
+// Guards against a panic: an operator requested the status of the federation in the same step in
+// which the controller became the federation's leader, before the coordinator had loaded its
+// records.
+func TestOperatorStatusBeforeRecordsAreLoaded(t *testing.T) {
 	w, _ := newFederatedWorld(t)
 	former := w.cores["a"].federation.shard.leader
 	w.crash(former)
 	w.expire(former)
 	next := ""
 	if !w.run(30*time.Second, func() bool { next = w.unseenFederationLeader(former); return next != "" }) {
-		t.Fatal("the federation has no other leader")
+		t.Fatal("no other controller became the federation's leader")
 	}
 	w.sendEvents(next)
 	early, late := w.nextReq+1, w.nextReq+2
@@ -27,20 +28,20 @@
 	w.send(next, OperatorRequest{Req: early, Op: ActionStatus})
 	w.step(next)
 	if !w.cores[next].federation.running() {
-		t.Fatal("it does not lead the federation")
+		t.Fatal("the new leader does not run the coordinator")
 	}
 	if got := w.answers[early].Status; got != http.StatusServiceUnavailable {
-		t.Errorf("a request before the records are loaded got %d", got)
+		t.Errorf("status of a request before the records are loaded: got %d, want 503", got)
 	}
 	w.send(next, OperatorRequest{Req: late, Op: ActionStatus})
 	w.step(next)
-	if status, is := w.answers[late].Body.(SiteStatus); !is || len(status.Status.Peers) != 1 || status.Status.Peers[0].Site != federation.Site("far") {
-		t.Errorf("the state of hand-offs is %+v", w.answers[late].Body)
+	if status, ok := w.answers[late].Body.(SiteStatus); !ok || len(status.Status.Peers) != 1 || status.Status.Peers[0].Site != federation.Site("far") {
+		t.Errorf("federation status: got %+v, want the single peer far", w.answers[late].Body)
 	}
 }
 
-// unseenFederationLeader names a controller that the store shows as the federation's leader, and that
-// has not seen it.
+// unseenFederationLeader returns a controller other than former that is the federation's leader in
+// the store but has not seen that yet, or "" if there is none.
 func (w *world) unseenFederationLeader(former string) string {
 	for _, node := range w.names {
 		c := w.cores[node]
--- a/internal/core/federationstep.go
+++ b/internal/core/federationstep.go
@@ -6,21 +6,21 @@
 	"pepperlever/internal/federation"
 )
 
-// run hands the coordinator what has happened and carries its effects out.
+// run passes the queued inputs to the coordinator and carries out its effects.
 func (f *federationAdapter) run() {
 	if !f.running() || !f.core.replica.loaded {
 		return
 	}
-	if f.core.every(&f.jobsAt, f.core.reportInterval()/6) {
+	if f.core.every(&f.nextJobUpdate, f.core.reportInterval()/6) {
 		f.add(f.waitingJobs())
 		f.lookUpIncomingJobs()
 	}
 	if f.reloadDue(f.core.now.Steady) {
 		f.reload(f.core.handoffs.Records)
 	}
-	for len(f.inputs) > 0 || f.core.every(&f.stepAt, f.core.reportInterval()/30) {
+	for len(f.inputs) > 0 || f.core.every(&f.nextStep, f.core.reportInterval()/30) {
 		for _, effect := range f.coordinator.Step(f.core.now.Steady, f.takeInputs()...) {
-			f.carryOut(effect)
+			f.executeEffect(effect)
 		}
 		if !f.running() {
 			return
@@ -28,10 +28,10 @@
 	}
 }
 
-func (f *federationAdapter) carryOut(effect federation.Effect) {
+func (f *federationAdapter) executeEffect(effect federation.Effect) {
 	switch effect := effect.(type) {
 	case federation.StoreWrite:
-		f.store(effect)
+		f.executeWrite(effect)
 	case federation.Reload:
 		f.reloadAt = f.core.now.Steady + f.core.reportInterval()/6
 	case federation.Send:
@@ -39,11 +39,11 @@
 	case federation.CancelLocal:
 		f.core.cancel(Cancel{ID: effect.LocalID})
 	case federation.Answer:
-		f.answerOperator(effect)
+		f.handleAnswer(effect)
 	case federation.Log:
 		f.core.log(federationLogLevel(effect), effect.Text, effect.Attrs...)
 	default:
-		panic(fmt.Sprintf("core: unknown effect %T of the federation", effect))
+		panic(fmt.Sprintf("core: unknown federation effect %T", effect))
 	}
 }
 
@@ -54,7 +54,7 @@
 	return Info
 }
 
-// sendToSite sends a message to another site, with the progress of the job that it is about.
+// sendToSite sends a message to another site. A message about an accepted job includes its progress.
 func (f *federationAdapter) sendToSite(m federation.Message) {
 	incoming, accepted := f.core.handoffs.Incoming[federation.IncomingID{Origin: m.To, Epoch: m.Epoch}]
 	if accepted && m.Accepted {
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -5,9 +5,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// store carries out one write of the coordinator: a transaction on the condition
-// that this node still leads its shard, and on the records as the replica has them.
-func (f *federationAdapter) store(w federation.StoreWrite) {
+// executeWrite executes a write of the coordinator as a transaction, on the condition that this
+// node still leads the federation shard and that the records are unchanged since the replica read
+// them.
+func (f *federationAdapter) executeWrite(w federation.StoreWrite) {
 	txn, ok := f.handoffTxn(w.Write)
 	if !ok {
 		f.add(federation.WriteCompleted{ID: w.ID, Outcome: federation.Conflict})
@@ -18,19 +19,19 @@
 	coordinator := f.coordinator
 	f.core.compareAndSwap(txn, true, func(r StoreReply) {
 		if f.coordinator != coordinator {
-			return // the leadership was lost meanwhile; the replica follows the watch
+			return // the leadership was lost meanwhile; the replica is updated by the watch
 		}
 		delete(f.pendingWrites, w.ID)
 		if r.Outcome == Applied {
 			f.applyToReplica(txn.Then, r.Revision)
-			delete(f.foreignRevisions, r.Revision)
+			delete(f.unattributedRevisions, r.Revision)
 			f.broadcastAccepted(w.Write, r.Revision)
 		}
-		f.add(federation.WriteCompleted{ID: w.ID, Outcome: federationOutcome(r.Outcome)})
+		f.add(federation.WriteCompleted{ID: w.ID, Outcome: toFederationOutcome(r.Outcome)})
 	})
 }
 
-func federationOutcome(outcome Outcome) federation.Outcome {
+func toFederationOutcome(outcome Outcome) federation.Outcome {
 	switch outcome {
 	case Applied:
 		return federation.Applied
@@ -41,7 +42,7 @@
 	}
 }
 
-// applyToReplica applies the changes of a transaction ahead of the watch.
+// applyToReplica applies the changes of a transaction to the replica before the watch reports them.
 func (f *federationAdapter) applyToReplica(changes []protocol.Change, revision uint64) {
 	for _, change := range changes {
 		if change.Delete == "" {
@@ -50,11 +51,12 @@
 		}
 		f.core.onJobDelete(change.Delete, revision)
 		f.core.onDelete(change.Delete, revision)
-		f.core.handoffs.noteDeleted(change.Delete, revision)
+		f.core.handoffs.recordDeletion(change.Delete, revision)
 	}
 }
 
-// broadcastAccepted tells the leader of an accepted job's team at once.
+// broadcastAccepted announces a job that was just accepted from another site to the other
+// controllers, so that the leader of its team needn't wait for the watch.
 func (f *federationAdapter) broadcastAccepted(w federation.Write, revision uint64) {
 	decision, ok := w.(federation.DecideIncoming)
 	if !ok || !decision.Incoming.Accepted {
--- a/internal/core/handoffkeys.go
+++ b/internal/core/handoffkeys.go
@@ -8,13 +8,13 @@
 	"pepperlever/internal/federation"
 )
 
-// Keys of the hand-offs between sites. Only the leader of the federation's shard writes them.
+// Keys of the hand-offs between sites. Only the leader of the federation shard writes them.
 const (
-	keyOutgoing     = keyFederation + "a/" // j/ga/<job>: another site has the right to run it
-	keyIncoming     = keyFederation + "t/" // j/gt/<origin>/<epoch>: what was decided here
-	keyLowWaterMark = keyFederation + "f/" // j/gf/<origin>: the epoch up to which all is closed
-	keyLastEpoch    = keyFederation + "e/" // j/ge/<site>: the highest epoch given to it
-	keyDrained      = keyFederation + "d/" // j/gd/<site>: no new hand-offs with it
+	keyOutgoing     = keyFederation + "a/" // j/ga/<job>: an outgoing hand-off; another site may run the job
+	keyIncoming     = keyFederation + "t/" // j/gt/<origin>/<epoch>: an incoming hand-off and this site's decision
+	keyLowWaterMark = keyFederation + "f/" // j/gf/<origin>: the epoch up to which all incoming hand-offs are closed
+	keyLastEpoch    = keyFederation + "e/" // j/ge/<site>: the highest epoch used for hand-offs to a site
+	keyDrained      = keyFederation + "d/" // j/gd/<site>: the site is drained; no new hand-offs with it
 )
 
 func outgoingKey(id string) string { return keyOutgoing + id }
@@ -29,7 +29,8 @@
 
 func drainedKey(site federation.Site) string { return keyDrained + string(site) }
 
-// parseHandoffKey splits the key of a record into the prefix of its kind and its name.
+// parseHandoffKey splits the key of a hand-off record into its kind, which is the key prefix, and its
+// name.
 func parseHandoffKey(key string) (kind, name string, err error) {
 	for _, kind := range []string{keyOutgoing, keyIncoming, keyLowWaterMark, keyLastEpoch, keyDrained} {
 		if name, found := strings.CutPrefix(key, kind); found {
@@ -39,7 +40,7 @@
 	return "", "", fmt.Errorf("parse hand-off key %q: %w", key, strconv.ErrSyntax)
 }
 
-// parseIncomingID reads the name of an incoming hand-off's record.
+// parseIncomingID parses the name of an incoming hand-off's record.
 func parseIncomingID(name string) (federation.IncomingID, error) {
 	origin, number, _ := strings.Cut(name, "/")
 	epoch, err := strconv.ParseUint(number, 10, 64)
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -13,84 +13,87 @@
 	"pepperlever/internal/protocol"
 )
 
-// handoffReplica is the replica of the hand-offs on every controller, with a federation or
-// without: a job that is handed off is bound nowhere here.
+// handoffReplica is the replica of the hand-off records. Every controller has one, even without a
+// federation configuration, because no task of an outgoing job may be bound at this site.
 type handoffReplica struct {
 	federation.Records
-	// versions are the keys' versions.
+	// versions holds the version of each stored key.
 	versions map[string]uint64
-	// deletions are the revisions of deletions that the watch has not told yet, by key.
-	deletions map[string]uint64
-	// unconfirmed holds when jobs were found to be handed off before their records came.
+	// unwatchedDeletions holds, by key, the revisions of deletions that were applied before the
+	// watch reported them.
+	unwatchedDeletions map[string]uint64
+	// unconfirmed holds the jobs that a failed write has shown to be handed off, but whose records
+	// have not arrived yet, with the time of that write's reply.
 	unconfirmed map[string]time.Duration
-	// progress is what other sites have told of jobs that were handed to them, for display.
+	// progress holds the progress of outgoing jobs as reported by other sites. It is only displayed.
 	progress map[string]Progress
 }
 
 func newHandoffReplica() handoffReplica {
 	return handoffReplica{
-		Records:     federation.NewRecords(),
-		versions:    map[string]uint64{},
-		deletions:   map[string]uint64{},
-		unconfirmed: map[string]time.Duration{},
-		progress:    map[string]Progress{},
+		Records:            federation.NewRecords(),
+		versions:           map[string]uint64{},
+		unwatchedDeletions: map[string]uint64{},
+		unconfirmed:        map[string]time.Duration{},
+		progress:           map[string]Progress{},
 	}
 }
 
-// keys lists the stored keys of the replica.
+// keys iterates over the stored keys of the replica.
 func (r *handoffReplica) keys() iter.Seq[string] { return maps.Keys(r.versions) }
 
-// anyStored tells whether any hand-off is stored.
+// anyStored reports whether any hand-off record is stored.
 func (r *handoffReplica) anyStored() bool { return len(r.versions) > 0 }
 
-// noteProgress notes how a job at another site gets on. What was done stays done.
-func (r *handoffReplica) noteProgress(id string, progress Progress) {
+// recordProgress records the progress of a job at another site. The number of done tasks never
+// decreases.
+func (r *handoffReplica) recordProgress(id string, progress Progress) {
 	if _, outgoing := r.Outgoing[id]; outgoing {
 		progress.Done = max(progress.Done, r.progress[id].Done)
 		r.progress[id] = progress
 	}
 }
 
-// progressOf is how an outgoing job gets on, as far as its site has told.
+// progressOf returns the last known progress of an outgoing job.
 func (r *handoffReplica) progressOf(id string) Progress { return r.progress[id] }
 
-// progressCopy is how all outgoing jobs get on, as far as their sites have told.
+// progressCopy returns a copy of the last known progress of all outgoing jobs.
 func (r *handoffReplica) progressCopy() map[string]Progress { return maps.Clone(r.progress) }
 
-// lacksProgress tells whether nobody here knows how an accepted job at another site gets on:
-// anything said of it might be older than what its user was told before.
+// lacksProgress reports whether the progress of an accepted job at another site is unknown. Any
+// answer about it might then be older than what its user was told before.
 func (r *handoffReplica) lacksProgress(id string) bool {
 	_, known := r.progress[id]
 	return r.Outgoing[id].Accepted && !known
 }
 
-// noteDeleted notes that a record is deleted, ahead of the watch.
-func (r *handoffReplica) noteDeleted(key string, revision uint64) {
+// recordDeletion records the deletion of a record before the watch reports it.
+func (r *handoffReplica) recordDeletion(key string, revision uint64) {
 	if _, _, err := parseHandoffKey(key); err == nil {
-		r.deletions[key] = revision
+		r.unwatchedDeletions[key] = revision
 	}
 }
 
-// isOlder tells whether a stored record is older than what the replica holds.
-func (r *handoffReplica) isOlder(item protocol.KeyValue) bool {
-	return r.versions[item.Key] >= item.Version || r.deletions[item.Key] > item.Version
+// isStale reports whether a stored record is not newer than what the replica reflects.
+func (r *handoffReplica) isStale(item protocol.KeyValue) bool {
+	return r.versions[item.Key] >= item.Version || r.unwatchedDeletions[item.Key] > item.Version
 }
 
-// put reads a stored record.
-func (r *handoffReplica) put(item protocol.KeyValue) error {
+// applyRecord applies a stored record to the replica.
+func (r *handoffReplica) applyRecord(item protocol.KeyValue) error {
 	kind, name, err := parseHandoffKey(item.Key)
 	if err != nil {
 		return err
 	}
 	switch kind {
 	case keyOutgoing:
-		err = r.putOutgoing(name, item.Value)
+		err = r.applyOutgoing(name, item.Value)
 	case keyIncoming:
-		err = r.putIncoming(name, item.Value)
+		err = r.applyIncoming(name, item.Value)
 	case keyLowWaterMark:
-		err = putEpoch(r.LowWaterMarks, federation.Site(name), item.Value)
+		err = applyEpoch(r.LowWaterMarks, federation.Site(name), item.Value)
 	case keyLastEpoch:
-		err = putEpoch(r.LastEpochs, federation.Site(name), item.Value)
+		err = applyEpoch(r.LastEpochs, federation.Site(name), item.Value)
 	case keyDrained:
 		r.Drained[federation.Site(name)] = true
 	}
@@ -101,15 +104,15 @@
 	return nil
 }
 
-func (r *handoffReplica) putOutgoing(id string, value json.RawMessage) error {
+func (r *handoffReplica) applyOutgoing(id string, value json.RawMessage) error {
 	var outgoing federation.Outgoing
 	err := json.Unmarshal(value, &outgoing)
-	r.Outgoing[id] = outgoing // even if malformed: the job is not to run here
+	r.Outgoing[id] = outgoing // even if malformed, since the job must not run here
 	delete(r.unconfirmed, id)
 	return err
 }
 
-func (r *handoffReplica) putIncoming(name string, value json.RawMessage) error {
+func (r *handoffReplica) applyIncoming(name string, value json.RawMessage) error {
 	id, err := parseIncomingID(name)
 	if err != nil {
 		return err
@@ -120,19 +123,19 @@
 	return err
 }
 
-// putEpoch reads an epoch of a site, which never falls.
-func putEpoch(epochs map[federation.Site]federation.Epoch, site federation.Site, value json.RawMessage) error {
+// applyEpoch applies a stored epoch of a site. Epochs never decrease.
+func applyEpoch(epochs map[federation.Site]federation.Epoch, site federation.Site, value json.RawMessage) error {
 	var epoch federation.Epoch
 	err := json.Unmarshal(value, &epoch)
 	epochs[site] = max(epochs[site], epoch)
 	return err
 }
 
-// remove applies a deletion that the watch tells of, and reports whether the replica held a
-// record of it.
-func (r *handoffReplica) remove(key string, revision uint64) (removed bool) {
-	if r.deletions[key] == revision {
-		delete(r.deletions, key) // applied already
+// applyDeletion applies a deletion that the watch reports, and reports whether it removed a record
+// from the replica.
+func (r *handoffReplica) applyDeletion(key string, revision uint64) (removed bool) {
+	if r.unwatchedDeletions[key] == revision {
+		delete(r.unwatchedDeletions, key) // applied already
 		return false
 	}
 	version, found := r.versions[key]
@@ -158,7 +161,7 @@
 	return true
 }
 
-// isOutgoing tells whether another site has the right to run a job.
+// isOutgoing reports whether a job is handed off to another site, which alone may run it.
 func (c *Core) isOutgoing(id string) bool {
 	if _, outgoing := c.handoffs.Outgoing[id]; outgoing {
 		return true
@@ -167,8 +170,9 @@
 	return unconfirmed && c.now.Steady-since < c.reportInterval()
 }
 
-// notHandedOff is the condition that a job has not been handed off. Without a federation none
-// is: all controllers of a site have one, by their own keys, before anything is handed off.
+// notHandedOff returns the condition that a job is not handed off. A controller without a federation
+// needs none: jobs are handed off only while the node keys of all live controllers show that they
+// have a federation.
 func (c *Core) notHandedOff(id string) []protocol.Condition {
 	if c.federation == nil {
 		return nil
@@ -176,12 +180,12 @@
 	return []protocol.Condition{{Key: outgoingKey(id)}}
 }
 
-// ignoresHandoffs tells whether this node must not lead anything: hand-offs are stored, and it
-// has no federation to keep away from the jobs.
+// ignoresHandoffs reports whether this node must not lead any shard, because hand-offs are stored and
+// the node has no federation configuration, so that it would run jobs that were handed off.
 func (c *Core) ignoresHandoffs() bool { return c.federation == nil && c.handoffs.anyStored() }
 
-// onHandedOff ends the bindings that could not be stored since the job is handed off. Its
-// record is on its way.
+// onHandedOff ends the unstored bindings of a job after a write has failed because the job is handed
+// off. The watch has not delivered the hand-off's record yet.
 func (c *Core) onHandedOff(j *job.Job) {
 	c.handoffs.unconfirmed[j.ID] = c.now.Steady
 	for i, b := range j.Bound {
@@ -191,24 +195,24 @@
 	}
 }
 
-// onFederationPut applies a stored record to the replica.
+// onFederationPut applies a stored hand-off record to the replica.
 func (c *Core) onFederationPut(item protocol.KeyValue) error {
-	if c.handoffs.isOlder(item) {
+	if c.handoffs.isStale(item) {
 		return nil
 	}
 	if c.federation == nil && !c.handoffs.anyStored() {
-		c.log(Error, "hand-offs are stored and this controller has no federation configuration: it will not lead any shard")
+		c.log(Error, "hand-offs are stored but this controller has no federation configuration; it will not lead any shard")
 	}
-	if err := c.handoffs.put(item); err != nil {
+	if err := c.handoffs.applyRecord(item); err != nil {
 		return err
 	}
-	c.federation.noteChange(item.Version)
+	c.federation.recordChange(item.Version)
 	return nil
 }
 
-// onFederationDelete applies the deletion of a record to the replica.
+// onFederationDelete applies the deletion of a hand-off record to the replica.
 func (c *Core) onFederationDelete(key string, revision uint64) {
-	if !c.handoffs.remove(key, revision) {
+	if !c.handoffs.applyDeletion(key, revision) {
 		return
 	}
 	if kind, id, _ := parseHandoffKey(key); kind == keyOutgoing {
@@ -217,5 +221,5 @@
 			j.PendingSince = c.now.Steady
 		}
 	}
-	c.federation.noteChange(revision)
+	c.federation.recordChange(revision)
 }
--- a/internal/core/handofftxns.go
+++ b/internal/core/handofftxns.go
@@ -8,8 +8,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// handoffTxn is the transaction of a write of the coordinator. It is not ok if the replica shows
-// that it would fail.
+// handoffTxn returns the transaction for a write of the coordinator. ok is false if the replica shows
+// that the transaction would fail.
 func (f *federationAdapter) handoffTxn(w federation.Write) (txn protocol.Txn, ok bool) {
 	switch w := w.(type) {
 	case federation.CreateOutgoing:
@@ -33,11 +33,12 @@
 	case federation.SetLastEpoch:
 		return f.core.handoffs.setLastEpochTxn(w), true
 	}
-	panic(fmt.Sprintf("core: unknown write %T of the federation", w))
+	panic(fmt.Sprintf("core: unknown federation write %T", w))
 }
 
-// createOutgoingTxn gives the right to run a job to another site. That the head is unchanged
-// shows that nothing is bound; a binding that comes later finds the record.
+// createOutgoingTxn returns the transaction that hands a job off to another site. The condition that
+// the head is unchanged ensures that no task is bound; the write of a later binding fails because of
+// the hand-off's record.
 func (f *federationAdapter) createOutgoingTxn(w federation.CreateOutgoing) (protocol.Txn, bool) {
 	out := w.Outgoing
 	out.HandedOffAt = f.core.now.Wall
@@ -45,7 +46,7 @@
 	if j == nil || !f.canHandOff(j) || !f.core.members.allKnowFederation() || out.Epoch != f.core.handoffs.LastEpochs[out.To]+1 {
 		return protocol.Txn{}, false
 	}
-	conditions := f.core.handoffs.unchanged(lastEpochKey(out.To), outgoingKey(j.ID))
+	conditions := f.core.handoffs.unchangedConditions(lastEpochKey(out.To), outgoingKey(j.ID))
 	return protocol.Txn{
 		If: append(conditions,
 			protocol.Condition{Key: jobKey(j.ID), Version: j.Version},
@@ -58,25 +59,26 @@
 	}, true
 }
 
-// revertOutgoingTxn takes the right to run a job back, or ends the job if its user wanted that.
+// revertOutgoingTxn returns the transaction that takes a job back from another site, or that ends the
+// job if its user has cancelled it.
 func (f *federationAdapter) revertOutgoingTxn(w federation.RevertOutgoing) (protocol.Txn, bool) {
-	outgoing := f.core.handoffs.isOutgoingUnder(w.JobID, w.Epoch)
+	outgoing := f.core.handoffs.isOutgoingWithEpoch(w.JobID, w.Epoch)
 	if w.Cancelled {
 		return f.endOutgoingTxn(w.JobID, protocol.Cancelled), outgoing
 	}
 	key := outgoingKey(w.JobID)
-	return protocol.Txn{If: f.core.handoffs.unchanged(key), Then: []protocol.Change{{Delete: key}}}, outgoing
+	return protocol.Txn{If: f.core.handoffs.unchangedConditions(key), Then: []protocol.Change{{Delete: key}}}, outgoing
 }
 
 func (f *federationAdapter) finishOutgoingTxn(w federation.FinishOutgoing) (protocol.Txn, bool) {
 	if f.core.jobs[w.JobID] == nil {
 		return protocol.Txn{}, false
 	}
-	return f.endOutgoingTxn(w.JobID, w.FinalState), f.core.handoffs.isOutgoingUnder(w.JobID, w.Epoch)
+	return f.endOutgoingTxn(w.JobID, w.FinalState), f.core.handoffs.isOutgoingWithEpoch(w.JobID, w.Epoch)
 }
 
-// endOutgoingTxn stores the final state of a job at another site. The head of a cancelled one is
-// left to its leader, as any cancelled job's.
+// endOutgoingTxn returns the transaction that stores the final state of an outgoing job. The head
+// of a cancelled job is deleted by the leader of its team, as for any other cancelled job.
 func (f *federationAdapter) endOutgoingTxn(id, state string) protocol.Txn {
 	final := finalStateRecord{State: state}
 	var end protocol.Change
@@ -87,17 +89,18 @@
 		end = protocol.Change{Delete: jobKey(id)}
 	}
 	return protocol.Txn{
-		If:   append(f.core.handoffs.unchanged(outgoingKey(id)), protocol.Condition{Key: keyState + id}),
+		If:   append(f.core.handoffs.unchangedConditions(outgoingKey(id)), protocol.Condition{Key: keyState + id}),
 		Then: []protocol.Change{putJSON(keyState+id, final), end, {Delete: outgoingKey(id)}},
 	}
 }
 
-// decideIncomingTxn stores a decision for good, with the job if it is accepted.
+// decideIncomingTxn returns the transaction that stores the decision on an incoming hand-off, which
+// is final, and the job if it is accepted.
 func (f *federationAdapter) decideIncomingTxn(w federation.DecideIncoming) (protocol.Txn, bool) {
 	incoming := w.Incoming
 	incoming.DecidedAt = f.core.now.Wall
 	txn := protocol.Txn{
-		If:   f.core.handoffs.unchanged(lowWaterMarkKey(w.ID.Origin), incomingKey(w.ID)),
+		If:   f.core.handoffs.unchangedConditions(lowWaterMarkKey(w.ID.Origin), incomingKey(w.ID)),
 		Then: []protocol.Change{putJSON(incomingKey(w.ID), incoming)},
 	}
 	_, decided := f.core.handoffs.Incoming[w.ID]
@@ -115,14 +118,14 @@
 	return txn, true
 }
 
-// isOutgoingUnder tells whether the replica shows a job to be handed off under an epoch.
-func (r *handoffReplica) isOutgoingUnder(id string, epoch federation.Epoch) bool {
+// isOutgoingWithEpoch reports whether the replica shows that a job is handed off under an epoch.
+func (r *handoffReplica) isOutgoingWithEpoch(id string, epoch federation.Epoch) bool {
 	outgoing, found := r.Outgoing[id]
 	return found && outgoing.Epoch == epoch
 }
 
-// unchanged is the condition that records are as the replica has them.
-func (r *handoffReplica) unchanged(keys ...string) []protocol.Condition {
+// unchangedConditions returns the conditions that stored records are as the replica has them.
+func (r *handoffReplica) unchangedConditions(keys ...string) []protocol.Condition {
 	var conditions []protocol.Condition
 	for _, key := range keys {
 		conditions = append(conditions, protocol.Condition{Key: key, Version: r.versions[key]})
@@ -130,27 +133,28 @@
 	return conditions
 }
 
-// changeOutgoingTxn changes the record of a job that is handed off under an epoch.
+// changeOutgoingTxn returns the transaction that changes the record of a job that is handed off under
+// an epoch.
 func (r *handoffReplica) changeOutgoingTxn(id string, epoch federation.Epoch, change func(*federation.Outgoing)) (protocol.Txn, bool) {
 	outgoing := r.Outgoing[id]
 	change(&outgoing)
 	key := outgoingKey(id)
-	txn := protocol.Txn{If: r.unchanged(key), Then: []protocol.Change{putJSON(key, outgoing)}}
-	return txn, r.isOutgoingUnder(id, epoch)
+	txn := protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, outgoing)}}
+	return txn, r.isOutgoingWithEpoch(id, epoch)
 }
 
 func (r *handoffReplica) finishIncomingTxn(w federation.FinishIncoming) (protocol.Txn, bool) {
 	incoming, found := r.Incoming[w.ID]
 	incoming.FinalState = w.FinalState
 	key := incomingKey(w.ID)
-	return protocol.Txn{If: r.unchanged(key), Then: []protocol.Change{putJSON(key, incoming)}}, found
+	return protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, incoming)}}, found
 }
 
-// forgetIncomingTxn drops decisions. The final states of the jobs stay, as any job's: they tell
-// workers that come back late what to stop.
+// forgetIncomingTxn returns the transaction that deletes closed decisions. The final states of their
+// jobs are kept, like those of any job, so that tasks on workers that reconnect late are stopped.
 func (r *handoffReplica) forgetIncomingTxn(w federation.ForgetIncoming) protocol.Txn {
 	key := lowWaterMarkKey(w.Origin)
-	txn := protocol.Txn{If: r.unchanged(key), Then: []protocol.Change{putJSON(key, w.LowWaterMark)}}
+	txn := protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, w.LowWaterMark)}}
 	for _, id := range w.IDs {
 		txn.Then = append(txn.Then, protocol.Change{Delete: incomingKey(id)})
 	}
@@ -163,10 +167,10 @@
 	if w.Drained {
 		change = putJSON(key, struct{}{})
 	}
-	return protocol.Txn{If: r.unchanged(key), Then: []protocol.Change{change}}
+	return protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{change}}
 }
 
 func (r *handoffReplica) setLastEpochTxn(w federation.SetLastEpoch) protocol.Txn {
 	key := lastEpochKey(w.Site)
-	return protocol.Txn{If: r.unchanged(key), Then: []protocol.Change{putJSON(key, w.Epoch)}}
+	return protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, w.Epoch)}}
 }
--- a/internal/core/incominghandoffs_test.go
+++ b/internal/core/incominghandoffs_test.go
@@ -11,11 +11,11 @@
 	"pepperlever/internal/protocol"
 )
 
-// A job of another site runs here under an id of its own, which users can neither
-// hand in nor cancel, and its end is reported until the other site has closed it.
+// A job of another site runs here under an ID that users can neither submit nor cancel. Its end is
+// reported until the other site has closed the hand-off.
 func TestIncomingJobRunsAndItsEndIsReported(t *testing.T) {
 	w, f := newFederatedWorld(t)
-	f.play(10*time.Second, func() bool { return false })
+	f.serveUntil(10*time.Second, func() bool { return false })
 	offer := func(epoch federation.Epoch, body string) federation.Message {
 		return federation.Message{Kind: federation.KindOffer, Epoch: epoch, Ticket: &federation.Ticket{Origin: "far", To: "near", JobID: "req-x",
 			Class: "k", Epoch: epoch, Path: []federation.Site{"far"}, Body: json.RawMessage(body)}}
@@ -30,27 +30,27 @@
 	f.send(offer(1, submission("req-x", "red", 2, "")))
 	f.send(offer(2, submission("req-x", "nobody", 2, "")))
 	f.send(offer(3, submission("req-x", "red", 2, remoteZoneOnly)))
-	if !f.play(time.Minute, func() bool { return sent(federation.KindResult, 1) != nil }) || sent(federation.KindResult, 1).State != protocol.Done {
-		t.Fatal("its end is not reported")
+	if !f.serveUntil(time.Minute, func() bool { return sent(federation.KindResult, 1) != nil }) || sent(federation.KindResult, 1).State != protocol.Done {
+		t.Fatal("the end of the incoming job is not reported as done")
 	}
-	for epoch, why := range map[federation.Epoch]string{2: "team is unknown", 3: "zone is unknown"} {
-		if m := sent(federation.KindDecision, epoch); m == nil || m.Accepted || m.Reason != why {
-			t.Errorf("epoch %d: %+v", epoch, m)
+	for epoch, reason := range map[federation.Epoch]string{2: "team is unknown", 3: "zone is unknown"} {
+		if m := sent(federation.KindDecision, epoch); m == nil || m.Accepted || m.Reason != reason {
+			t.Errorf("epoch %d: got decision %+v, want a rejection", epoch, m)
 		}
 	}
 	for req, want := range map[string]int{"req-gw-far-1": http.StatusUnprocessableEntity, "req-gw-far-9": http.StatusUnprocessableEntity} {
 		if a := w.cancelJob("a", req); a.Status != want {
-			t.Errorf("cancel of %s got %d", req, a.Status)
+			t.Errorf("status of the cancellation of %s: got %d, want 422", req, a.Status)
 		}
 	}
 	if a := w.submit("a", "req-gw-far-7", 1, ""); a.Status != http.StatusBadRequest {
-		t.Errorf("a user's job with such an id got %d", a.Status)
+		t.Errorf("status of a submission with the ID of an incoming job: got %d, want 400", a.Status)
 	}
 	w.startedOnce()
 	f.send(federation.Message{Kind: federation.KindClosed, Epoch: 1, LowWaterMark: 3})
-	if !f.play(time.Minute, func() bool {
+	if !f.serveUntil(time.Minute, func() bool {
 		return len(w.cores["a"].handoffs.Incoming) == 0 && w.cores["b"].handoffs.LowWaterMarks["far"] == 3
 	}) {
-		t.Errorf("not forgotten: %v", w.cores["a"].handoffs.Incoming)
+		t.Errorf("closed incoming hand-offs were not forgotten: %v", w.cores["a"].handoffs.Incoming)
 	}
 }
--- a/internal/core/jobchunks.go
+++ b/internal/core/jobchunks.go
@@ -5,8 +5,8 @@
 	"pepperlever/internal/core/worker"
 )
 
-// chunkPolicy decides in chunks of which size jobs are stored. Chunks become smaller only once all
-// controllers are upgraded, since earlier versions derive the size from the settings.
+// chunkPolicy chooses the chunk size in which jobs are stored. Chunks become smaller only once all
+// controllers are upgraded, because earlier versions derive the size from the settings.
 type chunkPolicy struct {
 	*environment
 	limits   *storeLimits
@@ -14,15 +14,15 @@
 	machines *worker.Registry
 }
 
-// wantsTightChunks tells whether chunks are to fit values that will have to be shorter than now.
-func (p *chunkPolicy) wantsTightChunks() bool {
-	return p.upgrade.complete() && p.limits.valueShrinks()
+// needsTightChunks reports whether chunks must already fit into an upcoming, lower value limit.
+func (p *chunkPolicy) needsTightChunks() bool {
+	return p.upgrade.complete() && p.limits.valueLimitDecreases()
 }
 
-// newJob makes a job that is about to be accepted, in the layout that all controllers read.
+// newJob returns a job that is about to be accepted, in a layout that all controllers can read.
 func (p *chunkPolicy) newJob(spec job.Spec) *job.Job {
 	size := p.limits.defaultChunkSize()
-	if p.wantsTightChunks() {
+	if p.needsTightChunks() {
 		tight := p.limits.tightChunkSize(spec.StoredBytes(), p.machines.LongestName())
 		if tight < size {
 			return job.NewWithChunkSize(spec, tight, p.now.Steady)
@@ -31,10 +31,10 @@
 	return job.New(spec, size, p.now.Steady)
 }
 
-// split divides a stored job whose chunks may be too large for the limits to come, before it is
-// written again, and reports whether it did.
-func (p *chunkPolicy) split(j *job.Job) bool {
-	if !p.wantsTightChunks() {
+// splitOversized divides the chunks of a stored job, before the job is written again, if they might
+// exceed the upcoming limits. It reports whether it did.
+func (p *chunkPolicy) splitOversized(j *job.Job) bool {
+	if !p.needsTightChunks() {
 		return false
 	}
 	size := p.limits.tightChunkSize(j.SpecBytes(), p.machines.LongestName())
--- a/internal/core/jobflush.go
+++ b/internal/core/jobflush.go
@@ -15,9 +15,9 @@
 	budget writeBudget
 }
 
-// flushJobs stores what has changed of the jobs of the teams that this node leads, what users
-// wait for first, as far as the write budget goes. The longer a job waits the more of its
-// changes share one write.
+// flushJobs writes the changed jobs of the teams that this node leads, as far as the write budget
+// allows, starting with the changes that users wait for. The longer a job waits, the more of its
+// changes are batched into one write.
 func (w *jobWriter) flushJobs() {
 	budget := &w.budget
 	if w.now.Steady < budget.pausedUntil {
@@ -28,7 +28,7 @@
 	if budget.exhausted() {
 		return
 	}
-	slices.SortFunc(due, compareWrites)
+	slices.SortFunc(due, compareWriteOrder)
 	for n, j := range due {
 		if budget.exhausted() {
 			w.warnBudgetExhausted(due[n:])
@@ -39,8 +39,8 @@
 	}
 }
 
-// compareWrites orders jobs by who is to be stored first.
-func compareWrites(a, b *job.Job) int {
+// compareWriteOrder orders jobs by write rank, then by the time of their last write.
+func compareWriteOrder(a, b *job.Job) int {
 	return cmp.Or(
 		cmp.Compare(writeRank(a), writeRank(b)),
 		cmp.Compare(a.StoredAt, b.StoredAt),
@@ -48,7 +48,8 @@
 	)
 }
 
-// dueJobs lists the jobs whose changes are to be stored now, and counts the changes.
+// dueJobs returns the jobs whose changes are due and that have no write in flight, and counts all
+// due changes by rank.
 func (w *jobWriter) dueJobs() []*job.Job {
 	var due []*job.Job
 	var changes changesByRank
@@ -57,7 +58,7 @@
 			continue
 		}
 		for _, j := range t.jobs {
-			if !j.Dirty() || !w.flushDue(j) {
+			if !j.Dirty() || !w.isFlushDue(j) {
 				continue
 			}
 			changes[writeRank(j)] += headChanges + j.DirtyChunks()
@@ -70,15 +71,16 @@
 	return due
 }
 
-// warnBudgetExhausted tells the operator now and then that starts wait for the store's write
-// rate and not for capacity.
+// warnBudgetExhausted logs, at a limited rate, that starts are delayed by the store's write rate
+// and not by a lack of capacity.
 func (w *jobWriter) warnBudgetExhausted(waiting []*job.Job) {
 	if waiting[0].Urgent && w.every(&w.budget.nextWarning, 10*w.reportInterval()) {
 		w.log(Info, "store write budget exhausted", "pending_jobs", len(waiting), "changes_per_second", w.budget.rate)
 	}
 }
 
-// jobWriteRate is this controller's share of the store's write rate for jobs.
+// jobWriteRate returns this controller's share of the store's write rate for jobs, in changes per
+// second.
 func (w *jobWriter) jobWriteRate() float64 {
 	own := &w.budget.due
 	all := *own
@@ -89,26 +91,26 @@
 			}
 		}
 	}
-	return own.share(all, w.core.limits.writeRate()*jobsShare, w.core.members.size())
+	return own.share(all, w.core.limits.writeRate()*jobWriteShare, w.core.members.size())
 }
 
-// gatherTime is how long the finished tasks of a job gather before they are stored: the more
-// jobs there are the longer.
-func (w *jobWriter) gatherTime() time.Duration {
-	return seconds(float64(len(w.core.jobs)) / (w.core.limits.writeRate() * jobsShare * endsShare))
+// exitBatchInterval returns for how long the finished tasks of a job are batched before they are
+// stored. It grows with the number of jobs.
+func (w *jobWriter) exitBatchInterval() time.Duration {
+	return seconds(float64(len(w.core.jobs)) / (w.core.limits.writeRate() * jobWriteShare * finishedTaskShare))
 }
 
-// flushDue tells whether a job's changes are to be stored now. Finished tasks gather for a
-// while: until they are stored their workers keep reporting them, so a crash loses nothing.
-func (w *jobWriter) flushDue(j *job.Job) bool {
+// isFlushDue reports whether a job's changes are due to be stored. Finished tasks are batched: their
+// workers keep reporting them until they are stored, so a crash loses nothing.
+func (w *jobWriter) isFlushDue(j *job.Job) bool {
 	if j.Complete() || j.Cancelled {
 		return true
 	}
 	if j.Urgent {
 		return w.now.Steady >= max(j.StoredAt+w.reportInterval()/30, j.ClaimedAt+w.core.claimWindow())
 	}
-	wait := max(w.reportInterval(), w.gatherTime())
-	if w.budget.low() {
+	wait := max(w.reportInterval(), w.exitBatchInterval())
+	if w.budget.onlyReserveLeft() {
 		wait *= 3
 	}
 	return w.now.Steady >= j.StoredAt+wait
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -9,34 +9,34 @@
 	"pepperlever/internal/protocol"
 )
 
-func TestJobsOfAllTeamsRunOnceAndEndDone(t *testing.T) {
+func TestJobsOfAllTeamsRunExactlyOnce(t *testing.T) {
 	w := newWorld(t).ready()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
 	for i, id := range ids {
 		accepted(t, w.submit(nodeNames[i], id, 12, ""))
 	}
 	if !w.run(4*time.Minute, w.finished(ids...)) {
-		t.Fatal("jobs do not end")
+		t.Fatal("jobs did not end")
 	}
 	for _, id := range ids {
 		for _, n := range nodeNames {
 			if s := stateOf(t, w.status(n, id)); s.State != protocol.Done || s.Done != 12 {
-				t.Errorf("%s says %+v", n, s)
+				t.Errorf("%s: got job state %+v, want done with 12 tasks", n, s)
 			}
 		}
 		for i := range 12 {
 			if n := w.starts[fmt.Sprintf("%s/%d", id, i)]; n != 1 {
-				t.Errorf("%s/%d was started %d times", id, i, n)
+				t.Errorf("%s/%d was started %d times, want 1", id, i, n)
 			}
 		}
 	}
 }
 
-func TestHugeArrayStaysWithinTheLimitsOfTheStore(t *testing.T) {
+func TestLargestArrayStaysWithinStoreLimits(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", job.MaxTasks, ""))
 	w.run(20*time.Second, nil) // the world checks every transaction
 	if n := w.onMachines("req-blue-1"); n == 0 {
-		t.Error("nothing of it runs")
+		t.Error("no task of the array runs")
 	}
 }
--- a/internal/core/jobupdate.go
+++ b/internal/core/jobupdate.go
@@ -7,30 +7,32 @@
 	"pepperlever/internal/protocol"
 )
 
-// jobUpdate is one transaction on a job and what it stores.
+// jobUpdate is a transaction that writes one job, with the state that takes effect once it is
+// applied.
 type jobUpdate struct {
 	team *team
 	job  *job.Job
 	txn  protocol.Txn
-	// nonce marks the head that this update writes.
+	// nonce identifies the head that this update writes.
 	nonce string
-	// attempt is the highest attempt number that it stores.
+	// attempt is the highest attempt number that the update stores.
 	attempt uint64
-	// chunks are the chunks that it writes; partial tells that further ones have changed.
+	// chunks are the chunks that the update writes; partial is set if it leaves out other changed
+	// chunks.
 	chunks  []job.ChunkWrite
 	partial bool
-	// bindings become stored by it.
+	// bindings are the bindings that the update stores.
 	bindings []*job.Binding
-	// finalState is the state that it ends the job with, empty while the job goes on.
+	// finalState is the final state that the update stores, empty if the job continues.
 	finalState string
-	// exits are those that the store knows of once this is applied.
+	// exits are the task exits that the update stores.
 	exits []job.Exit
-	// retries is how often it was sent again.
+	// retries counts how often the transaction was sent again.
 	retries int
 }
 
-// flushJob stores a job, on the condition that this node still leads its team and nobody else
-// has changed the job.
+// flushJob writes a job, on the condition that this node still leads its team and that no other
+// node has changed the job.
 func (w *jobWriter) flushJob(t *team, j *job.Job) {
 	update := &jobUpdate{
 		team:    t,
@@ -39,12 +41,12 @@
 		attempt: j.Attempt,
 	}
 	j.Nonce = update.nonce
-	update.require(t.leaderCondition())
-	update.require(protocol.Condition{Key: jobKey(j.ID), Version: j.Version})
-	if w.core.chunks.split(j) {
+	update.addConditions(t.leaderCondition())
+	update.addConditions(protocol.Condition{Key: jobKey(j.ID), Version: j.Version})
+	if w.core.chunks.splitOversized(j) {
 		w.core.counts.SplitJobs++
 	}
-	update.takeChunks(&w.core.limits)
+	update.addChunks(&w.core.limits)
 	w.addHead(update)
 
 	j.InFlight, j.Urgent, j.StoredAt = true, false, w.now.Steady
@@ -52,31 +54,31 @@
 	w.sendUpdate(update)
 }
 
-// require adds conditions of the update.
-func (u *jobUpdate) require(conditions ...protocol.Condition) {
+// addConditions adds conditions to the transaction.
+func (u *jobUpdate) addConditions(conditions ...protocol.Condition) {
 	u.txn.If = append(u.txn.If, conditions...)
 }
 
-// change adds changes that the update makes.
-func (u *jobUpdate) change(changes ...protocol.Change) {
+// addChanges adds changes to the transaction.
+func (u *jobUpdate) addChanges(changes ...protocol.Change) {
 	u.txn.Then = append(u.txn.Then, changes...)
 }
 
-// takeChunks takes as many changed chunks as one transaction may have, and decides whether the
-// job ends with them.
-func (u *jobUpdate) takeChunks(limits *storeLimits) {
+// addChunks adds as many changed chunks as fit into one transaction, and determines whether the
+// job ends with this update.
+func (u *jobUpdate) addChunks(limits *storeLimits) {
 	j := u.job
-	others := headChanges
+	otherChanges := headChanges
 	if j.Complete() || j.Cancelled {
-		others = endChanges
+		otherChanges = endChanges
 	}
-	u.chunks, u.partial = j.TakeDirty(limits.chunksPerTxn(others))
+	u.chunks, u.partial = j.TakeDirty(limits.chunksPerTxn(otherChanges))
 	for _, chunk := range u.chunks {
 		key := chunkKey(j.ID, chunk.Key)
 		if chunk.Value == nil {
-			u.change(protocol.Change{Delete: key})
+			u.addChanges(protocol.Change{Delete: key})
 		} else {
-			u.change(protocol.Change{Put: key, Value: chunk.Value})
+			u.addChanges(protocol.Change{Put: key, Value: chunk.Value})
 		}
 	}
 	if u.partial {
@@ -91,41 +93,42 @@
 	}
 }
 
-// addHead adds the head, or its removal, and the conditions of bindings.
+// addHead adds the write of the head with the conditions of new bindings, or the deletion of the
+// head with the final state if the job ends.
 func (w *jobWriter) addHead(u *jobUpdate) {
 	j := u.job
 	head := jobKey(j.ID)
 	switch u.finalState {
 	case protocol.Done:
-		u.require(protocol.Condition{Key: cancelKey(j.ID)})
-		u.change(
+		u.addConditions(protocol.Condition{Key: cancelKey(j.ID)})
+		u.addChanges(
 			protocol.Change{Delete: head},
 			putJSON(keyState+j.ID, finalStateRecord{State: protocol.Done, Tasks: j.Tasks}),
 		)
 	case protocol.Cancelled:
-		u.change(protocol.Change{Delete: head})
-		w.addCancelledEnd(u)
+		u.addChanges(protocol.Change{Delete: head})
+		w.addCancelledFinalState(u)
 	default:
-		u.change(protocol.Change{Put: head, Value: j.Head()})
+		u.addChanges(protocol.Change{Put: head, Value: j.Head()})
 		w.addBindings(u)
 	}
 }
 
-// addCancelledEnd adds what else ends a cancelled job: its user's cancellation has stored the
-// final state; one that was cancelled with a dependency has none yet.
-func (w *jobWriter) addCancelledEnd(u *jobUpdate) {
+// addCancelledFinalState adds the remaining changes that end a cancelled job. A cancellation by the
+// user has already stored the final state; a job that was cancelled because of a dependency has
+// none yet.
+func (w *jobWriter) addCancelledFinalState(u *jobUpdate) {
 	id := u.job.ID
 	if w.core.userCancelled(id) {
-		u.change(protocol.Change{Delete: cancelKey(id)})
+		u.addChanges(protocol.Change{Delete: cancelKey(id)})
 		return
 	}
-	u.require(protocol.Condition{Key: cancelKey(id)})
-	u.change(putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}))
+	u.addConditions(protocol.Condition{Key: cancelKey(id)})
+	u.addChanges(putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}))
 }
 
-// addBindings lists the bindings that become stored by the update, and adds the conditions
-// under which they may: the job is not cancelled or handed off, and no machine of theirs is
-// cordoned.
+// addBindings collects the bindings that the update stores and adds their conditions: the job is
+// neither cancelled nor handed off, and none of their machines is cordoned.
 func (w *jobWriter) addBindings(u *jobUpdate) {
 	j := u.job
 	machines := map[string]bool{}
@@ -136,12 +139,12 @@
 		u.bindings = append(u.bindings, b)
 		if !machines[b.Machine] {
 			machines[b.Machine] = true
-			u.require(protocol.Condition{Key: keyCordon + b.Machine})
+			u.addConditions(protocol.Condition{Key: keyCordon + b.Machine})
 		}
 	}
 	if len(u.bindings) > 0 {
-		u.require(protocol.Condition{Key: cancelKey(j.ID)})
-		u.require(w.core.notHandedOff(j.ID)...)
+		u.addConditions(protocol.Condition{Key: cancelKey(j.ID)})
+		u.addConditions(w.core.notHandedOff(j.ID)...)
 	}
 }
 
--- a/internal/core/jobupdate_test.go
+++ b/internal/core/jobupdate_test.go
@@ -7,9 +7,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// A leader's write got no answer and is sent again, and its condition on the job fails: what
-// the store holds is either that very write or another leader's, whatever it looks like.
-func TestWriteOfAnotherLeaderIsNotTakenForOnesOwn(t *testing.T) {
+// A leader's write gets no reply and is sent again, and then its condition on the head fails. The
+// nonce tells whether the stored head is from the leader's own first write or from another leader.
+func TestConflictingWriteIsAttributedByNonce(t *testing.T) {
 	for name, own := range map[string]bool{"own": true, "another's": false} {
 		w := newWorld(t).ready()
 		accepted(t, w.submit("a", "req-free-1", 3, ""))
@@ -26,7 +26,7 @@
 			Item:    protocol.KeyValue{Value: mustjson.Marshal(map[string]string{"w": nonce}), Version: 99},
 		})
 		if team.leading != own || own && j.Version != 99 {
-			t.Errorf("%s: still leader %v, at version %d", name, team.leading, j.Version)
+			t.Errorf("%s: leading %v, job version %d", name, team.leading, j.Version)
 		}
 	}
 }
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -9,36 +9,37 @@
 	"pepperlever/internal/protocol"
 )
 
-// obsolete tells whether an update was overtaken: its job was forgotten, or its team has another
-// leader. The replica tells the rest.
-func (w *jobWriter) obsolete(u *jobUpdate) bool {
+// isObsolete reports whether the reply to an update no longer matters, because its job was dropped or
+// this node no longer leads its team. The replica then shows the outcome.
+func (w *jobWriter) isObsolete(u *jobUpdate) bool {
 	return w.core.jobs[u.job.ID] != u.job || !u.team.leading
 }
 
-// onUpdateReply takes the outcome of a job's transaction.
+// onUpdateReply handles the outcome of a job's transaction.
 func (w *jobWriter) onUpdateReply(u *jobUpdate, r StoreReply) {
-	if w.obsolete(u) {
+	if w.isObsolete(u) {
 		return
 	}
 	switch r.Outcome {
 	case Applied:
-		w.updateApplied(u, r.Revision)
+		w.handleApplied(u, r.Revision)
 	case Conflict:
-		w.updateConflict(u, r)
+		w.handleConflict(u, r)
 	case Unknown:
-		// It may still be applied late. Sending the same again resolves it: either this one
-		// is applied and voids the first, or its conflict shows that the first was.
+		// The transaction may have been applied, or may still be. Sending it again resolves
+		// that: either the retry is applied and the first attempt then fails its conditions,
+		// or the retry conflicts because the first attempt was applied.
 		u.retries++
 		w.sendUpdate(u)
 	default:
 		w.revertUpdate(u)
-		// The store is down or overloaded: write nothing for a moment.
+		// The store is down or overloaded: pause writes briefly.
 		w.budget.pausedUntil = w.now.Steady + w.reportInterval()/6
 	}
 }
 
-// revertUpdate marks what an update was to store as changed again. What it was to bind of a job
-// that was cancelled meanwhile will never be stored, nor started.
+// revertUpdate marks the contents of a failed update as changed again. If the job was cancelled
+// meanwhile, it drops the unstored bindings: they will be neither stored nor started.
 func (w *jobWriter) revertUpdate(u *jobUpdate) {
 	u.job.InFlight = false
 	u.job.RevertWrites(u.chunks)
@@ -48,8 +49,8 @@
 	}
 }
 
-// updateApplied takes it that the store holds an update since a revision.
-func (w *jobWriter) updateApplied(u *jobUpdate, revision uint64) {
+// handleApplied applies the effects of an update that the store holds since a revision.
+func (w *jobWriter) handleApplied(u *jobUpdate, revision uint64) {
 	j := u.job
 	j.InFlight, j.Version, j.StoredAttempt = false, revision, u.attempt
 	if u.finalState != "" {
@@ -63,7 +64,7 @@
 	w.core.reconciler.forgetEndedTasks(j, u.exits)
 }
 
-// jobEnded forgets a job whose final state is stored.
+// jobEnded drops a job whose final state is stored.
 func (w *jobWriter) jobEnded(u *jobUpdate, revision uint64) {
 	j := u.job
 	state := protocol.JobState{ID: j.ID, State: u.finalState}
@@ -77,9 +78,9 @@
 	w.core.forgetJob(j)
 }
 
-// updateConflict finds out which condition failed. A failed head was written either by this very
-// update, applied by an earlier send, or by another leader.
-func (w *jobWriter) updateConflict(u *jobUpdate, r StoreReply) {
+// handleConflict handles the conditions that failed. If the condition on the head failed, the head
+// was written either by another leader or by an earlier send of this same update.
+func (w *jobWriter) handleConflict(u *jobUpdate, r StoreReply) {
 	j, failed := u.job, r.Failed
 	head := jobKey(j.ID)
 	if slices.Contains(failed, head) || slices.Contains(failed, u.team.key) {
@@ -101,20 +102,20 @@
 	}
 }
 
-// readHead reads the job's head to find out who wrote it.
+// readHead reads the stored head to determine who wrote it.
 func (w *jobWriter) readHead(u *jobUpdate) {
 	w.get(jobKey(u.job.ID), func(r StoreReply) { w.onHeadRead(u, r) })
 }
 
-// onHeadRead resolves a conflict on the head by the nonce that it carries.
+// onHeadRead resolves a conflict on the head by comparing its nonce with that of the update.
 func (w *jobWriter) onHeadRead(u *jobUpdate, r StoreReply) {
-	if w.obsolete(u) {
+	if w.isObsolete(u) {
 		return
 	}
 	switch r.Outcome {
 	case Applied:
 		if nonce, err := job.HeadNonce(r.Item.Value); err == nil && nonce == u.nonce {
-			w.updateApplied(u, r.Item.Version)
+			w.handleApplied(u, r.Item.Version)
 			return
 		}
 	case Missing:
@@ -130,16 +131,16 @@
 	w.core.lostLeadership(&u.team.shard)
 }
 
-// readFinalState finds out whether the end of a job that is no longer stored is the one that the
-// update was to store.
+// readFinalState determines, for a job whose head is gone, whether the stored final state is the
+// one that the update writes.
 func (w *jobWriter) readFinalState(u *jobUpdate) {
 	w.get(keyState+u.job.ID, func(r StoreReply) {
-		if w.obsolete(u) {
+		if w.isObsolete(u) {
 			return
 		}
 		var stored finalStateRecord
 		if r.Outcome == Applied && json.Unmarshal(r.Item.Value, &stored) == nil && stored.State == u.finalState {
-			w.updateApplied(u, r.Item.Version)
+			w.handleApplied(u, r.Item.Version)
 			return
 		}
 		w.core.lostLeadership(&u.team.shard)
--- a/internal/core/jobzones_test.go
+++ b/internal/core/jobzones_test.go
@@ -8,23 +8,23 @@
 	"pepperlever/internal/protocol"
 )
 
-// Jobs that are bound to one zone, or to half of their tasks in any, lose all machines of a zone,
-// which has no more to give for a while: nothing starts where it must not, what may go
-// elsewhere does, and what may not goes on where it was.
-func TestJobsWithZoneConstraintsLoseAZone(t *testing.T) {
+// Jobs with zone constraints lose all machines of a zone that has no capacity for a while. Tasks
+// that may run in another zone move there; the others wait and continue once the zone has capacity
+// again. No task starts in a zone where it must not run.
+func TestZoneConstrainedJobsSurviveZoneLoss(t *testing.T) {
 	const id = "req-free-1"
 	for name, c := range map[string]struct {
-		more string
-		// other is whether another zone will do once the machines are lost.
-		other bool
+		extraFields string
+		// canMove is set if the job may run in another zone after the loss.
+		canMove bool
 	}{
-		"an array of a zone":       {`,"yard":"z2"`, false},
-		"a gang of a zone":         {`,"yard":"z2","shape":"group"`, false},
-		"an array in one place":    {`,"samePlace":true`, true},
-		"a gang in one place":      {`,"samePlace":true,"shape":"group"`, true},
-		"a gang that is spread":    {`,"spread":true,"shape":"group"`, false},
-		"a service that is spread": {`,"spread":true,"shape":"service","guessS":0.0,"dueS":null`, false},
-		"an array that is spread":  {`,"spread":true`, true},
+		"array in a given zone":    {`,"yard":"z2"`, false},
+		"gang in a given zone":     {`,"yard":"z2","shape":"group"`, false},
+		"array in any single zone": {`,"samePlace":true`, true},
+		"gang in any single zone":  {`,"samePlace":true,"shape":"group"`, true},
+		"spread gang":              {`,"spread":true,"shape":"group"`, false},
+		"spread service":           {`,"spread":true,"shape":"service","guessS":0.0,"dueS":null`, false},
+		"spread array":             {`,"spread":true`, true},
 	} {
 		for _, silent := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silent %v", name, silent), func(t *testing.T) {
@@ -33,7 +33,7 @@
 				w.twoZones()
 				w.allowRacingStarts, w.taskTime = true, 30*time.Second
 				w.ready()
-				accepted(t, w.submit("a", id, 8, c.more))
+				accepted(t, w.submit("a", id, 8, c.extraFields))
 				w.started(id, 8)
 				zones := w.zonesWith(id)
 				zone := "z2"
@@ -55,26 +55,26 @@
 				w.fullZone = zone
 				w.run(90*time.Second, nil)
 				s, _ := w.state(id)
-				if whole := w.onMachines(id) == 8 || s.State == protocol.Done; whole != c.other {
-					t.Errorf("without the zone %d of 8 tasks run, the job is %q", w.onMachines(id), s.State)
+				if allRunning := w.onMachines(id) == 8 || s.State == protocol.Done; allRunning != c.canMove {
+					t.Errorf("during the loss of the zone: %d of 8 tasks run, final state %q", w.onMachines(id), s.State)
 				}
 				w.fullZone = ""
 				if !w.run(2*time.Minute, func() bool { return w.finished(id)() || w.onMachines(id) == 8 }) {
-					t.Error("it does not go on")
+					t.Error("job does not continue once the zone has capacity again")
 				}
 			})
 		}
 	}
 }
 
-// A service's replicas that are to be spread get machines in a second zone, also where no other
-// job has any there.
+// The replicas of a spread service get machines in both zones, even if no other job has machines in
+// the second one.
 func TestSpreadReplicasGetMachinesInAllZones(t *testing.T) {
 	w := newWorldOf(t, fiveNodes).ready()
 	w.allowRacingStarts = true
 	accepted(t, w.submit("b", "req-free-2", 6, serviceFields))
 	w.run(40*time.Second, nil)
 	if zones := w.zonesWith("req-free-2"); zones["z1"] != 3 || zones["z2"] != 3 || w.rented > 12 {
-		t.Errorf("replicas are in %v, %d machines were rented", zones, w.rented)
+		t.Errorf("got replicas in %v with %d rented machines, want 3 in each zone with at most 12 machines", zones, w.rented)
 	}
 }
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -9,9 +9,9 @@
 	"pepperlever/internal/settings"
 )
 
-// Full chunks of the size that heads state fit into a value of the limits to come, in the head
-// and in keys of their own, with each task on another machine.
-func TestFullChunksFitIntoOneValueOfTheTightestLimits(t *testing.T) {
+// Full chunks of the tight size fit into one value of the upcoming limits, both in the head and under
+// their own keys, even if every task is on a different machine.
+func TestFullChunksFitTightestValueLimit(t *testing.T) {
 	for _, kb := range []float64{1, 2, 4} {
 		for _, name := range []string{"vm-%06d", "a-machine-with-a-rather-long-name-%06d"} {
 			cfg := testSettings("a")
@@ -37,14 +37,14 @@
 			j.Attempt, j.Nonce = 99_999, "node-with-a-name.1234567890.123456"
 			writes, more := j.TakeDirty(s.Tasks)
 			if more || len(writes) < 2 {
-				t.Fatalf("%d chunks of %d tasks", len(writes), j.ChunkSize)
+				t.Fatalf("job was split into %d chunks of %d tasks, want several chunks written at once", len(writes), j.ChunkSize)
 			}
-			most := len(j.Head())
+			largest := len(j.Head())
 			for _, w := range writes {
-				most = max(most, len(w.Value))
+				largest = max(largest, len(w.Value))
 			}
-			if limit := int(kb * 1024); most > limit || most < limit/3 {
-				t.Errorf("%v KiB, %s: %d tasks a chunk take %d bytes", kb, name, j.ChunkSize, most)
+			if limit := int(kb * 1024); largest > limit || largest < limit/3 {
+				t.Errorf("%v KiB, %s: a value with %d tasks per chunk takes %d bytes", kb, name, j.ChunkSize, largest)
 			}
 		}
 	}
--- a/internal/core/loweredlimits_test.go
+++ b/internal/core/loweredlimits_test.go
@@ -9,9 +9,9 @@
 	"pepperlever/internal/settings"
 )
 
-// The limits become lower while a transaction on a job in large chunks has no answer, and all
-// is stored within the lower ones from then on; the job ends, and no key of it is left.
-func TestLimitsAreLoweredDuringAWrite(t *testing.T) {
+// The store's limits are lowered while a transaction on a job with large chunks has no reply. From
+// then on all writes observe the lower limits; the job ends and leaves no key behind.
+func TestLimitsLoweredDuringWrite(t *testing.T) {
 	const tasks = 150
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprintf("written late %v", late), func(t *testing.T) {
@@ -29,7 +29,7 @@
 			w.started("req-free-1", 100)
 			c := w.cores[w.leaderOf("free")]
 			if c.jobs["req-free-1"].ChunkSize != c.limits.defaultChunkSize() {
-				t.Fatal("split before all are upgraded")
+				t.Fatal("chunks were split before all controllers are upgraded")
 			}
 			w.lateWrite = func(_ string, e StoreTxn) time.Duration {
 				if late && strings.HasPrefix(e.Txn.Then[0].Put, keyJob) {
@@ -44,12 +44,12 @@
 			w.crash(leader)
 			w.expire(leader)
 			if !w.run(5*time.Minute, w.finished("req-free-1")) {
-				t.Fatal("the job does not end")
+				t.Fatal("job did not end")
 			}
 			w.run(5*time.Second, nil)
 			for key := range w.kv {
 				if strings.HasPrefix(key, jobKey("req-free-1")) {
-					t.Errorf("%s is left", key)
+					t.Errorf("key %s is left after the end of the job", key)
 				}
 			}
 		})
--- a/internal/core/ordered.go
+++ b/internal/core/ordered.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// ordered visits what a map holds by key, so that the same commands always give the
-// same effects. What is removed on the way is left out.
+// ordered iterates over a map in key order, so that the same commands always produce the same
+// effects. Entries that are removed during the iteration are skipped.
 func ordered[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
-	return visit(m, func() []K { return slices.Sorted(maps.Keys(m)) })
+	return iterate(m, func() []K { return slices.Sorted(maps.Keys(m)) })
 }
 
-// orderedBy is the same for keys that have no order of their own.
+// orderedBy is like ordered, for keys that need a comparison function.
 func orderedBy[K comparable, V any](m map[K]V, compare func(a, b K) int) iter.Seq2[K, V] {
-	return visit(m, func() []K { return slices.SortedFunc(maps.Keys(m), compare) })
+	return iterate(m, func() []K { return slices.SortedFunc(maps.Keys(m), compare) })
 }
 
-func visit[K comparable, V any](m map[K]V, keys func() []K) iter.Seq2[K, V] {
+func iterate[K comparable, V any](m map[K]V, keys func() []K) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range keys() {
-			if v, there := m[k]; there && !yield(k, v) {
+			if v, found := m[k]; found && !yield(k, v) {
 				return
 			}
 		}
--- a/internal/core/outgoinghandoffs_test.go
+++ b/internal/core/outgoinghandoffs_test.go
@@ -12,76 +12,77 @@
 	"pepperlever/internal/protocol"
 )
 
-// An outgoing job is bound nowhere here, is followed from every controller, and
-// has its one end from its site, whichever controllers end meanwhile.
-func TestOutgoingJobEndsAsItsSiteReports(t *testing.T) {
+// An outgoing job is never bound at this site, every controller shows its progress, and it ends once,
+// as the other site reports, even if every controller of this site restarts meanwhile.
+func TestOutgoingJobEndsAsRemoteSiteReports(t *testing.T) {
 	w, f := newFederatedWorld(t)
 	f.submitRemote("req-red-1")
-	if !f.play(time.Minute, func() bool {
+	if !f.serveUntil(time.Minute, func() bool {
 		return cmp.Equal(w.status("b", "req-red-1").Body, protocol.JobState{ID: "req-red-1", State: protocol.Running, Done: 1, Running: 2})
 	}) {
-		t.Fatal("its progress is not followed")
+		t.Fatal("progress of the outgoing job is not shown")
 	}
 	for _, n := range nodeNames {
 		w.crash(n)
 		w.expire(n)
 		w.boot(n)
-		f.play(10*time.Second, func() bool {
+		f.serveUntil(10*time.Second, func() bool {
 			for _, n := range nodeNames {
-				if s, told := w.status(n, "req-red-1").Body.(protocol.JobState); told && (s.Done != 1 || s.State != protocol.Running) {
-					t.Fatalf("%s says %+v, which is older than what was reported", n, s)
+				if s, ok := w.status(n, "req-red-1").Body.(protocol.JobState); ok && (s.Done != 1 || s.State != protocol.Running) {
+					t.Fatalf("%s: job state is %+v, which is older than the reported progress", n, s)
 				}
 			}
 			return false
 		})
 	}
 	w.ready()
-	f.end = func() string { return protocol.Done }
-	if !f.play(time.Minute, w.finished("req-red-1")) {
-		t.Fatal("its end is not stored")
+	f.finalState = func() string { return protocol.Done }
+	if !f.serveUntil(time.Minute, w.finished("req-red-1")) {
+		t.Fatal("the end of the job is not stored")
 	}
-	f.play(5*time.Second, func() bool { return false })
+	f.serveUntil(5*time.Second, func() bool { return false })
 	for _, n := range nodeNames {
 		if s := w.status(n, "req-red-1").Body.(protocol.JobState); s.State != protocol.Done || s.Done != 3 {
-			t.Errorf("%s says %+v", n, s)
+			t.Errorf("%s: got job state %+v, want done with 3 tasks", n, s)
 		}
 	}
 	if len(w.starts) > 0 || w.kv[jobKey("req-red-1")].Version > 0 || w.kv[outgoingKey("req-red-1")].Version > 0 {
-		t.Errorf("started here: %v, or not tidied up", w.starts)
+		t.Errorf("tasks were started at this site (%v) or records of the job are left", w.starts)
 	}
 }
 
-// Cancelled is said only once the other site has reported the end, or of a refusal.
-func TestOutgoingJobIsCancelledByItsSite(t *testing.T) {
+// The cancellation of an outgoing job is confirmed only once the other site has reported its end or
+// has refused the job.
+func TestOutgoingJobCancellationIsConfirmedByRemoteSite(t *testing.T) {
 	for _, accepted := range []bool{true, false} {
 		w, f := newFederatedWorld(t)
 		if !accepted {
-			f.decide = func(federation.Message) federation.Message { return federation.Message{} } // no answer that counts
+			f.decide = func(federation.Message) federation.Message { return federation.Message{} } // not a valid answer
 		}
 		f.submitRemote("req-red-1")
-		if !f.play(time.Minute, func() bool { return len(f.answered) > 0 && w.cores["a"].isOutgoing("req-red-1") }) {
-			t.Fatal("not handed off")
+		if !f.serveUntil(time.Minute, func() bool { return len(f.answers) > 0 && w.cores["a"].isOutgoing("req-red-1") }) {
+			t.Fatal("job is not handed off")
 		}
-		delete(f.answered, 0)
+		delete(f.answers, 0)
 		if !accepted {
-			clear(f.answered)
+			clear(f.answers)
 		}
 		if a := w.cancelJob("c", "req-red-1"); a.Status != http.StatusServiceUnavailable || a.RetryAfter < 1 {
-			t.Errorf("accepted %v: cancel got %d", accepted, a.Status)
+			t.Errorf("accepted %v: status of the cancellation: got %d, want 503 with Retry-After", accepted, a.Status)
 		}
-		f.end = func() string { return protocol.Cancelled }
-		if !f.play(time.Minute, func() bool { return w.cancelJob("b", "req-red-1").Status == http.StatusOK }) {
-			t.Fatalf("accepted %v: never cancelled", accepted)
+		f.finalState = func() string { return protocol.Cancelled }
+		if !f.serveUntil(time.Minute, func() bool { return w.cancelJob("b", "req-red-1").Status == http.StatusOK }) {
+			t.Fatalf("accepted %v: cancellation is never confirmed", accepted)
 		}
-		f.play(5*time.Second, func() bool { return false })
+		f.serveUntil(5*time.Second, func() bool { return false })
 		if s := w.status("a", "req-red-1").Body.(protocol.JobState); s.State != protocol.Cancelled || w.kv[jobKey("req-red-1")].Version > 0 {
-			t.Errorf("accepted %v: %+v", accepted, s)
+			t.Errorf("accepted %v: got job state %+v, want cancelled and no head", accepted, s)
 		}
 	}
 }
 
-// After a stored refusal a job runs here as if nothing had been.
-func TestRefusedJobRunsHere(t *testing.T) {
+// A job that the other site refuses runs at this site.
+func TestRefusedJobRunsLocally(t *testing.T) {
 	w, f := newFederatedWorld(t)
 	for _, n := range nodeNames {
 		w.gateways[n].Classes[0].OfferAfterS = 0
@@ -92,62 +93,62 @@
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
-	if !f.play(2*time.Minute, w.finished("req-red-1")) {
-		t.Fatal("it does not run")
+	if !f.serveUntil(2*time.Minute, w.finished("req-red-1")) {
+		t.Fatal("refused job does not finish at this site")
 	}
 	w.startedOnce()
 }
 
-// The scheduler does not even try to place an outgoing job.
+// The scheduler does not place the tasks of an outgoing job.
 func TestOutgoingJobIsNotPlaced(t *testing.T) {
 	w, f := newFederatedWorld(t)
 	w.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustjson.Marshal(federation.Outgoing{Epoch: 1, To: "far"})})
-	f.play(time.Second, func() bool { return false })
+	f.serveUntil(time.Second, func() bool { return false })
 	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
-	f.play(15*time.Second, func() bool { return false })
+	f.serveUntil(15*time.Second, func() bool { return false })
 	for n, c := range w.cores {
 		if j := c.jobs["req-red-1"]; j.Attempt > 0 || c.startAllowance(j) > 0 {
-			t.Errorf("%s has tried to bind it", n)
+			t.Errorf("%s tried to bind the outgoing job", n)
 		}
 	}
 }
 
-// Bindings, hand-offs and cancellations race in the store, whatever the
-// controllers have heard by then.
+// Bindings, hand-offs and cancellations of a job race. The store decides, because the controllers
+// have not seen the earlier write yet.
 func TestHandOffsRaceWithBindingsAndCancellations(t *testing.T) {
 	outgoing := federation.Outgoing{Epoch: 1, To: "far", Accepted: true}
 	for name, c := range map[string]struct {
-		more   string
-		before func(w *world)
-		holds  func(w *world) bool
+		extraFields string
+		before      func(w *world)
+		holds       func(w *world) bool
 	}{
-		"a binding after a hand-off": {before: func(w *world) { w.putUnwatched(outgoingKey("req-red-1"), outgoing) },
+		"a binding after a hand-off": {before: func(w *world) { w.putWithoutEvent(outgoingKey("req-red-1"), outgoing) },
 			holds: func(w *world) bool { return len(w.starts) == 0 }},
-		"a cancellation after a hand-off": {before: func(w *world) { w.putUnwatched(outgoingKey("req-red-1"), outgoing) },
+		"a cancellation after a hand-off": {before: func(w *world) { w.putWithoutEvent(outgoingKey("req-red-1"), outgoing) },
 			holds: func(w *world) bool {
 				return w.cancelJob("b", "req-red-1").Status == http.StatusServiceUnavailable && w.kv[keyState+"req-red-1"].Version == 0
 			}},
-		"a hand-off after a binding": {more: remoteZoneOnly, before: func(w *world) { w.putUnwatched(jobKey("req-red-1"), "bound meanwhile") },
+		"a hand-off after a binding": {extraFields: remoteZoneOnly, before: func(w *world) { w.putWithoutEvent(jobKey("req-red-1"), "bound meanwhile") },
 			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
-		"a hand-off after a cancellation": {more: remoteZoneOnly, before: func(w *world) { w.putUnwatched(cancelKey("req-red-1"), struct{}{}) },
+		"a hand-off after a cancellation": {extraFields: remoteZoneOnly, before: func(w *world) { w.putWithoutEvent(cancelKey("req-red-1"), struct{}{}) },
 			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
-		"a hand-off after a drain by another": {more: remoteZoneOnly, before: func(w *world) {
+		"a hand-off after a drain by another": {extraFields: remoteZoneOnly, before: func(w *world) {
 			w.change(protocol.Change{Put: drainedKey("far"), Value: mustjson.Marshal(struct{}{})})
 		}, holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
 	} {
 		w, f := newFederatedWorld(t)
-		f.play(10*time.Second, func() bool { return false }) // the sites compare their records
+		f.serveUntil(10*time.Second, func() bool { return false }) // the sites compare their records first
 		w.nextReq++
-		w.send("a", Submit{Req: w.nextReq, Body: []byte(submission("req-red-1", "red", 3, c.more))})
-		if !w.run(time.Second, func() bool { _, there := w.kv[jobKey("req-red-1")]; return there }) {
-			t.Fatalf("%s: not accepted", name)
+		w.send("a", Submit{Req: w.nextReq, Body: []byte(submission("req-red-1", "red", 3, c.extraFields))})
+		if !w.run(time.Second, func() bool { _, stored := w.kv[jobKey("req-red-1")]; return stored }) {
+			t.Fatalf("%s: job is not accepted", name)
 		}
 		c.before(w)
-		f.play(15*time.Second, func() bool { return false })
+		f.serveUntil(15*time.Second, func() bool { return false })
 		if !c.holds(w) {
-			t.Errorf("%s: starts %v, hand-off %d, state %d", name, w.starts, w.kv[outgoingKey("req-red-1")].Version, w.kv[keyState+"req-red-1"].Version)
+			t.Errorf("%s: starts %v, versions of the hand-off record %d and of the final state %d", name, w.starts, w.kv[outgoingKey("req-red-1")].Version, w.kv[keyState+"req-red-1"].Version)
 		}
 	}
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -8,9 +8,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// reconcileMachine compares the newest report of a machine with the bindings on it: it has
-// tasks that are not wanted stopped and forgotten, and ends the bindings of tasks that are
-// proven gone.
+// reconcileMachine compares the newest report of a machine with the bindings on it. It has unwanted
+// tasks stopped and forgotten, and ends the bindings of tasks that are proven gone.
 func (r *reconciler) reconcileMachine(m *worker.Machine) {
 	for _, t := range m.Tasks {
 		r.reconcileTask(m, t)
@@ -27,7 +26,7 @@
 	})
 }
 
-// reconcileTask compares one reported task with what is known of its job.
+// reconcileTask compares one reported task with the state of its job.
 func (r *reconciler) reconcileTask(m *worker.Machine, t protocol.TaskReport) {
 	id, i, ok := job.ParseTaskID(t.Task)
 	if !ok {
@@ -55,8 +54,8 @@
 	}
 }
 
-// eachLedBinding visits the stored bindings on a machine that match and whose jobs this node
-// leads, in order. The visitor may end them.
+// eachLedBinding visits, in order, the stored bindings on a machine that match and whose jobs this
+// node leads. The visitor may end them.
 func (r *reconciler) eachLedBinding(machine string, matches worker.BindingFilter, visit worker.BindingVisitor) {
 	matchesAndLeads := func(ref job.TaskRef, b *job.Binding) bool {
 		return r.core.leads(ref.Job) && matches(ref, b)
@@ -64,7 +63,7 @@
 	r.core.machines.EachStoredBinding(machine, matchesAndLeads, visit)
 }
 
-// reconcileBinding applies what the newest report proves about one binding.
+// reconcileBinding updates one binding according to the evidence of the newest report.
 func (r *reconciler) reconcileBinding(j *job.Job, i int, b *job.Binding, m *worker.Machine) {
 	evidence, t := m.Evidence(j.TaskID(i), b)
 	switch evidence {
@@ -78,8 +77,8 @@
 	}
 }
 
-// taskEnded records a task's end. Its room is free at once; the store learns of it before the
-// worker is told to forget the task.
+// taskEnded records the end of a task. Its resources are free immediately; the worker is told to
+// forget the task only after the end is stored.
 func (r *reconciler) taskEnded(j *job.Job, i int, m *worker.Machine, t protocol.TaskReport) {
 	j.UnstoredExits = append(j.UnstoredExits, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
 	switch t.Why {
@@ -99,9 +98,9 @@
 	r.core.unbind(j, i)
 }
 
-// reconcileAll looks at every binding of this node's teams once in a while: what stays
-// unproven is fenced, what must go is stopped, and what does not go is returned with its
-// machine.
+// reconcileAll periodically checks every binding of the teams that this node leads. It fences
+// bindings that the reports don't resolve, stops tasks that must end, and returns the machines of
+// tasks that don't end.
 func (r *reconciler) reconcileAll() {
 	r.core.relay.reapplyEntries()
 	for _, t := range r.core.teams {
@@ -129,14 +128,16 @@
 	}
 }
 
-// checkBinding resolves one binding if that can be done now, and has it resolved soon if not.
+// checkBinding resolves one binding if there is evidence for it. Otherwise it fences the binding once
+// its start is overdue, so that a later report provides the evidence.
 func (r *reconciler) checkBinding(j *job.Job, i int, b *job.Binding) {
 	if r.core.cordons.isTerminated(b.Machine) {
 		r.core.unbind(j, i)
 		return
 	}
 	if j.Cancelled && !b.Sent {
-		// The machine's controller may have started it by what the store shows.
+		// The machine's controller may have started the task on its own, after seeing the binding
+		// in the store.
 		b.Sent, b.Since = true, r.now.Steady
 	}
 	m := r.core.machines.Get(b.Machine)
@@ -153,8 +154,9 @@
 	}
 }
 
-// isFenceDue tells whether a start has gone unreported for so long that the start, its answer
-// or the task's report may be lost. Under a newer token the next report is proof.
+// isFenceDue reports whether a start has gone unreported for so long that the start, its reply or the
+// report of the task may be lost. Once the machine has a newer fencing token, its next report proves
+// whether the task is there.
 func isFenceDue(m *worker.Machine, task string, b *job.Binding, now, reportInterval time.Duration) bool {
 	_, reported := m.Find(task, b.Attempt)
 	if reported && b.State != "" && m.Session == b.Epoch {
@@ -164,13 +166,13 @@
 	return b.Sent && waited > reportInterval
 }
 
-// isSilent tells whether nothing has been heard of a binding's machine for so long that the
-// autoscaler has to be asked: one that became leader after the machine's last report does not
-// know of it.
+// isSilent reports whether a binding's machine has been silent for so long that the autoscaler must
+// decide whether to return it. A node that became leader after the machine's last report does not
+// know the machine.
 func (r *reconciler) isSilent(m *worker.Machine, b *job.Binding) bool {
 	if m == nil {
 		return r.now.Steady-b.Since > r.core.silenceLimit()
 	}
-	lastSign := max(m.LastContact, b.Since)
-	return r.now.Steady-lastSign > 2*r.core.silenceLimit() && r.core.knowsAllMachines()
+	lastContact := max(m.LastContact, b.Since)
+	return r.now.Steady-lastContact > 2*r.core.silenceLimit() && r.core.knowsAllMachines()
 }
--- a/internal/core/reconciler.go
+++ b/internal/core/reconciler.go
@@ -1,12 +1,13 @@
 package core
 
-// reconciler keeps what runs on machines in line with the bindings of the jobs that this node
-// leads: it sends starts, ends the bindings of tasks that are proven gone, fences what stays
-// unproven, and stops what must not run.
+// reconciler reconciles the tasks that run on machines with the bindings of the jobs that this node
+// leads. It sends starts, ends the bindings of tasks that are proven gone, fences bindings that the
+// reports don't resolve, and stops tasks that must not run.
 type reconciler struct {
 	core *Core
 	*environment
-	// orphanLookups names the jobs of reported tasks that are being looked up in the store.
+	// orphanLookups holds the IDs of jobs that are not known to be active, and are being looked up
+	// because a machine reports tasks of them.
 	orphanLookups map[string]bool
 }
 
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -9,7 +9,8 @@
 type nodeRecord struct {
 	Incarnation string `json:"i"`
 	Lease       uint64 `json:"l"`
-	// Federation tells that it keeps away from jobs that were handed off.
+	// Federation is set if the controller has a federation configuration, and so doesn't run jobs
+	// that were handed off.
 	Federation bool `json:"g,omitempty"`
 	version    uint64
 }
@@ -20,8 +21,9 @@
 	Incarnation string `json:"i"`
 }
 
-// finalStateRecord is the stored final state of a job. While there is none, an accepted job has
-// its active key, so every job has exactly one of the two but at the moment of its cancellation.
+// finalStateRecord is the stored final state of a job. Until it exists, an accepted job has a head
+// under its active key. A job has exactly one of the two, except while a cancellation is carried
+// out, when it has both.
 type finalStateRecord struct {
 	State string `json:"s"`
 	Tasks int    `json:"n"`
@@ -34,7 +36,7 @@
 	Incarnation string `json:"i"`
 }
 
-// rentalIntent is a rental that was decided on; the store knows it before the cloud.
+// rentalIntent is the intent to rent machines. It is stored before the cloud is asked for them.
 type rentalIntent struct {
 	Rental   protocol.Rental `json:"r"`
 	Machines []string        `json:"m,omitempty"`
@@ -42,7 +44,7 @@
 	pending  bool
 }
 
-// usageRecord is the stored record of a team's use.
+// usageRecord is the stored record of a team's resource usage.
 type usageRecord struct {
 	Record fairness.Record `json:"r"`
 }
--- a/internal/core/remotesite_test.go
+++ b/internal/core/remotesite_test.go
@@ -10,19 +10,19 @@
 	"pepperlever/internal/protocol"
 )
 
-// remoteSite plays another site, which answers messages as a test wants. Its jobs never
-// leave a message out: whatever is not answered is sent again.
+// remoteSite simulates another site that answers messages as the test requires. No message is
+// lost for good: the coordinator sends every message again until it is answered.
 type remoteSite struct {
 	w *world
-	// decide answers an offer, end tells the state in which the job has ended there,
-	// or nothing yet.
-	decide   func(m federation.Message) federation.Message
-	end      func() string
-	seen     int
-	answered map[federation.Epoch]federation.Message
+	// decide answers an offer; finalState returns the final state of the accepted jobs, "" until they
+	// have ended.
+	decide     func(m federation.Message) federation.Message
+	finalState func() string
+	handled    int // number of messages in w.sent that were handled
+	answers    map[federation.Epoch]federation.Message
 }
 
-// newFederatedWorld is a world whose controllers are in a federation with a site called far.
+// newFederatedWorld returns a world whose controllers are in a federation with a site named far.
 func newFederatedWorld(t *testing.T) (*world, *remoteSite) {
 	w := newWorld(t)
 	w.gateways = map[string]*federation.Config{}
@@ -36,7 +36,7 @@
 	for _, n := range nodeNames {
 		w.boot(n)
 	}
-	f := &remoteSite{w: w, answered: map[federation.Epoch]federation.Message{}, end: func() string { return "" }}
+	f := &remoteSite{w: w, answers: map[federation.Epoch]federation.Message{}, finalState: func() string { return "" }}
 	f.decide = func(m federation.Message) federation.Message {
 		return federation.Message{Kind: federation.KindDecision, Accepted: true, Done: 1, Running: 2}
 	}
@@ -44,11 +44,11 @@
 	return w, f
 }
 
-// play answers what comes, at any controller.
-func (f *remoteSite) play(d time.Duration, done func() bool) bool {
+// serveUntil runs the world, answering the messages to the remote site, until done or for d.
+func (f *remoteSite) serveUntil(d time.Duration, done func() bool) bool {
 	return f.w.run(d, func() bool {
-		for ; f.seen < len(f.w.sent); f.seen++ {
-			f.receive(f.w.sent[f.seen])
+		for ; f.handled < len(f.w.sent); f.handled++ {
+			f.receive(f.w.sent[f.handled])
 		}
 		return done()
 	})
@@ -56,11 +56,11 @@
 
 func (f *remoteSite) send(m federation.Message) {
 	m.From, m.To = "far", "near"
-	f.w.send(nodeNames[f.seen%len(nodeNames)], SiteMessageReceived{Message: m})
+	f.w.send(nodeNames[f.handled%len(nodeNames)], SiteMessageReceived{Message: m})
 }
 
 func (f *remoteSite) receive(m federation.Message) {
-	answer, known := f.answered[m.Epoch]
+	answer, known := f.answers[m.Epoch]
 	switch {
 	case m.Kind == federation.KindViewRequest:
 		f.send(federation.Message{Kind: federation.KindView, Nonce: m.Nonce, View: &federation.View{}})
@@ -72,18 +72,18 @@
 	case m.Kind != federation.KindOffer && m.Kind != federation.KindCancel:
 		return
 	}
-	f.answered[m.Epoch] = answer
-	if state := f.end(); answer.Accepted && state != "" {
+	f.answers[m.Epoch] = answer
+	if state := f.finalState(); answer.Accepted && state != "" {
 		answer = federation.Message{Kind: federation.KindResult, State: state}
 	}
 	answer.Epoch = m.Epoch
 	f.send(answer)
 }
 
-// remoteZoneOnly is what a job asks for that only far has.
+// remoteZoneOnly is the job field that requires a zone which only far has.
 const remoteZoneOnly = `,"yard":"z9"`
 
-// submitRemote hands in a job that only far can run.
+// submitRemote submits a job that only far can run.
 func (f *remoteSite) submitRemote(id string) {
 	f.w.t.Helper()
 	if a := f.w.submit("a", id, 3, remoteZoneOnly); a.Status != http.StatusCreated {
@@ -91,8 +91,8 @@
 	}
 }
 
-// putUnwatched writes a key of which the watch does not know yet.
-func (w *world) putUnwatched(key string, v any) {
+// putWithoutEvent writes a key in the store that the watch does not report.
+func (w *world) putWithoutEvent(key string, v any) {
 	w.revision++
 	w.kv[key] = protocol.KeyValue{Key: key, Value: mustjson.Marshal(v), Version: w.revision}
 }
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -9,20 +9,20 @@
 	"pepperlever/internal/protocol"
 )
 
-// replica tells how far this node's copy of the stored state is, and holds what of it has no
-// other place.
+// replica tracks how current this node's copy of the stored state is, and holds the parts of the
+// copy that no other component owns.
 type replica struct {
-	// loaded is set once the stored state was read.
+	// loaded is set once the stored state has been read for the first time.
 	loaded bool
-	// reloading is set while the copy lacks the jobs of a leadership that was lost, until the
-	// stored state is read again.
+	// reloading is set from a loss of leadership, which drops the jobs of the shard, until the
+	// stored state has been read again.
 	reloading bool
-	// revision is the newest one that the copy shows.
+	// revision is the newest store revision that the copy reflects.
 	revision uint64
-	// pendingChunks holds chunks of jobs whose head is not known yet.
+	// pendingChunks buffers the chunks, by job ID, of jobs whose head has not arrived yet.
 	pendingChunks map[string]map[job.ChunkKey]protocol.KeyValue
-	// cancelRequests holds the users' cancellations of jobs that are not final, with the time of
-	// day of each in milliseconds.
+	// cancelRequests maps jobs with a stored cancellation by their user to the wall-clock time of the
+	// request in milliseconds. The cancellation is deleted together with the head of the job.
 	cancelRequests map[string]int64
 }
 
@@ -33,21 +33,21 @@
 	}
 }
 
-// shows tells whether the copy shows a revision.
+// shows reports whether the copy reflects a revision.
 func (r *replica) shows(revision uint64) bool { return revision <= r.revision }
 
-// advance notes that the copy shows everything up to a revision.
+// advance records that the copy reflects everything up to a revision.
 func (r *replica) advance(revision uint64) { r.revision = max(r.revision, revision) }
 
-// keepChunk keeps a chunk until its job's head is known.
-func (r *replica) keepChunk(id string, chunk job.ChunkKey, item protocol.KeyValue) {
+// bufferChunk buffers a chunk until the head of its job arrives.
+func (r *replica) bufferChunk(id string, chunk job.ChunkKey, item protocol.KeyValue) {
 	if r.pendingChunks[id] == nil {
 		r.pendingChunks[id] = map[job.ChunkKey]protocol.KeyValue{}
 	}
 	r.pendingChunks[id][chunk] = item
 }
 
-// loadPendingChunks hands a job the chunks that came before its head.
+// loadPendingChunks loads the chunks that arrived before the job's head into the job.
 func (r *replica) loadPendingChunks(j *job.Job) error {
 	for key, item := range r.pendingChunks[j.ID] {
 		if err := j.LoadChunk(key, item.Value); err != nil {
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// applySnapshot replaces the replica by the stored state. Jobs of teams that this node leads
-// stay as they are: only it writes them.
+// applySnapshot replaces the replica with the stored state. Jobs of teams that this node leads
+// are kept as they are, because no other node writes them.
 func (c *Core) applySnapshot(m SnapshotLoaded) {
 	stored := make(map[string]bool, len(m.Items))
 	for _, item := range m.Items {
 		stored[item.Key] = true
 	}
-	for key := range c.knownKeys() {
+	for key := range c.replicatedKeys() {
 		if !stored[key] {
 			c.onDelete(key, m.Revision)
 		}
@@ -85,7 +85,7 @@
 	c.register()
 }
 
-// applyEvents applies the changes of the watch, in their order.
+// applyEvents applies the events of the watch in order.
 func (c *Core) applyEvents(m StoreChanged) {
 	for _, e := range m.Events {
 		if e.Delete != "" {
@@ -99,8 +99,8 @@
 	c.freshness.replicaAdvanced(c.replica.revision)
 }
 
-// knownKeys lists the keys that the replica stands for.
-func (c *Core) knownKeys() map[string]bool {
+// replicatedKeys returns the stored keys that the replica reflects.
+func (c *Core) replicatedKeys() map[string]bool {
 	known := map[string]bool{}
 	for node := range c.members.live {
 		known[keyNode+node] = true
--- a/internal/core/replica_test.go
+++ b/internal/core/replica_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A watch may fall too far behind in the middle of a wave of machine losses. The stored state is
-// then read again over what this node knows better.
-func TestSnapshotDuringAWaveOfLossesLosesNothing(t *testing.T) {
+// A watch may fall too far behind during a series of machine losses. The stored state is then read
+// again and must not replace the newer state of jobs that this node leads.
+func TestSnapshotDuringMachineLossesKeepsLocalState(t *testing.T) {
 	w := newWorld(t).ready()
 	var ids []string
 	for _, team := range []string{"red", "blue", "free"} {
@@ -30,6 +30,6 @@
 		w.run(500*time.Millisecond, nil)
 	}
 	if !w.run(5*time.Minute, w.finished(ids...)) {
-		t.Fatal("jobs do not end")
+		t.Fatal("jobs did not end")
 	}
 }
--- a/internal/core/replicajobs.go
+++ b/internal/core/replicajobs.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// onJobPut takes what another controller, or an earlier leader, stored of a job.
+// onJobPut applies a head or chunk of a job that another controller or an earlier leader stored.
 func (c *Core) onJobPut(item protocol.KeyValue) error {
 	id, chunk, ok := parseJobKey(item.Key)
 	switch {
@@ -19,7 +19,7 @@
 	return c.onChunkPut(id, chunk, item)
 }
 
-// onHeadPut takes the head of a job, with its first chunk.
+// onHeadPut applies the head of a job, which includes its first chunk.
 func (c *Core) onHeadPut(id string, item protocol.KeyValue) error {
 	j := c.jobs[id]
 	known := j != nil
@@ -27,7 +27,7 @@
 		return nil
 	}
 	if c.ended.revision(id) > item.Version {
-		return nil // an old event, or an acceptance told late, of a job that has ended since
+		return nil // a stale event or a delayed acceptance message of a job that has ended since
 	}
 	if !known {
 		j = job.New(job.Spec{ID: id}, c.limits.defaultChunkSize(), c.now.Steady)
@@ -37,7 +37,7 @@
 		return err
 	}
 	if j.Attempt > attempt {
-		j.PendingSince = c.now.Steady // its leader has bound some of it
+		j.PendingSince = c.now.Steady // its leader has bound some tasks
 	}
 	t := c.teamBy[j.Team]
 	if t == nil {
@@ -47,8 +47,8 @@
 	if !known {
 		c.addJob(t, j)
 		if c.cancelled(id) {
-			// A leader that was superseded forgets its jobs and reads them again. One that
-			// was cancelled before must not count as done at its end.
+			// A superseded leader drops its jobs and reads them again. A job that was
+			// cancelled before that must not be counted as done when it ends.
 			defer c.markCancelled(j)
 		}
 		if err := c.replica.loadPendingChunks(j); err != nil {
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// onChunkPut takes a further chunk of a job. A chunk may come before its head, since the items
-// of a snapshot are ordered by key and events by revision.
+// onChunkPut applies a chunk of a job that is stored under its own key. It may arrive before the
+// head, because the items of a snapshot are ordered by key and events by revision.
 func (c *Core) onChunkPut(id string, chunk job.ChunkKey, item protocol.KeyValue) error {
 	j := c.jobs[id]
 	switch {
 	case j == nil:
-		c.replica.keepChunk(id, chunk, item)
+		c.replica.bufferChunk(id, chunk, item)
 		return nil
 	case c.leads(j):
 		return nil
@@ -74,8 +74,8 @@
 	return j.LoadChunk(chunk, item.Value)
 }
 
-// onHeadDelete forgets a job whose head is no longer stored, unless this node leads its team and
-// so removes it by itself.
+// onHeadDelete drops a job whose head is no longer stored. A leader drops the jobs of its team
+// itself, except for those that were handed off.
 func (c *Core) onHeadDelete(key string, revision uint64) {
 	id, chunk, ok := parseJobKey(key)
 	j := c.jobs[id]
@@ -87,9 +87,9 @@
 	}
 }
 
-// onJobDelete notes the end of a job that the watch tells of: its head goes when it is done, or
-// when nothing is left of a cancelled one. Events come in order, so a cancellation is known by
-// then.
+// onJobDelete records the end of a job whose head was deleted: because the job is done, or because
+// it was cancelled and none of its tasks is left. Events arrive in order, so a cancellation is
+// known by then.
 func (c *Core) onJobDelete(key string, revision uint64) {
 	if !strings.HasPrefix(key, keyJob) {
 		return
@@ -104,9 +104,9 @@
 	c.noteEnd(id, revision)
 }
 
-// finalStateAtDeletion is how a job has ended whose head was deleted while no cancellation was
-// known here. One that still waited for dependencies was never bound, so it is not done: its
-// leader knew of a cancellation first.
+// finalStateAtDeletion returns the final state of a job whose head was deleted while this node knew
+// of no cancellation. A job that was still blocked on dependencies was never bound, so it can't be
+// done: its leader learned of a cancellation first.
 func finalStateAtDeletion(j *job.Job) protocol.JobState {
 	if j.Blocked {
 		return protocol.JobState{ID: j.ID, State: protocol.Cancelled}
@@ -114,7 +114,7 @@
 	return protocol.JobState{ID: j.ID, State: protocol.Done, Done: j.Tasks}
 }
 
-// addJob adds a job to all that follows jobs.
+// addJob adds a job to the replica and to every component that tracks jobs.
 func (c *Core) addJob(t *team, j *job.Job) {
 	c.jobs[j.ID] = j
 	t.jobs[j.ID] = j
@@ -123,7 +123,7 @@
 	c.requestRound()
 }
 
-// forgetJob removes a job from all that follows jobs.
+// forgetJob removes a job from the replica and from every component that tracks jobs.
 func (c *Core) forgetJob(j *job.Job) {
 	delete(c.jobs, j.ID)
 	c.machines.UntrackBindings(j)
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -11,14 +11,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// All controllers are away for longer than a lease: every epoch has risen, machines were taken
-// meanwhile, and a cancellation was confirmed just before.
-func TestAllControllersAwayForLongerThanALease(t *testing.T) {
-	for name, also := range map[string]func(w *world){
-		"nothing":        func(*world) {},
-		"machines taken": func(w *world) { w.eachOfSome(3, func(id string) { delete(w.workers, id) }) },
-		"late reports":   func(w *world) { w.replayReports = true },
-		"an outage":      func(w *world) { w.outage = true; w.after(30*time.Second, w.endOutage) },
+// All controllers are down for longer than a worker's lease, so every worker begins a new epoch.
+// Further faults happen meanwhile, and a cancellation was confirmed just before.
+func TestAllControllersDownLongerThanLease(t *testing.T) {
+	for name, injectFault := range map[string]func(w *world){
+		"no further fault": func(*world) {},
+		"machines taken":   func(w *world) { w.eachOfSome(3, func(id string) { delete(w.workers, id) }) },
+		"late reports":     func(w *world) { w.replayReports = true },
+		"an outage":        func(w *world) { w.outage = true; w.after(30*time.Second, w.endOutage) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -28,30 +28,30 @@
 			accepted(t, w.submit("b", "req-red-2", 8, ""))
 			accepted(t, w.submit("b", "req-free-3", 6, ""))
 			w.run(30*time.Second, func() bool { return w.onMachines("req-free-3")+w.onMachines("req-red-2") == 14 })
-			w.run(3*time.Second, nil) // reports have come
+			w.run(3*time.Second, nil) // let reports arrive
 			if w.cancelJob("c", "req-free-3").Status != http.StatusOK || w.onMachines("req-red-2") != 8 {
-				t.Fatal("not confirmed, or not started")
+				t.Fatal("cancellation is not confirmed, or tasks are not running")
 			}
 			machines := slices.Sorted(maps.Keys(w.workers))
-			also(w)
+			injectFault(w)
 			w.stopAllFor(w.lease() * 3 / 2)
 			w.run(w.lease()*3/2+time.Second, nil)
 			if !w.sessions(machines) {
-				t.Fatal("no epoch has risen")
+				t.Fatal("workers have not begun new epochs")
 			}
 			if !w.run(3*time.Minute, w.finished("req-free-1", "req-red-2")) {
-				t.Error("jobs do not end")
+				t.Error("jobs did not end")
 			}
 			if s := stateOf(t, w.status("d", "req-free-3")); s.State != protocol.Cancelled || w.onMachines("req-free-3") > 0 {
-				t.Errorf("what was cancelled is %q", s.State)
+				t.Errorf("cancelled job has state %q or running tasks", s.State)
 			}
 		})
 	}
 }
 
-// The former run's lease, leadership, starts and claims are all still there when its successor
-// begins, and what it had sent comes after that.
-func TestRestartedControllerResumesNothingOld(t *testing.T) {
+// The lease, leadership, starts and claims of a controller's former run still exist when the next run
+// begins, and messages that the former run had sent arrive after that.
+func TestRestartedControllerIgnoresStateOfFormerRun(t *testing.T) {
 	for _, pause := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(fmt.Sprint(pause), func(t *testing.T) {
 			t.Parallel()
@@ -76,7 +76,7 @@
 				w.run(time.Second, nil)
 			}
 			if !w.run(2*time.Minute, w.finished(ids...)) {
-				t.Fatal("jobs do not end")
+				t.Fatal("jobs did not end")
 			}
 			w.startedOnce()
 		})
--- a/internal/core/staletasks.go
+++ b/internal/core/staletasks.go
@@ -7,10 +7,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// handleStaleAttempt deals with a reported task that no binding stands for. It can be
-// forgotten once the store holds what became of it. An attempt later than this leader has
-// stored is another leader's: this node has lost the leadership and could not be told yet,
-// since the store is out of its reach.
+// handleStaleAttempt handles a reported task that has no binding. The worker can forget it once its
+// outcome is stored. An attempt later than any that this leader has stored is another leader's: this
+// node has lost its leadership, but hasn't learned of it because it can't reach the store.
 func (r *reconciler) handleStaleAttempt(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
 	if t.Attempt > j.StoredAttempt {
 		return
@@ -21,8 +20,8 @@
 	}
 }
 
-// handleOrphanTask deals with a task of a job that is not known as active: only the machine's
-// controller acts, and only once the store says that the job is final.
+// handleOrphanTask handles a task whose job is not known to be active. Only the machine's controller
+// acts on it, and only after confirming that the job has ended.
 func (r *reconciler) handleOrphanTask(m *worker.Machine, t protocol.TaskReport, id string) {
 	if m.Node != r.cfg.Node {
 		return
@@ -38,7 +37,7 @@
 	r.core.lookups.request(id, func(lookup.Result) { delete(r.orphanLookups, id) })
 }
 
-// forgetEndedTasks has exited tasks forgotten whose end a store write has recorded.
+// forgetEndedTasks tells workers to forget exited tasks whose end is stored.
 func (r *reconciler) forgetEndedTasks(j *job.Job, exits []job.Exit) {
 	for _, exit := range exits {
 		m := r.core.machines.Get(exit.Machine)
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -4,14 +4,14 @@
 	"pepperlever/internal/core/job"
 )
 
-// The leader of a job asks the controller of a machine to start a task there, once, after the
-// binding is stored. That controller forwards the start to the machine's agent or refuses it
-// for good.
+// After a binding is stored, the leader of the job asks the controller of the machine exactly once
+// to start the task. That controller either forwards the start to the machine's agent or refuses it
+// permanently.
 
-// sendStarts sends the starts of bindings that the store now holds. A gang's tasks start
-// together, once all of them are stored.
+// sendStarts sends the starts of a job's stored bindings. The tasks of a gang start together, once
+// all their bindings are stored.
 func (r *reconciler) sendStarts(j *job.Job) {
-	if j.Cancelled || j.Kind == job.Gang && !allStored(j) {
+	if j.Cancelled || j.Kind == job.Gang && !allBindingsStored(j) {
 		return
 	}
 	for i, b := range ordered(j.Bound) {
@@ -21,7 +21,7 @@
 	}
 }
 
-func allStored(j *job.Job) bool {
+func allBindingsStored(j *job.Job) bool {
 	for _, b := range j.Bound {
 		if !b.Stored {
 			return false
@@ -30,8 +30,8 @@
 	return true
 }
 
-// sendStart sends one start to the controller of its machine, unless the machine has moved
-// on since the task was bound to it.
+// sendStart sends one start to the controller of its machine, unless the machine has a newer token
+// or epoch than when the task was bound to it.
 func (r *reconciler) sendStart(j *job.Job, i int, b *job.Binding) {
 	b.Sent, b.Since = true, r.now.Steady
 	m := r.core.machines.Get(b.Machine)
@@ -39,8 +39,8 @@
 		return
 	}
 	if m.GrantedToken != b.Token || m.Session != b.Epoch {
-		// It would be refused, but the controller that had the machine may start it by what
-		// the store shows meanwhile: only a report resolves it.
+		// The start would be refused, but the machine's former controller may start the task
+		// after seeing the binding in the store, so only a report can resolve the binding.
 		r.reconcileBinding(j, i, b, m)
 		return
 	}
@@ -56,7 +56,7 @@
 	}})
 }
 
-// handleRefusal ends a binding whose start was never forwarded and never will be.
+// handleRefusal ends a binding whose start was refused: it was not forwarded and never will be.
 func (r *reconciler) handleRefusal(refusal Refusal) {
 	id, i, ok := job.ParseTaskID(refusal.Task)
 	j := r.core.jobs[id]
@@ -69,7 +69,7 @@
 	}
 	r.log(Debug, "start refusal received", "task", refusal.Task, "machine", refusal.Machine)
 	if m := r.core.machines.Get(refusal.Machine); m != nil {
-		m.FullAt = r.now.Steady // not again before something has changed
+		m.FullAt = r.now.Steady // excludes the machine from placement for a short time
 	}
 	r.core.unbind(j, i)
 }
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -9,20 +9,19 @@
 	"pepperlever/internal/protocol"
 )
 
-// A delivery that the network holds back until its task has been started elsewhere is refused
-// by the worker.
-func TestDelayedStartIsRefusedAfterTheTaskWentElsewhere(t *testing.T) {
+// A worker refuses a start that the network delays until the task has been started elsewhere.
+func TestDelayedStartIsRefusedAfterTaskStartedElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	w.loseDeliveries = true
 	accepted(t, w.submit("a", "req-blue-1", 2, ""))
 	if !w.run(time.Minute, func() bool {
 		return slices.ContainsFunc(w.heldDeliveries, func(d Deliver) bool { return len(d.Orders.Commands) > 0 })
 	}) {
-		t.Fatal("nothing was delivered")
+		t.Fatal("no start was sent to a worker")
 	}
 	w.loseDeliveries = false
 	if !w.run(time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end after a lost start")
+		t.Fatal("job did not end after a lost start")
 	}
 	accepted(t, w.submit("b", "req-blue-2", 2, ""))
 	w.run(3*time.Second, nil)
@@ -37,7 +36,7 @@
 	w.startedOnce()
 }
 
-// Machines that are heard no more are returned, and their tasks run on others.
+// Machines that stop reporting are returned, and their tasks run on other machines.
 func TestDeadMachineIsReturnedAndItsTasksRunElsewhere(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 6, ""))
@@ -46,12 +45,12 @@
 		f.dead = true
 	}
 	if !w.run(3*time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("job does not end")
+		t.Fatal("job did not end")
 	}
 }
 
-// From a delivery without an answer to the next report, starts are refused.
-func TestStartsAreRefusedWhileAWorkerDoesNotAnswer(t *testing.T) {
+// Starts are refused from an unanswered delivery until the worker's next report.
+func TestStartsAreRefusedWhileWorkerIsUnresponsive(t *testing.T) {
 	w := newWorld(t).ready()
 	c := w.cores["a"]
 	for range nodeNames {
@@ -61,12 +60,12 @@
 	for id, session := range c.agents.all() {
 		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: session.token, Epoch: session.epoch, Need: job.Resources{CPUs: 1}}
 		if reason := c.agents.refusalReasonFor(&s); reason != "" {
-			t.Errorf("healthy: %s", reason)
+			t.Errorf("start for a healthy worker is refused: %s", reason)
 		}
 		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: session.token}})
 		w.step("a")
 		if reason := c.agents.refusalReasonFor(&s); reason == "" {
-			t.Error("a worker without an answer takes starts")
+			t.Error("start for a worker that did not answer is not refused")
 		}
 		return
 	}
@@ -74,29 +73,29 @@
 	t.Fatal("no worker reports to a")
 }
 
-// A start that comes after its machine's token was raised, or its epoch has ended, is refused:
-// a report has proved that it will never be carried out, and the task may be elsewhere. Queued
-// starts are delivered under the present epoch, so the worker would not refuse it.
+// A start that arrives after the token of its machine was raised, or after its epoch has ended, is
+// refused: a report has already proven the task absent, so it may run elsewhere. The worker would not
+// refuse the start, because queued starts are delivered under the current epoch.
 func TestStartUnderAnotherTokenOrEpochIsRefused(t *testing.T) {
 	for name, s := range map[string]Start{
-		"as it is":      {Token: 5, Epoch: 2},
-		"former token":  {Token: 3, Epoch: 2},
-		"another's":     {Token: 4, Epoch: 2},
-		"later token":   {Token: 6, Epoch: 2},
-		"former epoch":  {Token: 5, Epoch: 1},
-		"epoch to come": {Token: 5, Epoch: 3},
+		"as it is":                    {Token: 5, Epoch: 2},
+		"former token":                {Token: 3, Epoch: 2},
+		"token of another controller": {Token: 4, Epoch: 2},
+		"later token":                 {Token: 6, Epoch: 2},
+		"former epoch":                {Token: 5, Epoch: 1},
+		"later epoch":                 {Token: 5, Epoch: 3},
 	} {
 		c := newWorld(t).cores["a"]
 		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
 		c.agents.tokens.acquired[3], c.agents.tokens.acquired[5] = true, true
-		w := newAgentSession(5, 2, "")
-		c.agents.add("vm", w)
+		session := newAgentSession(5, 2, "")
+		c.agents.add("vm", session)
 		m := c.addMachine("vm")
 		m.Machine, m.Type, m.Node, m.Session = "vm", "small", "a", 2
 		s.Machine, s.Task, s.Attempt = "vm", "req-free-1/0", 1
 		c.agents.forwardStart("b", s)
-		if waits := len(w.queuedStarts) > 0; waits != (name == "as it is") {
-			t.Errorf("%s: it waits to be delivered: %v", name, waits)
+		if queued := len(session.queuedStarts) > 0; queued != (name == "as it is") {
+			t.Errorf("%s: start is queued for delivery: %v", name, queued)
 		}
 	}
 }
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// stopTask asks for a task to end, with grace to save, and repeats it until a report shows the
-// end.
+// stopTask requests a task to stop within a grace period, in which it can save its state. While the
+// caller keeps calling it, the request is repeated once per report interval.
 func (r *reconciler) stopTask(j *job.Job, i int, b *job.Binding, graceS float64) {
 	if b.Stopping && r.now.Steady-b.StopSent < r.reportInterval() {
 		return
@@ -16,14 +16,14 @@
 	r.sendStop(j, i, b, graceS)
 }
 
-// sendStop sends one command to stop a task, whoever leads its team.
+// sendStop sends a single stop command, regardless of whether this node leads the task's team.
 func (r *reconciler) sendStop(j *job.Job, i int, b *job.Binding, graceS float64) {
 	if m := r.core.machines.Get(b.Machine); m != nil {
 		r.sendCommand(m.Node, b.Machine, stopCommand(j.TaskID(i), b.Attempt, graceS))
 	}
 }
 
-// stopOrForgetTask has a task forgotten by its worker if it has exited, or else stopped.
+// stopOrForgetTask tells the worker to forget a task that has exited, or to stop one that has not.
 func (r *reconciler) stopOrForgetTask(m *worker.Machine, t protocol.TaskReport) {
 	command := stopCommand(t.Task, t.Attempt, 0)
 	if t.State == protocol.Exited {
@@ -36,7 +36,7 @@
 	return protocol.Command{Op: protocol.OpStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// sendCommand sends a command for a machine to its controller.
+// sendCommand sends a command for a machine to the machine's controller.
 func (r *reconciler) sendCommand(node, machine string, command protocol.Command) {
 	r.core.sendTo(node, PeerMessage{Command: &TaskCommand{Machine: machine, Command: command}})
 }
--- a/internal/core/storerefusal_test.go
+++ b/internal/core/storerefusal_test.go
@@ -8,48 +8,55 @@
 	"time"
 )
 
-// storeRefusal is a scenario in which the store refuses a controller alone, another one confirms
-// a cancellation, and then the store is down for all.
+// storeRefusal is a scenario in which the store first refuses a single controller, another
+// controller then confirms a cancellation, and finally the store is down for all.
 type storeRefusal struct {
-	// links names the faults of links from the refusal on; cloud is "well" or the cloud
-	// refuses to take machines back.
+	// links names the link faults that begin with the refusal, see linkFaults. Unless cloud is
+	// "well", the cloud refuses to take machines back.
 	links, cloud string
-	// gap is how long after the refusal the outage begins.
-	gap time.Duration
-	// atOnce makes the user cancel with the refusal and not right before the outage.
-	atOnce bool
-	// fleetLeader makes the store refuse the leader of the fleet and not that of the team.
+	// outageDelay is the time from the refusal to the outage.
+	outageDelay time.Duration
+	// cancelAtRefusal makes the user cancel at the time of the refusal instead of right before the
+	// outage.
+	cancelAtRefusal bool
+	// fleetLeader makes the store refuse the leader of the fleet instead of the leader of the team.
 	fleetLeader bool
-	// machines, tasks and more describe the job; by default it fills all machines.
+	// machines is the number of machines; tasks and extraFields describe the job, which by default
+	// fills them.
 	machines, tasks int
-	more            string
-	// before, refused and outage are further faults: before the job is submitted, with the
-	// refusal and with the outage.
+	extraFields     string
+	// before, refused and outage inject further faults before the job is submitted, at the refusal
+	// and at the outage. refusedNode is the controller that the store refuses, confirmingNode the
+	// one that confirmed the cancellation.
 	before, refused func(w *world)
-	outage          func(w *world, old, told string)
-	// gone, if set, is how long after the beginning of the outage the last task may run.
-	gone time.Duration
-	// kept is set where no machine may be returned.
-	kept bool
+	outage          func(w *world, refusedNode, confirmingNode string)
+	// stoppedWithin, if set, is the longest time that a task may keep running after the outage
+	// begins.
+	stoppedWithin time.Duration
+	// mustKeepMachines is set if no machine may be returned.
+	mustKeepMachines bool
 }
 
-// linkFaults are the faults of links to and from the controller that the store refuses.
-var linkFaults = map[string]func(w *world, old string){
-	"well":          func(*world, string) {},
-	"to it refused": func(w *world, old string) { w.refuse(func(_, t string) bool { return t == old }) },
-	"from it":       func(w *world, old string) { w.refuse(func(f, _ string) bool { return f == old }) },
-	"to it slow":    func(w *world, old string) { w.hold(func(_, t string) bool { return t == old }) },
-	"its own gone":  func(w *world, old string) { w.refuse(func(f, t string) bool { return f == old || t == old }) },
-	// An intermediary passes its messages on.
-	"to it over a third": func(w *world, old string) { w.refuse(func(f, t string) bool { return t == old && f != "e" }) },
-	"gone":               func(w *world, _ string) { w.refuse(everyLink) },
+// linkFaults inject faults into the links of the controller that the store refuses.
+var linkFaults = map[string]func(w *world, refusedNode string){
+	"well":             func(*world, string) {},
+	"inbound refused":  func(w *world, refusedNode string) { w.refuse(func(_, t string) bool { return t == refusedNode }) },
+	"outbound refused": func(w *world, refusedNode string) { w.refuse(func(f, _ string) bool { return f == refusedNode }) },
+	"inbound slow":     func(w *world, refusedNode string) { w.hold(func(_, t string) bool { return t == refusedNode }) },
+	"inbound and outbound refused": func(w *world, refusedNode string) {
+		w.refuse(func(f, t string) bool { return f == refusedNode || t == refusedNode })
+	},
+	// Controller e still reaches the refused controller and can relay messages to it.
+	"to it over a third": func(w *world, refusedNode string) {
+		w.refuse(func(f, t string) bool { return t == refusedNode && f != "e" })
+	},
+	"gone": func(w *world, _ string) { w.refuse(everyLink) },
 }
 
-// cancelledJob is the job that is cancelled.
+// cancelledJob is the ID of the job that the scenarios cancel.
 const cancelledJob = "req-free-1"
 
-// run plays the scenario with a job whose tasks run for four times the time that a cancellation may
-// take.
+// run runs the scenario with a job whose tasks take four times the deadline of a cancellation.
 func (d storeRefusal) run(t *testing.T) {
 	machines := max(d.machines, 20)
 	w := idleWorld(t, machines)
@@ -58,20 +65,20 @@
 	if d.before != nil {
 		d.before(w)
 	}
-	accepted(t, w.submit("b", cancelledJob, max(d.tasks, 2*machines), d.more))
+	accepted(t, w.submit("b", cancelledJob, max(d.tasks, 2*machines), d.extraFields))
 	if w.run(10*time.Second, nil); !w.loseDeliveries {
 		w.started(cancelledJob, max(d.tasks, 2*machines))
 	}
-	old, told := d.refuseAndCancel(t, w)
+	refusedNode, confirmingNode := d.refuseAndCancel(t, w)
 	w.outage = true
 	if d.outage != nil {
-		d.outage(w, old, told)
+		d.outage(w, refusedNode, confirmingNode)
 	}
-	if d.gone > 0 && !w.run(d.gone, func() bool { return w.onMachines(cancelledJob) == 0 }) {
-		t.Errorf("%d tasks run on %v after the outage began", w.onMachines(cancelledJob), d.gone)
+	if d.stoppedWithin > 0 && !w.run(d.stoppedWithin, func() bool { return w.onMachines(cancelledJob) == 0 }) {
+		t.Errorf("%d tasks still run %v after the outage began", w.onMachines(cancelledJob), d.stoppedWithin)
 	}
 	w.run(w.cancelDeadline()*3/2, nil)
-	returns.check(t, d.kept)
+	returns.check(t, d.mustKeepMachines)
 	w.endOutage()
 	w.noCloud, w.unreachableNodes = false, map[string]bool{}
 	w.heal()
@@ -81,77 +88,78 @@
 	}
 }
 
-// refuseAndCancel makes the store refuse a controller and the user cancel, and returns that
+// refuseAndCancel makes the store refuse a controller and the user cancel the job. It returns that
 // controller and the one that confirmed the cancellation.
-func (d storeRefusal) refuseAndCancel(t *testing.T, w *world) (old, told string) {
+func (d storeRefusal) refuseAndCancel(t *testing.T, w *world) (refusedNode, confirmingNode string) {
 	t.Helper()
-	old = w.cores["b"].teamBy["free"].leader
+	refusedNode = w.cores["b"].teamBy["free"].leader
 	if d.fleetLeader {
-		old = w.cores["b"].fleet.leader
+		refusedNode = w.cores["b"].fleet.leader
 	}
-	linkFaults[d.links](w, old)
+	linkFaults[d.links](w, refusedNode)
 	w.noCloud = d.cloud != "well"
-	w.refuseStoreTo(old)
+	w.refuseStoreTo(refusedNode)
 	if d.refused != nil {
 		d.refused(w)
 	}
 	begin := w.now
-	if !d.atOnce {
-		w.run(d.gap, nil)
+	if !d.cancelAtRefusal {
+		w.run(d.outageDelay, nil)
 	}
 	if w.onMachines(cancelledJob) == 0 && !w.loseDeliveries {
 		t.Fatal("no task is running when the user cancels")
 	}
-	told = w.confirmCancellation()
-	w.run(begin+d.gap-w.now, nil)
-	return old, told
+	confirmingNode = w.confirmCancellation()
+	w.run(begin+d.outageDelay-w.now, nil)
+	return refusedNode, confirmingNode
 }
 
-// returnCounts counts how often machines are returned because cancelled tasks do not end.
+// returnCounts counts the machines that are returned because cancelled tasks do not end.
 type returnCounts struct {
-	// returned counts the machines that still exist, released the releases without the
-	// leader of the fleet, by controller and machine.
+	// returned counts the returns of machines that still exist; released counts the releases by
+	// controllers other than the fleet's leader, by controller and machine.
 	returned int
 	released map[string]int
 }
 
-// countReturns counts returns of machines from now on.
+// countReturns starts counting the returns of machines.
 func (w *world) countReturns() *returnCounts {
 	counts := &returnCounts{released: map[string]int{}}
 	w.onEffect = func(node string, e Effect) {
-		if r, is := e.(ReleaseMachines); is && !w.cores[node].fleet.leading && !w.noCloud {
+		if r, ok := e.(ReleaseMachines); ok && !w.cores[node].fleet.leading && !w.noCloud {
 			for _, m := range r.Machines {
 				counts.released[node+m]++
 			}
 		}
-		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
+		if l, ok := e.(Log); ok && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
 			counts.returned++
 		}
 	}
 	return counts
 }
 
-// check checks that no controller has released a machine twice, and none was returned if kept is set.
-func (r *returnCounts) check(t *testing.T, kept bool) {
+// check fails the test if a controller has released a machine twice, or, with mustKeepMachines, if
+// any machine was returned.
+func (r *returnCounts) check(t *testing.T, mustKeepMachines bool) {
 	t.Helper()
-	if kept && r.returned > 0 {
-		t.Errorf("machines are returned %d times for tasks that end when they are told to", r.returned)
+	if mustKeepMachines && r.returned > 0 {
+		t.Errorf("machines were returned %d times for tasks that end when they are stopped", r.returned)
 	}
 	for m, n := range r.released {
 		if n > 1 {
-			t.Errorf("%s is released %d times", m, n)
+			t.Errorf("%s was released %d times", m, n)
 		}
 	}
 }
 
-// confirmCancellation lets the user cancel until some controller confirms that the job is cancelled,
-// and names that controller.
-func (w *world) confirmCancellation() (told string) {
+// confirmCancellation retries the user's cancellation until a controller confirms it, and returns
+// that controller.
+func (w *world) confirmCancellation() (confirmingNode string) {
 	w.t.Helper()
 	for range 20 {
-		told = w.nodeWithStore()
-		if a := w.cancelJob(told, cancelledJob); a.Status == http.StatusOK {
-			return told
+		confirmingNode = w.nodeWithStore()
+		if a := w.cancelJob(confirmingNode, cancelledJob); a.Status == http.StatusOK {
+			return confirmingNode
 		}
 		w.run(time.Second, nil)
 	}
@@ -159,22 +167,22 @@
 	return ""
 }
 
-// The store refuses the leader alone, another controller confirms a cancellation, then the store is
-// down for all, for longer than cancel_s, while workers keep reporting to the old leader
+// The store refuses only the leader, another controller confirms a cancellation, and then the store
+// is down for all for longer than cancel_s, while workers keep reporting to the old leader
 // (docs/cancel.md).
 func TestConfirmedCancellationHoldsThroughStoreOutage(t *testing.T) {
 	for links := range linkFaults {
 		for _, cloud := range []string{"well", "refusing"} {
-			for _, lives := range []float64{0, 0.1, 1, 3} {
-				for _, atOnce := range []bool{true, false} {
-					t.Run(fmt.Sprintf("links %s, cloud %s, outage after %v lease lives, cancelled first %v", links, cloud, lives, atOnce), func(t *testing.T) {
+			for _, leases := range []float64{0, 0.1, 1, 3} {
+				for _, cancelAtRefusal := range []bool{true, false} {
+					t.Run(fmt.Sprintf("links %s, cloud %s, outage after %v leases, cancelled at the refusal %v", links, cloud, leases, cancelAtRefusal), func(t *testing.T) {
 						t.Parallel()
-						d := storeRefusal{links: links, cloud: cloud, gap: time.Duration(lives * float64(controllerLease)), atOnce: atOnce}
+						d := storeRefusal{links: links, cloud: cloud, outageDelay: time.Duration(leases * float64(controllerLease)), cancelAtRefusal: cancelAtRefusal}
 						switch links {
 						case "well":
-							d.gone, d.kept = reportIntervals(1), true
+							d.stoppedWithin, d.mustKeepMachines = reportIntervals(1), true
 						case "to it over a third":
-							d.gone, d.kept = reportIntervals(3), true
+							d.stoppedWithin, d.mustKeepMachines = reportIntervals(3), true
 						}
 						d.run(t)
 					})
@@ -184,45 +192,45 @@
 	}
 }
 
-// A further fault comes with the refusal or the outage.
+// As above, with a further fault at the refusal or the outage.
 func TestConfirmedCancellationHoldsUnderFurtherFaults(t *testing.T) {
-	each := func(w *world, old string, f func(*fakeWorker)) {
+	eachWorkerOf := func(w *world, refusedNode string, f func(*fakeWorker)) {
 		for _, g := range w.workers {
-			if w.names[g.node%len(w.names)] == old {
+			if w.names[g.node%len(w.names)] == refusedNode {
 				f(g)
 			}
 		}
 	}
 	for name, d := range map[string]storeRefusal{
-		"it is the fleet leader": {fleetLeader: true},
-		"nothing":                {},
-		"the one that told crashes and is back at once": {outage: func(w *world, _, told string) {
-			w.crash(told)
+		"the old leader leads the fleet": {fleetLeader: true},
+		"no further fault":               {},
+		"the confirming controller crashes and restarts immediately": {outage: func(w *world, _, confirmingNode string) {
+			w.crash(confirmingNode)
 			w.run(100*time.Millisecond, nil)
-			w.boot(told)
+			w.boot(confirmingNode)
 		}},
-		// What it sent last is lost, and no other's watch has come to it yet.
-		"the one that told ends at once": {
+		// Its last messages are lost, and no other controller's watch has delivered the cancellation.
+		"the confirming controller crashes immediately": {
 			refused: func(w *world) {
 				w.watchLag, w.latency = 3*time.Second, true
 				for _, n := range w.names {
 					w.watchedAt[n] = w.now
 				}
 			},
-			outage: func(w *world, _, told string) { w.crash(told) }},
-		"the old leader is back at once": {outage: func(w *world, old, _ string) {
-			w.crash(old)
-			w.boot(old)
+			outage: func(w *world, _, confirmingNode string) { w.crash(confirmingNode) }},
+		"the old leader restarts immediately": {outage: func(w *world, refusedNode, _ string) {
+			w.crash(refusedNode)
+			w.boot(refusedNode)
 		}},
-		"the old leader freezes": {outage: func(w *world, old, _ string) { w.frozen[old] = true }},
-		"machines hang": {outage: func(w *world, old, _ string) {
-			each(w, old, func(f *fakeWorker) { f.dead = true })
+		"the old leader freezes": {outage: func(w *world, refusedNode, _ string) { w.frozen[refusedNode] = true }},
+		"machines hang": {outage: func(w *world, refusedNode, _ string) {
+			eachWorkerOf(w, refusedNode, func(f *fakeWorker) { f.dead = true })
 		}},
-		"machines are unreachable": {outage: func(w *world, old, _ string) {
-			each(w, old, func(f *fakeWorker) { w.unreachableWorkers[f.Machine] = true })
+		"machines report but are unreachable": {outage: func(w *world, refusedNode, _ string) {
+			eachWorkerOf(w, refusedNode, func(f *fakeWorker) { w.unreachableWorkers[f.Machine] = true })
 		}},
-		"machines change controllers": {outage: func(w *world, old, _ string) { w.unreachableNodes[old] = true }},
-		"machines come to one that never heard of the job": {
+		"machines change controllers": {outage: func(w *world, refusedNode, _ string) { w.unreachableNodes[refusedNode] = true }},
+		"machines move to a controller that does not know the job": {
 			before: func(w *world) {
 				w.refuse(func(f, t string) bool { return f == "e" || t == "e" })
 				w.refuseStoreTo("e")
@@ -233,26 +241,26 @@
 					w.unreachableNodes[n] = true
 				}
 			}},
-		"starts are on their way": {
+		"starts are in flight": {
 			before: func(w *world) { w.loseDeliveries = true },
-			outage: func(w *world, old, _ string) {
+			outage: func(w *world, refusedNode, _ string) {
 				w.run(5*time.Second, nil)
 				w.loseDeliveries = false
 				for _, d := range w.heldDeliveries {
-					w.deliver(old, d)
+					w.deliver(refusedNode, d)
 				}
 			}},
-		"starts come late to machines that then hang": {
+		"starts arrive late at machines that then hang": {
 			before: func(w *world) { w.loseDeliveries = true },
-			outage: func(w *world, old, _ string) {
+			outage: func(w *world, refusedNode, _ string) {
 				w.loseDeliveries = false
 				for _, d := range w.heldDeliveries {
-					w.deliver(old, d)
+					w.deliver(refusedNode, d)
 				}
-				each(w, old, func(f *fakeWorker) { f.dead = true })
+				eachWorkerOf(w, refusedNode, func(f *fakeWorker) { f.dead = true })
 			}},
-		"the cancellation is carried out late": {
-			gap: 14 * time.Second,
+		"the cancellation is applied late": {
+			outageDelay: 14 * time.Second,
 			refused: func(w *world) {
 				w.lateWrite = func(_ string, e StoreTxn) time.Duration {
 					if !e.Quick {
@@ -263,13 +271,13 @@
 				}
 			},
 		},
-		"links come back": {
+		"links are restored": {
 			refused: func(w *world) { w.refuse(everyLink) },
 			outage: func(w *world, _, _ string) {
 				w.run(reportIntervals(2), nil)
 				w.restore()
 			},
-			gone: reportIntervals(2), kept: true},
+			stoppedWithin: reportIntervals(2), mustKeepMachines: true},
 		"links are slow for a while": {
 			refused: func(w *world) { w.hold(everyLink) },
 			outage: func(w *world, _, _ string) {
@@ -279,35 +287,35 @@
 				}
 				clear(w.slowLinks)
 			},
-			gone: reportIntervals(2), kept: true},
-		"the old leader has forgotten its jobs": {
+			stoppedWithin: reportIntervals(2), mustKeepMachines: true},
+		"the old leader loses its lease and drops its jobs": {
 			refused: func(w *world) { w.hold(everyLink) },
-			outage: func(w *world, old, _ string) {
-				w.send(old, LeaseExpired{})
+			outage: func(w *world, refusedNode, _ string) {
+				w.send(refusedNode, LeaseExpired{})
 				w.run(reportIntervals(1), nil)
 				w.restore()
 			},
-			gone: reportIntervals(2), kept: true},
-		"the cloud refuses when half of the time is over": {
+			stoppedWithin: reportIntervals(2), mustKeepMachines: true},
+		"the cloud refuses from half of the deadline on": {
 			refused: func(w *world) { w.refuse(everyLink) },
 			outage: func(w *world, _, _ string) {
 				w.run(w.cancelDeadline()/2-2*time.Second, nil)
 				w.noCloud = true
 			}},
-		"a gang that saves":               {tasks: 20, more: `,"shape":"group","markEveryS":5.0,"markCostS":3.0`},
-		"a service":                       {more: `,"shape":"service","guessS":0.0,"dueS":null`},
-		"an array of more than one chunk": {machines: 70},
+		"gang with checkpoints":   {tasks: 20, extraFields: `,"shape":"group","markEveryS":5.0,"markCostS":3.0`},
+		"service":                 {extraFields: `,"shape":"service","guessS":0.0,"dueS":null`},
+		"array of several chunks": {machines: 70},
 	} {
 		for _, links := range []string{"well", "gone"} {
 			t.Run(name+", links "+links, func(t *testing.T) {
 				t.Parallel()
 				d := d
-				d.links, d.cloud, d.atOnce = links, "well", true
+				d.links, d.cloud, d.cancelAtRefusal = links, "well", true
 				if links == "gone" {
-					d.gone, d.kept = 0, false
+					d.stoppedWithin, d.mustKeepMachines = 0, false
 				}
-				if d.gap == 0 {
-					d.gap = controllerLease / 2
+				if d.outageDelay == 0 {
+					d.outageDelay = controllerLease / 2
 				}
 				d.run(t)
 			})
@@ -315,15 +323,16 @@
 	}
 }
 
-// Without a cancellation an outage ends no task, however long: not where controllers have
-// connections, nor where one of them was refused first, crashed and came back.
-func TestStoreOutageAloneEndsNoTask(t *testing.T) {
-	for name, also := range map[string]func(w *world){
-		"nothing":                 func(*world) {},
-		"the cloud refuses":       func(w *world) { w.noCloud = true },
-		"one is refused first":    func(w *world) { w.refuseStoreTo("a"); w.run(5*time.Second, nil) },
-		"no links":                func(w *world) { w.refuse(everyLink) },
-		"one crashes and is back": func(w *world) { w.crash("a"); w.run(time.Second, nil); w.boot("a") },
+// Without a cancellation, an outage of the store stops no task, however long it lasts, whether or
+// not the controllers are connected, and even if the store refused one of them first or one has
+// restarted.
+func TestStoreOutageAloneStopsNoTask(t *testing.T) {
+	for name, injectFault := range map[string]func(w *world){
+		"no further fault":                func(*world) {},
+		"the cloud refuses":               func(w *world) { w.noCloud = true },
+		"one controller is refused first": func(w *world) { w.refuseStoreTo("a"); w.run(5*time.Second, nil) },
+		"no links":                        func(w *world) { w.refuse(everyLink) },
+		"one controller restarts":         func(w *world) { w.crash("a"); w.run(time.Second, nil); w.boot("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -331,18 +340,18 @@
 			w.taskTime = 20 * w.cancelDeadline()
 			accepted(t, w.submit("b", cancelledJob, 40, ""))
 			w.started(cancelledJob, 40)
-			also(w)
+			injectFault(w)
 			w.outage = true
 			w.run(3*w.cancelDeadline(), nil)
 			if n := w.onMachines(cancelledJob); n != 40 {
-				t.Errorf("of 40 tasks %d run on", n)
+				t.Errorf("%d of 40 tasks run during the outage", n)
 			}
 			w.endOutage()
 			w.noCloud = false
 			w.heal()
 			w.run(w.cancelDeadline(), nil)
 			if n := w.onMachines(cancelledJob); n != 40 {
-				t.Errorf("of 40 tasks %d run on after the outage", n)
+				t.Errorf("%d of 40 tasks run after the outage", n)
 			}
 			w.startedOnce()
 		})
--- a/internal/core/storerequests.go
+++ b/internal/core/storerequests.go
@@ -6,7 +6,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// sequence hands out numbers that are unique in one run of a controller.
+// sequence generates numbers that are unique within one run of a controller.
 type sequence struct{ last uint64 }
 
 func (s *sequence) next() uint64 {
@@ -14,23 +14,23 @@
 	return s.last
 }
 
-// pendingReplies holds the requests to the store that are not answered yet, by their ID.
-type pendingReplies map[uint64]pendingReply
+// pendingReplies holds the store requests that have no reply yet, by request ID.
+type pendingReplies map[uint64]pendingRequest
 
-// pendingReply is a request to the store that was sent at a time, and what takes the reply.
-type pendingReply struct {
+// pendingRequest is a store request that has no reply yet, with the function that handles the reply.
+type pendingRequest struct {
 	sentAt time.Duration
 	handle func(StoreReply)
 }
 
-// take removes and returns the request that a reply answers, if it is pending.
-func (p pendingReplies) take(id uint64) (request pendingReply, pending bool) {
+// take removes and returns the request with an ID, if it is pending.
+func (p pendingReplies) take(id uint64) (request pendingRequest, pending bool) {
 	request, pending = p[id]
 	delete(p, id)
 	return request, pending
 }
 
-// handleStoreReply hands a reply to whoever waits for it.
+// handleStoreReply passes a reply to the handler of its request.
 func (c *Core) handleStoreReply(reply StoreReply) {
 	request, pending := c.pendingReplies.take(reply.ID)
 	if !pending {
@@ -40,19 +40,20 @@
 	request.handle(reply)
 }
 
-// expectReply numbers a request to the store whose reply goes to handle.
+// expectReply assigns an ID to a store request and registers the handler of its reply.
 func (e *environment) expectReply(handle func(StoreReply)) uint64 {
 	id := e.ids.next()
-	e.pendingReplies[id] = pendingReply{sentAt: e.now.Steady, handle: handle}
+	e.pendingReplies[id] = pendingRequest{sentAt: e.now.Steady, handle: handle}
 	return id
 }
 
-// compareAndSwap runs a transaction and hands its outcome to handle. Urgent ones go first.
+// compareAndSwap runs a transaction and passes its outcome to handle. Urgent transactions are sent
+// first.
 func (e *environment) compareAndSwap(txn protocol.Txn, urgent bool, handle func(StoreReply)) {
 	e.emit(StoreTxn{ID: e.expectReply(handle), Txn: txn, Urgent: urgent})
 }
 
-// get reads a key and hands the reply to handle.
+// get reads a key and passes the reply to handle.
 func (e *environment) get(key string, handle func(StoreReply)) {
 	e.emit(StoreGet{ID: e.expectReply(handle), Key: key})
 }
--- a/internal/core/taskattempt.go
+++ b/internal/core/taskattempt.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// taskAttempt names one attempt of a task.
+// taskAttempt identifies one attempt of a task.
 type taskAttempt struct {
 	task    string
 	attempt uint64
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -9,14 +9,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// upgradeTracker follows which versions the controllers have stated in the store, and states
+// upgradeTracker tracks the versions that the controllers have recorded in the store, and records
 // this controller's own.
 type upgradeTracker struct {
 	*environment
 	versions *rollout.Tracker
-	// storing is set while this node's own statement is being written.
+	// storing is set while this node's own version is being written.
 	storing bool
-	// revisions are those of the stored statements, by node.
+	// revisions holds the store revision of each node's version record.
 	revisions map[string]uint64
 }
 
@@ -28,16 +28,17 @@
 	}
 }
 
-// complete tells whether what only this version understands may be stored.
+// complete reports whether all controllers are upgraded, so that formats that only this version
+// understands may be stored.
 func (u *upgradeTracker) complete() bool { return u.versions.AllAtLeast(rollout.Dependencies) }
 
-// stated tells whether the store holds a controller's statement of this version.
-func (u *upgradeTracker) stated(node string) bool {
+// isRecorded reports whether the store holds this version, or a later one, for a controller.
+func (u *upgradeTracker) isRecorded(node string) bool {
 	return u.versions.Version(node) >= rollout.Current
 }
 
-// statement is the transaction that states this version for a controller, for good.
-func (u *upgradeTracker) statement(node string) protocol.Txn {
+// versionTxn returns the transaction that records this version for a controller.
+func (u *upgradeTracker) versionTxn(node string) protocol.Txn {
 	key := keyVersion + node
 	return protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: u.revisions[node]}},
@@ -45,18 +46,18 @@
 	}
 }
 
-// stateVersion writes once, for good, that this controller has this version.
+// stateVersion records the version of this controller in the store. The record is never withdrawn.
 func (u *upgradeTracker) stateVersion() {
-	if u.storing || u.stated(u.cfg.Node) {
+	if u.storing || u.isRecorded(u.cfg.Node) {
 		return
 	}
 	u.storing = true
-	u.compareAndSwap(u.statement(u.cfg.Node), false, func(StoreReply) {
+	u.compareAndSwap(u.versionTxn(u.cfg.Node), false, func(StoreReply) {
 		u.storing = false // the watch shows the outcome
 	})
 }
 
-// onVersionPut takes a controller's stored statement.
+// onVersionPut applies a controller's stored version.
 func (u *upgradeTracker) onVersionPut(item protocol.KeyValue) error {
 	var record rollout.Record
 	if err := json.Unmarshal(item.Value, &record); err != nil {
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -6,95 +6,99 @@
 	"pepperlever/internal/core/job"
 )
 
-// writeBudget rations this controller's writes of jobs. Submissions, fencing tokens and machines
-// are written at once, so the controllers share a part of the store's write rate for jobs that
-// run. What is the most urgent anywhere goes first, each controller in proportion to what it has
-// of that: a swarm of small jobs of one team must not hold up the urgent work of the others.
+// writeBudget is a token bucket that limits the rate of this controller's job writes. Submissions,
+// fencing tokens and machine records are written immediately; the controllers divide a fixed part
+// of the store's write rate among them for running jobs. The most urgent changes of all controllers
+// come first, and each controller gets a share in proportion to how many of those it has, so that
+// many small jobs of one team don't delay the urgent work of other teams.
 type writeBudget struct {
-	// rate is this controller's share in changes a second, level how many changes are saved up.
+	// rate is this controller's share in changes per second; level is the number of changes that
+	// may be written now.
 	rate, level float64
 	refilledAt  time.Duration
-	// due is how many changes wait to be stored.
+	// due counts the changes that wait to be stored.
 	due changesByRank
-	// pausedUntil holds writes back after the store has refused one.
+	// pausedUntil is when writes may resume after the store has refused one.
 	pausedUntil time.Duration
-	// nextWarning is when the operator may be told again that the budget is exhausted.
+	// nextWarning is when an exhausted budget may be logged again.
 	nextWarning time.Duration
 }
 
-// changesByRank counts changes by the write rank of their jobs, see writeRank.
-type changesByRank [rankRest + 1]int
+// changesByRank counts changes by the write rank of their job; see writeRank.
+type changesByRank [rankBackground + 1]int
 
-// Write ranks. Starts are ranked by priority from rankStarts on.
+// Write ranks, the most urgent first. Starts have one rank for each priority, beginning with
+// rankStarts.
 const (
-	// rankEnds is the rank of ends that users are told of.
-	rankEnds = iota
+	// rankJobEnds is the rank of ended jobs, whose final state users wait for.
+	rankJobEnds = iota
 	rankStarts
-	// rankRest is the rank of what nobody waits for.
-	rankRest = 5
+	// rankBackground is the rank of changes that nobody waits for.
+	rankBackground = 5
 )
 
-// Shares of the store's write rate.
+// Fractions of the store's write rate.
 const (
-	// jobsShare is the part that goes to storing starts and ends.
-	jobsShare = 0.6
-	// endsShare is the part of that for finished tasks of jobs that go on.
-	endsShare = 1.0 / 3
-	// minimumShare is the part of a controller's equal share that it has in any case.
-	minimumShare = 1.0 / 4
+	// jobWriteShare is the fraction of the write rate for starts and ends.
+	jobWriteShare = 0.6
+	// finishedTaskShare is the fraction of jobWriteShare for finished tasks of jobs that continue.
+	finishedTaskShare = 1.0 / 3
+	// guaranteedShare is the fraction of an equal share that each controller is guaranteed.
+	guaranteedShare = 1.0 / 4
 )
 
-// savingsSeconds is for how many seconds a controller may save changes up. Half of the savings
-// are reserved for starts.
-const savingsSeconds = 3
+// burstSeconds is the capacity of the token bucket, in seconds at the current rate. Half of it is
+// reserved for urgent changes and job ends.
+const burstSeconds = 3
 
-// refill adds what has come in since the last time, at a rate in changes a second.
+// refill adds the changes accrued since the last refill, at a rate in changes per second.
 func (b *writeBudget) refill(now time.Duration, rate float64) {
 	b.rate = rate
-	b.level = min(b.level+b.rate*(now-b.refilledAt).Seconds(), max(savingsSeconds*b.rate, 1))
+	b.level = min(b.level+b.rate*(now-b.refilledAt).Seconds(), max(burstSeconds*b.rate, 1))
 	b.refilledAt = now
 }
 
-// exhausted tells whether nothing may be written now.
+// exhausted reports whether the budget allows no write now.
 func (b *writeBudget) exhausted() bool { return b.level <= 0 }
 
-// low tells whether what is left is reserved for starts.
-func (b *writeBudget) low() bool { return b.level < savingsSeconds*b.rate/2 }
+// onlyReserveLeft reports whether only the reserved half of the budget is left.
+func (b *writeBudget) onlyReserveLeft() bool { return b.level < burstSeconds*b.rate/2 }
 
-// spend takes changes out of the budget.
+// spend deducts changes from the budget.
 func (b *writeBudget) spend(changes int) { b.level -= float64(changes) }
 
-// share is a controller's part of a write rate in changes a second. All that is due anywhere
-// should be stored within a second, rank by rank as far as the rate goes; what is left over is
-// divided equally, so that each controller can store a start at once.
+// share returns a controller's share of a write rate, in changes per second. The rate goes to the
+// ranks in order: each gets enough to store the due changes of all controllers within a second,
+// divided in proportion to the controllers' due changes. The remainder is divided equally, so that
+// each controller can store a start immediately.
 func (due *changesByRank) share(all changesByRank, rate float64, controllers int) float64 {
-	left := rate
-	least := left * minimumShare / float64(controllers)
+	remaining := rate
+	guaranteed := remaining * guaranteedShare / float64(controllers)
 	share := 0.0
 	for rank, changes := range all {
 		if changes > 0 {
-			want := min(left, float64(changes))
+			want := min(remaining, float64(changes))
 			share += want * float64(due[rank]) / float64(changes)
-			left -= want
+			remaining -= want
 		}
 	}
-	return max(share+left/float64(controllers), least)
+	return max(share+remaining/float64(controllers), guaranteed)
 }
 
-// writeRank orders what waits to be stored: ends that users are told of, then starts by
-// priority, then the rest. Work of the lowest priority waits for all other starts, its ends too.
-// Nobody waits for the stored end of a job that was cancelled before it could begin: a cascade
-// of hundreds would hold up all starts.
+// writeRank returns the rank of a job's pending write: ended jobs come first, then starts by
+// priority, then all other changes. Best-effort jobs that have ended have the same rank as starts of
+// the lowest priority. A job that was cancelled while blocked on dependencies ranks last: nobody
+// waits for its end to be stored, and a cascade of hundreds of them would delay all starts.
 func writeRank(j *job.Job) int {
 	if j.Cancelled && j.Blocked {
-		return rankRest
+		return rankBackground
 	}
 	ends := j.Complete() || j.Cancelled
 	switch {
 	case ends && !isBestEffort(j):
-		return rankEnds
+		return rankJobEnds
 	case ends || j.Urgent:
 		return rankStarts + j.Rank()
 	}
-	return rankRest
+	return rankBackground
 }
