--- a/internal/core/dependency/graph.go
+++ b/internal/core/dependency/graph.go
@@ -1,5 +1,6 @@
-// Package dependency holds the graph of jobs that wait for others. It knows job IDs alone: its
-// caller reports what has become of a job and learns which jobs that concerns.
+// Package dependency maintains the dependency graph of jobs and propagates urgency along it. The
+// graph contains only job IDs: the caller reports which jobs are done and is told which jobs become
+// ready.
 package dependency
 
 import (
@@ -12,21 +13,22 @@
 
 func (s jobSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
-// Graph holds the jobs that wait, and for which. A job waits until each job that it awaits
-// is known to be done. Since a job only awaits jobs that were accepted before it, there are
-// no cycles.
+// Graph holds the unfinished dependencies of waiting jobs. A job waits until every job that it
+// awaits is known to be done. The graph is acyclic because a job can only await jobs that were
+// accepted before it.
 type Graph struct {
-	// awaited holds, by waiting job, what it still waits for; followers is the inverse.
-	awaited, followers map[string]jobSet
-	changed            bool
+	// awaited maps each waiting job to the jobs that it still awaits; dependents is the
+	// inverse.
+	awaited, dependents map[string]jobSet
+	changed             bool
 }
 
-// New makes an empty Graph.
+// New returns an empty Graph.
 func New() *Graph {
-	return &Graph{awaited: map[string]jobSet{}, followers: map[string]jobSet{}}
+	return &Graph{awaited: map[string]jobSet{}, dependents: map[string]jobSet{}}
 }
 
-// Wait notes that a job waits for others, instead of what it waited for before.
+// Wait sets the jobs that a job awaits, replacing any earlier ones.
 func (g *Graph) Wait(job string, awaited []string) {
 	g.Forget(job)
 	if len(awaited) == 0 {
@@ -36,14 +38,14 @@
 	g.awaited[job] = jobSet{}
 	for _, upstream := range awaited {
 		g.awaited[job][upstream] = true
-		if g.followers[upstream] == nil {
-			g.followers[upstream] = jobSet{}
+		if g.dependents[upstream] == nil {
+			g.dependents[upstream] = jobSet{}
 		}
-		g.followers[upstream][job] = true
+		g.dependents[upstream][job] = true
 	}
 }
 
-// Forget drops a waiting job. Jobs that wait for it go on waiting.
+// Forget removes the dependencies of a job. Jobs that await it keep waiting.
 func (g *Graph) Forget(job string) {
 	for upstream := range g.awaited[job] {
 		g.unlink(job, upstream)
@@ -51,41 +53,42 @@
 	delete(g.awaited, job)
 }
 
-// unlink removes a job from the followers of one that it awaits.
+// unlink removes a job from the dependents of a job that it awaits.
 func (g *Graph) unlink(job, awaited string) {
 	g.changed = true
-	delete(g.followers[awaited], job)
-	if len(g.followers[awaited]) == 0 {
-		delete(g.followers, awaited)
+	delete(g.dependents[awaited], job)
+	if len(g.dependents[awaited]) == 0 {
+		delete(g.dependents, awaited)
 	}
 }
 
-// Done notes that a job is done, and returns those that wait for nothing any more.
+// Done removes a completed job from the dependencies of other jobs and returns, sorted, those that
+// have no dependencies left.
 func (g *Graph) Done(job string) (ready []string) {
-	for _, follower := range g.followers[job].sorted() {
-		delete(g.awaited[follower], job)
-		g.unlink(follower, job)
-		if len(g.awaited[follower]) == 0 {
-			delete(g.awaited, follower)
-			ready = append(ready, follower)
+	for _, dependent := range g.dependents[job].sorted() {
+		delete(g.awaited[dependent], job)
+		g.unlink(dependent, job)
+		if len(g.awaited[dependent]) == 0 {
+			delete(g.awaited, dependent)
+			ready = append(ready, dependent)
 		}
 	}
 	return ready
 }
 
-// Waits tells whether a job waits.
+// Waits reports whether a job still awaits others.
 func (g *Graph) Waits(job string) bool { return g.awaited[job] != nil }
 
-// Waiting lists the jobs that wait.
+// Waiting returns the jobs that still await others, sorted.
 func (g *Graph) Waiting() []string { return slices.Sorted(maps.Keys(g.awaited)) }
 
-// Awaited lists what a job still waits for.
+// Awaited returns the jobs that a job still awaits, sorted.
 func (g *Graph) Awaited(job string) []string { return g.awaited[job].sorted() }
 
-// Followers lists the jobs that wait for a job.
-func (g *Graph) Followers(job string) []string { return g.followers[job].sorted() }
+// Followers returns the jobs that await a job, sorted.
+func (g *Graph) Followers(job string) []string { return g.dependents[job].sorted() }
 
-// Upstream lists all that a job waits for, directly or through others.
+// Upstream returns the direct and transitive dependencies that a job still awaits, sorted.
 func (g *Graph) Upstream(job string) []string {
 	upstream := jobSet{}
 	unvisited := []string{job}
@@ -102,10 +105,10 @@
 	return upstream.sorted()
 }
 
-// AwaitedJobs lists the jobs that others wait for.
-func (g *Graph) AwaitedJobs() []string { return slices.Sorted(maps.Keys(g.followers)) }
+// AwaitedJobs returns the jobs that others await, sorted.
+func (g *Graph) AwaitedJobs() []string { return slices.Sorted(maps.Keys(g.dependents)) }
 
-// Changed tells whether the graph has changed since it was last asked.
+// Changed reports whether the graph has changed since the previous call.
 func (g *Graph) Changed() bool {
 	changed := g.changed
 	g.changed = false
--- a/internal/core/dependency/graph_test.go
+++ b/internal/core/dependency/graph_test.go
@@ -14,9 +14,8 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// A job is ready exactly when the last job that it awaits is done, in whatever order they
-// end, and upstream of it is what a walk over all edges finds.
-func TestJobIsReadyWhenTheLastAwaitedIsDone(t *testing.T) {
+// A job becomes ready exactly when its last dependency is done, in whatever order they finish.
+func TestJobIsReadyWhenLastDependencyIsDone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "jobs")
 		name := func(i int) string { return fmt.Sprintf("req-%02d", i) }
@@ -31,28 +30,28 @@
 			g.Wait(name(i), awaits[i])
 		}
 		done := map[string]bool{}
-		waitsFor := func(i int) []string {
+		remaining := func(i int) []string {
 			return slices.DeleteFunc(slices.Clone(awaits[i]), func(a string) bool { return done[a] })
 		}
 		for _, i := range rapid.Permutation(slices.Collect(indices(n))).Draw(t, "order") {
 			for j := range n {
-				if got, want := g.Awaited(name(j)), waitsFor(j); !slices.Equal(got, want) {
-					t.Fatalf("%s awaits %v, want %v", name(j), got, want)
+				if got, want := g.Awaited(name(j)), remaining(j); !slices.Equal(got, want) {
+					t.Fatalf("%s: got awaited jobs %v, want %v", name(j), got, want)
 				}
 			}
 			var ready []string
 			for j := range n {
-				if w := waitsFor(j); len(w) == 1 && w[0] == name(i) {
+				if w := remaining(j); len(w) == 1 && w[0] == name(i) {
 					ready = append(ready, name(j))
 				}
 			}
 			if got := g.Done(name(i)); !slices.Equal(got, ready) {
-				t.Fatalf("after %s %v are ready, want %v", name(i), got, ready)
+				t.Fatalf("after %s is done: got ready jobs %v, want %v", name(i), got, ready)
 			}
 			done[name(i)] = true
 		}
 		if len(g.Waiting())+len(g.AwaitedJobs()) > 0 {
-			t.Fatal("something is left")
+			t.Fatal("graph is not empty after all jobs are done")
 		}
 	})
 }
@@ -67,15 +66,15 @@
 	}
 }
 
-// The first of a chain is as urgent as the most urgent that needs it, and starts earlier by
-// all that runs in between.
-func TestUrgencyGoesBackAlongTheChain(t *testing.T) {
-	const priority, late = 3, 90_000
+// A job inherits the highest priority and the earliest latest start among its dependents, less the
+// run times of the jobs in between.
+func TestUrgencyPropagatesUpstream(t *testing.T) {
+	const lowPriority, latestStart = 3, 90_000
 	jobs := map[string]Estimate{
-		"fetch":   {Urgency{priority, NoDeadline}, 10_000},
-		"resolve": {Urgency{priority, NoDeadline}, 20_000},
-		"docs":    {Urgency{priority, NoDeadline}, 70_000},
-		"sign":    {Urgency{1, late}, 5_000},
+		"fetch":   {Urgency{lowPriority, NoDeadline}, 10_000},
+		"resolve": {Urgency{lowPriority, NoDeadline}, 20_000},
+		"docs":    {Urgency{lowPriority, NoDeadline}, 70_000},
+		"sign":    {Urgency{1, latestStart}, 5_000},
 	}
 	g := New()
 	g.Wait("resolve", []string{"fetch", "gone"})
@@ -86,19 +85,19 @@
 		return estimate, known
 	})
 	for job, want := range map[string]Urgency{
-		"resolve": {1, late - 20_000}, "docs": {1, late - 70_000}, "fetch": {1, late - 70_000 - 10_000},
+		"resolve": {1, latestStart - 20_000}, "docs": {1, latestStart - 70_000}, "fetch": {1, latestStart - 70_000 - 10_000},
 	} {
 		if got[job] != want {
-			t.Errorf("%s is as urgent as %+v, want %+v", job, got[job], want)
+			t.Errorf("%s: got urgency %+v, want %+v", job, got[job], want)
 		}
 	}
 	if _, known := got["sign"]; known {
-		t.Error("nothing needs the last, and it inherits")
+		t.Error("got an inherited urgency for sign, which has no dependents")
 	}
 	if up := g.Upstream("sign"); !slices.Equal(up, []string{"docs", "fetch", "gone", "resolve"}) {
-		t.Errorf("upstream of the last is %v", up)
+		t.Errorf("got upstream jobs %v of sign, want docs, fetch, gone and resolve", up)
 	}
 	if g.Forget("docs"); slices.Contains(g.Followers("fetch"), "docs") {
-		t.Error("a job that is gone still follows")
+		t.Error("docs is still a follower of fetch after Forget")
 	}
 }
--- a/internal/core/dependency/urgency.go
+++ b/internal/core/dependency/urgency.go
@@ -2,70 +2,71 @@
 
 import "math"
 
-// Urgency is how urgently a job has to be done.
+// Urgency is the scheduling priority and deadline of a job.
 type Urgency struct {
-	// Priority is the rank of its priority, the most urgent first.
+	// Priority is the rank of the priority; 0 is the most urgent.
 	Priority int
-	// LatestStart is the time of day in milliseconds at which it would have to start for
-	// its deadline, or that of a job that needs it, to be met.
+	// LatestStart is the latest start time, in Unix milliseconds, at which the deadlines of the
+	// job and of its dependents can be met.
 	LatestStart int64
 }
 
-// NoDeadline is the latest start of a job without a deadline.
+// NoDeadline is the LatestStart of a job without a deadline.
 const NoDeadline = math.MaxInt64
 
-// noUrgency is that of a job of which nothing is known and which nothing needs.
-var noUrgency = Urgency{Priority: math.MaxInt, LatestStart: NoDeadline}
+// lowestUrgency is the urgency of an unknown job without dependents.
+var lowestUrgency = Urgency{Priority: math.MaxInt, LatestStart: NoDeadline}
 
-// needed is the urgency of a job that takes so many milliseconds and is needed by a job of
-// urgency by: it has to be done before that one starts.
-func (u Urgency) needed(by Urgency, runTime int64) Urgency {
-	u.Priority = min(u.Priority, by.Priority)
-	if by.LatestStart != NoDeadline {
-		u.LatestStart = min(u.LatestStart, by.LatestStart-runTime)
+// withDependent returns u raised by the urgency of a dependent, which can't start before this job
+// with its run time in milliseconds is done.
+func (u Urgency) withDependent(dependent Urgency, runTime int64) Urgency {
+	u.Priority = min(u.Priority, dependent.Priority)
+	if dependent.LatestStart != NoDeadline {
+		u.LatestStart = min(u.LatestStart, dependent.LatestStart-runTime)
 	}
 	return u
 }
 
-// Estimate is what is known of a job by itself.
+// Estimate is a job's own urgency and run time, regardless of its dependents.
 type Estimate struct {
 	Urgency Urgency
-	// RunTime is in milliseconds.
+	// RunTime is the estimated run time in milliseconds.
 	RunTime int64
 }
 
-// Inherit works out the urgency of the awaited jobs: each is as urgent as the most urgent
-// job that needs it, directly or through others, and starts earlier than that by its own
-// run time. estimate tells a job's own urgency and run time, or that it is not known.
+// Inherit returns the urgency of every awaited job. A job inherits the highest priority among its
+// direct and transitive dependents, and its latest start precedes that of each direct dependent by
+// at least its own run time. estimate returns a job's own urgency and run time, and whether the job
+// is known.
 func (g *Graph) Inherit(estimate func(job string) (Estimate, bool)) map[string]Urgency {
-	inherited := inheritance{graph: g, estimate: estimate, urgencies: map[string]Urgency{}}
-	awaited := map[string]Urgency{}
+	resolver := urgencyResolver{graph: g, estimate: estimate, urgencies: map[string]Urgency{}}
+	inherited := map[string]Urgency{}
 	for _, job := range g.AwaitedJobs() {
-		awaited[job] = inherited.urgency(job)
+		inherited[job] = resolver.urgency(job)
 	}
-	return awaited
+	return inherited
 }
 
-// inheritance works out urgencies, each of them once.
-type inheritance struct {
+// urgencyResolver computes inherited urgencies recursively and caches each result.
+type urgencyResolver struct {
 	graph     *Graph
 	estimate  func(job string) (Estimate, bool)
 	urgencies map[string]Urgency
 }
 
-func (i inheritance) urgency(job string) Urgency {
-	if urgency, found := i.urgencies[job]; found {
+func (r urgencyResolver) urgency(job string) Urgency {
+	if urgency, found := r.urgencies[job]; found {
 		return urgency
 	}
-	own, known := i.estimate(job)
+	own, known := r.estimate(job)
 	if !known {
-		own.Urgency = noUrgency
+		own.Urgency = lowestUrgency
 	}
 	urgency := own.Urgency
-	i.urgencies[job] = urgency // ends the recursion even if the stored records have a cycle
-	for _, follower := range i.graph.Followers(job) {
-		urgency = urgency.needed(i.urgency(follower), own.RunTime)
+	r.urgencies[job] = urgency // ends the recursion if the stored dependencies have a cycle
+	for _, dependent := range r.graph.Followers(job) {
+		urgency = urgency.withDependent(r.urgency(dependent), own.RunTime)
 	}
-	i.urgencies[job] = urgency
+	r.urgencies[job] = urgency
 	return urgency
 }
--- a/internal/core/job/binding.go
+++ b/internal/core/job/binding.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Binding ties a task to a machine before any start is sent. It ends only on proof that the task
-// is gone.
+// Binding assigns a task to a machine. It is stored before the start is sent, and is removed only
+// on proof that the task is no longer on the machine and can't start there.
 type Binding struct {
 	Machine string
 	Attempt uint64
-	// Token is the only fencing token under which the start may be sent, and Epoch the only
-	// epoch of the worker's agent that may carry it out. A report under a newer one in which
-	// the task is absent proves that it is gone.
+	// Token is the fencing token under which the start is sent, and Epoch the epoch of the
+	// worker's agent that may execute it; no other token or epoch is valid. A report under a
+	// newer token or epoch that does not list the task proves that the task is gone.
 	Token, Epoch uint64
 
-	// The rest is not stored.
+	// The fields below are not stored.
 
-	// Stored is set once the binding is in the store; before that no start may be sent.
+	// Stored is set once the binding is in the store; no start may be sent before that.
 	Stored bool
-	// State is what the worker last reported, empty before the first report.
+	// State is the task state that the worker last reported, empty before the first report.
 	State string
-	// Since is when the binding was made, or when this controller began to lead the job.
+	// Since is when the binding was created or its start sent, or when this controller became
+	// the job's leader. For a claim of another leader it is when the claim was last announced.
 	Since time.Duration
-	// Stopping is set once a stop was requested, at StopSent.
+	// Stopping is set once a stop was requested; StopSent is when it was last requested.
 	Stopping bool
 	StopSent time.Duration
-	// FencedAt is when the token was last asked to be raised above the binding's.
+	// FencedAt is when a fencing token above Token was last requested for the machine.
 	FencedAt time.Duration
-	// Sent is set once the start was handed to the machine's controller; no start is ever sent
+	// Sent is set once the start was sent to the machine's controller. A start is never sent
 	// twice.
 	Sent bool
 }
 
-// Exit is an attempt of task Index that has ended on a machine.
+// Exit identifies an attempt of task Index that has exited on a machine.
 type Exit struct {
 	Machine string
 	Index   int
--- a/internal/core/job/chunkkey.go
+++ b/internal/core/job/chunkkey.go
@@ -5,31 +5,32 @@
 	"strings"
 )
 
-// ChunkKey names a stored chunk of a job besides the first, which is in the head.
+// ChunkKey identifies a chunk of a job that is stored under its own key. Chunk 0 has no key: it is
+// part of the head.
 type ChunkKey struct {
-	// Size is how many tasks the chunk holds. It is 0 for a chunk of a job whose head did not
-	// state the size: that one follows from the settings.
+	// Size is the number of tasks per chunk, or 0 if the key does not contain it. In that case
+	// the size was derived from the settings when the chunk was written.
 	Size int
-	// Index is the chunk's position among those of its size.
+	// Index is the position of the chunk in a job divided into chunks of that size.
 	Index int
 }
 
-// chunkSizeMark separates the size of a chunk from its index in the name of its key. Versions
-// that do not know sizes do not take such a name for a chunk.
-const chunkSizeMark = "x"
+// chunkSizeSeparator separates the chunk size from the index in a key. Earlier versions, which do
+// not know explicit sizes, do not parse such a key as a chunk.
+const chunkSizeSeparator = "x"
 
-// String is the key's last part.
+// String returns the last part of the store key.
 func (k ChunkKey) String() string {
 	if k.Size == 0 {
 		return strconv.Itoa(k.Index)
 	}
-	return strconv.Itoa(k.Size) + chunkSizeMark + strconv.Itoa(k.Index)
+	return strconv.Itoa(k.Size) + chunkSizeSeparator + strconv.Itoa(k.Index)
 }
 
-// ParseChunkKey reads what String wrote.
+// ParseChunkKey parses the output of ChunkKey.String.
 func ParseChunkKey(text string) (k ChunkKey, ok bool) {
-	size, index, sized := strings.Cut(text, chunkSizeMark)
-	if !sized {
+	size, index, hasSize := strings.Cut(text, chunkSizeSeparator)
+	if !hasSize {
 		index = text
 	} else if n, err := strconv.Atoi(size); err != nil || n < 1 {
 		return ChunkKey{}, false
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -2,135 +2,140 @@
 
 import "time"
 
-// Job is an accepted job that is not final, with its tasks' bindings. Tasks are pending, bound or
-// done.
+// Job is an accepted job without a final state, together with the bindings of its tasks. Each task
+// is pending, bound or done.
 type Job struct {
 	Spec
-	// Version is the revision of the job's head key, 0 before it is known.
+	// Version is the store revision of the job's head key, 0 before it is known.
 	Version uint64
-	// Nonce marks the update that wrote the head.
+	// Nonce identifies the update that wrote the head.
 	Nonce     string
 	Cancelled bool
-	// Done holds the tasks that are done, Bound the bindings by task.
+	// Done holds the indexes of the completed tasks; Bound maps task indexes to bindings.
 	Done  Set
 	Bound map[int]*Binding
-	// Attempt is the highest attempt number in use, StoredAttempt the highest that the store is
-	// known to hold. No higher one can have been started by a leader that knows no more.
+	// Attempt is the highest attempt number in use, and StoredAttempt the highest that is known
+	// to be stored. Starts are sent only for stored bindings, so an attempt above StoredAttempt
+	// was started by another leader with newer state.
 	Attempt, StoredAttempt uint64
-	layout
-	blocking
+	chunkLayout
+	dependencyState
 
-	// InFlight is set while a transaction on the job is not answered.
+	// InFlight is set while a transaction that writes the job is unanswered.
 	InFlight bool
-	// Urgent asks for the job to be stored without delay; StoredAt is when it last was.
+	// Urgent requests that the job be stored without delay; StoredAt is when it was last
+	// written.
 	Urgent   bool
 	StoredAt time.Duration
-	// UnstoredExits lists the attempts that have exited since the job was last stored; their
-	// workers forget them once the store holds what became of them.
+	// UnstoredExits lists the attempts that have exited since the job was last stored. Their
+	// workers are told to forget them once the outcome is stored.
 	UnstoredExits []Exit
 
-	// Suspected is set while the job is taken to have been submitted with a mistake, Proven
-	// once a task of it has succeeded.
+	// Suspected is set while the job itself, not the machines, is presumed to cause its
+	// failures, for example because of an error in the submission. Proven is set once a task
+	// has succeeded.
 	Suspected, Proven bool
-	// FailedOn names the machines that the job has failed on since it last succeeded, Probes
-	// counts its canary starts, NotBefore delays the next start.
+	// FailedOn lists the machines on which the job has failed since its last success, Probes
+	// counts its canary starts, and NotBefore is the earliest time of the next start.
 	FailedOn  []string
 	Probes    int
 	NotBefore time.Duration
 
-	// Started is set once a task was seen running.
+	// Started is set once a task was observed running.
 	Started bool
-	// Running is how many tasks ran when they were counted, at CountedAt.
+	// Running is the number of running tasks as counted at CountedAt.
 	Running   int
 	CountedAt time.Duration
-	// CancelledAt is when the job's cancellation became known, CancelRequestedAt the time of
-	// day of the request in milliseconds, 0 if it is not known.
+	// CancelledAt is when this controller learned of the job's cancellation. CancelRequestedAt
+	// is the wall-clock time of the request in Unix milliseconds, 0 if unknown.
 	CancelledAt       time.Duration
 	CancelRequestedAt int64
-	// ClaimedAt is when the newest bindings were made.
+	// ClaimedAt is when the newest bindings were created.
 	ClaimedAt time.Duration
-	// PendingSince is when tasks of the job were last bound, or when it was accepted.
+	// PendingSince is when the job began to wait for resources: when it was accepted, was
+	// unblocked, last had tasks bound or had its hand-off record deleted.
 	PendingSince time.Duration
-	// PreemptedAt is when other work was last stopped for it.
+	// PreemptedAt is when other tasks were last preempted for this job.
 	PreemptedAt time.Duration
 
-	// firstPending is a task before which none is pending.
-	firstPending int
-	// ledger follows the job's bindings, if it is in one.
+	// pendingLowerBound is an index below which no task is pending.
+	pendingLowerBound int
+	// ledger is the ledger that tracks the job's bindings, nil if there is none.
 	ledger *Ledger
 }
 
-// New makes a job whose head does not state its chunk size.
+// New returns a job whose head does not store the chunk size.
 func New(s Spec, chunkSize int, now time.Duration) *Job {
 	return &Job{
 		Spec:         s,
 		Bound:        map[int]*Binding{},
-		layout:       newLayout(chunkSize),
+		chunkLayout:  newChunkLayout(chunkSize),
 		PendingSince: now,
 	}
 }
 
-// NewWithChunkSize makes a job whose head will state its chunk size.
+// NewWithChunkSize returns a job whose head stores the chunk size.
 func NewWithChunkSize(s Spec, chunkSize int, now time.Duration) *Job {
 	j := New(s, chunkSize, now)
-	j.sized = true
+	j.hasExplicitSize = true
 	return j
 }
 
-// Bind ties task i to a machine under a new attempt.
+// Bind sets the binding of task i and marks the task as changed.
 func (j *Job) Bind(i int, b *Binding) {
 	j.setBinding(i, b)
 	j.MarkDirty(i)
 }
 
-// Unbind ends the binding of task i.
+// Unbind removes the binding of task i, which makes the task pending again unless it is done.
 func (j *Job) Unbind(i int) {
 	j.clearBinding(i)
-	j.firstPending = min(j.firstPending, i)
+	j.pendingLowerBound = min(j.pendingLowerBound, i)
 	j.MarkDirty(i)
 }
 
-// Finish records that task i is done.
+// Finish marks task i as done and as changed.
 func (j *Job) Finish(i int) {
-	j.finish(i)
+	j.markDone(i)
 	j.MarkDirty(i)
 }
 
-// finish notes that task i is done, as it is stored already.
-func (j *Job) finish(i int) {
+// markDone marks task i as done without marking it as changed.
+func (j *Job) markDone(i int) {
 	j.Done.Add(i)
 	j.clearBinding(i)
 }
 
-// Claim notes a binding that the job's leader is about to store, in place of an earlier claim on
-// the task, and reports whether that is news. One that the stored state is already past is
-// ignored. Whatever the leader stores next replaces it.
+// Claim records a claim: a binding that the job's leader has announced and not yet stored. It
+// replaces an earlier claim on the task and reports whether anything changed. Repeating the current
+// claim only renews it. A claim that is older than the known stored state is ignored. The next
+// stored state of the task replaces the claim.
 func (j *Job) Claim(i int, b *Binding) bool {
 	if i >= j.Tasks || j.Done.Has(i) || b.Attempt <= j.Attempt {
 		return false
 	}
-	known := j.Bound[i]
+	current := j.Bound[i]
 	switch {
-	case known == nil:
-	case known.Stored:
+	case current == nil:
+	case current.Stored:
 		return false
-	case known.Machine == b.Machine && known.Attempt == b.Attempt:
-		known.Since = b.Since
+	case current.Machine == b.Machine && current.Attempt == b.Attempt:
+		current.Since = b.Since
 		return false
 	}
 	j.setBinding(i, b)
 	return true
 }
 
-// ExpireClaims forgets the claims that were last announced before a time. It reports whether it
-// has forgotten any, and whether any is left.
+// ExpireClaims removes the claims that were last announced before the given time. It reports
+// whether any were removed and whether any are left.
 func (j *Job) ExpireClaims(before time.Duration) (expired, left bool) {
 	for i, b := range j.Bound {
 		switch {
 		case b.Stored:
 		case b.Since < before:
 			j.clearBinding(i)
-			j.firstPending = min(j.firstPending, i)
+			j.pendingLowerBound = min(j.pendingLowerBound, i)
 			expired = true
 		default:
 			left = true
@@ -139,7 +144,7 @@
 	return expired, left
 }
 
-// UnstoredBindings counts the bindings that the store does not hold.
+// UnstoredBindings returns the number of bindings that are not known to be stored.
 func (j *Job) UnstoredBindings() (n int) {
 	for _, b := range j.Bound {
 		if !b.Stored {
@@ -149,21 +154,21 @@
 	return n
 }
 
-// DropUnstored forgets what an earlier leader was about to store.
+// DropUnstored removes the bindings that a previous leader announced and did not store.
 func (j *Job) DropUnstored() {
 	for i, b := range j.Bound {
 		if !b.Stored {
 			j.clearBinding(i)
 		}
 	}
-	j.firstPending = 0
+	j.pendingLowerBound = 0
 }
 
-// Complete tells whether every task is done.
+// Complete reports whether every task is done.
 func (j *Job) Complete() bool { return j.Done.Len() == j.Tasks }
 
-// PendingTasks is the number of tasks that could be bound: neither done nor bound, and none of
-// a job that is blocked.
+// PendingTasks returns the number of tasks that can be bound: those neither done nor bound, or 0 if
+// the job is cancelled or blocked.
 func (j *Job) PendingTasks() int {
 	if j.Cancelled || j.Blocked {
 		return 0
@@ -171,19 +176,19 @@
 	return j.Tasks - j.Done.Len() - len(j.Bound)
 }
 
-// isPending tells whether task i is neither done nor bound.
+// isPending reports whether task i is neither done nor bound.
 func (j *Job) isPending(i int) bool { return !j.Done.Has(i) && j.Bound[i] == nil }
 
-// NextPending finds the first pending task at or after i, or -1.
+// NextPending returns the index of the first pending task at or after i, or -1 if there is none.
 func (j *Job) NextPending(i int) int {
-	i = max(i, j.firstPending)
-	fromFirst := i == j.firstPending
+	i = max(i, j.pendingLowerBound)
+	fromLowerBound := i == j.pendingLowerBound
 	for ; i < j.Tasks; i++ {
 		if !j.isPending(i) {
 			continue
 		}
-		if fromFirst {
-			j.firstPending = i
+		if fromLowerBound {
+			j.pendingLowerBound = i
 		}
 		return i
 	}
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -10,28 +10,32 @@
 	"pepperlever/internal/mustjson"
 )
 
-// layout is how a job's tasks are divided over keys of the store.
-type layout struct {
-	// ChunkSize is the number of tasks stored under one key.
+// chunkLayout describes how the state of a job's tasks is divided into chunks and which store keys
+// hold them. Chunk 0 is part of the job's head; every other chunk that has to be stored has its own
+// key.
+type chunkLayout struct {
+	// ChunkSize is the number of tasks per chunk.
 	ChunkSize int
-	// sized is set if the head states ChunkSize.
-	sized bool
-	// formerSize is the chunk size from before the job was split, 0 if it never was. migrated
-	// holds the chunks that are no longer read from keys of that size.
-	formerSize int
-	migrated   Set
-	// storedKeys holds the keys that exist, dirty the chunks whose stored form is out of date.
+	// hasExplicitSize is set if the head and the chunk keys contain ChunkSize.
+	hasExplicitSize bool
+	// previousSize is the chunk size before the chunks were split, 0 if they never were.
+	// migrated holds the chunks of the present size that are no longer read from keys of the
+	// previous one.
+	previousSize int
+	migrated     Set
+	// storedKeys holds the chunk keys that exist in the store, and dirty the chunks that have
+	// changed since they were stored.
 	storedKeys map[ChunkKey]bool
 	dirty      map[int]bool
-	// specBytes is how long the stored description is, once it was asked for.
+	// specBytes caches the result of Job.SpecBytes, 0 before the first call.
 	specBytes int
 }
 
-func newLayout(chunkSize int) layout {
-	return layout{ChunkSize: chunkSize, storedKeys: map[ChunkKey]bool{}, dirty: map[int]bool{}}
+func newChunkLayout(chunkSize int) chunkLayout {
+	return chunkLayout{ChunkSize: chunkSize, storedKeys: map[ChunkKey]bool{}, dirty: map[int]bool{}}
 }
 
-// SpecBytes is how long the stored description is.
+// SpecBytes returns the size of the stored description in bytes.
 func (j *Job) SpecBytes() int {
 	if j.specBytes == 0 {
 		j.specBytes = j.StoredBytes()
@@ -39,28 +43,30 @@
 	return j.specBytes
 }
 
-// key names chunk c as it is written now.
-func (l *layout) key(c int) ChunkKey {
-	if l.sized {
+// chunkKey returns the key under which chunk c is written.
+func (l *chunkLayout) chunkKey(c int) ChunkKey {
+	if l.hasExplicitSize {
 		return ChunkKey{Size: l.ChunkSize, Index: c}
 	}
 	return ChunkKey{Index: c}
 }
 
-// unstatedSize is the number of tasks under a key whose name does not state it.
-func (l *layout) unstatedSize() int {
-	if l.formerSize > 0 {
-		return l.formerSize
+// implicitSize returns the chunk size for keys that do not contain one.
+func (l *chunkLayout) implicitSize() int {
+	if l.previousSize > 0 {
+		return l.previousSize
 	}
 	return l.ChunkSize
 }
 
-// hasMigrated tells whether task i is no longer read from keys of the former size.
-func (l *layout) hasMigrated(i int) bool { return l.formerSize > 0 && l.migrated.Has(i/l.ChunkSize) }
+// hasMigrated reports whether task i is no longer read from keys of the previous chunk size.
+func (l *chunkLayout) hasMigrated(i int) bool {
+	return l.previousSize > 0 && l.migrated.Has(i/l.ChunkSize)
+}
 
-// splitSize is the largest chunk size up to most into which the present chunks divide.
-func (j *Job) splitSize(most int) int {
-	for size := min(most, j.ChunkSize); size > 1; size-- {
+// splitSize returns the largest chunk size up to limit that divides the present one evenly.
+func (j *Job) splitSize(limit int) int {
+	for size := min(limit, j.ChunkSize); size > 1; size-- {
 		if j.ChunkSize%size == 0 {
 			return size
 		}
@@ -68,19 +74,20 @@
 	return 1
 }
 
-// SplitChunks divides the job's chunks into smaller ones of at most size tasks, if what leaves
-// the head by that fits into writes keys; it reports whether the chunks are that small.
-// Chunks that have keys of their own already stay there until they change.
-func (j *Job) SplitChunks(size, writes int) bool {
+// SplitChunks divides the job's chunks into smaller ones of at most size tasks and reports whether
+// the chunks are that small afterwards. The part of chunk 0 that leaves the head has to be stored
+// together with the smaller head, so nothing is split if that takes more than maxKeys new keys.
+// Chunks that are already stored under their own keys stay there until they change.
+func (j *Job) SplitChunks(size, maxKeys int) bool {
 	if j.ChunkSize <= size {
 		return true
 	}
-	if j.formerSize > 0 {
-		return false // keys of two former sizes could not be distinguished
+	if j.previousSize > 0 {
+		return false // only one previous size can be told apart from the present one
 	}
 	size = j.splitSize(size)
 	parts := j.ChunkSize / size
-	if j.keysWithin(size, parts) > writes {
+	if j.countNewKeys(size, parts) > maxKeys {
 		return false
 	}
 	changed := map[int]bool{}
@@ -92,12 +99,13 @@
 	for part := range parts {
 		changed[part] = true
 	}
-	j.formerSize, j.ChunkSize, j.sized, j.dirty = j.ChunkSize, size, true, changed
+	j.previousSize, j.ChunkSize, j.hasExplicitSize, j.dirty = j.ChunkSize, size, true, changed
 	return true
 }
 
-// keysWithin counts the chunks of size that leave the head and need keys.
-func (j *Job) keysWithin(size, parts int) (n int) {
+// countNewKeys returns how many keys are needed when chunk 0 is divided into parts of size tasks,
+// of which only the first stays in the head.
+func (j *Job) countNewKeys(size, parts int) (n int) {
 	for part := 1; part < parts; part++ {
 		if j.needsKey(part*size, min(j.Tasks, (part+1)*size)) {
 			n++
@@ -106,30 +114,31 @@
 	return n
 }
 
-// ChunkWrite is a write of one further chunk; a nil Value deletes it.
+// ChunkWrite is a write of one chunk key. A nil Value deletes the key.
 type ChunkWrite struct {
 	Key   ChunkKey
 	Value json.RawMessage
-	// migrates is set where it is the first under its own key since the job was split.
-	migrates bool
+	// firstSinceSplit is set for the first write of the chunk since the job's chunks were
+	// split.
+	firstSinceSplit bool
 }
 
-// TakeDirty returns the writes of at most limit changed chunks besides the head, and whether more
-// are left.
-func (j *Job) TakeDirty(limit int) (writes []ChunkWrite, more bool) {
+// TakeDirty returns at most maxWrites chunk writes that are due besides the head, and whether more
+// are left. The chunks no longer count as changed; RevertWrites undoes that if the write fails.
+func (j *Job) TakeDirty(maxWrites int) (writes []ChunkWrite, more bool) {
 	for _, c := range slices.Sorted(maps.Keys(j.dirty)) {
 		write, needed := j.chunkWrite(c)
-		if needed && len(writes) == limit {
+		if needed && len(writes) == maxWrites {
 			return writes, true
 		}
 		delete(j.dirty, c)
 		if needed {
 			writes = append(writes, write)
 		}
-		j.noteWrite(c, write)
+		j.recordWrite(c, write)
 	}
 	for _, key := range j.supersededKeys() {
-		if len(writes) == limit {
+		if len(writes) == maxWrites {
 			j.dirty[0] = true
 			return writes, true
 		}
@@ -139,22 +148,23 @@
 	return writes, false
 }
 
-// chunkWrite is the write of a changed chunk, if it takes any besides the head.
+// chunkWrite returns the write of a changed chunk, and whether one is needed besides the head.
 func (j *Job) chunkWrite(c int) (write ChunkWrite, needed bool) {
 	if c == 0 {
 		return ChunkWrite{}, false
 	}
-	write = ChunkWrite{Key: j.key(c), migrates: j.formerSize > 0 && !j.migrated.Has(c)}
-	if !j.needsKey(j.bounds(c)) {
-		return write, j.storedKeys[write.Key] || !j.sized
+	write = ChunkWrite{Key: j.chunkKey(c), firstSinceSplit: j.previousSize > 0 && !j.migrated.Has(c)}
+	if !j.needsKey(j.chunkBounds(c)) {
+		return write, j.storedKeys[write.Key] || !j.hasExplicitSize
 	}
 	write.Value = mustjson.Marshal(j.chunkRecord(c))
 	return write, true
 }
 
-// noteWrite notes that a chunk is about to be stored under its own key, or in the head.
-func (j *Job) noteWrite(c int, w ChunkWrite) {
-	if j.formerSize > 0 {
+// recordWrite updates the layout for a chunk that is about to be stored under its own key, or in
+// the head.
+func (j *Job) recordWrite(c int, w ChunkWrite) {
+	if j.previousSize > 0 {
 		j.migrated.Add(c)
 	}
 	switch {
@@ -166,9 +176,9 @@
 	}
 }
 
-// supersededKeys lists the keys of the former size of which nothing is read any more.
+// supersededKeys returns the keys of the previous chunk size that are no longer read at all.
 func (j *Job) supersededKeys() []ChunkKey {
-	if j.formerSize == 0 {
+	if j.previousSize == 0 {
 		return nil
 	}
 	var keys []ChunkKey
@@ -181,46 +191,46 @@
 	return keys
 }
 
-// isSuperseded tells whether all chunks that a key of the former size holds have migrated or need
-// no key.
+// isSuperseded reports whether every chunk covered by a key of the previous size has been migrated
+// or needs no key.
 func (j *Job) isSuperseded(key ChunkKey) bool {
-	parts := j.formerSize / j.ChunkSize
-	for c := key.Index * parts; c < min(j.chunks(), (key.Index+1)*parts); c++ {
-		if !j.migrated.Has(c) && j.needsKey(j.bounds(c)) {
+	parts := j.previousSize / j.ChunkSize
+	for c := key.Index * parts; c < min(j.chunkCount(), (key.Index+1)*parts); c++ {
+		if !j.migrated.Has(c) && j.needsKey(j.chunkBounds(c)) {
 			return false
 		}
 	}
 	return true
 }
 
-// RevertWrites marks chunks as changed again after a write that did not happen.
+// RevertWrites marks the chunks of a failed transaction as changed again.
 func (j *Job) RevertWrites(writes []ChunkWrite) {
 	j.dirty[0] = true
 	for _, w := range writes {
 		if w.Value == nil {
-			j.storedKeys[w.Key] = true // perhaps: it was not deleted
+			j.storedKeys[w.Key] = true // it may still exist, so it is deleted again
 		}
-		if w.Key.Size == 0 && j.sized {
-			continue // of the former size; supersededKeys lists it again
+		if w.Key.Size == 0 && j.hasExplicitSize {
+			continue // a key of the previous size: supersededKeys returns it again
 		}
 		j.dirty[w.Key.Index] = true
-		if w.migrates {
+		if w.firstSinceSplit {
 			j.migrated.Remove(w.Key.Index)
 		}
 	}
 }
 
-// NoteStoredKey notes that a chunk has a key of its own in the store.
-func (j *Job) NoteStoredKey(k ChunkKey) { j.storedKeys[k] = true }
+// recordStoredKey records that a chunk key exists in the store.
+func (j *Job) recordStoredKey(k ChunkKey) { j.storedKeys[k] = true }
 
-// Dirty tells whether something waits to be stored.
+// Dirty reports whether the job has changes that are not stored.
 func (j *Job) Dirty() bool { return len(j.dirty) > 0 }
 
-// DirtyChunks counts the keys that wait to be stored.
+// DirtyChunks returns the number of chunks with changes that are not stored.
 func (j *Job) DirtyChunks() int { return len(j.dirty) }
 
-// TaskDirty tells whether task i waits to be stored.
+// TaskDirty reports whether the chunk of task i has changes that are not stored.
 func (j *Job) TaskDirty(i int) bool { return j.dirty[i/j.ChunkSize] }
 
-// MarkDirty marks task i as changed.
+// MarkDirty marks the chunk of task i as changed.
 func (j *Job) MarkDirty(i int) { j.dirty[i/j.ChunkSize] = true }
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -15,26 +15,27 @@
 	"pepperlever/internal/testseed"
 )
 
-// TestMain fixes the seed of the property tests, and their number: fewer miss a move that is not undone.
+// TestMain fixes the seed and the number of checks of the property tests. Fewer checks do not
+// detect a chunk migration that is not reverted after a failed write.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, testseed.Flags{"rapid.checks": "500"})) }
 
 const (
-	formerChunk = 16
-	smallChunk  = 4
+	previousChunkSize = 16
+	smallChunkSize    = 4
 )
 
-// storedJob is a job as its leader has it, together with what the store holds of the job.
+// storedJob is a leader's job together with its stored form.
 type storedJob struct {
-	t      *rapid.T
-	job    *Job
-	head   json.RawMessage
-	chunks map[ChunkKey]json.RawMessage
-	writes int
-	// known is what the store holds of each task.
-	known map[int]taskState
+	t         *rapid.T
+	job       *Job
+	head      json.RawMessage
+	chunks    map[ChunkKey]json.RawMessage
+	maxWrites int
+	// stored is the expected stored state of each task.
+	stored map[int]taskState
 }
 
-// taskState is what is stored of a task: its attempt while it is bound, and whether it is done.
+// taskState is the stored state of a task. attempt is 0 if the task is not bound.
 type taskState struct {
 	attempt uint64
 	done    bool
@@ -48,18 +49,19 @@
 	return s
 }
 
-// flush stores what has changed in one transaction, unless that fails.
+// flush stores changes in one transaction, or reverts them if the transaction fails. It reports
+// whether more changes are left.
 func (s *storedJob) flush(fails bool) (more bool) {
-	out, more := s.job.TakeDirty(s.writes)
-	if len(out) > s.writes {
-		s.t.Fatalf("%d writes, at most %d are allowed", len(out), s.writes)
+	writes, more := s.job.TakeDirty(s.maxWrites)
+	if len(writes) > s.maxWrites {
+		s.t.Fatalf("got %d writes, want at most %d", len(writes), s.maxWrites)
 	}
 	if fails {
-		s.job.RevertWrites(out)
+		s.job.RevertWrites(writes)
 		return true
 	}
 	s.head = s.job.Head()
-	for _, w := range out {
+	for _, w := range writes {
 		if w.Value == nil {
 			delete(s.chunks, w.Key)
 		} else {
@@ -68,40 +70,41 @@
 	}
 	for i := range s.job.Tasks {
 		if !s.job.TaskDirty(i) || i < s.job.ChunkSize {
-			s.known[i] = stateOf(s.job, i)
+			s.stored[i] = stateOf(s.job, i)
 		}
 	}
-	s.check()
+	s.checkStored()
 	return more
 }
 
-// check reads the job as it is stored now. That a task is done may be known early.
-func (s *storedJob) check() {
-	back := s.read()
+// checkStored loads the stored job and compares it with the expected state. A task may be stored as
+// done before its chunk is written, since the head lists the chunks whose tasks are all done.
+func (s *storedJob) checkStored() {
+	loaded := s.load()
 	for i := range s.job.Tasks {
-		got, want := stateOf(back, i), s.known[i]
+		got, want := stateOf(loaded, i), s.stored[i]
 		if s.job.Cancelled {
-			got.done, want.done = false, false // nobody asks any more
+			got.done, want.done = false, false // chunks of cancelled jobs are deleted once nothing is bound
 		}
 		if got != want && !(got.done && s.job.Done.Has(i)) {
-			s.t.Fatalf("task %d is read as %+v, stored as %+v", i, got, want)
+			s.t.Fatalf("task %d: got %+v, want %+v", i, got, want)
 		}
 	}
 }
 
-// flushJobs stores until nothing is left to be stored.
+// flushAll stores changes until none are left.
 func (s *storedJob) flushAll() {
 	for n := 0; s.job.Dirty() || n == 0; n++ {
 		if s.flush(false); n > s.job.Tasks+2 {
-			s.t.Fatal("storing does not come to an end")
+			s.t.Fatal("flushing does not terminate")
 		}
 	}
 }
 
-// read is what another controller makes of the stored job, in whatever order it gets the chunks.
-func (s *storedJob) read() *Job {
-	back := New(Spec{ID: s.job.ID}, formerChunk, 0)
-	if err := back.LoadHead(s.head); err != nil {
+// load loads the stored job as another controller does, with the chunks in random order.
+func (s *storedJob) load() *Job {
+	loaded := New(Spec{ID: s.job.ID}, previousChunkSize, 0)
+	if err := loaded.LoadHead(s.head); err != nil {
 		s.t.Fatal(err)
 	}
 	keys := slices.SortedFunc(maps.Keys(s.chunks), func(a, b ChunkKey) int {
@@ -110,17 +113,17 @@
 	for _, k := range rapid.Permutation(keys).Draw(s.t, "order") {
 		parsed, ok := ParseChunkKey(k.String())
 		if !ok || parsed != k {
-			s.t.Fatalf("key %q is read as %v", k, parsed)
+			s.t.Fatalf("key %q: parsed as %v", k, parsed)
 		}
-		if err := back.LoadChunk(k, s.chunks[k]); err != nil {
+		if err := loaded.LoadChunk(k, s.chunks[k]); err != nil {
 			s.t.Fatal(err)
 		}
 	}
-	return back
+	return loaded
 }
 
-// change binds, ends or finishes a task.
-func (s *storedJob) change() {
+// changeTask binds, unbinds or finishes a random task.
+func (s *storedJob) changeTask() {
 	i := rapid.IntRange(0, s.job.Tasks-1).Draw(s.t, "task")
 	switch bound := s.job.Bound[i] != nil; {
 	case s.job.Done.Has(i):
@@ -140,50 +143,50 @@
 	}
 }
 
-// A job that is stored in chunks of the former size is split at any moment, amid writes that
-// fail: whoever reads it finds all that was stored, at every moment, and no key of it is left at
-// the end.
-func TestSplitJobReadsBackAsItWasStored(t *testing.T) {
+// The chunks of a stored job are split at a random time, and some writes fail. After every write
+// the stored job must load with all of its stored state, and no chunk key may be left once it has
+// ended.
+func TestSplitJobRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tasks := rapid.IntRange(1, 3*formerChunk+3).Draw(t, "tasks")
+		tasks := rapid.IntRange(1, 3*previousChunkSize+3).Draw(t, "tasks")
 		s := &storedJob{
-			t:      t,
-			job:    New(Spec{ID: "req-1", Tasks: tasks}, formerChunk, 0),
-			chunks: map[ChunkKey]json.RawMessage{},
-			writes: 4,
-			known:  map[int]taskState{},
+			t:         t,
+			job:       New(Spec{ID: "req-1", Tasks: tasks}, previousChunkSize, 0),
+			chunks:    map[ChunkKey]json.RawMessage{},
+			maxWrites: 4,
+			stored:    map[int]taskState{},
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "before") {
-			s.change()
+			s.changeTask()
 		}
 		s.flushAll()
 		split := false
 		for range rapid.IntRange(1, 30).Draw(t, "after") {
-			s.change()
+			s.changeTask()
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				split = s.job.SplitChunks(smallChunk, s.writes)
+				split = s.job.SplitChunks(smallChunkSize, s.maxWrites)
 				s.flush(rapid.Bool().Draw(t, "fails"))
 			case 1:
 				s.flush(true)
 			case 2:
 				s.flushAll()
-				compare(t, s.job, s.read())
-			case 3: // another leader goes on with what is stored
+				requireSameTasks(t, s.job, s.load())
+			case 3: // another leader takes over the stored job
 				s.flushAll()
-				s.job = s.read()
+				s.job = s.load()
 			}
 		}
 		s.flushAll()
-		compare(t, s.job, s.read())
-		if split && s.job.ChunkSize != smallChunk {
-			t.Fatalf("chunks of %d tasks", s.job.ChunkSize)
+		requireSameTasks(t, s.job, s.load())
+		if split && s.job.ChunkSize != smallChunkSize {
+			t.Fatalf("got a chunk size of %d after the split", s.job.ChunkSize)
 		}
-		s.end()
+		s.endJob()
 	})
 }
 
-func (s *storedJob) end() {
+func (s *storedJob) endJob() {
 	if rapid.Bool().Draw(s.t, "cancelled") {
 		s.job.Cancel()
 		for i := range s.job.Tasks {
@@ -200,30 +203,31 @@
 	}
 	s.flushAll()
 	if len(s.chunks) > 0 {
-		s.t.Fatalf("keys are left: %v", slices.Collect(maps.Keys(s.chunks)))
+		s.t.Fatalf("got remaining chunk keys %v, want none", slices.Collect(maps.Keys(s.chunks)))
 	}
 }
 
-func compare(t *rapid.T, want, got *Job) {
+func requireSameTasks(t *rapid.T, want, got *Job) {
 	if diff := cmp.Diff(want.Bound, got.Bound, cmpopts.EquateEmpty()); diff != "" {
-		t.Fatalf("bindings: %s", diff)
+		t.Fatalf("bindings differ (-want +got): %s", diff)
 	}
 	if a, b := want.Done.Format(0, want.Tasks), got.Done.Format(0, want.Tasks); a != b {
-		t.Fatalf("done are %q, read back as %q", a, b)
+		t.Fatalf("done tasks: want %q, got %q", a, b)
 	}
 }
 
-// What leaves the head has to go into the transaction that stores the smaller head.
-func TestJobIsNotSplitWhereTheHeadsPartsDoNotFit(t *testing.T) {
-	j := New(Spec{ID: "req-1", Tasks: formerChunk}, formerChunk, 0)
-	for i := range formerChunk {
+// The chunks that leave the head have to be stored in the same transaction as the smaller head, so
+// a job must not be split if they do not fit into it.
+func TestSplitChunksRequiresNewKeysToFitInTransaction(t *testing.T) {
+	j := New(Spec{ID: "req-1", Tasks: previousChunkSize}, previousChunkSize, 0)
+	for i := range previousChunkSize {
 		j.Bind(i, &Binding{Machine: "vm-1", Attempt: 1})
 	}
-	parts := formerChunk / smallChunk
-	if j.SplitChunks(smallChunk, parts-2) || j.ChunkSize != formerChunk {
-		t.Error("split in spite of too few writes")
+	parts := previousChunkSize / smallChunkSize
+	if j.SplitChunks(smallChunkSize, parts-2) || j.ChunkSize != previousChunkSize {
+		t.Error("job was split although the new keys do not fit")
 	}
-	if !j.SplitChunks(smallChunk, parts-1) || j.ChunkSize != smallChunk {
-		t.Error("not split")
+	if !j.SplitChunks(smallChunkSize, parts-1) || j.ChunkSize != smallChunkSize {
+		t.Error("job was not split although the new keys fit")
 	}
 }
--- a/internal/core/job/ledger.go
+++ b/internal/core/job/ledger.go
@@ -2,63 +2,63 @@
 
 import "cmp"
 
-// TaskRef names a task of a known job.
+// TaskRef identifies a task by its job and its index.
 type TaskRef struct {
 	Job   *Job
 	Index int
 }
 
-// CompareTaskRefs orders tasks by job and index.
+// CompareTaskRefs orders tasks by job ID, then by index.
 func CompareTaskRefs(a, b TaskRef) int {
 	return cmp.Or(cmp.Compare(a.Job.ID, b.Job.ID), cmp.Compare(a.Index, b.Index))
 }
 
-// Load is what is bound to one machine.
+// Load is the set of tasks that are bound to one machine and the resources that they request.
 type Load struct {
-	// Need is the sum of what the bound tasks take.
+	// Need is the sum of the resources of all bound tasks.
 	Need  Resources
 	Tasks map[TaskRef]*Binding
-	// Used is Need without the tasks that have exited, as the owner of the ledger last worked
-	// it out; UsedCurrent is unset whenever that may have changed.
+	// Used is Need without the tasks that have exited. The owner of the ledger computes and
+	// caches it here; UsedCurrent is cleared whenever the cached value may be out of date.
 	Used        Resources
 	UsedCurrent bool
 }
 
-// Ledger holds the bindings of all known jobs by machine. A job enters it with Add and leaves it
-// with Remove; between the two each change of a binding passes through it, so that no step has to
-// walk all jobs to learn what is on a machine.
+// Ledger indexes the bindings of all known jobs by machine. Between Add and Remove, every change to
+// a job's bindings updates the ledger, so finding what is bound to a machine does not require a
+// scan of all jobs.
 type Ledger struct{ loads map[string]*Load }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{loads: map[string]*Load{}} }
 
-// Load is what is bound to a machine, or nil when nothing is.
+// Load returns the load of a machine, or nil if nothing is bound to it.
 func (l *Ledger) Load(machine string) *Load { return l.loads[machine] }
 
-// Invalidate notes that the machine itself has changed.
+// Invalidate discards the cached Used value of a machine after its reported tasks have changed.
 func (l *Ledger) Invalidate(machine string) {
 	if load := l.loads[machine]; load != nil {
 		load.UsedCurrent = false
 	}
 }
 
-// Add enters a job's bindings and follows them from now on.
+// Add indexes a job's bindings and tracks their changes from now on.
 func (l *Ledger) Add(j *Job) {
 	j.ledger = l
 	for i, b := range j.Bound {
-		l.enter(j, i, b)
+		l.addBinding(j, i, b)
 	}
 }
 
-// Remove takes a job's bindings out and no longer follows them.
+// Remove removes a job's bindings from the index and stops tracking them.
 func (l *Ledger) Remove(j *Job) {
 	for i, b := range j.Bound {
-		l.leave(j, i, b)
+		l.removeBinding(j, i, b)
 	}
 	j.ledger = nil
 }
 
-func (l *Ledger) enter(j *Job, i int, b *Binding) {
+func (l *Ledger) addBinding(j *Job, i int, b *Binding) {
 	load := l.loads[b.Machine]
 	if load == nil {
 		load = &Load{Tasks: map[TaskRef]*Binding{}}
@@ -69,26 +69,26 @@
 	load.UsedCurrent = false
 }
 
-func (l *Ledger) leave(j *Job, i int, b *Binding) {
+func (l *Ledger) removeBinding(j *Job, i int, b *Binding) {
 	load := l.loads[b.Machine]
 	delete(load.Tasks, TaskRef{j, i})
 	load.Need = load.Need.Plus(j.Need, -1)
 	load.UsedCurrent = false
 	if len(load.Tasks) == 0 {
-		delete(l.loads, b.Machine) // with the rounding errors of its sum
+		delete(l.loads, b.Machine) // also discards the accumulated rounding errors of Need
 	}
 }
 
-// setBinding puts a binding in place of the one before.
+// setBinding sets or replaces the binding of task i.
 func (j *Job) setBinding(i int, b *Binding) {
 	j.clearBinding(i)
 	j.Bound[i] = b
 	if j.ledger != nil {
-		j.ledger.enter(j, i, b)
+		j.ledger.addBinding(j, i, b)
 	}
 }
 
-// clearBinding takes a binding away.
+// clearBinding removes the binding of task i if it has one.
 func (j *Job) clearBinding(i int) {
 	b := j.Bound[i]
 	if b == nil {
@@ -96,6 +96,6 @@
 	}
 	delete(j.Bound, i)
 	if j.ledger != nil {
-		j.ledger.leave(j, i, b)
+		j.ledger.removeBinding(j, i, b)
 	}
 }
--- a/internal/core/job/ledger_test.go
+++ b/internal/core/job/ledger_test.go
@@ -8,9 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A ledger that drifts from the bindings would fill machines twice or leave
-// them empty for good.
-func TestLedgerAgreesWithARecountOfAllBindings(t *testing.T) {
+// A ledger that diverges from the bindings would overcommit machines or leave them unused. Bindings
+// are changed at random and by loads of stored state, then recounted.
+func TestLedgerMatchesRecountOfBindings(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	ledger, jobs := NewLedger(), []*Job(nil)
 	machines := []string{"m1", "m2", "m3"}
@@ -32,7 +32,7 @@
 			if rng.IntN(20) == 0 {
 				j.Finish(i)
 			}
-		case 4: // another leader has stored the job meanwhile
+		case 4: // another leader has stored the job in the meantime
 			other := New(j.Spec, 16, 0)
 			if err := other.LoadHead(j.Head()); err != nil {
 				t.Fatal(err)
@@ -52,21 +52,21 @@
 		}
 		return want
 	}
-	compare := func(want map[string]float64) {
+	checkLoads := func(want map[string]float64) {
 		t.Helper()
 		got := map[string]float64{}
 		for _, m := range machines {
-			if on := ledger.Load(m); on != nil {
-				got[m] = on.Need.CPUs
+			if load := ledger.Load(m); load != nil {
+				got[m] = load.Need.CPUs
 			}
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	}
-	compare(recount())
+	checkLoads(recount())
 	for _, j := range jobs {
 		ledger.Remove(j)
 	}
-	compare(map[string]float64{})
+	checkLoads(map[string]float64{})
 }
--- a/internal/core/job/set.go
+++ b/internal/core/job/set.go
@@ -9,36 +9,36 @@
 	"strings"
 )
 
-// wordBits is the number of members that a word of a Set can hold.
+// wordBits is the number of bits in a word of a Set.
 const wordBits = 64
 
-// Set is a set of small integers that is written as ranges ("0-5,8").
+// Set is a bitmap of small non-negative integers. Its text form is a list of ranges ("0-5,8").
 type Set struct {
 	words []uint64
 	count int
 }
 
-// errOutOfBounds says that a range has members that the set can't have.
+// errOutOfBounds reports a range that is reversed or extends past the allowed bounds.
 var errOutOfBounds = errors.New("out of bounds")
 
-// RangeError is a stored range that can't be read.
+// RangeError reports a stored range that can't be parsed.
 type RangeError struct {
 	Text string
 	Err  error
 }
 
-// Error says which range it is and what is wrong with it.
+// Error returns the range and the reason why it is invalid.
 func (e *RangeError) Error() string { return fmt.Sprintf("range %q: %v", e.Text, e.Err) }
 
-// Unwrap gives what is wrong with the range.
+// Unwrap returns the reason why the range is invalid.
 func (e *RangeError) Unwrap() error { return e.Err }
 
-// Has tells whether i is in the set.
+// Has reports whether i is in the set.
 func (s *Set) Has(i int) bool {
 	return i/wordBits < len(s.words) && s.words[i/wordBits]&(1<<(i%wordBits)) != 0
 }
 
-// Add puts i into the set.
+// Add adds i to the set.
 func (s *Set) Add(i int) {
 	for len(s.words) <= i/wordBits {
 		s.words = append(s.words, 0)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Remove takes i out of the set.
+// Remove removes i from the set.
 func (s *Set) Remove(i int) {
 	if s.Has(i) {
 		s.words[i/wordBits] &^= 1 << (i % wordBits)
@@ -57,10 +57,10 @@
 	}
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (s *Set) Len() int { return s.count }
 
-// Format writes the members from lo up to hi as ranges relative to lo.
+// Format returns the members in [lo, hi) as ranges relative to lo.
 func (s *Set) Format(lo, hi int) string {
 	var text strings.Builder
 	for first := s.next(lo); first < hi; {
@@ -81,7 +81,7 @@
 	return text.String()
 }
 
-// next finds the first member at or after i, or a number past all that a set can have.
+// next returns the first member at or after i, or math.MaxInt if there is none.
 func (s *Set) next(i int) int {
 	for w := i / wordBits; w < len(s.words); w++ {
 		word := s.words[w]
@@ -95,7 +95,7 @@
 	return math.MaxInt
 }
 
-// Parse adds the ranges of text, shifted by lo, up to hi.
+// Parse adds the ranges of text, which are relative to lo. It fails if they extend to hi or beyond.
 func (s *Set) Parse(text string, lo, hi int) error {
 	if text == "" {
 		return nil
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// parseRange reads a range of numbers below limit.
+// parseRange parses a single number or a range whose members are below limit.
 func parseRange(text string, limit int) (first, last int, err error) {
 	from, to, isRange := strings.Cut(text, "-")
 	if first, err = strconv.Atoi(from); err != nil {
--- a/internal/core/job/spec.go
+++ b/internal/core/job/spec.go
@@ -1,4 +1,5 @@
-// Package job holds jobs, their tasks and bindings, and how they are stored.
+// Package job defines jobs, their tasks and the bindings of tasks to machines, and the form in
+// which they are stored.
 package job
 
 import (
@@ -11,46 +12,47 @@
 // MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
-// Kind tells how the tasks of a job belong together.
+// Kind determines how the tasks of a job are scheduled together.
 type Kind uint8
 
-// Kinds of jobs.
+// Kinds of jobs. Tasks of an array run independently of each other, the tasks of a gang start
+// together, and those of a service are long-running replicas.
 const (
 	Array Kind = iota
 	Gang
 	Service
 )
 
-// kinds are the names of kinds on the wire.
-var kinds = []string{protocol.KindArray, protocol.KindGang, protocol.KindService}
+// kindNames holds the wire name of each Kind.
+var kindNames = []string{protocol.KindArray, protocol.KindGang, protocol.KindService}
 
-// Resources is what a task takes of its machine, or what a machine has.
+// Resources is an amount of each resource that a task requests or a machine provides.
 type Resources struct {
 	CPUs     float64 `json:"c"`
 	GPUs     float64 `json:"g,omitempty"`
 	MemoryGB float64 `json:"m"`
 }
 
-// roundingSlack absorbs rounding in sums of decimal amounts.
-const roundingSlack = 1e-6
+// roundingTolerance absorbs floating-point rounding errors in sums of resource amounts.
+const roundingTolerance = 1e-6
 
-// Fits tells whether r fits into the free resources.
+// Fits reports whether r fits into the free resources.
 func (r Resources) Fits(free Resources) bool {
-	return r.CPUs <= free.CPUs+roundingSlack &&
-		r.GPUs <= free.GPUs+roundingSlack &&
-		r.MemoryGB <= free.MemoryGB+roundingSlack
+	return r.CPUs <= free.CPUs+roundingTolerance &&
+		r.GPUs <= free.GPUs+roundingTolerance &&
+		r.MemoryGB <= free.MemoryGB+roundingTolerance
 }
 
-// Plus adds n times o.
-func (r Resources) Plus(o Resources, n float64) Resources {
+// Plus returns r plus factor times other.
+func (r Resources) Plus(other Resources, factor float64) Resources {
 	return Resources{
-		CPUs:     r.CPUs + n*o.CPUs,
-		GPUs:     r.GPUs + n*o.GPUs,
-		MemoryGB: r.MemoryGB + n*o.MemoryGB,
+		CPUs:     r.CPUs + factor*other.CPUs,
+		GPUs:     r.GPUs + factor*other.GPUs,
+		MemoryGB: r.MemoryGB + factor*other.MemoryGB,
 	}
 }
 
-// Spec is the immutable description of a job.
+// Spec is the description of a job as it was accepted. It does not change afterwards.
 type Spec struct {
 	ID       string    `json:"-"`
 	Team     string    `json:"tm"`
@@ -61,33 +63,37 @@
 	Need     Resources `json:"r"`
 	Image    string    `json:"i"`
 	ImageGB  float64   `json:"ig"`
-	// Types is nil when every machine type is allowed.
-	Types       []string `json:"ty,omitempty"`
-	Zone        string   `json:"z,omitempty"`
-	OneZone     bool     `json:"oz,omitempty"`
-	Spread      bool     `json:"sp,omitempty"`
-	Spot        bool     `json:"st,omitempty"`
-	EstimateS   float64  `json:"e"`
-	CheckpointS float64  `json:"cp,omitempty"`
-	SaveS       float64  `json:"sv,omitempty"`
-	DeadlineS   float64  `json:"d,omitempty"`
-	// Dependencies names the jobs that have to be done before any task of this one starts,
-	// without those that were done when it was accepted.
+	// Types lists the allowed machine types, nil if every type is allowed.
+	Types   []string `json:"ty,omitempty"`
+	Zone    string   `json:"z,omitempty"`
+	OneZone bool     `json:"oz,omitempty"`
+	Spread  bool     `json:"sp,omitempty"`
+	Spot    bool     `json:"st,omitempty"`
+	// EstimateS is the estimated run time of a task, CheckpointS the interval between its
+	// checkpoints (0 for none), SaveS the time that saving one takes, and DeadlineS the
+	// deadline, counted from acceptance (0 for none), all in seconds.
+	EstimateS   float64 `json:"e"`
+	CheckpointS float64 `json:"cp,omitempty"`
+	SaveS       float64 `json:"sv,omitempty"`
+	DeadlineS   float64 `json:"d,omitempty"`
+	// Dependencies lists the jobs that have to be done before any task of this job starts. Jobs
+	// that were already done when this one was accepted are left out.
 	Dependencies []string `json:"aw,omitempty"`
-	// Accepted is the time of day at acceptance in milliseconds. It orders
-	// work and sets deadlines; no rule depends on it.
+	// Accepted is the wall-clock time of acceptance in Unix milliseconds. It is used for
+	// ordering and deadlines only; correctness does not depend on it.
 	Accepted int64 `json:"a"`
 }
 
-// Allows tells whether a task of the job may run on such a machine at all.
+// Allows reports whether a task of the job may run on a machine of this type in this zone; spot is
+// set for spot machines.
 func (s *Spec) Allows(machineType, zone string, spot bool) bool {
 	allowsType := s.Types == nil || slices.Contains(s.Types, machineType)
 	allowsZone := s.Zone == "" || s.Zone == zone
 	return allowsType && allowsZone && (s.Spot || !spot)
 }
 
-// MinConcurrency is how many of the job's tasks have to be on machines at the same time for it to
-// run: an array's may come one after the other.
+// MinConcurrency returns how many tasks have to be on machines at the same time for the job to run.
+// Tasks of an array may run one after the other; gangs and services need all of theirs at once.
 func (s *Spec) MinConcurrency() int {
 	if s.Kind == Array {
 		return 1
@@ -95,24 +101,24 @@
 	return s.Tasks
 }
 
-// normalPriority is the rank of the normal priority.
+// normalPriority is the rank of the normal priority. A lower rank is more urgent.
 var normalPriority = slices.Index(protocol.Priorities, "normal")
 
-// AboveNormal tells whether the job's priority is higher than normal.
+// AboveNormal reports whether the job's priority is higher than normal.
 func (s *Spec) AboveNormal() bool { return s.Priority < normalPriority }
 
-// withoutDependencies is the stored form of the description without the dependencies.
-func (s *Spec) withoutDependencies() []byte {
+// marshalWithoutDependencies returns the stored form of the description without the dependencies.
+func (s *Spec) marshalWithoutDependencies() []byte {
 	bare := *s
 	bare.Dependencies = nil
 	return mustjson.Marshal(bare)
 }
 
-// StoredBytes is how long the stored description is, without the dependencies: they leave the
-// head before anything is bound.
-func (s *Spec) StoredBytes() int { return len(s.withoutDependencies()) }
+// StoredBytes returns the size of the stored description in bytes. Dependencies don't count: they
+// are dropped from the head when the first task is bound.
+func (s *Spec) StoredBytes() int { return len(s.marshalWithoutDependencies()) }
 
-// DependencyBytes is how long the stored list of dependencies is.
+// DependencyBytes returns the size of the stored list of dependencies in bytes.
 func (s *Spec) DependencyBytes() (n int) {
 	for _, id := range s.Dependencies {
 		n += len(id) + len(`"",`)
--- a/internal/core/job/stored.go
+++ b/internal/core/job/stored.go
@@ -10,60 +10,62 @@
 	"pepperlever/internal/mustjson"
 )
 
-// headRecord is the stored form of the head.
+// headRecord is the stored form of a job's head: the value of its main key.
 type headRecord struct {
 	Spec    *Spec  `json:"s"`
 	Nonce   string `json:"w,omitempty"`
 	Attempt uint64 `json:"n"`
-	// DoneChunks holds the chunks that have no key since all of their tasks are done.
+	// DoneChunks holds the chunks, other than chunk 0, whose tasks are all done. They have no
+	// key.
 	DoneChunks string `json:"f,omitempty"`
 	Suspected  bool   `json:"x,omitempty"`
-	// ChunkSize is missing in heads that do not state it, FormerSize and Migrated in those of
-	// jobs that were never split.
-	ChunkSize  int          `json:"z,omitempty"`
-	FormerSize int          `json:"y,omitempty"`
-	Migrated   string       `json:"v,omitempty"`
-	First      *chunkRecord `json:"c"`
+	// ChunkSize is omitted if the size is derived from the settings, and PreviousSize and
+	// Migrated if the job's chunks were never split.
+	ChunkSize    int          `json:"z,omitempty"`
+	PreviousSize int          `json:"y,omitempty"`
+	Migrated     string       `json:"v,omitempty"`
+	FirstChunk   *chunkRecord `json:"c"`
 }
 
-// chunkRecord is the stored form of a chunk. Bindings name their machines by index.
+// chunkRecord is the stored form of a chunk. Bindings refer to Machines by index, to store each
+// machine name once.
 type chunkRecord struct {
 	Done     string          `json:"d,omitempty"`
 	Machines []string        `json:"m,omitempty"`
 	Bindings []bindingRecord `json:"b,omitempty"`
 }
 
-// bindingRecord is the stored form of a binding: the fields below in this order.
+// bindingRecord is the stored form of a binding: an array of the fields below.
 type bindingRecord [5]uint64
 
-// Fields of a bindingRecord.
+// Indexes of the fields in a bindingRecord.
 const (
 	bindingTask    = iota // relative to the chunk's first task
-	bindingMachine        // index among the chunk's machines
+	bindingMachine        // index in the chunk's list of machines
 	bindingAttempt
 	bindingToken
 	bindingEpoch
 )
 
-// RecordError is a stored record of a job that can't be read.
+// RecordError reports a stored job record that is invalid.
 type RecordError struct {
 	Job     string
 	Problem string
 }
 
-// Error names the job and the problem.
+// Error returns the job ID and the problem.
 func (e *RecordError) Error() string { return fmt.Sprintf("job %s: %s", e.Job, e.Problem) }
 
-// chunks is the number of chunks.
-func (j *Job) chunks() int { return (j.Tasks + j.ChunkSize - 1) / j.ChunkSize }
+// chunkCount returns the number of chunks, including chunk 0.
+func (j *Job) chunkCount() int { return (j.Tasks + j.ChunkSize - 1) / j.ChunkSize }
 
-// bounds are the first task of chunk c and the first after it.
-func (j *Job) bounds(c int) (lo, hi int) {
+// chunkBounds returns the range [lo, hi) of the tasks in chunk c.
+func (j *Job) chunkBounds(c int) (lo, hi int) {
 	return c * j.ChunkSize, min(j.Tasks, (c+1)*j.ChunkSize)
 }
 
-// doneWithin tells whether every task of a range is done.
-func (j *Job) doneWithin(lo, hi int) bool {
+// allDone reports whether every task in [lo, hi) is done.
+func (j *Job) allDone(lo, hi int) bool {
 	for i := lo; i < hi; i++ {
 		if !j.Done.Has(i) {
 			return false
@@ -72,11 +74,11 @@
 	return true
 }
 
-// Head is the stored form of the job's head.
+// Head returns the stored form of the job's head.
 func (j *Job) Head() json.RawMessage {
 	spec := j.Spec
 	if j.Attempt > 0 {
-		spec.Dependencies = nil // they were done before anything was bound
+		spec.Dependencies = nil // all are done, since a task has been bound
 	}
 	head := headRecord{
 		Spec:       &spec,
@@ -84,30 +86,30 @@
 		Attempt:    j.Attempt,
 		DoneChunks: j.doneChunks(),
 		Suspected:  j.Suspected,
-		First:      j.chunkRecord(0),
+		FirstChunk: j.chunkRecord(0),
 	}
-	if j.sized {
+	if j.hasExplicitSize {
 		head.ChunkSize = j.ChunkSize
-		head.FormerSize = j.formerSize
-		head.Migrated = j.migrated.Format(0, j.chunks())
+		head.PreviousSize = j.previousSize
+		head.Migrated = j.migrated.Format(0, j.chunkCount())
 	}
 	return mustjson.Marshal(head)
 }
 
-// doneChunks lists the further chunks of which every task is done.
+// doneChunks returns, as ranges, the chunks other than chunk 0 whose tasks are all done.
 func (j *Job) doneChunks() string {
 	var done Set
-	for c := 1; c < j.chunks(); c++ {
-		if j.doneWithin(j.bounds(c)) {
+	for c := 1; c < j.chunkCount(); c++ {
+		if j.allDone(j.chunkBounds(c)) {
 			done.Add(c)
 		}
 	}
-	return done.Format(0, j.chunks())
+	return done.Format(0, j.chunkCount())
 }
 
-// chunkRecord is the stored form of chunk c.
+// chunkRecord returns the stored form of chunk c.
 func (j *Job) chunkRecord(c int) *chunkRecord {
-	lo, hi := j.bounds(c)
+	lo, hi := j.chunkBounds(c)
 	record := &chunkRecord{Done: j.Done.Format(lo, hi)}
 	indexes := map[string]int{}
 	for _, i := range slices.Sorted(maps.Keys(j.Bound)) {
@@ -132,7 +134,7 @@
 	return record
 }
 
-// HeadNonce is the nonce of the update that wrote a stored head.
+// HeadNonce returns the nonce of the update that wrote a stored head.
 func HeadNonce(raw json.RawMessage) (string, error) {
 	var head struct {
 		Nonce string `json:"w"`
@@ -141,13 +143,14 @@
 	return head.Nonce, err
 }
 
-// LoadHead reads the stored head.
+// LoadHead loads a stored head, which includes chunk 0 and the list of chunks whose tasks are all
+// done.
 func (j *Job) LoadHead(raw json.RawMessage) error {
 	var head headRecord
 	if err := json.Unmarshal(raw, &head); err != nil {
 		return err
 	}
-	if !head.complete() {
+	if !head.hasRequiredFields() {
 		return &RecordError{Job: j.ID, Problem: "stored head is incomplete"}
 	}
 	id := j.ID
@@ -161,66 +164,67 @@
 	if err := j.loadDoneChunks(head.DoneChunks); err != nil {
 		return err
 	}
-	return j.load(0, j.ChunkSize, head.First)
+	return j.loadChunkRecord(0, j.ChunkSize, head.FirstChunk)
 }
 
-// complete tells whether a head has what every head has.
-func (h *headRecord) complete() bool {
-	if h.Spec == nil || h.First == nil || h.ChunkSize < 0 || h.FormerSize < 0 {
+// hasRequiredFields reports whether a head has the fields that every head has, with valid sizes.
+func (h *headRecord) hasRequiredFields() bool {
+	if h.Spec == nil || h.FirstChunk == nil || h.ChunkSize < 0 || h.PreviousSize < 0 {
 		return false
 	}
 	return h.Spec.Tasks >= 1 && h.Spec.Tasks <= MaxTasks
 }
 
-// loadLayout takes the chunk sizes that a head states, if it does.
+// loadLayout sets the chunk layout from a head that contains the chunk size.
 func (j *Job) loadLayout(head *headRecord) error {
 	if head.ChunkSize == 0 {
 		return nil
 	}
-	j.ChunkSize, j.sized, j.formerSize = head.ChunkSize, true, head.FormerSize
+	j.ChunkSize, j.hasExplicitSize, j.previousSize = head.ChunkSize, true, head.PreviousSize
 	j.migrated = Set{}
-	return j.migrated.Parse(head.Migrated, 0, j.chunks())
+	return j.migrated.Parse(head.Migrated, 0, j.chunkCount())
 }
 
-// loadDoneChunks notes the tasks of further chunks that are done altogether.
+// loadDoneChunks marks all tasks of the given chunks as done.
 func (j *Job) loadDoneChunks(ranges string) error {
 	var done Set
-	if err := done.Parse(ranges, 0, j.chunks()); err != nil {
+	if err := done.Parse(ranges, 0, j.chunkCount()); err != nil {
 		return err
 	}
-	for c := 1; c < j.chunks(); c++ {
+	for c := 1; c < j.chunkCount(); c++ {
 		if !done.Has(c) {
 			continue
 		}
-		lo, hi := j.bounds(c)
+		lo, hi := j.chunkBounds(c)
 		for i := lo; i < hi; i++ {
-			j.finish(i)
+			j.markDone(i)
 		}
 	}
 	return nil
 }
 
-// LoadChunk reads a further stored chunk.
+// LoadChunk loads a chunk that is stored under its own key.
 func (j *Job) LoadChunk(k ChunkKey, raw json.RawMessage) error {
 	size := k.Size
 	if size == 0 {
-		size = j.unstatedSize()
+		size = j.implicitSize()
 	}
 	if k.Index < 1 || k.Index*size >= j.Tasks {
-		return &RecordError{Job: j.ID, Problem: "has no chunk " + k.String()}
+		return &RecordError{Job: j.ID, Problem: "chunk key is out of bounds: " + k.String()}
 	}
-	j.NoteStoredKey(k)
+	j.recordStoredKey(k)
 	var record chunkRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
 		return err
 	}
-	return j.load(k.Index*size, size, &record)
+	return j.loadChunkRecord(k.Index*size, size, &record)
 }
 
-// load takes a stored chunk of size tasks that begins at task lo.
-func (j *Job) load(lo, size int, record *chunkRecord) error {
+// loadChunkRecord loads a stored chunk of size tasks that begins at task lo. Bindings of tasks that
+// have migrated to a key of the present size are ignored in chunks of the previous size.
+func (j *Job) loadChunkRecord(lo, size int, record *chunkRecord) error {
 	hi := min(j.Tasks, lo+size)
-	superseded := func(i int) bool { return size == j.formerSize && j.hasMigrated(i) }
+	superseded := func(i int) bool { return size == j.previousSize && j.hasMigrated(i) }
 	if err := j.Done.Parse(record.Done, lo, hi); err != nil {
 		return err
 	}
@@ -244,32 +248,34 @@
 	return nil
 }
 
-// loadBinding takes a stored binding of task i.
+// loadBinding sets a stored binding of task i. If the binding is known already, its unstored fields
+// are kept.
 func (j *Job) loadBinding(i int, machine string, stored bindingRecord) {
 	attempt, token, epoch := stored[bindingAttempt], stored[bindingToken], stored[bindingEpoch]
-	if known := j.Bound[i]; known != nil && known.Attempt == attempt && known.Machine == machine {
-		known.Stored, known.Token, known.Epoch = true, token, epoch
+	if current := j.Bound[i]; current != nil && current.Attempt == attempt && current.Machine == machine {
+		current.Stored, current.Token, current.Epoch = true, token, epoch
 		return
 	}
 	j.setBinding(i, &Binding{Machine: machine, Attempt: attempt, Token: token, Epoch: epoch, Stored: true})
 }
 
-// Cancel makes every stored chunk come up for deletion once nothing is bound.
+// Cancel marks the job as cancelled and all of its stored chunks as changed, so that each chunk is
+// deleted once none of its tasks is bound.
 func (j *Job) Cancel() {
 	j.Cancelled = true
 	j.dirty[0] = true
 	for k := range j.storedKeys {
-		if k == j.key(k.Index) {
+		if k == j.chunkKey(k.Index) {
 			j.dirty[k.Index] = true
 		}
 	}
 }
 
-// needsKey tells whether a range of tasks has to be stored apart from the head: not where
-// every task of it is done, or the job is cancelled and nothing of it is bound.
+// needsKey reports whether the tasks in [lo, hi) have to be stored under a chunk key. No key is
+// needed if all of them are done, or if the job is cancelled and none of them is bound.
 func (j *Job) needsKey(lo, hi int) bool {
 	if !j.Cancelled {
-		return !j.doneWithin(lo, hi)
+		return !j.allDone(lo, hi)
 	}
 	for i := lo; i < hi; i++ {
 		if j.Bound[i] != nil {
--- a/internal/core/job/stored_test.go
+++ b/internal/core/job/stored_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A job reads back from its head and chunks as it was stored.
-func TestStoredJobReadsBackAsItWas(t *testing.T) {
+// A job loaded from its stored head and chunks equals the job that was stored.
+func TestStoredJobRoundTrip(t *testing.T) {
 	spec, err := Parse([]byte(strings.Replace(validSubmission, `"pieces":3`, `"pieces":200`, 1)), 1024)
 	if err != nil {
 		t.Fatal(err)
@@ -23,41 +23,42 @@
 	for _, i := range []int{1, 5, 130, 198} {
 		j.Bind(i, &Binding{Machine: "vm-1", Attempt: uint64(i), Token: 4, Epoch: 2, Stored: true})
 	}
-	back := New(Spec{ID: j.ID, Team: j.Team}, 64, 0)
+	loaded := New(Spec{ID: j.ID, Team: j.Team}, 64, 0)
 	writes, more := j.TakeDirty(8)
 	if more || len(writes) != 3 {
-		t.Fatalf("got %d writes, more %v", len(writes), more)
+		t.Fatalf("got %d writes, more %v, want 3 writes and no more", len(writes), more)
 	}
-	if err := back.LoadHead(j.Head()); err != nil {
+	if err := loaded.LoadHead(j.Head()); err != nil {
 		t.Fatal(err)
 	}
 	for _, w := range writes {
 		if w.Value == nil {
 			if w.Key.Index != 1 {
-				t.Errorf("chunk %s is deleted", w.Key)
+				t.Errorf("got a delete of chunk %s, want only chunk 1 deleted", w.Key)
 			}
 			continue
 		}
-		if err := back.LoadChunk(w.Key, w.Value); err != nil {
+		if err := loaded.LoadChunk(w.Key, w.Value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if diff := cmp.Diff(j.Bound, back.Bound); diff != "" {
+	if diff := cmp.Diff(j.Bound, loaded.Bound); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(j.Spec, back.Spec); diff != "" {
+	if diff := cmp.Diff(j.Spec, loaded.Spec); diff != "" {
 		t.Error(diff)
 	}
-	if a, b := j.Done.Format(0, 200), back.Done.Format(0, 200); a != b || b != "0,64-127,199" {
-		t.Errorf("done tasks %q came back as %q", a, b)
+	if a, b := j.Done.Format(0, 200), loaded.Done.Format(0, 200); a != b || b != "0,64-127,199" {
+		t.Errorf("done tasks: stored %q, loaded %q", a, b)
 	}
-	if back.Attempt != 9 || back.PendingTasks() != 200-66-4 {
-		t.Errorf("attempt %d, %d waiting", back.Attempt, back.PendingTasks())
+	if loaded.Attempt != 9 || loaded.PendingTasks() != 200-66-4 {
+		t.Errorf("got attempt %d and %d pending tasks, want 9 and 130", loaded.Attempt, loaded.PendingTasks())
 	}
 }
 
-// A full first chunk of the default size fits into a value, together with the description.
-func TestFullChunkFitsIntoOneValue(t *testing.T) {
+// The head holds the description and the first chunk. It has to fit into one store value when
+// 50 of the chunk's 64 tasks are bound.
+func TestHeadWithManyBindingsFitsInOneValue(t *testing.T) {
 	spec, err := Parse([]byte(strings.Replace(validSubmission, `"pieces":3`, `"pieces":100000`, 1)), 1024)
 	if err != nil {
 		t.Fatal(err)
@@ -69,12 +70,12 @@
 		j.Bind(i, &Binding{Machine: machine, Attempt: 99999, Token: 99999, Epoch: 99})
 	}
 	if n := len(j.Head()); n > valueBytes {
-		t.Errorf("head has %d bytes", n)
+		t.Errorf("got a head of %d bytes, want at most 4096", n)
 	}
 }
 
-// A stored head that is incomplete or contradicts itself is an error.
-func TestDamagedHeadsAreErrors(t *testing.T) {
+// LoadHead returns an error for a stored head that is incomplete or inconsistent.
+func TestLoadHeadRejectsMalformedHeads(t *testing.T) {
 	j := New(Spec{ID: "req-1", Team: "t"}, 64, 0)
 	for _, raw := range []string{
 		``,
@@ -84,7 +85,7 @@
 		`{"s":{"n":5},"c":{"b":[[1,7,1,1,1]]}}`,
 	} {
 		if err := j.LoadHead([]byte(raw)); err == nil {
-			t.Errorf("%q was taken", raw)
+			t.Errorf("LoadHead(%q) succeeded, want an error", raw)
 		}
 	}
 }
--- a/internal/core/job/submission.go
+++ b/internal/core/job/submission.go
@@ -12,27 +12,27 @@
 	"pepperlever/internal/protocol"
 )
 
-// Reasons to refuse a submission as a whole.
+// Errors that concern a submission as a whole.
 var (
 	ErrBodyTooLarge = errors.New("body is too large")
 	ErrNotObject    = errors.New("body is not a JSON object")
 	ErrTooLong      = errors.New("description is too long")
 )
 
-// FieldError says what is wrong with a field of a submission.
+// FieldError reports an invalid field of a submission.
 type FieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error names the field and the problem.
+// Error returns the field and the problem.
 func (e *FieldError) Error() string { return e.Field + " " + e.Problem }
 
-// maxNumber bounds the amounts and times of a submission.
+// maxNumber is the upper bound of every amount and duration in a submission.
 const maxNumber = 1e12
 
-// Parse turns a submission into a Spec, whose stored form may have up to maxBytes. The error says
-// in one line which field is at fault.
+// Parse validates a submission and converts it to a Spec, whose stored form without dependencies
+// may have up to maxBytes. The error is a single line that names the first invalid field.
 func Parse(body []byte, maxBytes int) (*Spec, error) {
 	if len(body) > protocol.MaxBody {
 		return nil, ErrBodyTooLarge
@@ -49,19 +49,19 @@
 	if p.err != nil {
 		return nil, p.err
 	}
-	if len(s.withoutDependencies()) > maxBytes {
+	if len(s.marshalWithoutDependencies()) > maxBytes {
 		return nil, ErrTooLong
 	}
 	return s, nil
 }
 
-// isObject tells whether a body begins as a JSON object.
+// isObject reports whether a body starts like a JSON object.
 func isObject(body []byte) bool {
 	return strings.HasPrefix(strings.TrimLeft(string(body), " \t\r\n"), "{")
 }
 
-// SubmittedID is the ID of the job that a submission describes, whatever else is wrong with it, or
-// empty.
+// SubmittedID returns the job ID of a submission even if other fields are invalid, or "" if the
+// body has no valid ID.
 func SubmittedID(body []byte) string {
 	var in struct {
 		ID string `json:"uid"`
@@ -72,19 +72,20 @@
 	return in.ID
 }
 
-// parser turns the fields of a submission into those of a Spec, and keeps the first fault.
+// parser converts the fields of a submission to those of a Spec and keeps the first error.
 type parser struct {
 	in  *protocol.Submission
 	err error
 }
 
-// fail notes a fault, unless one was found before.
+// fail records an error unless there is one already.
 func (p *parser) fail(field, problem string) {
 	if p.err == nil {
 		p.err = &FieldError{Field: field, Problem: problem}
 	}
 }
 
+// text returns a required string that must not be empty.
 func (p *parser) text(field string, value *string) string {
 	if value == nil || *value == "" {
 		p.fail(field, "is missing")
@@ -93,6 +94,7 @@
 	return *value
 }
 
+// number returns a required number between 0 and maxNumber.
 func (p *parser) number(field string, value *float64) float64 {
 	if value == nil {
 		p.fail(field, "is missing")
@@ -104,6 +106,7 @@
 	return *value
 }
 
+// flag returns a required boolean.
 func (p *parser) flag(field string, value *bool) bool {
 	if value == nil {
 		p.fail(field, "is missing")
@@ -112,23 +115,24 @@
 	return *value
 }
 
+// choice returns the index of a required string in choices.
 func (p *parser) choice(field string, value *string, choices []string) int {
 	index := slices.Index(choices, p.text(field, value))
 	if index < 0 {
-		p.fail(field, "is none of "+strings.Join(choices, ", "))
+		p.fail(field, "must be one of "+strings.Join(choices, ", "))
 		return 0
 	}
 	return index
 }
 
-// spec reads all fields. The first fault is the one that is reported, so their order matters.
+// spec converts all fields. Their order matters because only the first error is reported.
 func (p *parser) spec() *Spec {
 	in := p.in
 	s := &Spec{
 		ID:          p.text("job id", in.ID),
 		Team:        p.text("team", in.Team),
 		Class:       p.text("class", in.Class),
-		Kind:        Kind(p.choice("kind", in.Kind, kinds)),
+		Kind:        Kind(p.choice("kind", in.Kind, kindNames)),
 		Priority:    p.choice("priority", in.Priority, protocol.Priorities),
 		Need:        p.resources(),
 		Image:       p.text("image", in.Image),
@@ -163,6 +167,7 @@
 	}
 }
 
+// tasks returns the number of tasks, or 0 if it is missing or out of range.
 func (p *parser) tasks() int {
 	tasks := p.in.Tasks
 	switch {
@@ -176,18 +181,18 @@
 	return int(*tasks)
 }
 
-// machineTypes are the allowed machine types, nil when every type is.
+// machineTypes returns the allowed machine types, nil if every type is allowed.
 func (p *parser) machineTypes() []string {
 	if p.in.Types == nil {
 		return nil
 	}
 	if slices.Contains(*p.in.Types, "") {
-		p.fail("machine type", "is missing")
+		p.fail("machine type", "is empty")
 	}
 	return append([]string{}, *p.in.Types...)
 }
 
-// dependencies are the distinct jobs that a submission names, in its order.
+// dependencies returns the job IDs that the submission awaits, without duplicates and in its order.
 func (p *parser) dependencies() []string {
 	if p.in.Awaits == nil {
 		return nil
@@ -195,7 +200,7 @@
 	var distinct []string
 	for _, id := range *p.in.Awaits {
 		if !ValidID(id) {
-			p.fail("awaited job's id", "is malformed")
+			p.fail("awaited job id", "is malformed")
 		}
 		if !slices.Contains(distinct, id) {
 			distinct = append(distinct, id)
@@ -204,14 +209,14 @@
 	return distinct
 }
 
-// Submission is the description as a user would give it; Parse gives it back.
+// Submission returns the submission that Parse converts to this description.
 func (s *Spec) Submission() protocol.Submission {
 	tasks := int64(s.Tasks)
 	out := protocol.Submission{
 		ID:          &s.ID,
 		Class:       &s.Class,
 		Team:        &s.Team,
-		Kind:        &kinds[s.Kind],
+		Kind:        &kindNames[s.Kind],
 		Priority:    &protocol.Priorities[s.Priority],
 		Tasks:       &tasks,
 		CPUs:        &s.Need.CPUs,
--- a/internal/core/job/suspicion.go
+++ b/internal/core/job/suspicion.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	// suspicionThreshold is on how many machines a job that never succeeded has to fail to be
-	// suspected of a mistake.
+	// suspicionThreshold is the number of machines on which a job that never succeeded has to
+	// fail before the job itself is suspected as the cause.
 	suspicionThreshold = 2
-	// maxFailedOn bounds how many machines are remembered that a job failed on.
-	maxFailedOn = 16
+	// maxFailedMachines bounds the length of Job.FailedOn.
+	maxFailedMachines = 16
 )
 
-// RecordFailure notes that a task of the job has failed on a machine. It tells whether the job
-// is suspected of a mistake from now on.
+// RecordFailure records that a task of the job has failed on a machine. It reports whether the job
+// has become suspected by this failure.
 func (j *Job) RecordFailure(machine string) bool {
-	if !slices.Contains(j.FailedOn, machine) && len(j.FailedOn) < maxFailedOn {
+	if !slices.Contains(j.FailedOn, machine) && len(j.FailedOn) < maxFailedMachines {
 		j.FailedOn = append(j.FailedOn, machine)
 	}
 	if j.Suspected || j.HasSucceeded() || len(j.FailedOn) < suspicionThreshold {
@@ -23,10 +23,11 @@
 	return true
 }
 
-// HasSucceeded tells whether any task of the job has succeeded.
+// HasSucceeded reports whether any task of the job has succeeded.
 func (j *Job) HasSucceeded() bool { return j.Proven || j.Done.Len() > 0 }
 
-// MarkProven notes that a task has succeeded, which clears the job of the suspicion of a mistake.
+// MarkProven records that a task has succeeded. The job is no longer suspected, and its failure
+// history is reset.
 func (j *Job) MarkProven() {
 	j.Proven, j.Suspected = true, false
 	j.FailedOn, j.Probes, j.NotBefore = nil, 0, 0
--- a/internal/core/job/urgency.go
+++ b/internal/core/job/urgency.go
@@ -6,71 +6,76 @@
 	"pepperlever/internal/core/dependency"
 )
 
-// defaultPatience is for how many of its run times a job without a deadline may wait.
-const defaultPatience = 3
+// defaultWaitFactor is how long a job without a deadline may wait, as a multiple of its run time.
+const defaultWaitFactor = 3
 
-// blocking is what controllers derive from a job's dependencies and from the jobs that depend on
-// it. None of it is stored.
-type blocking struct {
-	// Blocked is set while some dependency is not known to be done. Such a job holds nothing
-	// and is given nothing.
+// dependencyState is the state that each controller derives from a job's dependencies and
+// dependents. It is not stored.
+type dependencyState struct {
+	// Blocked is set while any dependency is not known to be done. A blocked job has no
+	// bindings and is allocated no resources.
 	Blocked bool
-	// readyAt is the time of day in milliseconds at which the last dependency was known to be
-	// done, 0 for a job that was never blocked.
-	readyAt int64
-	// inherited is the urgency of the jobs that depend on this one, if any do.
-	inherited *dependency.Urgency
+	// readyAtMS is when this controller learned that the last dependency was done, in Unix
+	// milliseconds, 0 for a job that was never unblocked.
+	readyAtMS int64
+	// inheritedUrgency is the urgency inherited from the jobs that depend on this one, nil if
+	// there are none.
+	inheritedUrgency *dependency.Urgency
 }
 
-// Unblock lets a job begin whose dependencies are done, at a time of day in milliseconds.
-func (j *Job) Unblock(now time.Duration, wall int64) {
-	j.Blocked, j.readyAt, j.PendingSince = false, wall, now
+// Unblock lets a job start whose dependencies are done. wallMS is the wall-clock time in Unix
+// milliseconds.
+func (j *Job) Unblock(now time.Duration, wallMS int64) {
+	j.Blocked, j.readyAtMS, j.PendingSince = false, wallMS, now
 }
 
-// WasUnblocked tells whether the job was blocked by dependencies and no longer is.
-func (j *Job) WasUnblocked() bool { return j.readyAt > 0 }
+// WasUnblocked reports whether Unblock was called for the job.
+func (j *Job) WasUnblocked() bool { return j.readyAtMS > 0 }
 
-// EligibleSince is the time of day in milliseconds from which the job could begin: its
-// acceptance, or the end of its last dependency.
-func (j *Job) EligibleSince() int64 { return max(j.Accepted, j.readyAt) }
+// EligibleSince returns the time in Unix milliseconds from which the job could start: when it was
+// accepted, or when its last dependency was done.
+func (j *Job) EligibleSince() int64 { return max(j.Accepted, j.readyAtMS) }
 
-// Inherit gives a job the urgency of those that depend on it, or takes it back.
-func (j *Job) Inherit(u *dependency.Urgency) { j.inherited = u }
+// Inherit sets the urgency that the job inherits from its dependents; nil clears it.
+func (j *Job) Inherit(u *dependency.Urgency) { j.inheritedUrgency = u }
 
-// Rank is the job's priority, or the highest of those that depend on it.
+// Rank returns the rank of the highest priority among the job and its dependents. A lower rank is
+// more urgent.
 func (j *Job) Rank() int {
-	if j.inherited != nil {
-		return min(j.Priority, j.inherited.Priority)
+	if j.inheritedUrgency != nil {
+		return min(j.Priority, j.inheritedUrgency.Priority)
 	}
 	return j.Priority
 }
 
-// AboveNormal tells whether the job's rank is higher than the normal priority.
+// AboveNormal reports whether the job's effective priority is higher than normal.
 func (j *Job) AboveNormal() bool { return j.Rank() < normalPriority }
 
-// HasDeadline tells whether the job, or one that depends on it, has a deadline.
+// HasDeadline reports whether the job or one of its dependents has a deadline.
 func (j *Job) HasDeadline() bool {
-	inherits := j.inherited != nil && j.inherited.LatestStart != dependency.NoDeadline
+	inherits := j.inheritedUrgency != nil && j.inheritedUrgency.LatestStart != dependency.NoDeadline
 	return j.DeadlineS > 0 || inherits
 }
 
-// RunTimeMS is the owner's estimate of a task's run time in milliseconds.
+// RunTimeMS returns the user's estimate of a task's run time in milliseconds.
 func (j *Job) RunTimeMS() int64 { return int64(j.EstimateS * 1000) }
 
-// LatestStart is the time of day in milliseconds at which the job would have to start for all
-// deadlines to be met. A job without any may wait for a few times its run time.
+// LatestStart returns the latest time, in Unix milliseconds, at which the job can start so that its
+// own deadline and those of its dependents are met. Without any deadline it is defaultWaitFactor
+// run times after the job became eligible.
 func (j *Job) LatestStart() int64 {
 	start := j.OwnLatestStart()
-	if j.inherited != nil {
-		start = min(start, j.inherited.LatestStart)
+	if j.inheritedUrgency != nil {
+		start = min(start, j.inheritedUrgency.LatestStart)
 	}
 	if start == dependency.NoDeadline {
-		return j.EligibleSince() + defaultPatience*j.RunTimeMS()
+		return j.EligibleSince() + defaultWaitFactor*j.RunTimeMS()
 	}
 	return start
 }
 
-// OwnLatestStart is the latest start by the job's own deadline.
+// OwnLatestStart returns the latest start time in Unix milliseconds that meets the job's own
+// deadline, or dependency.NoDeadline if it has none.
 func (j *Job) OwnLatestStart() int64 {
 	if j.DeadlineS == 0 {
 		return dependency.NoDeadline
@@ -78,7 +83,8 @@
 	return j.Accepted + int64(j.DeadlineS*1000) - j.RunTimeMS()
 }
 
-// EffectiveSpec is the description as placement is to see it: with the job's rank.
+// EffectiveSpec returns the description that placement uses, in which the priority is the job's
+// rank.
 func (j *Job) EffectiveSpec() *Spec {
 	if j.Rank() == j.Priority {
 		return &j.Spec
--- a/internal/core/jobstats/jobstats.go
+++ b/internal/core/jobstats/jobstats.go
@@ -1,5 +1,5 @@
-// Package jobstats counts what has become of jobs, by class and by team, as one controller
-// has seen it since it began.
+// Package jobstats counts accepted, started and ended jobs by class and by team, as observed by one
+// controller since it started.
 package jobstats
 
 import (
@@ -9,52 +9,54 @@
 	"time"
 )
 
-// Row is what has become of the jobs of one class or one team.
+// Row holds the counts for the jobs of one class or one team.
 type Row struct {
 	// Kind is "class" or "team".
 	Kind, Name string
-	// Accepted counts all jobs, Started those of which a task was seen running.
+	// Accepted counts all jobs, and Started those with a task that was observed running.
 	Accepted, Started, Done, Cancelled int
-	// Largest is the most tasks that a job has, LargestAccepted and LargestStarted count
-	// the jobs that have as many.
+	// Largest is the highest number of tasks of any job. LargestAccepted and LargestStarted
+	// count the jobs with that number of tasks.
 	Largest, LargestAccepted, LargestStarted int
-	// Oldest is for how long the oldest job that has not started has waited.
+	// Oldest is how long the oldest job that has not started has been waiting.
 	Oldest time.Duration
 }
 
-// Kinds of rows.
+// Values of Row.Kind.
 const (
 	kindClass = "class"
 	kindTeam  = "team"
 )
 
-// rowKey names a row.
+// rowKey identifies a row.
 type rowKey struct{ kind, name string }
 
-// Collector counts jobs.
+// Collector counts jobs and measures how long requests for their states go unanswered.
 type Collector struct {
 	rows map[rowKey]*Row
 	// active holds the jobs that have not ended.
 	active map[string]*activeJob
-	// unansweredSince is since when no request for the state of a job was answered.
+	// unansweredSince is when the first unanswered request for a job's state was made since the
+	// last answered one, by job ID.
 	unansweredSince map[string]time.Duration
-	// longestUnanswered is the longest such time, up to a further request.
+	// longestUnanswered is the longest time from such a request to a later request for the same
+	// job.
 	longestUnanswered time.Duration
 }
 
 // activeJob is a job that has not ended.
 type activeJob struct {
-	// rows are that of its class and that of its team.
+	// rows are the rows of the job's class and team.
 	rows       [2]*Row
 	tasks      int
 	acceptedAt time.Duration
 	started    bool
 }
 
-// maxUnanswered bounds the jobs whose unanswered requests are followed.
+// maxUnanswered bounds the number of jobs whose unanswered requests are tracked.
 const maxUnanswered = 8192
 
-// New makes an empty Collector.
+// New returns an empty Collector.
 func New() *Collector {
 	return &Collector{
 		rows:            map[rowKey]*Row{},
@@ -63,7 +65,7 @@
 	}
 }
 
-// Accept counts a job, once until it ends.
+// Accept counts a job as accepted. Repeated calls for an active job have no effect.
 func (c *Collector) Accept(id, class, team string, tasks int, now time.Duration) {
 	if c.active[id] != nil {
 		return
@@ -75,7 +77,7 @@
 	}
 }
 
-// accept counts a job of that many tasks.
+// accept counts an accepted job with the given number of tasks.
 func (r *Row) accept(tasks int) {
 	r.Accepted++
 	if tasks > r.Largest {
@@ -94,7 +96,7 @@
 	return c.rows[key]
 }
 
-// Start notes that a task of a job runs.
+// Start counts a job as started when one of its tasks is observed running.
 func (c *Collector) Start(id string) {
 	job := c.active[id]
 	if job == nil || job.started {
@@ -109,7 +111,7 @@
 	}
 }
 
-// End notes that a job is done, or cancelled.
+// End counts an active job as done or cancelled.
 func (c *Collector) End(id string, cancelled bool) {
 	job := c.active[id]
 	if job == nil {
@@ -125,13 +127,13 @@
 	}
 }
 
-// Retain forgets the active jobs that are not held any more: they ended in a way that was not
-// seen, and count as accepted alone.
-func (c *Collector) Retain(held func(id string) bool) {
-	maps.DeleteFunc(c.active, func(id string, _ *activeJob) bool { return !held(id) })
+// Retain removes the active jobs for which isActive returns false. Their ends were not observed, so
+// they are counted as neither done nor cancelled.
+func (c *Collector) Retain(isActive func(id string) bool) {
+	maps.DeleteFunc(c.active, func(id string, _ *activeJob) bool { return !isActive(id) })
 }
 
-// NoteQuery notes a request for the state of a job.
+// NoteQuery records a request for the state of a job and whether it was answered.
 func (c *Collector) NoteQuery(id string, answered bool, now time.Duration) {
 	since, unanswered := c.unansweredSince[id]
 	if unanswered {
@@ -145,11 +147,11 @@
 	}
 }
 
-// LongestUnanswered is the longest time for which no request for the state of some job was
-// answered here. Another controller may have answered meanwhile.
+// LongestUnanswered returns the longest time for which this controller answered no request for the
+// state of a job. Another controller may have answered in the meantime.
 func (c *Collector) LongestUnanswered() time.Duration { return c.longestUnanswered }
 
-// Rows lists the counts, classes first, by name.
+// Rows returns the rows of all classes, then those of all teams, each sorted by name.
 func (c *Collector) Rows(now time.Duration) []Row {
 	oldest := c.oldestPending(now)
 	rows := make([]Row, 0, len(c.rows))
@@ -164,7 +166,7 @@
 	return rows
 }
 
-// oldestPending is, by row, for how long the oldest job that has not started has waited.
+// oldestPending returns, by row, how long the oldest job that has not started has been waiting.
 func (c *Collector) oldestPending(now time.Duration) map[*Row]time.Duration {
 	oldest := map[*Row]time.Duration{}
 	for _, job := range c.active {
--- a/internal/core/jobstats/jobstats_test.go
+++ b/internal/core/jobstats/jobstats_test.go
@@ -11,7 +11,7 @@
 	stats := New()
 	stats.Accept("a", "train", "red", 2, 1*time.Second)
 	stats.Accept("b", "train", "red", 8, 2*time.Second)
-	stats.Accept("b", "train", "red", 8, 9*time.Second) // read again
+	stats.Accept("b", "train", "red", 8, 9*time.Second) // loaded from the store again
 	stats.Accept("c", "train", "blue", 8, 3*time.Second)
 	stats.Start("b")
 	stats.Start("b")
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestLongestTimeWithoutAnAnswer(t *testing.T) {
+func TestLongestUnanswered(t *testing.T) {
 	stats := New()
 	for _, query := range []struct {
 		id       string
@@ -46,6 +46,6 @@
 		stats.NoteQuery(query.id, query.answered, query.at*time.Second)
 	}
 	if got := stats.LongestUnanswered(); got != 8*time.Second {
-		t.Errorf("got %v, want the time from the first request in vain to the answer", got)
+		t.Errorf("got %v, want 8s, the time from the first unanswered request to the answer", got)
 	}
 }
--- a/internal/core/lookup/lookup.go
+++ b/internal/core/lookup/lookup.go
@@ -1,6 +1,6 @@
-// Package lookup queues the questions that controllers have about the stored states of jobs,
-// so that one transaction of the store answers as many of them as it may have conditions. A
-// transaction for each question would use up the store as soon as users poll often.
+// Package lookup queues requests for the stored states of jobs and batches them, so that one store
+// transaction answers as many requests as it may have conditions. One transaction per request would
+// exhaust the store's request rate when users poll frequently.
 package lookup
 
 import (
@@ -9,11 +9,11 @@
 	"pepperlever/internal/protocol"
 )
 
-// Outcome is what a read that began after the request says about a job.
+// Outcome is the result of a read that began after the request was made.
 type Outcome uint8
 
 const (
-	// Unavailable means that nobody can tell now.
+	// Unavailable means that the state can't be determined at present.
 	Unavailable Outcome = iota
 	// Absent means that the job was never accepted.
 	Absent
@@ -30,35 +30,35 @@
 	State protocol.JobState
 }
 
-// Request is one caller that waits for the state of a job.
+// Request is a caller's request for the state of a job.
 type Request struct {
 	JobID string
-	// Resolve is called once, with the result.
+	// Resolve is called exactly once, with the result.
 	Resolve func(Result)
-	// AcceptanceOnly is set where it is enough to know whether the job was accepted, and its
-	// final state if it has one.
+	// AcceptanceOnly is set if the caller only needs to know whether the job was accepted, and
+	// its final state if it has one.
 	AcceptanceOnly bool
-	// Since is when the caller began to wait.
+	// Since is when the caller made the request.
 	Since time.Duration
 }
 
-// Batch holds the requests that one transaction answers, by job ID.
+// Batch holds the requests that one transaction answers, grouped and sorted by job ID.
 type Batch []Group
 
 // Group holds all requests of a batch for one job.
 type Group struct {
 	JobID string
-	// Accepted is set once the job is known to have been accepted.
+	// Accepted is set if the job is known to have been accepted.
 	Accepted bool
 	Requests []Request
 }
 
-// ResolveAll gives every request of the group the same result.
+// ResolveAll resolves every request of the group with the same result.
 func (g Group) ResolveAll(result Result) {
 	for _, request := range g.Requests {
 		request.Resolve(result)
 	}
 }
 
-// ResolveUnavailable tells every request of the group that nobody can tell now.
+// ResolveUnavailable resolves every request of the group as Unavailable.
 func (g Group) ResolveUnavailable() { g.ResolveAll(Result{Outcome: Unavailable}) }
--- a/internal/core/lookup/queue.go
+++ b/internal/core/lookup/queue.go
@@ -8,32 +8,35 @@
 	"pepperlever/internal/protocol"
 )
 
-// maxWait is how long a request waits at most: its caller gives up soon afterwards.
+// maxWait is the longest time that a request may be queued. Its caller times out after
+// protocol.PollTimeout.
 const maxWait = protocol.PollTimeout / 2
 
-// backlogSeconds bounds the queue to the requests that can be answered in so many seconds.
-const backlogSeconds = 4
+// maxBacklogSeconds bounds the queue length to what can be answered in that many seconds.
+const maxBacklogSeconds = 4
 
-// Limits are the bounds on what a queue may send.
+// Limits holds the limits on the transactions that a queue may send.
 type Limits struct {
-	// Rate is the number of transactions a second.
+	// Rate is the maximum number of transactions per second.
 	Rate float64
-	// Conditions is the number of conditions that a transaction may have.
+	// Conditions is the maximum number of conditions per transaction.
 	Conditions int
 }
 
-// Queue holds requests until the rate of the store's transactions allows them to be sent.
+// Queue holds requests until the rate limit on store transactions allows them to be sent.
 type Queue struct {
-	// accepted holds the requests for jobs that are known to have been accepted, unknown all
-	// others. They are kept apart because one job that turns out otherwise fails the whole
-	// transaction, and the unknown ones often do.
+	// accepted holds the requests for jobs that are known to have been accepted, and unknown
+	// all others. They are sent in separate transactions because one failed condition fails the
+	// whole transaction, and conditions on unknown jobs fail often.
 	accepted, unknown []Request
-	// budget is how many transactions may be sent now, refilledAt when it last grew.
+	// budget is how many transactions may be sent now, a token bucket that was last refilled at
+	// refilledAt.
 	budget     float64
 	refilledAt time.Duration
 }
 
-// Len is the number of queued requests for jobs known to have been accepted, and for others.
+// Len returns the number of queued requests for jobs that are known to have been accepted, and for
+// all others.
 func (q *Queue) Len() (accepted, unknown int) { return len(q.accepted), len(q.unknown) }
 
 // Add queues a request.
@@ -45,7 +48,8 @@
 	q.unknown = append(q.unknown, request)
 }
 
-// Requeue puts requests at the head of the queue of accepted jobs or of the other one.
+// Requeue inserts requests at the front of the queue for accepted jobs, or of the one for all other
+// jobs.
 func (q *Queue) Requeue(requests []Request, accepted bool) {
 	if accepted {
 		q.accepted = slices.Concat(requests, q.accepted)
@@ -54,8 +58,8 @@
 	q.unknown = slices.Concat(requests, q.unknown)
 }
 
-// Overloaded tells whether requests wait for longer than their callers will, or are more
-// than can be answered by then.
+// Overloaded reports whether the oldest request has expired or more requests are queued than can be
+// answered in maxBacklogSeconds. Callers would time out before further requests are answered.
 func (q *Queue) Overloaded(now time.Duration, limits Limits) bool {
 	return overloaded(q.accepted, now, limits) || overloaded(q.unknown, now, limits)
 }
@@ -64,50 +68,51 @@
 	if len(requests) > 0 && Expired(requests[0], now) {
 		return true
 	}
-	return float64(len(requests)) > backlogSeconds*limits.Rate*float64(limits.Conditions)
+	return float64(len(requests)) > maxBacklogSeconds*limits.Rate*float64(limits.Conditions)
 }
 
-// Expired tells whether the caller of a request will not wait any longer.
+// Expired reports whether a request has been queued for longer than maxWait.
 func Expired(request Request, now time.Duration) bool { return now-request.Since > maxWait }
 
-// Refill adds to the budget what the rate allows since the last call.
+// Refill adds to the budget what the rate allows for the time since the last call, up to one
+// second's worth.
 func (q *Queue) Refill(now time.Duration, rate float64) {
 	q.budget = min(q.budget+rate*(now-q.refilledAt).Seconds(), rate)
 	q.refilledAt = now
 }
 
-// Spend charges the budget for a request to the store that cannot wait. The budget may become
-// negative.
+// Spend charges the budget for one store request, even if the budget is exhausted. The budget may
+// become negative.
 func (q *Queue) Spend() { q.budget-- }
 
-// Next removes the requests that the next transaction answers, those that have waited longest
-// first. It returns none while the budget is used up.
+// Next removes and returns the requests that the next transaction answers, oldest first. It returns
+// nil if no request is queued or the budget is exhausted.
 func (q *Queue) Next(limits Limits) Batch {
 	if q.budget < 1 || len(q.accepted)+len(q.unknown) == 0 {
 		return nil
 	}
 	q.Spend()
-	if q.unknownFirst() {
-		return take(&q.unknown, limits.unknownJobs(), false)
+	if q.isUnknownOldest() {
+		return takeBatch(&q.unknown, limits.maxUnknownJobs(), false)
 	}
-	return take(&q.accepted, limits.Conditions, true)
+	return takeBatch(&q.accepted, limits.Conditions, true)
 }
 
-// unknownFirst tells whether the request that has waited longest is for a job that is not
-// known to have been accepted.
-func (q *Queue) unknownFirst() bool {
+// isUnknownOldest reports whether the oldest request is for a job that is not known to have been
+// accepted.
+func (q *Queue) isUnknownOldest() bool {
 	if len(q.accepted) == 0 {
 		return true
 	}
 	return len(q.unknown) > 0 && q.unknown[0].Since < q.accepted[0].Since
 }
 
-// unknownJobs is how many jobs a transaction can check that may not have been accepted. Each
-// takes two conditions: that there is neither a final state nor an active job.
-func (l Limits) unknownJobs() int { return l.Conditions / 2 }
+// maxUnknownJobs returns how many jobs that may not have been accepted one transaction can check.
+// Each takes two conditions: that the job has no final state and that it is not active.
+func (l Limits) maxUnknownJobs() int { return l.Conditions / 2 }
 
-// TakeAcceptance removes all requests that ask for acceptance alone, whatever the budget is,
-// and charges it for them.
+// TakeAcceptance removes and returns all requests with AcceptanceOnly, regardless of the budget,
+// and charges the budget for them.
 func (q *Queue) TakeAcceptance(limits Limits) []Batch {
 	var urgent, rest []Request
 	for _, request := range q.unknown {
@@ -121,17 +126,17 @@
 	var batches []Batch
 	for len(urgent) > 0 {
 		q.Spend()
-		batches = append(batches, take(&urgent, limits.unknownJobs(), false))
+		batches = append(batches, takeBatch(&urgent, limits.maxUnknownJobs(), false))
 	}
 	return batches
 }
 
-// take removes the requests for the first n jobs.
-func take(from *[]Request, n int, accepted bool) Batch {
+// takeBatch removes the requests for the first n distinct jobs and returns them as a batch.
+func takeBatch(from *[]Request, n int, accepted bool) Batch {
 	byJob := map[string][]Request{}
 	rest := (*from)[:0]
 	for _, request := range *from {
-		if _, taken := byJob[request.JobID]; taken || len(byJob) < n {
+		if _, listed := byJob[request.JobID]; listed || len(byJob) < n {
 			byJob[request.JobID] = append(byJob[request.JobID], request)
 		} else {
 			rest = append(rest, request)
--- a/internal/core/lookup/queue_test.go
+++ b/internal/core/lookup/queue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// jobsOf names the jobs of a batch.
+// jobsOf returns the job IDs of a batch.
 func jobsOf(batch Batch) (ids []string) {
 	for _, group := range batch {
 		ids = append(ids, group.JobID)
@@ -14,7 +14,7 @@
 	return ids
 }
 
-func TestNextTakesTheLongestWaitingWithinItsLimits(t *testing.T) {
+func TestNextTakesOldestRequestsWithinLimits(t *testing.T) {
 	limits := Limits{Rate: 2, Conditions: 4}
 	var q Queue
 	for n := range 6 {
@@ -23,7 +23,7 @@
 		q.Add(Request{JobID: id, Since: time.Duration(n) * time.Second}, n >= 3)
 	}
 	if batch := q.Next(limits); batch != nil {
-		t.Fatalf("sent %v without a budget", jobsOf(batch))
+		t.Fatalf("got batch %v without a budget, want none", jobsOf(batch))
 	}
 	q.Refill(10*time.Second, limits.Rate)
 	for _, want := range []struct {
@@ -32,23 +32,23 @@
 	}{{"[req-0 req-1]", false}, {"[req-2]", false}} {
 		batch := q.Next(limits)
 		if got := fmt.Sprint(jobsOf(batch)); got != want.jobs || batch[0].Accepted != want.accepted || len(batch[0].Requests) != 2 {
-			t.Errorf("sent %s, want %s with two requests each", got, want.jobs)
+			t.Errorf("got batch %s, want %s with two requests per job", got, want.jobs)
 		}
 	}
 	if batch := q.Next(limits); batch != nil {
-		t.Errorf("sent %v beyond the rate", jobsOf(batch))
+		t.Errorf("got batch %v beyond the rate, want none", jobsOf(batch))
 	}
 	q.Refill(11*time.Second, limits.Rate)
 	batch := q.Next(limits)
 	if got := fmt.Sprint(jobsOf(batch)); got != "[req-3 req-4 req-5]" || !batch[0].Accepted {
-		t.Errorf("sent %s", got)
+		t.Errorf("got batch %s, want [req-3 req-4 req-5] of accepted jobs", got)
 	}
 	if accepted, unknown := q.Len(); accepted+unknown > 0 {
-		t.Errorf("%d and %d requests are left", accepted, unknown)
+		t.Errorf("got %d and %d queued requests, want none", accepted, unknown)
 	}
 }
 
-func TestAcceptanceRequestsPassOthersAndAreCharged(t *testing.T) {
+func TestTakeAcceptanceIgnoresBudgetAndChargesIt(t *testing.T) {
 	limits := Limits{Rate: 1, Conditions: 4}
 	var q Queue
 	q.Add(Request{JobID: "req-poll"}, false)
@@ -57,30 +57,30 @@
 	}
 	batches := q.TakeAcceptance(limits)
 	if len(batches) != 2 || fmt.Sprint(jobsOf(batches[0]), jobsOf(batches[1])) != "[req-0 req-1] [req-2]" {
-		t.Fatalf("took %v", batches)
+		t.Fatalf("got batches %v, want [req-0 req-1] [req-2]", batches)
 	}
 	q.Refill(2*time.Second, limits.Rate)
 	if batch := q.Next(limits); batch != nil {
-		t.Errorf("sent %v though the budget is spent", jobsOf(batch))
+		t.Errorf("got batch %v with a spent budget, want none", jobsOf(batch))
 	}
 	q.Refill(3*time.Second, limits.Rate)
 	if got := fmt.Sprint(jobsOf(q.Next(limits))); got != "[req-poll]" {
-		t.Errorf("sent %s", got)
+		t.Errorf("got batch %s, want [req-poll]", got)
 	}
 }
 
-func TestQueueIsOverloadedByAgeOrByLength(t *testing.T) {
+func TestOverloadedByAgeOrLength(t *testing.T) {
 	limits := Limits{Rate: 1, Conditions: 1}
 	for name, c := range map[string]struct {
 		requests int
 		age      time.Duration
 		want     bool
 	}{
-		"empty":        {0, 0, false},
-		"full":         {backlogSeconds, maxWait, false},
-		"too long":     {backlogSeconds + 1, 0, true},
-		"too old":      {1, maxWait + 1, true},
-		"one, waiting": {1, maxWait, false},
+		"empty":                  {0, 0, false},
+		"at the length limit":    {maxBacklogSeconds, maxWait, false},
+		"above the length limit": {maxBacklogSeconds + 1, 0, true},
+		"above the age limit":    {1, maxWait + 1, true},
+		"at the age limit":       {1, maxWait, false},
 	} {
 		for _, accepted := range []bool{false, true} {
 			var q Queue
@@ -88,19 +88,19 @@
 				q.Add(Request{JobID: "req-1"}, accepted)
 			}
 			if got := q.Overloaded(c.age, limits); got != c.want {
-				t.Errorf("%s, accepted %v: overloaded is %v", name, accepted, got)
+				t.Errorf("%s, accepted %v: got overloaded %v", name, accepted, got)
 			}
 		}
 	}
 }
 
-func TestRequeuedRequestsAreNext(t *testing.T) {
+func TestRequeuedRequestsAreSentFirst(t *testing.T) {
 	limits := Limits{Rate: 1, Conditions: 1}
 	var q Queue
 	q.Add(Request{JobID: "req-2", Since: time.Second}, true)
 	q.Requeue([]Request{{JobID: "req-1"}}, true)
 	q.Refill(time.Minute, limits.Rate)
 	if got := fmt.Sprint(jobsOf(q.Next(limits))); got != "[req-1]" {
-		t.Errorf("sent %s", got)
+		t.Errorf("got batch %s, want [req-1]", got)
 	}
 }
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,45 +1,46 @@
-// Package rollout tells when every controller has a version of the program, so that what
-// only that version understands may be stored and sent.
+// Package rollout tracks the program versions of the controllers, so that a new stored or wire
+// format is used only once every controller understands it.
 package rollout
 
 import "slices"
 
-// Version numbers what a controller understands. A higher one understands all of a lower.
+// Version numbers the stored and wire formats that a controller understands. Each version also
+// understands those of all lower versions.
 type Version int
 
-// Dependencies is the first version that knows jobs which depend on others, and heads that
-// state their chunk size. Controllers of earlier versions state none.
+// Dependencies is the first version that supports job dependencies and job heads that contain their
+// chunk size. Controllers of earlier versions do not store a Record.
 const Dependencies Version = 1
 
 // Current is the version of this program.
 const Current = Dependencies
 
-// Record is the stored statement of a controller. It is never withdrawn: controllers are
-// only ever upgraded.
+// Record is the stored form of a controller's version. It is never removed, since controllers
+// are never downgraded.
 type Record struct {
 	Version Version `json:"v"`
 }
 
-// Tracker follows the statements of the controllers of one deployment.
+// Tracker tracks the versions of the controllers of one deployment.
 type Tracker struct {
-	nodes  []string
-	stated map[string]Version
+	nodes    []string
+	versions map[string]Version
 }
 
-// New makes a Tracker for the controllers that the settings name.
+// New returns a Tracker for the controllers that the settings name.
 func New(nodes []string) *Tracker {
-	return &Tracker{nodes: nodes, stated: map[string]Version{}}
+	return &Tracker{nodes: nodes, versions: map[string]Version{}}
 }
 
-// Observe takes a controller's statement.
+// Observe records a controller's stored version. Lower versions than already known are ignored.
 func (t *Tracker) Observe(node string, r Record) {
-	t.stated[node] = max(t.stated[node], r.Version)
+	t.versions[node] = max(t.versions[node], r.Version)
 }
 
-// Version is the version that a controller has stated, 0 for none.
-func (t *Tracker) Version(node string) Version { return t.stated[node] }
+// Version returns the highest version observed for a controller, 0 if none.
+func (t *Tracker) Version(node string) Version { return t.versions[node] }
 
-// AllAtLeast tells whether every controller has stated v or a later version.
+// AllAtLeast reports whether every controller has version v or later.
 func (t *Tracker) AllAtLeast(v Version) bool {
-	return !slices.ContainsFunc(t.nodes, func(node string) bool { return t.stated[node] < v })
+	return !slices.ContainsFunc(t.nodes, func(node string) bool { return t.versions[node] < v })
 }
