--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -14,18 +14,17 @@
 	"pepperlever/internal/protocol"
 )
 
-// minPricePerCPU stands in for the price of machines that cost nothing, so that prices can
-// be compared as ratios.
+// minPricePerCPU replaces the price of free machines, so that ratios of prices are defined.
 const minPricePerCPU = 1e-9
 
-// Catalog lists machine types by name. The zero value is a catalog that has not been read.
+// Catalog holds machine types by name. The zero value is a catalog that has not been loaded.
 type Catalog struct {
 	types map[string]protocol.MachineType
-	// names are in order, so that all controllers visit the types alike.
+	// names is sorted, so that all controllers visit the types in the same order.
 	names []string
 }
 
-// New makes a catalog of machine types.
+// New returns a catalog of the given machine types.
 func New(types []protocol.MachineType) Catalog {
 	c := Catalog{types: make(map[string]protocol.MachineType, len(types))}
 	for _, t := range types {
@@ -35,10 +34,10 @@
 	return c
 }
 
-// Loaded tells whether the catalog has been read.
+// Loaded reports whether the catalog has been loaded, even if it is empty.
 func (c Catalog) Loaded() bool { return c.types != nil }
 
-// All visits the types in the order of their names.
+// All iterates over the types in the order of their names.
 func (c Catalog) All() iter.Seq2[string, protocol.MachineType] {
 	return func(yield func(string, protocol.MachineType) bool) {
 		for _, name := range c.names {
@@ -49,24 +48,25 @@
 	}
 }
 
-// Lookup finds a type, and tells whether the cloud offers it.
+// Lookup returns a type, and whether the cloud offers it.
 func (c Catalog) Lookup(name string) (protocol.MachineType, bool) {
 	t, known := c.types[name]
 	return t, known
 }
 
-// Capacity is what a machine of a type has, nothing for an unknown type.
+// Capacity returns the resources of a machine of a type, or zero for an unknown type.
 func (c Catalog) Capacity(name string) job.Resources { return Capacity(c.types[name]) }
 
-// CacheGB is the size of the image cache of a machine of a type.
+// CacheGB returns the size of the image cache of a machine of a type.
 func (c Catalog) CacheGB(name string) float64 { return c.types[name].CacheGB }
 
-// BootTime is the nominal boot time of a machine of a type.
+// BootTime returns the nominal boot time of a machine of a type.
 func (c Catalog) BootTime(name string) time.Duration {
 	return time.Duration(c.types[name].BootS * float64(time.Second))
 }
 
-// ShortestBootS is the shortest nominal boot time of any type, in seconds.
+// ShortestBootS returns the shortest nominal boot time of all types, in seconds, or infinity if
+// there are none.
 func (c Catalog) ShortestBootS() float64 {
 	shortest := math.Inf(1)
 	for _, t := range c.types {
@@ -75,7 +75,7 @@
 	return shortest
 }
 
-// LongestBootS is the longest nominal boot time of any type, in seconds.
+// LongestBootS returns the longest nominal boot time of all types, in seconds.
 func (c Catalog) LongestBootS() float64 {
 	longest := 0.0
 	for _, t := range c.types {
@@ -84,14 +84,14 @@
 	return longest
 }
 
-// HasSpotDiscount tells whether spot machines of a type cost less than ordinary ones.
+// HasSpotDiscount reports whether spot machines of a type are cheaper than on-demand ones.
 func (c Catalog) HasSpotDiscount(name string) bool {
 	t := c.types[name]
 	return t.SpotPrice < t.Price
 }
 
-// CheapestFor is the type on which a task of a job costs least, of those that may hold one,
-// or "" when none does.
+// CheapestFor returns the type with the lowest on-demand price per task of a job, among the types
+// that the job allows and that can hold a task, or "" if there is none.
 func (c Catalog) CheapestFor(s *job.Spec) string {
 	cheapest, leastPrice := "", math.Inf(1)
 	for name, t := range c.All() {
@@ -107,29 +107,29 @@
 	return cheapest
 }
 
-// Capacity is what a machine of a type has.
+// Capacity returns the resources of a machine of a type.
 func Capacity(t protocol.MachineType) job.Resources {
 	return job.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// Kind is a type of machines, spot or ordinary.
+// Kind is a machine type, either spot or on-demand.
 type Kind struct {
 	Type string
 	Spot bool
 }
 
-// KindTraits is what all machines of one kind have in common.
+// KindTraits holds the properties that all machines of a kind share.
 type KindTraits struct {
 	Capacity job.Resources
-	// PricePremium is the price of a CPU beyond that of the cheapest kind, up to 1.
+	// PricePremium is the relative excess of the price per CPU over the cheapest kind, at most 1.
 	PricePremium float64
 	// RelativeSize is the number of CPUs relative to the largest type.
 	RelativeSize float64
-	// GPUShare is the number of accelerators relative to the type that has most.
+	// GPUShare is the number of GPUs relative to the type with the most.
 	GPUShare float64
 }
 
-// Kinds describes all kinds of machines.
+// Kinds returns the traits of all kinds of machines.
 func (c Catalog) Kinds() map[Kind]KindTraits {
 	mostCPUs, mostGPUs, cheapest := 1.0, 1.0, math.Inf(1)
 	for _, t := range c.types {
@@ -137,10 +137,10 @@
 		cheapest = min(cheapest, pricePerCPU(t, true), pricePerCPU(t, false))
 	}
 	cheapest = max(cheapest, minPricePerCPU)
-	out := make(map[Kind]KindTraits, 2*len(c.types))
+	kinds := make(map[Kind]KindTraits, 2*len(c.types))
 	for name, t := range c.types {
 		for _, spot := range []bool{true, false} {
-			out[Kind{name, spot}] = KindTraits{
+			kinds[Kind{name, spot}] = KindTraits{
 				Capacity:     Capacity(t),
 				PricePremium: min(1, pricePerCPU(t, spot)/cheapest-1),
 				RelativeSize: t.CPUs / mostCPUs,
@@ -148,10 +148,10 @@
 			}
 		}
 	}
-	return out
+	return kinds
 }
 
-// pricePerCPU is the nominal price per hour of a CPU on a kind of machine.
+// pricePerCPU returns the price per hour and CPU of a kind of machine.
 func pricePerCPU(t protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice / max(t.CPUs, 1)
--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// TestCheapestForComparesPricesPerTask checks that a large machine that holds many tasks may
-// be the cheapest, and that only allowed types that hold a task count.
+// TestCheapestForComparesPricesPerTask checks that a large machine that holds many tasks can be
+// the cheapest, and that only allowed types that can hold a task count.
 func TestCheapestForComparesPricesPerTask(t *testing.T) {
 	types := New([]protocol.MachineType{
 		{Name: "large", CPUs: 16, MemoryGB: 64, Price: 3},
@@ -19,10 +19,10 @@
 		types []string
 		want  string
 	}{
-		"many fit on a large one": {2, nil, "large"},
-		"one type is allowed":     {2, []string{"small"}, "small"},
-		"fits on large ones only": {8, nil, "large"},
-		"fits on none":            {32, nil, ""},
+		"many fit on a large machine": {2, nil, "large"},
+		"one type is allowed":         {2, []string{"small"}, "small"},
+		"fits on large machines only": {8, nil, "large"},
+		"fits on no machine":          {32, nil, ""},
 	} {
 		spec := &job.Spec{Need: job.Resources{CPUs: c.cpus}, Types: c.types}
 		if got := types.CheapestFor(spec); got != c.want {
@@ -31,8 +31,9 @@
 	}
 }
 
-// TestKindsCompareTypesWithTheCheapestAndTheLargest checks the traits relative to all types.
-func TestKindsCompareTypesWithTheCheapestAndTheLargest(t *testing.T) {
+// TestKindTraitsAreRelativeToAllTypes checks the traits that compare a kind with the cheapest kind
+// and the largest types.
+func TestKindTraitsAreRelativeToAllTypes(t *testing.T) {
 	kinds := New([]protocol.MachineType{
 		{Name: "small", CPUs: 4, Price: 1.2, SpotPrice: 0.8},
 		{Name: "large", CPUs: 16, GPUs: 4, Price: 16, SpotPrice: 4},
@@ -44,7 +45,7 @@
 	} {
 		got := kinds[kind]
 		if difference := got.PricePremium - want.PricePremium; difference < -1e-9 || difference > 1e-9 {
-			t.Errorf("%v: premium %v, want %v", kind, got.PricePremium, want.PricePremium)
+			t.Errorf("%v: got price premium %v, want %v", kind, got.PricePremium, want.PricePremium)
 		}
 		got.PricePremium = want.PricePremium
 		if got != want {
@@ -53,10 +54,10 @@
 	}
 }
 
-// TestCatalogIsLoadedEvenWhenEmpty tells a catalog that lists nothing from one that has not
-// been read.
+// TestCatalogIsLoadedEvenWhenEmpty checks that Loaded distinguishes an empty catalog from one that
+// has not been loaded.
 func TestCatalogIsLoadedEvenWhenEmpty(t *testing.T) {
 	if (Catalog{}).Loaded() || !New(nil).Loaded() {
-		t.Error("an empty catalog and none are not told apart")
+		t.Error("Loaded does not distinguish an empty catalog from a missing one")
 	}
 }
--- a/internal/core/fairness/fairness.go
+++ b/internal/core/fairness/fairness.go
@@ -1,28 +1,28 @@
-// Package fairness ranks teams by H-MRF, a long-term fairness over several resources.
+// Package fairness ranks teams by H-MRF, a long-term fairness policy for multiple resources.
 package fairness
 
-// Vector holds an amount of each resource: CPUs, GPUs and memory.
+// Vector holds an amount of each resource: CPUs, GPUs and memory in GB.
 type Vector [3]float64
 
-// Add returns v + n*o.
-func (v Vector) Add(o Vector, n float64) Vector {
+// Add returns v + factor*other.
+func (v Vector) Add(other Vector, factor float64) Vector {
 	for i := range v {
-		v[i] += n * o[i]
+		v[i] += factor * other[i]
 	}
 	return v
 }
 
-// Record is what is remembered of one team within a window.
+// Record accumulates the resource usage of one team within a time window.
 type Record struct {
-	// Window numbers the tumbling window that the integrals belong to.
+	// Window is the number of the tumbling window that the integrals cover.
 	Window int64 `json:"w"`
-	// Use integrates the resources in use, Base the lesser of demand and
-	// share, each over the seconds of the window.
+	// Use is the integral of the resources in use over the seconds of the window. Base is that
+	// of the baseline: what the team would use without sharing, the lesser of demand and share.
 	Use  Vector `json:"u"`
 	Base Vector `json:"b"`
 }
 
-// Advance integrates dt seconds of use and demand. A new window forgets.
+// Advance adds dt seconds of use and demand. It starts from zero if the window is another one.
 func (r *Record) Advance(window int64, dt float64, use, demand, share Vector) {
 	if window != r.Window {
 		*r = Record{Window: window}
@@ -33,34 +33,34 @@
 	}
 }
 
-// Degree is the sharing degree: the least, over the resources asked for, of
-// use over the baseline without sharing. A team that asked for nothing has 1.
+// Degree returns the sharing degree: the minimum ratio of use to baseline over all requested
+// resources. Below 1 the team loses by sharing. A team that requested nothing has degree 1.
 func (r *Record) Degree() float64 {
-	least, asked := 0.0, false
+	minDegree, requested := 0.0, false
 	for i := range r.Use {
 		if r.Base[i] <= 0 {
 			continue
 		}
 		degree := r.Use[i] / r.Base[i]
-		if !asked || degree < least {
-			least, asked = degree, true
+		if !requested || degree < minDegree {
+			minDegree, requested = degree, true
 		}
 	}
-	if !asked {
+	if !requested {
 		return 1
 	}
-	return least
+	return minDegree
 }
 
-// Team is a waiting team as the ranking sees it.
+// Team is the input to the ranking for a team with pending jobs.
 type Team struct {
 	Record Record
 	Weight float64
-	// Overdue is set when the team has waited for the time-out.
+	// Overdue is set when a job of the team has waited longer than the timeout.
 	Overdue bool
 }
 
-// Shares splits capacity by weight. Teams without any guarantee share equally.
+// Shares divides the capacity in proportion to the weights, or equally if all weights are 0.
 func Shares(capacity Vector, weights []float64) []Vector {
 	total := 0.0
 	for _, weight := range weights {
@@ -68,46 +68,47 @@
 	}
 	shares := make([]Vector, len(weights))
 	for i, weight := range weights {
-		part := 1 / float64(len(weights))
+		fraction := 1 / float64(len(weights))
 		if total > 0 {
-			part = weight / total
+			fraction = weight / total
 		}
-		shares[i] = Vector{}.Add(capacity, part)
+		shares[i] = Vector{}.Add(capacity, fraction)
 	}
 	return shares
 }
 
 const (
-	// tolerance makes two degrees or uses equal that differ by rounding only.
+	// tolerance is the difference up to which two degrees or uses count as equal, since sums
+	// are rounded.
 	tolerance = 1e-9
-	// notOverdue is added to the degree of teams that are not overdue, so that they come after
-	// all that are.
-	notOverdue = 1e12
+	// notOverdueOffset is added to the degree of teams that are not overdue, so that they rank
+	// after all overdue ones.
+	notOverdueOffset = 1e12
 )
 
-// Next picks the team to be served next among teams, or -1 when there is none: an overdue one,
-// or else the one that sharing costs most, or else the one that has used least. skip marks
-// teams that do not take part.
+// Next returns the index of the team to serve next, or -1 if there is none. Overdue teams come
+// first, then the team with the lowest sharing degree below 1, then the team with the least total
+// use, with ties broken by dominant use. Teams marked in skip are left out.
 func Next(teams []Team, skip []bool, capacity Vector) int {
 	if i := lowest(teams, skip, overdueDegree); i >= 0 && teams[i].Overdue {
 		return i
 	}
-	if i := lowest(teams, skip, degree); i >= 0 && teams[i].Record.Degree() < 1-tolerance {
+	if i := lowest(teams, skip, sharingDegree); i >= 0 && teams[i].Record.Degree() < 1-tolerance {
 		return i
 	}
-	least := lowest(teams, skip, func(t *Team) float64 { return t.totalUse(capacity) })
-	if least < 0 {
+	leastUsed := lowest(teams, skip, func(t *Team) float64 { return t.totalUse(capacity) })
+	if leastUsed < 0 {
 		return -1
 	}
-	bound := teams[least].totalUse(capacity) + tolerance
+	maxUse := teams[leastUsed].totalUse(capacity) + tolerance
 	skipOthers := make([]bool, len(teams))
 	for i := range teams {
-		skipOthers[i] = skip[i] || teams[i].totalUse(capacity) > bound
+		skipOthers[i] = skip[i] || teams[i].totalUse(capacity) > maxUse
 	}
 	return lowest(teams, skipOthers, func(t *Team) float64 { return t.dominantUse(capacity) })
 }
 
-// lowest finds the first team with the lowest key, or -1 when all are skipped.
+// lowest returns the index of the first team with the lowest key, or -1 if all are skipped.
 func lowest(teams []Team, skip []bool, key func(*Team) float64) int {
 	best := -1
 	for i := range teams {
@@ -118,18 +119,18 @@
 	return best
 }
 
-// degree is a team's sharing degree.
-func degree(t *Team) float64 { return t.Record.Degree() }
+// sharingDegree returns a team's sharing degree.
+func sharingDegree(t *Team) float64 { return t.Record.Degree() }
 
-// overdueDegree puts overdue teams before all others, by their degree.
+// overdueDegree returns a key that ranks overdue teams before all others, and each group by degree.
 func overdueDegree(t *Team) float64 {
 	if t.Overdue {
 		return t.Record.Degree()
 	}
-	return t.Record.Degree() + notOverdue
+	return t.Record.Degree() + notOverdueOffset
 }
 
-// totalUse sums up the parts of the capacity that a team uses of each resource.
+// totalUse returns the sum over all resources of a team's use relative to the capacity.
 func (t *Team) totalUse(capacity Vector) float64 {
 	sum := 0.0
 	for i, c := range capacity {
@@ -140,14 +141,14 @@
 	return sum
 }
 
-// dominantUse is the largest part of the capacity that a team uses of any resource, by its
-// weight.
+// dominantUse returns the maximum over all resources of a team's use relative to the capacity,
+// divided by the team's weight.
 func (t *Team) dominantUse(capacity Vector) float64 {
-	most := 0.0
+	largest := 0.0
 	for i, c := range capacity {
 		if c > 0 {
-			most = max(most, t.Record.Use[i]/(c*max(t.Weight, tolerance)))
+			largest = max(largest, t.Record.Use[i]/(c*max(t.Weight, tolerance)))
 		}
 	}
-	return most
+	return largest
 }
--- a/internal/core/headroom/headroom.go
+++ b/internal/core/headroom/headroom.go
@@ -1,5 +1,6 @@
-// Package headroom says how much room is reserved for work that neither waits for a machine to
-// boot nor gives its room back soon, and for work that fits nowhere else.
+// Package headroom computes how much capacity to reserve: for services, which cannot wait for a
+// machine to boot and occupy their resources for a long time, and for tasks that fit nowhere else,
+// such as those that need GPUs.
 package headroom
 
 import (
@@ -10,25 +11,25 @@
 )
 
 const (
-	// largestJobs is for how many of its largest jobs a class has headroom.
-	largestJobs = 2
-	// activeDivisor is the part of the active tasks that headroom may not exceed.
+	// headroomJobs is the number of jobs, each as large as the largest, that a class has headroom for.
+	headroomJobs = 2
+	// activeDivisor divides the number of active tasks to give the maximum headroom.
 	activeDivisor = 4
 )
 
-// Class sums up the jobs of one class that are not final.
+// Class aggregates the jobs of one class that have not reached a final state.
 type Class struct {
-	// Spec is that of its newest job.
+	// Spec is the specification of the newest job.
 	Spec *job.Spec
-	// Largest is the most tasks that one of its jobs has, Active how many tasks all of
-	// them have together.
+	// Largest is the highest number of tasks of a single job. Active is the total number of
+	// tasks of all jobs.
 	Largest, Active int
 }
 
-// Add counts one more job of the class.
+// Add adds a job to the class.
 func (c *Class) Add(s *job.Spec) {
-	isNewer := func(than *job.Spec) bool {
-		return cmp.Or(cmp.Compare(s.Accepted, than.Accepted), cmp.Compare(s.ID, than.ID)) > 0
+	isNewer := func(other *job.Spec) bool {
+		return cmp.Or(cmp.Compare(s.Accepted, other.Accepted), cmp.Compare(s.ID, other.ID)) > 0
 	}
 	if c.Spec == nil || isNewer(c.Spec) {
 		c.Spec = s
@@ -37,19 +38,19 @@
 	c.Active += s.Tasks
 }
 
-// Headroom is for how many more tasks of a class of services room is reserved: for two of its
-// largest jobs at once, but no more than a quarter of what it has.
+// Headroom returns the number of additional tasks that capacity is reserved for: enough for two
+// jobs as large as the largest, but at most a quarter of the active tasks, rounded up.
 func (c *Class) Headroom() int {
-	return min(largestJobs*c.Largest, int(math.Ceil(float64(c.Active)/activeDivisor)))
+	return min(headroomJobs*c.Largest, int(math.Ceil(float64(c.Active)/activeDivisor)))
 }
 
-// Peak is the most that was noted in a sliding time of one to two windows.
+// Peak tracks the maximum of a value over the current and the previous time window.
 type Peak struct {
 	window            int64
 	current, previous int
 }
 
-// Observe takes a figure of the window with this number, which never falls.
+// Observe records a value in the window with the given number, which never decreases.
 func (p *Peak) Observe(window int64, n int) {
 	switch {
 	case window == p.window+1:
@@ -61,5 +62,5 @@
 	p.current = max(p.current, n)
 }
 
-// Max is the most that was noted.
+// Max returns the maximum over the current and the previous window.
 func (p *Peak) Max() int { return max(p.current, p.previous) }
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -7,25 +7,26 @@
 	"pepperlever/internal/core/job"
 )
 
-// PlaceGang places n tasks of a job, all or none. The hosts' room is taken only if all find a
-// place.
+// PlaceGang chooses hosts for n tasks of a job, all or none, within one zone if the job requires
+// it. It allocates their resources only if every task has a host, and returns nil otherwise.
 func PlaceGang(s *job.Spec, n int, hosts []*Host, zones Zones) []*Host {
 	if !s.OneZone {
-		return placeTogether(s, n, hosts, zones)
+		return placeAllOrNone(s, n, hosts, zones)
 	}
-	for _, zone := range zonesOf(hosts) {
+	for _, zone := range distinctZones(hosts) {
 		inZone := slices.DeleteFunc(slices.Clone(hosts), func(h *Host) bool { return h.Zone != zone })
-		if chosen := placeTogether(s, n, inZone, zones); chosen != nil {
+		if chosen := placeAllOrNone(s, n, inZone, zones); chosen != nil {
 			return chosen
 		}
 	}
 	return nil
 }
 
-// placeTogether places n tasks of a job on any of the hosts, all or none.
-func placeTogether(s *job.Spec, n int, hosts []*Host, bound Zones) []*Host {
+// placeAllOrNone places n tasks of a job on any of the hosts, all or none. boundByZone counts the
+// tasks of the job that are already bound.
+func placeAllOrNone(s *job.Spec, n int, hosts []*Host, boundByZone Zones) []*Host {
 	zones := Zones{}
-	maps.Copy(zones, bound)
+	maps.Copy(zones, boundByZone)
 	var chosen []*Host
 	for range n {
 		host := Choose(s, hosts, zones)
@@ -40,15 +41,15 @@
 	return chosen
 }
 
-// release gives the room of tasks back, one on each host.
+// release frees the resources of one task on each host.
 func release(s *job.Spec, hosts []*Host) {
 	for _, h := range hosts {
 		h.Free = h.Free.Plus(s.Need, 1)
 	}
 }
 
-// zonesOf lists the zones of hosts in the order in which they come.
-func zonesOf(hosts []*Host) []string {
+// distinctZones returns the zones of hosts in the order of their first occurrence.
+func distinctZones(hosts []*Host) []string {
 	var zones []string
 	for _, h := range hosts {
 		if !slices.Contains(zones, h.Zone) {
--- a/internal/core/placement/picker.go
+++ b/internal/core/placement/picker.go
@@ -8,28 +8,29 @@
 	"pepperlever/internal/core/job"
 )
 
-// Picker chooses hosts for like tasks of one job, best first. It ranks the hosts once for as
-// many tasks as wait, not anew for each of them: a host that was the best stays so while it has
-// room, since it only gets fuller.
+// Picker chooses hosts for identical tasks of one job, best first. It ranks the hosts once for all
+// pending tasks instead of once per task: the best host remains the best while the next task fits,
+// since hosts that are filled further score higher.
 type Picker struct {
 	spec   *job.Spec
 	hosts  []*Host
 	ranked []rankedHost
-	// complete is set when ranked holds every host that can take a task.
+	// complete is set when the latest ranking included every feasible host.
 	complete bool
 }
 
-// rankedHost is a host with its score, and its place among the hosts.
+// rankedHost is a host with its score and its index in the list of hosts.
 type rankedHost struct {
 	host  *Host
 	score float64
 	index int
 }
 
-// NewPicker makes a Picker for the tasks of a job.
+// NewPicker returns a Picker for the tasks of a job.
 func NewPicker(s *job.Spec, hosts []*Host) *Picker { return &Picker{spec: s, hosts: hosts} }
 
-// Next is the host for the next of n tasks, or nil. The caller takes its room.
+// Next returns the host for the next of n pending tasks, or nil if no host is feasible. The caller
+// allocates the resources.
 func (p *Picker) Next(n int, zones Zones) *Host {
 	for {
 		for len(p.ranked) > 0 {
@@ -45,11 +46,11 @@
 	}
 }
 
-// rank finds the n best hosts.
+// rank sets ranked to the n best feasible hosts.
 func (p *Picker) rank(n int, zones Zones) {
 	best := worstFirst{}
 	for i, h := range p.hosts {
-		if !Suits(p.spec, h, zones) {
+		if !Feasible(p.spec, h, zones) {
 			continue
 		}
 		candidate := rankedHost{h, score(p.spec, h), i}
@@ -66,12 +67,12 @@
 	p.ranked = best
 }
 
-// compareRanked orders by score, the best first; equals stay in the order of the hosts.
+// compareRanked orders hosts by descending score, and hosts with equal scores by index.
 func compareRanked(a, b rankedHost) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
-// worstFirst is a heap with the worst of the chosen hosts on top.
+// worstFirst is a heap of the best hosts found so far, with the worst of them on top.
 type worstFirst []rankedHost
 
 // Len implements sort.Interface.
@@ -93,13 +94,13 @@
 	return last
 }
 
-// WithFreeCPUs lists the hosts that have room for any task at all.
+// WithFreeCPUs returns the hosts with free CPUs, and the hosts whose type has no CPUs.
 func WithFreeCPUs(hosts []*Host) []*Host {
-	out := make([]*Host, 0, len(hosts))
+	withFreeCPUs := make([]*Host, 0, len(hosts))
 	for _, h := range hosts {
 		if h.Free.CPUs > 0 || h.Capacity.CPUs <= 0 {
-			out = append(out, h)
+			withFreeCPUs = append(withFreeCPUs, h)
 		}
 	}
-	return out
+	return withFreeCPUs
 }
--- a/internal/core/placement/picker_test.go
+++ b/internal/core/placement/picker_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestPickerFillsTheBestHostsFirstAndMissesNone checks that ranking hosts once for many tasks
-// still uses all the room there is, the best hosts first.
-func TestPickerFillsTheBestHostsFirstAndMissesNone(t *testing.T) {
+// TestPickerUsesAllHostsBestFirst checks that ranking the hosts once for many tasks still uses all
+// free resources, in the order of the hosts' scores.
+func TestPickerUsesAllHostsBestFirst(t *testing.T) {
 	var hosts []*Host
 	for i := range 6 {
 		h := host(fmt.Sprint("m", i), "a", 4)
@@ -24,7 +24,7 @@
 		}
 		h.Free = h.Free.Plus(s.Need, -1)
 		got = append(got, h.ID)
-		if n == 8 { // another job takes what would come next
+		if n == 8 { // another job takes the next host
 			hosts[4].Free.CPUs = 0
 		}
 	}
@@ -34,6 +34,6 @@
 	}
 	hosts[0].Free.CPUs = 0
 	if h := p.Next(1, nil); h != nil {
-		t.Errorf("got %s, where nothing has room", h.ID)
+		t.Errorf("got host %s, want none: all hosts are full", h.ID)
 	}
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -11,104 +11,106 @@
 )
 
 const (
-	// maxReportBytes leaves an eighth of a request for what a report says beside its tasks,
-	// and for a task that was not foreseen.
+	// maxReportBytes leaves an eighth of the maximum request size for the other fields of a
+	// report and for an unexpected task.
 	maxReportBytes = protocol.MaxBody * 7 / 8
-	// taskOverheadBytes is what a task takes in a report beside its name.
+	// taskOverheadBytes is the length of the index, such as "/99999", that a task's name has after
+	// the job ID.
 	taskOverheadBytes = 6
-	// maxReservedShare is the part of the hosts of a type that may be reserved.
+	// maxReservedShare is the maximum fraction of the hosts of one size that may be reserved.
 	maxReservedShare = 1.0 / 2
-	// fitTolerance lets a task fit that does so but for rounding.
+	// fitTolerance compensates for rounding errors, in tasks.
 	fitTolerance = 1e-6
 )
 
-// The weights of a host's score.
+// Weights of the terms in a host's score.
 const (
-	// surplusPenalty outweighs all other preferences.
+	// surplusPenalty outweighs all preferences except gpuWastePenalty and urgentImageBonus.
 	surplusPenalty = 8
-	// gpuWastePenalty outweighs that an image is there: a replica stays where it is for long,
-	// and would hold the accelerators that the next job needs.
+	// gpuWastePenalty outweighs the image bonus: a service replica stays on its host for a long
+	// time and would block GPUs that the next job needs.
 	gpuWastePenalty = 2 * surplusPenalty
 	sizePenalty     = 2
 	emptyPenalty    = 1
 	imageBonus      = 2
-	// urgentImageBonus is for work that waits for little else than its fetch: it goes where
-	// the image is even to a host that is to be emptied.
+	// urgentImageBonus applies to tasks whose start is delayed by little more than the image
+	// pull. They go to a host with the image even if it is surplus and is being emptied.
 	urgentImageBonus = surplusPenalty + 4
 )
 
-// Host is a machine that can take tasks, with the room that is left on it.
+// Host is a machine that can take tasks, with its free resources.
 type Host struct {
 	ID, Type, Zone string
 	Spot           bool
 	Free, Capacity job.Resources
-	// Images tells which images it has or fetches.
+	// Images reports which images the host has or is fetching.
 	Images interface{ HasImage(name string) bool }
-	// Penalty makes suspect machines the last choice.
+	// Penalty lowers the score of unreliable or surplus hosts.
 	Penalty float64
-	// RemainingS is how many seconds it will stay; negative when not limited.
+	// RemainingS is the number of seconds until the host is reclaimed; negative if no reclaim is
+	// scheduled.
 	RemainingS float64
-	// Empty tells that nothing is bound to it.
+	// Empty is set while no task is bound to the host.
 	Empty bool
-	// RelativeSize is its size relative to the largest type: small tasks go to small machines
-	// while there is a choice, since large ones need the others.
+	// RelativeSize is the number of CPUs relative to the largest type. Tasks prefer small hosts, so
+	// that large hosts remain free for large tasks.
 	RelativeSize float64
-	// PricePremium is its price beyond that of the cheapest kind, up to 1.
+	// PricePremium is the relative excess of the price per CPU over the cheapest kind, at most 1.
 	PricePremium float64
-	// GPUShare is its accelerators relative to the type that has most.
+	// GPUShare is the number of GPUs relative to the type with the most.
 	GPUShare float64
-	// PreemptionLoss is the least work, in CPU seconds, that is lost where one task is stopped
-	// to make room here, and PreemptionLossPerCPU the least for each CPU.
+	// PreemptionLoss is the least work, in CPU seconds, that is lost if one task on the host is
+	// preempted. PreemptionLossPerCPU is the least work lost per CPU freed.
 	PreemptionLoss, PreemptionLossPerCPU float64
-	// ReportBytes is about how many bytes its report will have. A report may not be longer
-	// than a request, so a machine can't take any number of tiny tasks.
+	// ReportBytes is the estimated size of the host's next report. A report has to fit into one
+	// request, which limits the number of tasks on the host however small they are.
 	ReportBytes int
-	// Reserved is set while it is reserved for a task that needs more room.
+	// Reserved is set while the host is reserved for a task that did not fit on any host.
 	Reserved bool
-	// PriorReservation is what it was reserved for in the round before, so that nothing that
-	// asks for less and comes first has its room.
+	// PriorReservation is the resource need that the host was reserved for in the previous
+	// scheduling round. It keeps smaller tasks that are placed earlier in this round off the host.
 	PriorReservation job.Resources
-	// GPUOnly is set while the host is for tasks that ask for accelerators alone, ServicesOnly
-	// while it is for services.
+	// GPUOnly is set while the host accepts only tasks that request GPUs, ServicesOnly while it
+	// accepts only services.
 	GPUOnly, ServicesOnly bool
-	// ReservedForGang names the gang that the host is reserved for.
+	// ReservedForGang is the ID of the gang job that the host is reserved for, or "".
 	ReservedForGang string
 }
 
-// Take puts a task of a job on the host.
+// Take allocates resources on the host for one task of a job.
 func (h *Host) Take(s *job.Spec) {
 	h.Free = h.Free.Plus(s.Need, -1)
 	h.Empty = false
 	h.ReportBytes += protocol.TaskBytes(s.ID) + taskOverheadBytes
 }
 
-// reservedForLarger tells whether the host was reserved for a task that needs more than this
-// one.
+// reservedForLarger reports whether the host was reserved in the previous round for a task that
+// needs more than a task of this job.
 func (h *Host) reservedForLarger(s *job.Spec) bool {
 	return h.PriorReservation != (job.Resources{}) && !h.PriorReservation.Fits(s.Need)
 }
 
-// Excludes tells whether the host is reserved for work of another kind, or for another gang.
+// Excludes reports whether the host is reserved for another kind of job or for another gang.
 func (h *Host) Excludes(s *job.Spec) bool {
 	return h.excludesKind(s) || h.ReservedForGang != "" && h.ReservedForGang != s.ID
 }
 
-// excludesKind tells whether the host is reserved for work of another kind.
+// excludesKind reports whether the host is reserved for another kind of job.
 func (h *Host) excludesKind(s *job.Spec) bool {
 	return h.GPUOnly && s.Need.GPUs == 0 || h.ServicesOnly && s.Kind != job.Service
 }
 
-// isLimited tells whether the host is known to go.
-func (h *Host) isLimited() bool { return h.RemainingS >= 0 }
+// isBeingReclaimed reports whether the cloud has announced that it will reclaim the host.
+func (h *Host) isBeingReclaimed() bool { return h.RemainingS >= 0 }
 
-// Zones counts the tasks of a job that are bound in each zone.
+// Zones is the number of bound tasks of a job in each zone.
 type Zones map[string]int
 
-// UnknownZone counts the tasks on machines whose zone is not known.
+// UnknownZone is the key in Zones for tasks on machines whose zone is unknown.
 const UnknownZone = "?"
 
-// Allowed tells whether one more task of the job may go to a host, given where its other tasks
-// are.
+// Allowed reports whether one more task of a job may be placed on a host, given the zones of the
+// job's other tasks.
 func Allowed(s *job.Spec, h *Host, zones Zones) bool {
 	if h.Reserved || h.ReportBytes > maxReportBytes || h.reservedForLarger(s) || h.Excludes(s) {
 		return false
@@ -119,12 +121,12 @@
 	return ZoneAllowed(s, h.Zone, zones)
 }
 
-// ZoneAllowed tells whether one more task of the job may go to a zone.
+// ZoneAllowed reports whether one more task of a job may be placed in a zone.
 func ZoneAllowed(s *job.Spec, zone string, zones Zones) bool {
 	return ZoneAllowance(s, zone, zones) > 0
 }
 
-// ZoneAllowance is how many more tasks of the job may go to a zone.
+// ZoneAllowance returns how many more tasks of a job may be placed in a zone.
 func ZoneAllowance(s *job.Spec, zone string, zones Zones) int {
 	if s.OneZone {
 		for other, tasks := range zones {
@@ -136,24 +138,23 @@
 	if !s.Spread {
 		return job.MaxTasks
 	}
-	// A task whose zone is not known may be in this one, so it counts in every zone.
-	half := (s.Tasks + 1) / 2
-	return max(0, half-zones[zone]-zones[UnknownZone])
+	// A task in an unknown zone could be in any zone, so it counts in every one.
+	maxPerZone := (s.Tasks + 1) / 2
+	return max(0, maxPerZone-zones[zone]-zones[UnknownZone])
 }
 
-// Suits tells whether one more task of the job may go to a host and is likely
-// to end before the host is taken away.
-func Suits(s *job.Spec, h *Host, zones Zones) bool {
-	return Allowed(s, h, zones) && (!h.isLimited() || h.RemainingS >= s.EstimateS+s.SaveS)
+// Feasible reports whether one more task of a job may be placed on a host and is expected to finish
+// before the host is reclaimed.
+func Feasible(s *job.Spec, h *Host, zones Zones) bool {
+	return Allowed(s, h, zones) && (!h.isBeingReclaimed() || h.RemainingS >= s.EstimateS+s.SaveS)
 }
 
-// Choose picks the best allowed host, or nil. Machines with the image come
-// first, then the one whose room is filled best, so that others can empty.
+// Choose returns the feasible host with the highest score, or nil if there is none.
 func Choose(s *job.Spec, hosts []*Host, zones Zones) *Host {
 	var best *Host
 	bestScore := 0.0
 	for _, h := range hosts {
-		if !Suits(s, h, zones) {
+		if !Feasible(s, h, zones) {
 			continue
 		}
 		if score := score(s, h); best == nil || score > bestScore {
@@ -163,19 +164,20 @@
 	return best
 }
 
-// score prefers hosts that have the image, and then those that are full, cheap and small, so
-// that the others empty and can be returned.
+// score returns the preference for placing a task on a host; higher is better. It prefers hosts
+// that have the image, and then full, cheap and small ones, so that the others drain and can be
+// returned to the cloud.
 func score(s *job.Spec, h *Host) float64 {
-	left := h.Free.Plus(s.Need, -1)
+	remaining := h.Free.Plus(s.Need, -1)
 	score := -h.Penalty - h.PricePremium - sizePenalty*h.RelativeSize
 	if h.Capacity.CPUs > 0 {
-		score -= left.CPUs / h.Capacity.CPUs
+		score -= remaining.CPUs / h.Capacity.CPUs
 	}
 	if h.Capacity.MemoryGB > 0 {
-		score -= left.MemoryGB / h.Capacity.MemoryGB
+		score -= remaining.MemoryGB / h.Capacity.MemoryGB
 	}
 	if h.Images != nil && h.Images.HasImage(s.Image) {
-		score += bonusForImage(s)
+		score += imageBonusFor(s)
 	}
 	if h.Empty {
 		score -= emptyPenalty
@@ -186,17 +188,17 @@
 	return score
 }
 
-// bonusForImage is what it is worth to a job that a host has its image.
-func bonusForImage(s *job.Spec) float64 {
+// imageBonusFor returns the score bonus of a host that has the job's image.
+func imageBonusFor(s *job.Spec) float64 {
 	if s.AboveNormal() {
 		return urgentImageBonus
 	}
 	return imageBonus
 }
 
-// DeprioritizeSurplus makes the most expensive and emptiest hosts the last choice for as long
-// as the others have room to spare, so that they empty and can be returned. spareShare of the
-// whole room stays open for work to come.
+// DeprioritizeSurplus penalizes the most expensive and least used hosts, as many as are not needed,
+// so that they drain and can be returned to the cloud. The free CPUs of the remaining hosts stay at
+// or above spareShare of the total capacity, for future tasks.
 func DeprioritizeSurplus(hosts []*Host, spareShare float64) {
 	order := slices.Clone(hosts)
 	slices.SortStableFunc(order, func(a, b *Host) int {
@@ -219,16 +221,16 @@
 	}
 }
 
-// FitCount is how many like tasks fit into what is free.
+// FitCount returns how many tasks with the given need fit into the free resources.
 func FitCount(need, free job.Resources) int {
 	count := float64(job.MaxTasks)
-	limit := func(need, free float64) {
+	limitBy := func(need, free float64) {
 		if need > 0 {
 			count = math.Min(count, math.Floor(free/need+fitTolerance))
 		}
 	}
-	limit(need.CPUs, free.CPUs)
-	limit(need.GPUs, free.GPUs)
-	limit(need.MemoryGB, free.MemoryGB)
+	limitBy(need.CPUs, free.CPUs)
+	limitBy(need.GPUs, free.GPUs)
+	limitBy(need.MemoryGB, free.MemoryGB)
 	return int(max(0, count))
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -8,16 +8,18 @@
 	"pepperlever/internal/protocol"
 )
 
+// host returns an empty host that is not being reclaimed.
 func host(id, zone string, cpus float64) *Host {
 	r := job.Resources{CPUs: cpus, MemoryGB: 100}
 	return &Host{ID: id, Type: "t", Zone: zone, Free: r, Capacity: r, RemainingS: -1}
 }
 
+// spec returns the specification of a job whose tasks need 1 GB of memory each.
 func spec(cpus float64, tasks int) *job.Spec {
 	return &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: cpus, MemoryGB: 1}}
 }
 
-func TestAllowedFollowsThePlacementRules(t *testing.T) {
+func TestAllowedAppliesPlacementConstraints(t *testing.T) {
 	zoned, typed, oneZone, spread := spec(1, 1), spec(1, 1), spec(1, 4), spec(1, 5)
 	zoned.Zone, typed.Types, oneZone.OneZone, spread.Spread = "b", []string{}, true, true
 	spot := host("spot", "a", 4)
@@ -28,17 +30,17 @@
 		zones Zones
 		want  bool
 	}{
-		"fits":                       {spec(4, 1), host("m", "a", 4), nil, true},
-		"too large":                  {spec(5, 1), host("m", "a", 4), nil, false},
-		"other zone":                 {zoned, host("m", "a", 4), nil, false},
-		"no type allowed":            {typed, host("m", "a", 4), nil, false},
-		"spot not allowed":           {spec(1, 1), spot, nil, false},
-		"same zone as the others":    {oneZone, host("m", "a", 4), Zones{"a": 2}, true},
-		"other zone than the others": {oneZone, host("m", "a", 4), Zones{"b": 1}, false},
-		"a zone that is not known":   {oneZone, host("m", "a", 4), Zones{"?": 1}, false},
-		"half, rounded up":           {spread, host("m", "a", 4), Zones{"a": 2}, true},
-		"more than half":             {spread, host("m", "a", 4), Zones{"a": 3}, false},
-		"perhaps more than half":     {spread, host("m", "a", 4), Zones{"a": 2, UnknownZone: 1}, false},
+		"fits":                         {spec(4, 1), host("m", "a", 4), nil, true},
+		"too large":                    {spec(5, 1), host("m", "a", 4), nil, false},
+		"required zone is another one": {zoned, host("m", "a", 4), nil, false},
+		"no type allowed":              {typed, host("m", "a", 4), nil, false},
+		"spot not allowed":             {spec(1, 1), spot, nil, false},
+		"same zone as other tasks":     {oneZone, host("m", "a", 4), Zones{"a": 2}, true},
+		"not the zone of other tasks":  {oneZone, host("m", "a", 4), Zones{"b": 1}, false},
+		"other task in unknown zone":   {oneZone, host("m", "a", 4), Zones{"?": 1}, false},
+		"half the tasks, rounded up":   {spread, host("m", "a", 4), Zones{"a": 2}, true},
+		"more than half the tasks":     {spread, host("m", "a", 4), Zones{"a": 3}, false},
+		"possibly more than half":      {spread, host("m", "a", 4), Zones{"a": 2, UnknownZone: 1}, false},
 	} {
 		if got := Allowed(c.spec, c.host, c.zones); got != c.want {
 			t.Errorf("%s: got %v", name, got)
@@ -55,20 +57,20 @@
 		t.Fatalf("got %v", out)
 	}
 	if out := PlaceGang(s, 2, hosts, nil); out != nil || hosts[0].Free.CPUs != 4 {
-		t.Errorf("half a gang was placed or room was lost: %v", out)
+		t.Errorf("gang was partly placed or its resources not released: %v", out)
 	}
 }
 
-func TestLargeTaskIsNotStarvedBySmallOnes(t *testing.T) {
+func TestReservationPreventsStarvationOfLargeTask(t *testing.T) {
 	hosts := []*Host{host("m1", "a", 8), host("m2", "a", 8)}
 	hosts[0].Free.CPUs, hosts[1].Free.CPUs = 2, 4
 	if reserved := Reserve(spec(8, 1), 2, nil, hosts); len(reserved) != 1 || reserved[0].ID != "m1" {
-		t.Fatalf("reserved %v, not the first of half of the hosts", reserved)
+		t.Fatalf("reserved %v, want only m1: at most half of the hosts", reserved)
 	}
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
 		t.Errorf("small task went to %v", h)
 	}
-	// In the next round it is reserved before anything is placed, but for tasks as large.
+	// In the next round the prior reservation keeps the host free for tasks of the same size.
 	hosts[0].Reserved, hosts[0].PriorReservation, hosts[0].Free = false, spec(8, 1).Need, hosts[0].Capacity
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
 		t.Errorf("small task went to %v", h)
@@ -78,17 +80,17 @@
 	}
 }
 
-func TestHostAboutToGoTakesOnlyWhatEndsInTime(t *testing.T) {
+func TestHostBeingReclaimedTakesOnlyTasksThatFinishInTime(t *testing.T) {
 	h := host("m", "a", 8)
 	h.RemainingS = 10
 	long, short := spec(1, 1), spec(1, 1)
 	long.EstimateS, short.EstimateS = 20, 5
 	if Choose(long, []*Host{h}, nil) != nil || Choose(short, []*Host{h}, nil) == nil {
-		t.Error("the notice is not minded")
+		t.Error("the termination notice is ignored")
 	}
 }
 
-func TestExpensiveHostsAreTheLastChoiceWhileOthersHaveRoom(t *testing.T) {
+func TestSurplusHostsAreTheLastChoiceWhileOthersHaveRoom(t *testing.T) {
 	expensive, cheap := host("expensive", "a", 8), host("cheap", "a", 32)
 	expensive.PricePremium, expensive.Free.CPUs = 1, 1 // nearly full, so the better fit
 	hosts := []*Host{expensive, cheap}
@@ -98,13 +100,13 @@
 	}
 	cheap.Free.CPUs = 0
 	if h := Choose(spec(1, 1), hosts, nil); h != expensive {
-		t.Error("a drained host is no choice at all")
+		t.Error("a deprioritized host is not used although no other has free resources")
 	}
 }
 
-// TestMachineTakesNoMoreTasksThanItsReportCanHold checks that tiny tasks on one machine do not
-// make its report longer than a request may be.
-func TestMachineTakesNoMoreTasksThanItsReportCanHold(t *testing.T) {
+// TestHostTakesNoMoreTasksThanFitIntoItsReport checks that many tiny tasks on one host do not make
+// its report exceed the maximum request size.
+func TestHostTakesNoMoreTasksThanFitIntoItsReport(t *testing.T) {
 	s := &job.Spec{ID: "req-000001", Need: job.Resources{CPUs: 0.001}}
 	h := &Host{Capacity: job.Resources{CPUs: 64}, Free: job.Resources{CPUs: 64}, RemainingS: -1}
 	n := 0
@@ -112,26 +114,26 @@
 		h.Take(s)
 	}
 	if n < 300 || n*len(`{"piece":"req-000001/99999","try":99999,"stance":"exited","cause":"done"}`) > protocol.MaxBody {
-		t.Errorf("a machine takes %d tasks", n)
+		t.Errorf("host takes %d tasks", n)
 	}
 }
 
-// imageOn is a host's cache with one image.
-type imageOn string
+// singleImage is the image cache of a host with a single image.
+type singleImage string
 
-func (i imageOn) HasImage(name string) bool { return name == string(i) }
+func (i singleImage) HasImage(name string) bool { return name == string(i) }
 
-// TestUrgentWorkFollowsItsImageEvenToASurplusHost checks that work that waits for little else than
-// its fetch goes where its image is.
-func TestUrgentWorkFollowsItsImageEvenToASurplusHost(t *testing.T) {
+// TestUrgentTasksPreferHostsWithTheirImageEvenIfSurplus checks that tasks above normal priority,
+// whose start is delayed by little more than the image pull, go to a host that has the image.
+func TestUrgentTasksPreferHostsWithTheirImageEvenIfSurplus(t *testing.T) {
 	for priority, want := range map[string]string{"critical": "warm", "urgent": "warm", "normal": "cold", "low": "cold"} {
 		warm, cold := host("warm", "a", 32), host("cold", "a", 4)
-		warm.Images, warm.PricePremium, warm.RelativeSize = imageOn("i"), 1, 1
+		warm.Images, warm.PricePremium, warm.RelativeSize = singleImage("i"), 1, 1
 		DeprioritizeSurplus([]*Host{warm, cold}, 0)
 		s := spec(1, 1)
 		s.Image, s.Priority = "i", slices.Index(protocol.Priorities, priority)
 		if h := Choose(s, []*Host{warm, cold}, nil); h == nil || h.ID != want {
-			t.Errorf("%s work goes to %v", priority, h)
+			t.Errorf("task of priority %s went to %v", priority, h)
 		}
 	}
 }
--- a/internal/core/placement/reserve.go
+++ b/internal/core/placement/reserve.go
@@ -7,62 +7,65 @@
 	"pepperlever/internal/core/job"
 )
 
-// Reserve reserves up to n hosts for a job that found no room, so that smaller tasks do not
-// take every gap before a large one opens, and tells which. They are the first of the smallest
-// type that holds a task, full ones too: every controller reserves the same ones, or each would
-// fill what another reserves. No more than a part of the hosts of a type is reserved, for all
-// jobs together.
+// Reserve reserves up to n hosts for tasks of a job that fit nowhere, and returns these hosts.
+// Without a reservation smaller tasks would take all resources as they become free, and a large
+// task would starve. Reserve takes the first hosts of the smallest size that can hold a task, even
+// full ones, so that all controllers reserve the same hosts; otherwise each would fill the hosts
+// that another one reserves. All jobs together may reserve maxReservedShare of the hosts of a size,
+// and always at least one.
 func Reserve(s *job.Spec, n int, zones Zones, hosts []*Host) []*Host {
-	size := smallestSize(s, zones, hosts)
+	cpus := smallestHostCPUs(s, zones, hosts)
 	total, reserved := 0, 0
 	for _, h := range hosts {
-		if h.Capacity.CPUs == size {
+		if h.Capacity.CPUs == cpus {
 			total++
 			if h.Reserved {
 				reserved++
 			}
 		}
 	}
-	var out []*Host
+	var chosen []*Host
 	for _, h := range hosts {
-		if len(out) == n || reserved > 0 && float64(reserved) >= maxReservedShare*float64(total) {
+		if len(chosen) == n || reserved > 0 && float64(reserved) >= maxReservedShare*float64(total) {
 			break
 		}
-		if h.Capacity.CPUs == size && !h.Reserved && mayReserve(s, zones, h) {
+		if h.Capacity.CPUs == cpus && !h.Reserved && canReserve(s, zones, h) {
 			reserved++
 			h.Reserved = true
-			out = append(out, h)
+			chosen = append(chosen, h)
 		}
 	}
-	return out
+	return chosen
 }
 
-// smallestSize is the number of CPUs of the smallest hosts that may be reserved for a job.
-func smallestSize(s *job.Spec, zones Zones, hosts []*Host) float64 {
-	size := math.Inf(1)
+// smallestHostCPUs returns the number of CPUs of the smallest hosts that may be reserved for a job,
+// or infinity if there is none.
+func smallestHostCPUs(s *job.Spec, zones Zones, hosts []*Host) float64 {
+	smallest := math.Inf(1)
 	for _, h := range hosts {
-		if mayReserve(s, zones, h) {
-			size = min(size, h.Capacity.CPUs)
+		if canReserve(s, zones, h) {
+			smallest = min(smallest, h.Capacity.CPUs)
 		}
 	}
-	return size
+	return smallest
 }
 
-// mayReserve tells whether a host may be reserved for a job, full or not.
-func mayReserve(s *job.Spec, zones Zones, h *Host) bool {
-	return !h.isLimited() &&
+// canReserve reports whether a host may be reserved for a job, whether it is full or not.
+func canReserve(s *job.Spec, zones Zones, h *Host) bool {
+	return !h.isBeingReclaimed() &&
 		ZoneAllowed(s, h.Zone, zones) &&
 		s.Allows(h.Type, h.Zone, h.Spot) &&
 		s.Need.Fits(h.Capacity) &&
 		!h.Excludes(s)
 }
 
-// ReserveForGang reserves hosts with room for a gang of n tasks that finds none, no more than it
-// needs. Since nothing else takes them meanwhile, they only get more. Where the gang could never
-// be placed whole it reserves nothing.
+// ReserveForGang reserves hosts with free resources for a gang of n tasks that cannot be placed yet,
+// no more than it needs. Other jobs cannot use reserved hosts, so the reserved resources only grow
+// until the gang fits. If the gang could not be placed whole even on empty hosts, nothing is
+// reserved.
 func ReserveForGang(s *job.Spec, n int, hosts []*Host) {
 	reserved := Zones{}
-	for _, h := range roomForGang(s, n, hosts) {
+	for _, h := range hostsForGang(s, n, hosts) {
 		if n <= 0 {
 			return
 		}
@@ -76,40 +79,40 @@
 	}
 }
 
-// roomForGang lists the hosts with room for a task of a gang of n tasks: those of all zones, or
-// of the zone where there are most if it has to stay in one.
-func roomForGang(s *job.Spec, n int, hosts []*Host) []*Host {
+// hostsForGang returns the hosts with free resources for a task of a gang of n tasks. If the gang
+// has to be in one zone, these are the hosts of the zone with the most such hosts.
+func hostsForGang(s *job.Spec, n int, hosts []*Host) []*Host {
 	usable := slices.DeleteFunc(slices.Clone(hosts), func(h *Host) bool {
-		return h.isLimited() || !s.Allows(h.Type, h.Zone, h.Spot) || h.excludesKind(s)
+		return h.isBeingReclaimed() || !s.Allows(h.Type, h.Zone, h.Spot) || h.excludesKind(s)
 	})
 	if !s.OneZone {
-		return roomTogether(s, n, usable)
+		return hostsForWholeGang(s, n, usable)
 	}
-	var most []*Host
-	for _, zone := range slices.Sorted(slices.Values(zonesOf(usable))) {
+	var largest []*Host
+	for _, zone := range slices.Sorted(slices.Values(distinctZones(usable))) {
 		inZone := slices.DeleteFunc(slices.Clone(usable), func(h *Host) bool { return h.Zone != zone })
-		if room := roomTogether(s, n, inZone); len(room) > len(most) {
-			most = room
+		if available := hostsForWholeGang(s, n, inZone); len(available) > len(largest) {
+			largest = available
 		}
 	}
-	return most
+	return largest
 }
 
-// roomTogether lists the hosts with room for a task of a gang, if n tasks could ever be on the
-// hosts together.
-func roomTogether(s *job.Spec, n int, hosts []*Host) (room []*Host) {
+// hostsForWholeGang returns the hosts with free resources for a task of a gang, or nil if n of its
+// tasks would not fit on the hosts together even if these were empty.
+func hostsForWholeGang(s *job.Spec, n int, hosts []*Host) (available []*Host) {
 	if gangCapacity(s, hosts) < n {
 		return nil
 	}
 	for _, h := range hosts {
 		if !h.Reserved && !h.reservedForLarger(s) && !h.Excludes(s) && s.Need.Fits(h.Free) {
-			room = append(room, h)
+			available = append(available, h)
 		}
 	}
-	return room
+	return available
 }
 
-// gangCapacity is how many tasks of a gang could be on hosts together, were they empty.
+// gangCapacity returns how many tasks of a gang would fit on the hosts if these were empty.
 func gangCapacity(s *job.Spec, hosts []*Host) (tasks int) {
 	byZone := Zones{}
 	for _, h := range hosts {
--- a/internal/core/placement/reserve_test.go
+++ b/internal/core/placement/reserve_test.go
@@ -7,9 +7,9 @@
 	"pepperlever/internal/core/job"
 )
 
-// Guards against gangs that hold hosts on which they can never be placed together, while other work
-// waits beside them.
-func TestGangReservesHostsOnlyWhereItCanBePlacedWhole(t *testing.T) {
+// TestGangReservesHostsOnlyWhereItFitsWhole guards against gangs that reserve hosts on which they
+// can never be placed together, so that the hosts stay idle while other jobs wait.
+func TestGangReservesHostsOnlyWhereItFitsWhole(t *testing.T) {
 	inZones := func(zones ...string) (hosts []*Host) {
 		for i, zone := range zones {
 			hosts = append(hosts, host(string(rune('a'+i)), zone, 4))
@@ -22,17 +22,17 @@
 		prepare         func(hosts []*Host)
 		want            []string
 	}{
-		"anywhere, with capacity":             {zones: []string{"z1", "z1", "z2", "z2"}, want: []string{"a", "b", "c", "d"}},
-		"anywhere, too little capacity":       {zones: []string{"z1", "z1", "z2"}},
-		"one zone, with capacity":             {zones: []string{"z1", "z2", "z2", "z2", "z2"}, oneZone: true, want: []string{"b", "c", "d", "e"}},
-		"one zone, capacity in two together":  {zones: []string{"z1", "z1", "z2", "z2"}, oneZone: true},
-		"spread, capacity in one zone alone":  {zones: []string{"z1", "z1", "z1", "z1"}, spread: true},
-		"spread, most of the capacity in one": {zones: []string{"z1", "z1", "z1", "z2", "z2"}, spread: true, want: []string{"a", "b", "d", "e"}},
-		"hosts for accelerators do not count": {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[3].GPUOnly = true }},
-		"hosts for services do not count":     {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[0].ServicesOnly = true }},
-		"hosts of another gang come back": {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[0].ReservedForGang = "other" },
+		"any zone, enough capacity":         {zones: []string{"z1", "z1", "z2", "z2"}, want: []string{"a", "b", "c", "d"}},
+		"any zone, too little capacity":     {zones: []string{"z1", "z1", "z2"}},
+		"one zone, enough capacity":         {zones: []string{"z1", "z2", "z2", "z2", "z2"}, oneZone: true, want: []string{"b", "c", "d", "e"}},
+		"one zone, capacity split over two": {zones: []string{"z1", "z1", "z2", "z2"}, oneZone: true},
+		"spread, capacity in one zone only": {zones: []string{"z1", "z1", "z1", "z1"}, spread: true},
+		"spread, most capacity in one zone": {zones: []string{"z1", "z1", "z1", "z2", "z2"}, spread: true, want: []string{"a", "b", "d", "e"}},
+		"GPU-only hosts do not count":       {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[3].GPUOnly = true }},
+		"services-only hosts do not count":  {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[0].ServicesOnly = true }},
+		"hosts reserved for another gang count as capacity": {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[0].ReservedForGang = "other" },
 			want: []string{"b", "c", "d"}},
-		"full hosts count": {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[0].Free.CPUs = 1 },
+		"full hosts count as capacity": {zones: []string{"z1", "z1", "z2", "z2"}, prepare: func(hosts []*Host) { hosts[0].Free.CPUs = 1 },
 			want: []string{"b", "c", "d"}},
 	} {
 		s := &job.Spec{ID: "req-1", Kind: job.Gang, Tasks: 4, Need: job.Resources{CPUs: 4, MemoryGB: 1}, Spot: true, Spread: c.spread, OneZone: c.oneZone}
--- a/internal/core/relay/entry.go
+++ b/internal/core/relay/entry.go
@@ -6,53 +6,53 @@
 	"strings"
 )
 
-// Entry is the final outcome of one attempt of a task.
+// Entry records the final outcome of one attempt of a task.
 type Entry struct {
 	Job     string
 	Index   int
 	Attempt uint64
 	Machine string
-	// Reason is why the attempt has exited. It is empty for an attempt that was not started
-	// and never will be.
+	// Reason is why the attempt exited. It is empty for an attempt that was never started and
+	// never will be.
 	Reason string
 }
 
-// JobEntries holds the entries of one job, each in its stored form. A list of these is
-// stored rather than a map from jobs to lists: the JSON library corrupts memory where it
-// reads such a map (docs/incidents/apart.md).
+// JobEntries holds the entries of one job in their stored form. Pages contain a list of JobEntries
+// instead of a map from jobs to lists because the JSON library corrupts memory when it decodes such
+// a map (see docs/incidents/apart.md).
 type JobEntries struct {
 	Job     string   `json:"j"`
 	Entries []string `json:"s"`
 }
 
-// entryFields is the number of space-separated fields of a stored entry.
-const entryFields = 4
+// entryFieldCount is the number of space-separated fields in a stored entry.
+const entryFieldCount = 4
 
-// String is the stored form of an entry within its job.
+// String returns the stored form of the entry, without the job.
 func (e Entry) String() string {
 	return fmt.Sprintf("%d %d %s %s", e.Index, e.Attempt, e.Machine, e.Reason)
 }
 
-// MalformedEntryError reports a stored entry that can't be parsed.
+// MalformedEntryError is returned for a stored entry that cannot be parsed.
 type MalformedEntryError struct {
 	Job   string
 	Entry string
 	Err   error
 }
 
-// Error names the entry and its job.
+// Error implements the error interface.
 func (e *MalformedEntryError) Error() string {
 	return fmt.Sprintf("malformed entry %q of job %s: %v", e.Entry, e.Job, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *MalformedEntryError) Unwrap() error { return e.Err }
 
-// parseEntry reads the stored form of an entry of a job.
+// parseEntry parses the stored form of an entry of a job.
 func parseEntry(job, stored string) (Entry, error) {
 	fields := strings.Split(stored, " ")
-	if len(fields) != entryFields {
-		return Entry{}, &MalformedEntryError{job, stored, fmt.Errorf("%d fields, want %d", len(fields), entryFields)}
+	if len(fields) != entryFieldCount {
+		return Entry{}, &MalformedEntryError{job, stored, fmt.Errorf("%d fields, want %d", len(fields), entryFieldCount)}
 	}
 	index, err := strconv.Atoi(fields[0])
 	if err != nil {
--- a/internal/core/relay/publication.go
+++ b/internal/core/relay/publication.go
@@ -9,33 +9,33 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Publication follows which pages of this controller the store holds, and at which versions.
-// Each page is written on the condition that it is as it was seen, so that a write which
-// is carried out late, after newer ones, has no effect.
+// Publication tracks which of this controller's pages are in the store, and at which versions.
+// Pages are written by compare-and-swap on the last observed version, so that a delayed write has
+// no effect after a newer one.
 type Publication struct {
 	stored map[string]storedPage
-	// lastWritten is the page that was written last, apart from the first page.
+	// lastWritten is the name of the page written last, other than the first page.
 	lastWritten string
 }
 
-// storedPage is a page as the store holds it; without a value it is not there.
+// storedPage is the state of a page in the store. Its value is nil if the page does not exist.
 type storedPage struct {
 	value   json.RawMessage
 	version uint64
 }
 
-// Change is a page to be written, or deleted where Value is nil, while the store holds it
-// at Version, 0 if not at all.
+// Change is a write of a page, or its deletion if Value is nil. It applies only if the store holds
+// the page at Version, where 0 stands for a page that does not exist.
 type Change struct {
 	Page    string
 	Value   json.RawMessage
 	Version uint64
 }
 
-// Empty tells whether nothing is stored.
+// Empty reports whether no pages are stored.
 func (p *Publication) Empty() bool { return len(p.StoredPages()) == 0 }
 
-// StoredPages names the pages that are stored, in order.
+// StoredPages returns the sorted names of the stored pages.
 func (p *Publication) StoredPages() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(p.stored)) {
 		if p.stored[name].value != nil {
@@ -45,18 +45,18 @@
 	return names
 }
 
-// Diff lists at most limit changes that bring the stored pages up to want: the first page,
-// and then the others in rotation, since pages that change each time would keep the rest
-// from being written.
-func (p *Publication) Diff(want map[string]json.RawMessage, limit int) []Change {
+// Diff returns at most limit changes that bring the stored pages closer to the desired ones. The
+// first page comes first. The others follow in rotation, since pages that change every time would
+// otherwise keep the rest from being written.
+func (p *Publication) Diff(desired map[string]json.RawMessage, limit int) []Change {
 	var changes []Change
-	for _, name := range slices.Sorted(maps.Keys(want)) {
-		if !bytes.Equal(want[name], p.stored[name].value) {
-			changes = append(changes, Change{Page: name, Value: want[name], Version: p.version(name)})
+	for _, name := range slices.Sorted(maps.Keys(desired)) {
+		if !bytes.Equal(desired[name], p.stored[name].value) {
+			changes = append(changes, Change{Page: name, Value: desired[name], Version: p.version(name)})
 		}
 	}
 	for _, name := range p.StoredPages() {
-		if want[name] == nil {
+		if desired[name] == nil {
 			changes = append(changes, Change{Page: name, Version: p.version(name)})
 		}
 	}
@@ -66,7 +66,7 @@
 	return changes[:min(len(changes), limit)]
 }
 
-// version is the one at which a page is stored, 0 if it is not.
+// version returns the version of a stored page, or 0 if the page is not stored.
 func (p *Publication) version(page string) uint64 {
 	if s := p.stored[page]; s.value != nil {
 		return s.version
@@ -74,8 +74,8 @@
 	return 0
 }
 
-// priority orders pages for writing, lowest first: the first page, those after the one written
-// last, and the rest.
+// priority returns the rank of a page in the order of writes, lowest first: the first page, then the
+// pages after the one written last, then the rest.
 func (p *Publication) priority(page string) int {
 	switch {
 	case page == FirstPage:
@@ -86,8 +86,8 @@
 	return 2
 }
 
-// Confirm notes that changes have been written at a revision. A write whose reply was lost
-// is found out by Observe.
+// Confirm records that changes were written at a revision. Writes whose reply was lost are recorded
+// by Observe instead.
 func (p *Publication) Confirm(changes []Change, revision uint64) {
 	for _, c := range changes {
 		if c.Page != FirstPage {
@@ -97,7 +97,8 @@
 	}
 }
 
-// Observe notes what the store holds of a page as of a revision, nil for nothing.
+// Observe records the value of a page in the store at a revision, or nil if the page does not exist.
+// It ignores revisions older than the known one.
 func (p *Publication) Observe(page string, value json.RawMessage, revision uint64) {
 	if p.stored == nil {
 		p.stored = map[string]storedPage{}
--- a/internal/core/relay/relay_test.go
+++ b/internal/core/relay/relay_test.go
@@ -17,14 +17,14 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// Entries and machines fit into pages of the limited size and are read back as they were. The
-// changes that are written, in any portions and with lost replies, end with the store
-// holding exactly those pages.
-func TestPagesHoldEverythingWithinTheLimit(t *testing.T) {
+// TestPagesRoundTripWithinSizeLimit checks that all entries and machines are read back from pages
+// within the size limit. Whatever the batches of changes, delayed writes and lost replies, the store
+// ends up with exactly these pages.
+func TestPagesRoundTripWithinSizeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(512, 8192).Draw(t, "limit")
 		published := map[Entry]bool{}
-		for _, n := range rapid.SliceOfN(rapid.IntRange(0, 5000), 0, 400).Draw(t, "facts") {
+		for _, n := range rapid.SliceOfN(rapid.IntRange(0, 5000), 0, 400).Draw(t, "entries") {
 			published[Entry{fmt.Sprintf("req-%06d", n%7), n, uint64(n) * 3, fmt.Sprintf("vm-%06d", n), []string{"done", "error", ""}[n%3]}] = true
 		}
 		machines := map[MachineKind][]string{}
@@ -32,12 +32,12 @@
 			k := MachineKind{Type: "sixteen", Zone: fmt.Sprint("z", n%3), Spot: n%2 == 0, Token: uint64(n % 40), Epoch: 1, NoticeS: n % 4}
 			machines[k] = append(machines[k], fmt.Sprintf("vm-%06d", n))
 		}
-		want := Pages(json.RawMessage(`{"n":1}`), keysOf(published), machines, limit)
+		want := Pages(json.RawMessage(`{"n":1}`), entryList(published), machines, limit)
 
 		var publication Publication
 		stored, versions := map[string]json.RawMessage{}, map[string]uint64{}
 		revision := uint64(0)
-		// commit does what the store does, and tells whether the conditions held.
+		// commit applies a transaction like the store, and reports whether its conditions held.
 		commit := func(changes []Change) bool {
 			for _, c := range changes {
 				if versions[c.Page] != c.Version {
@@ -54,43 +54,44 @@
 			}
 			return true
 		}
-		watch := func() {
+		// observeAll delivers the current state of the pages, like a watch of the store.
+		observeAll := func() {
 			for page := range versions {
 				publication.Observe(page, stored[page], revision)
 			}
 		}
-		var late [][]Change
+		var delayed [][]Change
 		for round := 0; ; round++ {
 			if round > 3 {
-				for _, changes := range late {
+				for _, changes := range delayed {
 					commit(changes)
 				}
-				late = nil
-				watch()
+				delayed = nil
+				observeAll()
 			}
-			changes := publication.Diff(want, rapid.IntRange(1, 8).Draw(t, "portion"))
-			if len(changes) == 0 && late == nil {
+			changes := publication.Diff(want, rapid.IntRange(1, 8).Draw(t, "batch size"))
+			if len(changes) == 0 && delayed == nil {
 				break
 			}
-			if round < 3 && rapid.Bool().Draw(t, "carried out late") {
-				late = append(late, changes)
-			} else if commit(changes) && rapid.Bool().Draw(t, "answered") {
+			if round < 3 && rapid.Bool().Draw(t, "write delayed") {
+				delayed = append(delayed, changes)
+			} else if commit(changes) && rapid.Bool().Draw(t, "reply received") {
 				publication.Confirm(changes, revision)
 			} else {
-				watch()
+				observeAll()
 			}
 		}
-		read := map[MachineKind][]string{}
+		readBack := map[MachineKind][]string{}
 		for name, value := range stored {
 			if len(value) > limit {
-				t.Fatalf("page %s has %d bytes", name, len(value))
+				t.Fatalf("page %s has %d bytes, more than the limit", name, len(value))
 			}
 			var p Page
 			if err := json.Unmarshal(value, &p); err != nil {
 				t.Fatal(err)
 			}
 			if (name == FirstPage) != (p.Heartbeat != nil) {
-				t.Fatalf("page %s: heartbeat is %s", name, p.Heartbeat)
+				t.Fatalf("page %s: got heartbeat %s, want one on the first page only", name, p.Heartbeat)
 			}
 			entries, err := p.Entries()
 			if err != nil {
@@ -103,34 +104,35 @@
 				delete(published, e)
 			}
 			for _, g := range p.Machines {
-				read[g.MachineKind] = append(read[g.MachineKind], g.Machines...)
+				readBack[g.MachineKind] = append(readBack[g.MachineKind], g.Machines...)
 			}
 		}
 		if len(published) > 0 {
-			t.Fatalf("%d entries are lost", len(published))
+			t.Fatalf("%d entries are missing from the pages", len(published))
 		}
 		for k, ids := range machines {
 			slices.Sort(ids)
-			if slices.Sort(read[k]); !slices.Equal(ids, read[k]) {
-				t.Fatalf("%+v: %d machines of %d", k, len(read[k]), len(ids))
+			if slices.Sort(readBack[k]); !slices.Equal(ids, readBack[k]) {
+				t.Fatalf("%+v: got %d machines, want %d", k, len(readBack[k]), len(ids))
 			}
 		}
 		publication.Confirm(publication.Diff(nil, 1<<20), revision+1)
 		if !publication.Empty() {
-			t.Fatal("pages are left once there is nothing to publish")
+			t.Fatal("pages remain stored after all were deleted")
 		}
 	})
 }
 
-func keysOf(m map[Entry]bool) []Entry {
+// entryList returns the entries in a set.
+func entryList(m map[Entry]bool) []Entry {
 	var out []Entry
-	for f := range m {
-		out = append(out, f)
+	for entry := range m {
+		out = append(out, entry)
 	}
 	return out
 }
 
-// Each kind of malformed entry is reported as such, with the job that it belongs to.
+// TestMalformedEntriesAreErrors checks that every kind of malformed entry is reported with its job.
 func TestMalformedEntriesAreErrors(t *testing.T) {
 	for _, s := range []string{"", "1 2 vm", "x 2 vm done", "1 -2 vm done", "1 2 vm done more"} {
 		_, err := (&Page{Jobs: []JobEntries{{"req-1", []string{s}}}}).Entries()
@@ -141,9 +143,10 @@
 	}
 }
 
-// The page with the heartbeat differs each time, and so may others. They must not keep the rest
-// from being written, however few pages fit into a transaction.
-func TestPagesThatChangeEachTimeLeaveRoomForTheOthers(t *testing.T) {
+// TestFrequentlyChangingPagesDoNotStarveOthers guards against pages that are never written. The page
+// with the heartbeat changes every time, and others may too. Since a transaction holds few pages,
+// these could always be written in place of the rest.
+func TestFrequentlyChangingPagesDoNotStarveOthers(t *testing.T) {
 	machines := map[MachineKind][]string{{Type: "t", Zone: "a"}: {"vm-000001"}, {Type: "t", Zone: "b"}: {"vm-000002"}}
 	var entries []Entry
 	for n := range 60 {
@@ -158,7 +161,7 @@
 		want := Pages(json.RawMessage(fmt.Sprintf(`{"n":%d}`, round)), entries, machines, 512)
 		changes := publication.Diff(want, 2)
 		if changes[0].Page != FirstPage {
-			t.Fatalf("round %d: %s before the heartbeat", round, changes[0].Page)
+			t.Fatalf("round %d: first change is page %s, want the heartbeat", round, changes[0].Page)
 		}
 		for _, c := range changes {
 			stored[c.Page] = true
@@ -168,5 +171,5 @@
 			return
 		}
 	}
-	t.Errorf("of the pages only %v were ever written", slices.Sorted(maps.Keys(stored)))
+	t.Errorf("only pages %v were ever written", slices.Sorted(maps.Keys(stored)))
 }
--- a/internal/core/scaling/plan.go
+++ b/internal/core/scaling/plan.go
@@ -1,4 +1,4 @@
-// Package scaling decides which machines to rent for demand that finds no room.
+// Package scaling decides which machines to rent for tasks that do not fit on the current ones.
 package scaling
 
 import (
@@ -13,36 +13,37 @@
 	"pepperlever/internal/protocol"
 )
 
-// largerTypePenalty makes the price of larger machines count for more: of two offers of about
-// the same price the smaller machine leaves the large ones to tasks that need them, and empties
-// sooner.
+// largerTypePenalty is the factor by which the price of larger machines is raised in comparisons. At
+// about the same price smaller machines are better: they leave the large ones to tasks that need
+// them, and they become idle sooner.
 const largerTypePenalty = 1.25
 
-// Entitlement is demand's right to expensive machines.
+// Entitlement ranks demand by how expensive the machines may be that are rented for it.
 type Entitlement uint8
 
-// Entitlements, the strongest last.
+// The entitlements, in ascending order.
 const (
-	// BestEffort demand uses what is there or cheap.
+	// BestEffort demand uses existing or cheap machines only.
 	BestEffort Entitlement = iota
-	// Standard demand may wait.
+	// Standard demand can wait.
 	Standard
-	// Guaranteed demand is within the guarantee of its team.
+	// Guaranteed demand is within the guaranteed CPUs of its team.
 	Guaranteed
-	// AtRisk demand will be late unless it finds room soon.
+	// AtRisk demand will be late unless it is placed soon.
 	AtRisk
 )
 
-// Offer is a kind of machine that the cloud may have.
+// Offer is a kind of machine in a zone that the cloud may be able to provide.
 type Offer struct {
 	Type protocol.MachineType
 	Zone string
 	Spot bool
-	// MinEntitlement is what demand needs to use the offer, unless it may not use cheaper ones.
+	// MinEntitlement is the lowest entitlement that may use the offer. It does not apply to jobs
+	// that may not use spot machines.
 	MinEntitlement Entitlement
 }
 
-// Price is the current price per hour.
+// Price returns the current price per hour.
 func (o Offer) Price() float64 {
 	if o.Spot {
 		return o.Type.SpotPrice
@@ -50,14 +51,14 @@
 	return o.Type.Price
 }
 
-// Capacity is what a machine of the offer has.
+// Capacity returns the resources of a machine of the offer.
 func (o Offer) Capacity() job.Resources { return catalog.Capacity(o.Type) }
 
-// pricePerCPU is the current price of a CPU per hour.
+// pricePerCPU returns the current price per hour and CPU.
 func (o Offer) pricePerCPU() float64 { return o.Price() / max(o.Type.CPUs, 1) }
 
-// machine is a machine of the offer with nothing on it.
-func (o Offer) machine() *placement.Host {
+// emptyHost returns a machine of the offer as a host without tasks.
+func (o Offer) emptyHost() *placement.Host {
 	capacity := o.Capacity()
 	return &placement.Host{
 		Type:       o.Type.Name,
@@ -69,8 +70,8 @@
 	}
 }
 
-// Demand is a number of like tasks that have no place. Zones counts the other tasks of their
-// job by zone.
+// Demand is a number of identical tasks that could not be placed. Zones counts the bound tasks of
+// their job by zone.
 type Demand struct {
 	Spec        *job.Spec
 	Tasks       int
@@ -78,7 +79,7 @@
 	Zones       placement.Zones
 }
 
-// mayUse tells whether an offer's machines may be rented for the demand.
+// mayUse reports whether machines of an offer may be rented for the demand.
 func (d Demand) mayUse(o Offer) bool {
 	if d.Spec.Spot && d.Entitlement < o.MinEntitlement {
 		return false
@@ -86,15 +87,15 @@
 	return d.Spec.Allows(o.Type.Name, o.Zone, o.Spot) && d.Spec.Need.Fits(o.Capacity())
 }
 
-// Order asks for a number of machines of an offer.
+// Order is a request for a number of machines of an offer.
 type Order struct {
 	Offer Offer
 	Count int
 }
 
-// Plan covers demand with the machines that are already pending and then with the cheapest
-// offers. Demand that is not best effort may also have the room on preemptible hosts, where
-// best-effort work is stopped for it. Every offer may be ordered up to limit times.
+// Plan returns the machines to order for demand that the pending machines cannot hold, from the
+// cheapest offers. Demand above BestEffort also counts on the resources of preemptible hosts, where
+// best-effort tasks are preempted for it. At most limit machines of each offer are ordered.
 func Plan(demands []Demand, pending, preemptible []*placement.Host, offers []Offer, limit int) []Order {
 	p := planner{
 		hosts:       slices.Clone(pending),
@@ -109,46 +110,47 @@
 	return p.orders()
 }
 
-// planner works out orders for one demand after the other.
+// planner plans orders for one demand after another.
 type planner struct {
-	// hosts are the machines that are pending or ordered.
+	// hosts are the pending machines and those ordered so far.
 	hosts, preemptible []*placement.Host
 	offers             []Offer
-	// counts is how many machines of each offer are ordered, of which there may be limit.
+	// counts is the number of machines ordered of each offer; limit is its maximum.
 	counts []int
 	limit  int
 }
 
-// cover finds room for a demand, and orders machines for what finds none.
+// cover places a demand on the known hosts, and orders machines for the tasks that do not fit.
 func (p *planner) cover(d Demand) {
-	room := p.hosts
+	candidates := p.hosts
 	if d.Entitlement > BestEffort {
-		room = append(slices.Clip(room), preemptibleFor(d.Spec, p.preemptible)...)
+		candidates = append(slices.Clip(candidates), preemptibleFor(d.Spec, p.preemptible)...)
 	}
-	zones := p.chooseZone(d, room)
-	left := d.Tasks
-	picker := placement.NewPicker(d.Spec, zones.hostsIn(room))
-	for left > 0 {
-		host := picker.Next(left, zones.tasks)
+	constraint := p.chooseZone(d, candidates)
+	remaining := d.Tasks
+	picker := placement.NewPicker(d.Spec, constraint.filterHosts(candidates))
+	for remaining > 0 {
+		host := picker.Next(remaining, constraint.tasksByZone)
 		if host == nil {
 			break
 		}
-		left -= zones.fill(host, left)
+		remaining -= constraint.allocate(host, remaining)
 	}
-	for left > 0 {
-		i := p.cheapestOffer(d, left, zones)
+	for remaining > 0 {
+		i := p.cheapestOffer(d, remaining, constraint)
 		if i < 0 {
 			return
 		}
 		p.counts[i]++
-		host := p.offers[i].machine()
-		left -= zones.fill(host, left)
+		host := p.offers[i].emptyHost()
+		remaining -= constraint.allocate(host, remaining)
 		p.hosts = append(p.hosts, host)
 	}
 }
 
-// orders lists what is ordered, the cheapest machines first: the cloud takes few requests, and
-// by the next time the machines count, so that fewer expensive ones are asked for.
+// orders returns the orders, sorted by price per CPU. The rate of requests to the cloud is limited,
+// so the last orders may not be sent. The machines ordered first then count as pending in the next
+// plan, which therefore needs fewer expensive ones.
 func (p *planner) orders() []Order {
 	var orders []Order
 	for i, n := range p.counts {
@@ -162,8 +164,9 @@
 	return orders
 }
 
-// preemptibleFor leaves out hosts on which more work would be lost than a task has: nothing is
-// stopped there for it, so their room must not count.
+// preemptibleFor returns the hosts on which tasks would be preempted for a job. Where more work
+// would be lost than one of its tasks has, nothing is preempted, so the resources there must not
+// count. Services preempt regardless of the loss.
 func preemptibleFor(s *job.Spec, hosts []*placement.Host) []*placement.Host {
 	if s.Kind == job.Service {
 		return hosts
@@ -174,90 +177,92 @@
 	})
 }
 
-// zoneChoice is where machines for the tasks of a job may be. Machines of another zone than
-// the job's other tasks may be of no use to it, however cheap they are.
-type zoneChoice struct {
+// zoneConstraint limits the zones of machines for the tasks of a job. Even the cheapest machines
+// are useless in a zone where the placement of the job's other tasks leaves no room for more.
+type zoneConstraint struct {
 	spec *job.Spec
-	// tasks counts the tasks of the job by zone.
-	tasks placement.Zones
-	// only, if set, is the zone for all of them.
-	only string
+	// tasksByZone counts the bound and planned tasks of the job.
+	tasksByZone placement.Zones
+	// requiredZone, if set, is the zone that all tasks have to be in.
+	requiredZone string
 }
 
-// chooseZone finds the zone for tasks that have to be together and may still choose one: the
-// cheapest that may have room for all, or else the one that may have most.
-func (p *planner) chooseZone(d Demand, hosts []*placement.Host) *zoneChoice {
-	choice := &zoneChoice{spec: d.Spec, tasks: placement.Zones{}}
-	maps.Copy(choice.tasks, d.Zones)
+// chooseZone returns the zone constraint of a demand. For tasks that have to share a zone and run
+// together, while none is bound yet, it requires the cheapest zone that may hold them all, or else
+// the zone that may hold the most.
+func (p *planner) chooseZone(d Demand, hosts []*placement.Host) *zoneConstraint {
+	constraint := &zoneConstraint{spec: d.Spec, tasksByZone: placement.Zones{}}
+	maps.Copy(constraint.tasksByZone, d.Zones)
 	if !d.Spec.OneZone || len(d.Zones) > 0 || d.Spec.MinConcurrency() == 1 {
-		return choice
+		return constraint
 	}
-	room, price := p.roomByZone(d, hosts), p.priceByZone(d)
-	for _, zone := range slices.Sorted(maps.Keys(room)) {
-		here, most := min(room[zone], d.Tasks), min(room[choice.only], d.Tasks)
-		isCheaper := here == most && price[zone] < price[choice.only]
-		if choice.only == "" || here > most || isCheaper {
-			choice.only = zone
+	capacity, price := p.capacityByZone(d, hosts), p.priceByZone(d)
+	for _, zone := range slices.Sorted(maps.Keys(capacity)) {
+		zoneCapacity, bestCapacity := min(capacity[zone], d.Tasks), min(capacity[constraint.requiredZone], d.Tasks)
+		isCheaper := zoneCapacity == bestCapacity && price[zone] < price[constraint.requiredZone]
+		if constraint.requiredZone == "" || zoneCapacity > bestCapacity || isCheaper {
+			constraint.requiredZone = zone
 		}
 	}
-	return choice
+	return constraint
 }
 
-// roomByZone is how many tasks of a demand may have room in each zone, on hosts and machines
-// that may be rented.
-func (p *planner) roomByZone(d Demand, hosts []*placement.Host) map[string]int {
-	room := map[string]int{}
+// capacityByZone returns how many tasks of a demand may fit in each zone, on the hosts and on
+// machines that may be rented.
+func (p *planner) capacityByZone(d Demand, hosts []*placement.Host) map[string]int {
+	capacity := map[string]int{}
 	for _, h := range hosts {
-		if placement.Suits(d.Spec, h, nil) {
-			room[h.Zone] += placement.FitCount(d.Spec.Need, h.Free)
+		if placement.Feasible(d.Spec, h, nil) {
+			capacity[h.Zone] += placement.FitCount(d.Spec.Need, h.Free)
 		}
 	}
 	for _, o := range p.offers {
 		if d.mayUse(o) {
-			room[o.Zone] += p.limit * placement.FitCount(d.Spec.Need, o.Capacity())
+			capacity[o.Zone] += p.limit * placement.FitCount(d.Spec.Need, o.Capacity())
 		}
 	}
-	return room
+	return capacity
 }
 
-// priceByZone is the least price of a CPU that a demand may use in each zone.
+// priceByZone returns the lowest price per CPU among the offers that a demand may use in each zone.
 func (p *planner) priceByZone(d Demand) map[string]float64 {
 	price := map[string]float64{}
 	for _, o := range p.offers {
 		if !d.mayUse(o) {
 			continue
 		}
-		if least, priced := price[o.Zone]; !priced || o.pricePerCPU() < least {
+		if lowest, priced := price[o.Zone]; !priced || o.pricePerCPU() < lowest {
 			price[o.Zone] = o.pricePerCPU()
 		}
 	}
 	return price
 }
 
-// allows tells whether one more task may go to a zone.
-func (z *zoneChoice) allows(zone string) bool {
-	return (z.only == "" || zone == z.only) && placement.ZoneAllowed(z.spec, zone, z.tasks)
+// allows reports whether one more task may be placed in a zone.
+func (z *zoneConstraint) allows(zone string) bool {
+	return (z.requiredZone == "" || zone == z.requiredZone) && placement.ZoneAllowed(z.spec, zone, z.tasksByZone)
 }
 
-// hostsIn leaves out the hosts of other zones than the only one.
-func (z *zoneChoice) hostsIn(hosts []*placement.Host) []*placement.Host {
-	if z.only == "" {
+// filterHosts returns the hosts in the required zone, or all hosts if none is required.
+func (z *zoneConstraint) filterHosts(hosts []*placement.Host) []*placement.Host {
+	if z.requiredZone == "" {
 		return hosts
 	}
-	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.Zone != z.only })
+	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool { return h.Zone != z.requiredZone })
 }
 
-// fill puts as many of n like tasks on a host as it and its zone have room for.
-func (z *zoneChoice) fill(h *placement.Host, n int) int {
-	n = min(n, placement.FitCount(z.spec.Need, h.Free), placement.ZoneAllowance(z.spec, h.Zone, z.tasks))
+// allocate places as many of n identical tasks on a host as fit there and are allowed in its zone,
+// and returns their number.
+func (z *zoneConstraint) allocate(h *placement.Host, n int) int {
+	n = min(n, placement.FitCount(z.spec.Need, h.Free), placement.ZoneAllowance(z.spec, h.Zone, z.tasksByZone))
 	h.Free = h.Free.Plus(z.spec.Need, -float64(n))
-	z.tasks[h.Zone] += n
+	z.tasksByZone[h.Zone] += n
 	return n
 }
 
-// byEntitlement puts demand with the strongest entitlement first, since it would have expensive
-// machines rented where others took the room that is pending; then the largest tasks, so that
-// small ones fill the gaps.
+// byEntitlement sorts demand by descending entitlement: if other demand took the pending machines,
+// expensive ones would be rented for demand with a high entitlement. Among equals the largest tasks
+// come first, so that small ones fill the gaps.
 func byEntitlement(demands []Demand) []Demand {
 	sorted := slices.Clone(demands)
 	slices.SortStableFunc(sorted, func(a, b Demand) int {
@@ -266,11 +271,12 @@
 	return sorted
 }
 
-// cheapestOffer finds the offer with the least price per task, or -1 when there is none.
-func (p *planner) cheapestOffer(d Demand, tasks int, zones *zoneChoice) int {
+// cheapestOffer returns the index of the usable offer with the lowest price per task, or -1 if there
+// is none.
+func (p *planner) cheapestOffer(d Demand, tasks int, constraint *zoneConstraint) int {
 	best, bestPrice := -1, math.Inf(1)
 	for i, o := range p.offers {
-		if p.counts[i] >= p.limit || !d.mayUse(o) || !zones.allows(o.Zone) {
+		if p.counts[i] >= p.limit || !d.mayUse(o) || !constraint.allows(o.Zone) {
 			continue
 		}
 		fit := min(placement.FitCount(d.Spec.Need, o.Capacity()), max(tasks, 1))
--- a/internal/core/worker/answers.go
+++ b/internal/core/worker/answers.go
@@ -1,34 +1,34 @@
 package worker
 
-// answerTracker follows, from a machine's own reports, whether the answers to them arrive. A
-// report says the highest token that the worker has seen, so one that is lower than the token
-// which the report before was answered with shows that the answer did not arrive. Nothing else
-// does: a machine whose network carries only what it sends goes on reporting, to one
+// answerTracker detects from a machine's reports whether the worker receives the answers to
+// them. A report carries the highest token that the worker has seen. If that is lower than the
+// token in the answer to the previous report, the answer was lost. This is the only way to detect
+// a one-way network failure: a machine that can send but not receive keeps reporting, to one
 // controller after another, and looks alive.
 type answerTracker struct {
-	// lastToken is the token of the newest answer.
+	// lastToken is the fencing token in the latest answer.
 	lastToken uint64
-	// missedInRow is how many answers in a row did not arrive.
-	missedInRow int
+	// consecutiveMisses is the number of answers in a row that were lost.
+	consecutiveMisses int
 }
 
-// unreachableAfter is how many answers in a row have to be lost for a machine to count as
-// unreachable. A single one may be lost on any day.
-const unreachableAfter = 2
+// unreachableThreshold is the number of consecutive lost answers after which a machine counts as
+// unreachable. A single lost answer is normal.
+const unreachableThreshold = 2
 
-// RecordAnswer takes the token that a report names and the token of its answer.
-func (m *Machine) RecordAnswer(reported, answered uint64) {
-	if m.MissedAnswer(reported) {
-		m.answers.missedInRow++
+// RecordAnswer records the token that a report carried and the token in the answer to it.
+func (m *Machine) RecordAnswer(reportToken, answerToken uint64) {
+	if m.MissedAnswer(reportToken) {
+		m.answers.consecutiveMisses++
 	} else {
-		m.answers.missedInRow = 0
+		m.answers.consecutiveMisses = 0
 	}
-	m.answers.lastToken = answered
+	m.answers.lastToken = answerToken
 }
 
-// MissedAnswer tells whether the token of a report shows that the newest answer did not
-// arrive.
-func (m *Machine) MissedAnswer(reported uint64) bool { return reported < m.answers.lastToken }
+// MissedAnswer reports whether the token of a report shows that the worker did not receive the
+// latest answer.
+func (m *Machine) MissedAnswer(reportToken uint64) bool { return reportToken < m.answers.lastToken }
 
-// IsUnreachable tells whether the machine does not receive what it is answered.
-func (m *Machine) IsUnreachable() bool { return m.answers.missedInRow >= unreachableAfter }
+// IsUnreachable reports whether the machine no longer receives the answers to its reports.
+func (m *Machine) IsUnreachable() bool { return m.answers.consecutiveMisses >= unreachableThreshold }
--- a/internal/core/worker/evidence.go
+++ b/internal/core/worker/evidence.go
@@ -5,25 +5,25 @@
 	"pepperlever/internal/protocol"
 )
 
-// Evidence is what the newest report of a machine says about a binding.
+// Evidence classifies what a machine's latest report proves about a binding.
 type Evidence uint8
 
-// What a report may say about a binding.
+// The possible kinds of evidence.
 const (
-	// Inconclusive means that the report proves nothing yet.
+	// Inconclusive means that the report does not show whether the attempt is on the machine.
 	Inconclusive Evidence = iota
-	// Present means that the task is on the machine.
+	// Present means that the attempt is on the machine and has not exited.
 	Present
-	// Exited means that the attempt has exited there.
+	// Exited means that the attempt has exited on the machine.
 	Exited
-	// Absent proves that the attempt is not there and can never start there.
+	// Absent means that the attempt is not on the machine and can never start there.
 	Absent
 )
 
-// Evidence weighs a binding against the newest report of its machine. The start was sent
-// under exactly the binding's token to exactly its epoch, and at most once. A report without
-// the task that was made under a newer token or in a newer epoch is proof: a start that is
-// still on its way will be refused by the worker.
+// Evidence returns what the machine's latest report proves about a binding, and the reported
+// state of its task if there is one. The start command is sent at most once, with the binding's
+// token and for its epoch. A report that lacks the task therefore proves its absence if it was
+// made with a newer token or in a newer epoch: the worker rejects a start that is still in flight.
 func (m *Machine) Evidence(task string, b *job.Binding) (Evidence, protocol.TaskReport) {
 	if t, ok := m.Find(task, b.Attempt); ok && m.Session == b.Epoch {
 		if t.State == protocol.Exited {
--- a/internal/core/worker/evidence_test.go
+++ b/internal/core/worker/evidence_test.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-func TestEvidenceIsOnlyWhatAReportProves(t *testing.T) {
+func TestEvidenceRequiresProofFromReport(t *testing.T) {
 	b := &job.Binding{Machine: "m", Attempt: 3, Token: 5, Epoch: 2}
 	task := func(attempt uint64, state string) []protocol.TaskReport {
 		return []protocol.TaskReport{{Task: "req-1/0", Attempt: attempt, State: state}}
@@ -16,15 +16,15 @@
 		report protocol.Report
 		want   Evidence
 	}{
-		"running":                             {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Running)}, Present},
-		"exited":                              {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Exited)}, Exited},
-		"absent under the same token":         {protocol.Report{Session: 2, Token: 5}, Inconclusive},
-		"absent under an older token":         {protocol.Report{Session: 2, Token: 4}, Inconclusive},
-		"absent under a newer token":          {protocol.Report{Session: 2, Token: 6}, Absent},
-		"a later epoch":                       {protocol.Report{Session: 3, Token: 5}, Absent},
-		"an earlier epoch, newer token":       {protocol.Report{Session: 1, Token: 9}, Inconclusive},
-		"another attempt proves nothing":      {protocol.Report{Session: 2, Token: 5, Tasks: task(2, protocol.Exited)}, Inconclusive},
-		"present though the token has passed": {protocol.Report{Session: 2, Token: 9, Tasks: task(3, protocol.Running)}, Present},
+		"running":                     {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Running)}, Present},
+		"exited":                      {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Exited)}, Exited},
+		"not listed, same token":      {protocol.Report{Session: 2, Token: 5}, Inconclusive},
+		"not listed, older token":     {protocol.Report{Session: 2, Token: 4}, Inconclusive},
+		"not listed, newer token":     {protocol.Report{Session: 2, Token: 6}, Absent},
+		"newer epoch":                 {protocol.Report{Session: 3, Token: 5}, Absent},
+		"older epoch, newer token":    {protocol.Report{Session: 1, Token: 9}, Inconclusive},
+		"only another attempt listed": {protocol.Report{Session: 2, Token: 5, Tasks: task(2, protocol.Exited)}, Inconclusive},
+		"running, newer token":        {protocol.Report{Session: 2, Token: 9, Tasks: task(3, protocol.Running)}, Present},
 	} {
 		m := &Machine{}
 		m.Update(c.report, 0)
--- a/internal/core/worker/failures.go
+++ b/internal/core/worker/failures.go
@@ -1,6 +1,6 @@
 package worker
 
-// RecordFailure counts a failed task of a job against the machine.
+// RecordFailure counts a failed task of a job on the machine.
 func (m *Machine) RecordFailure(job string) {
 	if m.failures == nil {
 		m.failures = map[string]int{}
@@ -8,14 +8,14 @@
 	m.failures[job]++
 }
 
-// ClearFailures forgets all failures, since a task has succeeded on the machine.
+// ClearFailures resets the failure counts of all jobs, after a task has succeeded on the machine.
 func (m *Machine) ClearFailures() { m.failures = nil }
 
-// FailureScore sums what the failures of each job say against the machine.
-func (m *Machine) FailureScore(weigh func(job string, failures int) int) int {
+// FailureScore returns the sum of the weighted failure counts of all jobs.
+func (m *Machine) FailureScore(weight func(job string, failures int) int) int {
 	score := 0
 	for job, failures := range m.failures {
-		score += weigh(job, failures)
+		score += weight(job, failures)
 	}
 	return score
 }
--- a/internal/core/worker/images.go
+++ b/internal/core/worker/images.go
@@ -2,31 +2,34 @@
 
 import "time"
 
-// imageCache holds the images that a machine has or fetches. A machine keeps the most
-// recently used ones up to the size of its cache.
-type imageCache struct{ images map[string]image }
+// imageCache models the images that a machine has or is fetching. The machine keeps the
+// most recently used ones up to the size of its cache.
+type imageCache struct{ images map[string]cachedImage }
 
-type image struct {
+// cachedImage is an image in the cache of a machine.
+type cachedImage struct {
 	usedAt time.Duration
 	sizeGB float64
 }
 
-// use notes the use of an image, which makes the machine drop those used longest ago.
+// use records the use of an image. If the image is new, it evicts the least recently used ones
+// until the rest fits into the cache.
 func (c *imageCache) use(name string, sizeGB, cacheGB float64, now time.Duration) {
 	if c.images == nil {
-		c.images = map[string]image{}
+		c.images = map[string]cachedImage{}
 	}
 	_, cached := c.images[name]
-	c.images[name] = image{usedAt: now, sizeGB: sizeGB}
+	c.images[name] = cachedImage{usedAt: now, sizeGB: sizeGB}
 	for !cached {
-		oldest := c.oldest(name)
-		if c.totalGB() <= cacheGB || oldest == name {
+		leastRecentlyUsed := c.leastRecentlyUsed(name)
+		if c.totalGB() <= cacheGB || leastRecentlyUsed == name {
 			return
 		}
-		delete(c.images, oldest)
+		delete(c.images, leastRecentlyUsed)
 	}
 }
 
+// totalGB returns the total size of the images.
 func (c *imageCache) totalGB() float64 {
 	sum := 0.0
 	for _, cached := range c.images {
@@ -35,8 +38,9 @@
 	return sum
 }
 
-// oldest names the image that was used longest ago, name unless another is older.
-func (c *imageCache) oldest(name string) string {
+// leastRecentlyUsed returns the image that was used longest ago, or name if no other image was
+// used before it.
+func (c *imageCache) leastRecentlyUsed(name string) string {
 	for other, cached := range c.images {
 		if cached.usedAt < c.images[name].usedAt {
 			name = other
@@ -45,12 +49,12 @@
 	return name
 }
 
-// UseImage notes that a task with this image is on the machine.
+// UseImage records that a task with this image is on the machine.
 func (m *Machine) UseImage(name string, sizeGB, cacheGB float64, now time.Duration) {
 	m.images.use(name, sizeGB, cacheGB, now)
 }
 
-// HasImage tells whether the machine has or fetches an image.
+// HasImage reports whether the machine has an image or is fetching it.
 func (m *Machine) HasImage(name string) bool {
 	_, ok := m.images.images[name]
 	return ok
--- a/internal/core/worker/machine.go
+++ b/internal/core/worker/machine.go
@@ -1,4 +1,5 @@
-// Package worker holds what is known of machines and what the reports of their agents prove.
+// Package worker tracks the state of machines and derives from the reports of their workers what
+// is proven about the tasks on them.
 package worker
 
 import (
@@ -8,30 +9,30 @@
 	"pepperlever/internal/protocol"
 )
 
-// Machine is a machine as the newest report shows it.
+// Machine is the known state of a machine, mainly that of its latest report.
 type Machine struct {
 	protocol.Report
-	// Node is the controller that it reports to.
+	// Node is the controller that the machine reports to.
 	Node string
-	// GrantedToken is the fencing token that its controller has given it. That of the report
-	// is the one that it had seen by then.
+	// GrantedToken is the fencing token that the controller has issued to the machine. The token
+	// in the report is the highest one that the worker had seen when it made the report.
 	GrantedToken uint64
-	// AnnouncedSeq is the newest sequence number that its controller has named, of reports
-	// that said nothing new and were not passed on.
+	// AnnouncedSeq is the highest sequence number that the controller has announced, of reports
+	// that contained no changes and so were not forwarded to the other controllers.
 	AnnouncedSeq uint64
-	// LastContact is when the newest sign of life came: a report or a reply to a direct call.
+	// LastContact is when the machine was last heard from: by a report or a reply to a direct call.
 	LastContact time.Duration
-	// LastReport is when the newest report came.
+	// LastReport is when the latest report was received.
 	LastReport time.Duration
-	// ReclaimAt is when the cloud takes it away; zero without notice.
+	// ReclaimAt is when the cloud reclaims the machine; zero without a termination notice.
 	ReclaimAt time.Duration
-	// IdleSince is when it last lost its last binding.
+	// IdleSince is when the machine was last known to have work.
 	IdleSince time.Duration
-	// FullAt is when it last turned a start down for want of room.
+	// FullAt is when the machine last rejected a start for lack of resources.
 	FullAt time.Duration
-	// ExitedTasks counts the exited tasks in the newest report.
+	// ExitedTasks is the number of exited tasks in the latest report.
 	ExitedTasks int
-	// TaskListBytes is about how long the list of tasks in the newest report is on the wire.
+	// TaskListBytes is the approximate encoded size of the task list in the latest report.
 	TaskListBytes int
 
 	images   imageCache
@@ -39,20 +40,20 @@
 	failures map[string]int
 	// runningSince is when each task of the report was first seen running.
 	runningSince []time.Duration
-	// positions finds the tasks of a long report.
+	// positions is an index of the tasks in the report; nil for a short report.
 	positions map[attemptKey]int
 }
 
-// attemptKey names one attempt of a task.
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// linearSearchLimit is the number of tasks up to which a report is searched without an index.
+// linearSearchLimit is the maximum number of tasks in a report that is searched without an index.
 const linearSearchLimit = 16
 
-// IsNewer tells whether a report is newer than the one already held.
+// IsNewer reports whether r is newer than the stored report.
 func (m *Machine) IsNewer(r *protocol.Report) bool {
 	if r.Session != m.Session {
 		return r.Session > m.Session
@@ -60,12 +61,14 @@
 	return r.Seq > m.Seq
 }
 
-// IsOutdated tells whether r is a copy of a report that some controller has had, or older.
+// IsOutdated reports whether r is a duplicate of a report that any controller has received, or
+// older than one.
 func (m *Machine) IsOutdated(r *protocol.Report) bool {
 	return !m.IsNewer(r) || r.Session == m.Session && r.Seq <= m.AnnouncedSeq
 }
 
-// HasSameContent tells whether a report says the same as the one already held, but for its age.
+// HasSameContent reports whether r has the same content as the stored report, apart from the
+// sequence number and the remaining time of the termination notice.
 func (m *Machine) HasSameContent(r *protocol.Report) bool {
 	return r.Session == m.Session &&
 		r.Token == m.Token &&
@@ -74,7 +77,7 @@
 		slices.Equal(r.Tasks, m.Tasks)
 }
 
-// Update takes a newer report.
+// Update replaces the stored report by a newer one.
 func (m *Machine) Update(r protocol.Report, now time.Duration) {
 	if !slices.Equal(r.Tasks, m.Tasks) {
 		m.trackTasks(r.Tasks, now)
@@ -91,7 +94,8 @@
 	}
 }
 
-// trackTasks notes since when the tasks of a newer report run, and how many have exited.
+// trackTasks updates what is derived from the task list: since when each task has been running,
+// the number of exited tasks, the encoded size and the index.
 func (m *Machine) trackTasks(tasks []protocol.TaskReport, now time.Duration) {
 	runningSince := make([]time.Duration, len(tasks))
 	m.ExitedTasks, m.TaskListBytes = 0, 0
@@ -100,8 +104,8 @@
 		switch t.State {
 		case protocol.Running:
 			runningSince[i] = now
-			if before := m.index(t.Task, t.Attempt); before >= 0 && m.runningSince[before] > 0 {
-				runningSince[i] = m.runningSince[before]
+			if previous := m.index(t.Task, t.Attempt); previous >= 0 && m.runningSince[previous] > 0 {
+				runningSince[i] = m.runningSince[previous]
 			}
 		case protocol.Exited:
 			m.ExitedTasks++
@@ -111,8 +115,8 @@
 	m.positions = positionsOf(tasks)
 }
 
-// positionsOf indexes the tasks of a long report; it is nil for a short one. Of an attempt
-// that is reported twice the first counts.
+// positionsOf returns an index of the tasks of a long report, or nil for a short one. If an attempt
+// is listed twice, the first entry counts.
 func positionsOf(tasks []protocol.TaskReport) map[attemptKey]int {
 	if len(tasks) <= linearSearchLimit {
 		return nil
@@ -127,7 +131,7 @@
 	return positions
 }
 
-// index is the position of a task's attempt in the newest report, or -1.
+// index returns the position of an attempt of a task in the latest report, or -1.
 func (m *Machine) index(task string, attempt uint64) int {
 	if m.positions != nil {
 		if i, ok := m.positions[attemptKey{task, attempt}]; ok {
@@ -140,7 +144,7 @@
 	})
 }
 
-// Find looks a task's attempt up in the newest report.
+// Find returns the entry for an attempt of a task in the latest report.
 func (m *Machine) Find(task string, attempt uint64) (protocol.TaskReport, bool) {
 	if i := m.index(task, attempt); i >= 0 {
 		return m.Tasks[i], true
@@ -148,7 +152,8 @@
 	return protocol.TaskReport{}, false
 }
 
-// RunningTime is how long a task has been seen running.
+// RunningTime returns the time since an attempt was first reported as running, or 0 if the latest
+// report does not show it as running.
 func (m *Machine) RunningTime(task string, attempt uint64, now time.Duration) time.Duration {
 	if i := m.index(task, attempt); i >= 0 && m.runningSince[i] > 0 {
 		return now - m.runningSince[i]
--- a/internal/core/worker/machine_test.go
+++ b/internal/core/worker/machine_test.go
@@ -14,7 +14,7 @@
 		want         bool
 	}{{2, 10, false}, {2, 9, false}, {2, 11, true}, {1, 99, false}, {3, 1, true}} {
 		if got := m.IsNewer(&protocol.Report{Session: c.session, Seq: c.seq}); got != c.want {
-			t.Errorf("session %d, sequence %d: got %v", c.session, c.seq, got)
+			t.Errorf("IsNewer(session %d, sequence number %d): got %v", c.session, c.seq, got)
 		}
 	}
 }
--- a/internal/core/worker/registry.go
+++ b/internal/core/worker/registry.go
@@ -9,39 +9,39 @@
 	"pepperlever/internal/protocol"
 )
 
-// Registry holds all known machines, what is bound to them, and when each zone was last
-// heard. Machines are visited in the order of their names, so that the same commands
-// always give the same effects.
+// Registry holds all known machines, the tasks bound to them, and the last contact with each zone.
+// Machines are visited in the order of their names, so that the same inputs always have the same
+// effects.
 type Registry struct {
 	byName   map[string]*Machine
 	names    []string
 	bindings *job.Ledger
-	// longestName is the length of the longest name of a machine that was ever known.
+	// longestName is the length in bytes of the longest machine name ever added.
 	longestName int
-	// zoneContact is when any machine of a zone last gave a sign of life.
-	zoneContact map[string]time.Duration
+	// lastContactByZone is when any machine in each zone was last heard from.
+	lastContactByZone map[string]time.Duration
 }
 
-// NewRegistry makes an empty registry.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{
-		byName:      map[string]*Machine{},
-		bindings:    job.NewLedger(),
-		zoneContact: map[string]time.Duration{},
+		byName:            map[string]*Machine{},
+		bindings:          job.NewLedger(),
+		lastContactByZone: map[string]time.Duration{},
 	}
 }
 
-// Get returns a machine, or nil for one that is not known.
+// Get returns the machine with the given name, or nil if it is unknown.
 func (r *Registry) Get(name string) *Machine { return r.byName[name] }
 
-// Names lists the machines in order. The caller must not change it.
+// Names returns the sorted names of all machines. The caller must not modify the slice.
 func (r *Registry) Names() []string { return r.names }
 
-// LongestName is the length of the longest name of a machine that was ever known.
+// LongestName returns the length in bytes of the longest machine name ever added.
 func (r *Registry) LongestName() int { return r.longestName }
 
-// All visits the machines in the order of their names. Those that are removed on the way
-// are left out.
+// All iterates over the machines in the order of their names. It skips machines that are removed
+// during the iteration.
 func (r *Registry) All() iter.Seq2[string, *Machine] {
 	return func(yield func(string, *Machine) bool) {
 		for _, name := range slices.Clone(r.names) {
@@ -52,52 +52,53 @@
 	}
 }
 
-// Add enters a machine that has not been heard of before.
+// Add adds a machine that is not yet known.
 func (r *Registry) Add(name string, now time.Duration) *Machine {
 	r.longestName = max(r.longestName, len(name))
 	m := &Machine{IdleSince: now}
 	r.byName[name] = m
-	at, _ := slices.BinarySearch(r.names, name)
-	r.names = slices.Insert(r.names, at, name)
+	position, _ := slices.BinarySearch(r.names, name)
+	r.names = slices.Insert(r.names, position, name)
 	return m
 }
 
-// Remove forgets a machine that is gone for good.
+// Remove removes a machine that has gone permanently.
 func (r *Registry) Remove(name string) {
 	delete(r.byName, name)
-	if at, found := slices.BinarySearch(r.names, name); found {
-		r.names = slices.Delete(r.names, at, at+1)
+	if position, found := slices.BinarySearch(r.names, name); found {
+		r.names = slices.Delete(r.names, position, position+1)
 	}
 }
 
-// RecordContact notes a sign of life of a machine: a report, or a reply to a direct call.
+// RecordContact records that a machine was heard from: by a report, or, if direct, by a reply to
+// a direct call.
 func (r *Registry) RecordContact(m *Machine, direct bool, now time.Duration) {
 	m.LastContact = now
-	r.zoneContact[m.Zone] = now
+	r.lastContactByZone[m.Zone] = now
 	if !direct {
 		m.LastReport = now
 	}
 }
 
-// LastZoneContact is when any machine of a zone last gave a sign of life.
-func (r *Registry) LastZoneContact(zone string) time.Duration { return r.zoneContact[zone] }
+// LastZoneContact returns when any machine in a zone was last heard from.
+func (r *Registry) LastZoneContact(zone string) time.Duration { return r.lastContactByZone[zone] }
 
-// TrackBindings enters a job's bindings and follows them from now on.
+// TrackBindings adds a job's bindings and tracks later changes to them.
 func (r *Registry) TrackBindings(j *job.Job) { r.bindings.Add(j) }
 
-// UntrackBindings takes a job's bindings out and no longer follows them.
+// UntrackBindings removes a job's bindings and stops tracking changes to them.
 func (r *Registry) UntrackBindings(j *job.Job) { r.bindings.Remove(j) }
 
-// Load is what is bound to a machine, or nil when nothing is.
+// Load returns the tasks bound to a machine, or nil if there are none.
 func (r *Registry) Load(name string) *job.Load { return r.bindings.Load(name) }
 
-// InvalidateLoad has the room on a machine worked out anew, since its report has changed.
+// InvalidateLoad discards the cached resource usage of a machine, after its report has changed.
 func (r *Registry) InvalidateLoad(name string) { r.bindings.Invalidate(name) }
 
-// HasBindings tells whether a machine has bindings of any team.
+// HasBindings reports whether any task is bound to a machine.
 func (r *Registry) HasBindings(name string) bool { return r.Load(name) != nil }
 
-// HasBindingsOf tells whether a machine has a binding of a job that matches.
+// HasBindingsOf reports whether a task of any matching job is bound to a machine.
 func (r *Registry) HasBindingsOf(name string, matches func(*job.Job) bool) bool {
 	load := r.Load(name)
 	if load == nil {
@@ -111,14 +112,14 @@
 	return false
 }
 
-// BindingFilter tells whether a binding is to be visited.
+// BindingFilter reports whether a binding is to be visited.
 type BindingFilter func(job.TaskRef, *job.Binding) bool
 
-// BindingVisitor takes one binding, of the task index of a job.
+// BindingVisitor is called with the binding of the task with the given index in a job.
 type BindingVisitor func(j *job.Job, index int, b *job.Binding)
 
-// EachStoredBinding visits the stored bindings on a machine that match, in order. The visitor
-// may end them.
+// EachStoredBinding visits the matching stored bindings on a machine, in the order of jobs and
+// task indexes. The visitor may remove them.
 func (r *Registry) EachStoredBinding(name string, matches BindingFilter, visit BindingVisitor) {
 	load := r.Load(name)
 	if load == nil {
@@ -136,22 +137,22 @@
 	}
 }
 
-// longTaskName stands for the name of a task in estimates of the size of reports.
-const longTaskName = "req-000000/00000"
+// typicalTaskName is the task name assumed when the size of a report is estimated.
+const typicalTaskName = "req-000000/00000"
 
-// EstimateReportBytes is about how long the next report of a machine will be, with the
-// tasks that are bound to it and that it does not report yet.
+// EstimateReportBytes estimates the size of the task list in a machine's next report, including
+// the tasks that are bound to it but not reported yet.
 func (r *Registry) EstimateReportBytes(m *Machine) int {
 	load := r.Load(m.Machine)
 	if load == nil {
 		return m.TaskListBytes
 	}
 	unreported := max(0, len(load.Tasks)-(len(m.Tasks)-m.ExitedTasks))
-	return m.TaskListBytes + unreported*protocol.TaskBytes(longTaskName)
+	return m.TaskListBytes + unreported*protocol.TaskBytes(typicalTaskName)
 }
 
-// UsedResources is what the bound tasks of a machine take. A task that its worker reports
-// as exited takes nothing, even before the end is stored.
+// UsedResources returns the resources that the tasks bound to a machine use. A task that the
+// worker reports as exited uses none, even before its end is stored.
 func (r *Registry) UsedResources(m *Machine) job.Resources {
 	load := r.Load(m.Machine)
 	if load == nil {
