--- a/internal/federation/breaker.go
+++ b/internal/federation/breaker.go
@@ -2,56 +2,64 @@
 
 import "time"
 
-// circuitBreaker keeps a site from wasting tries on a peer that does not answer. It opens
-// after some times in a row that a peer has said nothing for RetryS after a try,
-// however many tries there were meanwhile. When its pause is over a single try may
-// pass, and the next pause, twice as long, begins with it; any answer closes it.
+// circuitBreaker limits the attempts made to reach a peer that does not answer. It opens after
+// BreakerThreshold consecutive failures. A failure is a period of RetryS after an attempt in
+// which the peer sends nothing, however many attempts were made in it. Once the open interval
+// has passed, a single attempt is allowed as a probe, and the next open interval, twice as long,
+// starts with it. Any message from the peer closes the breaker.
 type circuitBreaker struct {
-	// firstTryAt is when the first try was made that nothing has followed.
-	firstTryAt time.Duration
-	failures   int
-	// pause is 0 while the breaker is closed.
-	pause     time.Duration
-	openUntil time.Duration
+	// firstUnansweredAt is the time of the first attempt since the peer last sent anything or
+	// the last failure was counted; 0 if there was none.
+	firstUnansweredAt time.Duration
+	failures          int
+	// openInterval is how long the breaker stays open before the next probe, or 0 while it is
+	// closed.
+	openInterval time.Duration
+	openUntil    time.Duration
 }
 
-// allows tells whether a try may be made now.
-func (b *circuitBreaker) allows(now time.Duration) bool { return b.pause == 0 || now >= b.openUntil }
+// allows reports whether an attempt may be made now.
+func (b *circuitBreaker) allows(now time.Duration) bool {
+	return b.openInterval == 0 || now >= b.openUntil
+}
 
-// onTry notes that a try is made.
-func (b *circuitBreaker) onTry(now time.Duration, cfg *Config) {
-	if b.firstTryAt == 0 {
-		b.firstTryAt = now
+// onAttempt records an attempt. If the breaker was open, the attempt is a probe, and the open
+// interval doubles up to RetryMaxS.
+func (b *circuitBreaker) onAttempt(now time.Duration, cfg *Config) {
+	if b.firstUnansweredAt == 0 {
+		b.firstUnansweredAt = now
 	}
-	if b.pause > 0 {
-		b.open(now, min(2*b.pause, seconds(cfg.RetryMaxS)))
+	if b.openInterval > 0 {
+		b.open(now, min(2*b.openInterval, seconds(cfg.RetryMaxS)))
 	}
 }
 
-// checkTimeout counts a try that had no answer in time.
+// checkTimeout counts a failure if the peer has sent nothing for RetryS since the first
+// unanswered attempt.
 func (b *circuitBreaker) checkTimeout(now time.Duration, cfg *Config) {
-	if b.firstTryAt == 0 || now-b.firstTryAt < seconds(cfg.RetryS) {
+	if b.firstUnansweredAt == 0 || now-b.firstUnansweredAt < seconds(cfg.RetryS) {
 		return
 	}
-	b.firstTryAt = 0
+	b.firstUnansweredAt = 0
 	b.failures++
-	if b.failures >= cfg.BreakerThreshold && b.pause == 0 {
+	if b.failures >= cfg.BreakerThreshold && b.openInterval == 0 {
 		b.open(now, seconds(cfg.RetryS))
 	}
 }
 
-func (b *circuitBreaker) open(now, pause time.Duration) {
-	b.pause = pause
-	b.openUntil = now + pause
+// open opens the breaker for the given interval.
+func (b *circuitBreaker) open(now, openInterval time.Duration) {
+	b.openInterval = openInterval
+	b.openUntil = now + openInterval
 }
 
-// close closes the breaker.
+// close closes the breaker and resets its failure count.
 func (b *circuitBreaker) close() { *b = circuitBreaker{} }
 
-// state names the breaker's state.
+// state returns the state of the breaker as it appears in the status and in metrics.
 func (b *circuitBreaker) state(now time.Duration) string {
 	switch {
-	case b.pause == 0:
+	case b.openInterval == 0:
 		return "closed"
 	case b.allows(now):
 		return "half-open"
--- a/internal/federation/breaker_test.go
+++ b/internal/federation/breaker_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// A peer that does not answer costs few tries, however many hand-offs are in flight, and tries
-// made at once count as one failure.
-func TestBreakerOpensForASilentPeerAndProbesIt(t *testing.T) {
-	c := Default()
-	var b circuitBreaker
-	tries, open := []time.Duration{}, time.Duration(0)
+// An unresponsive peer must receive few attempts, however many hand-offs are in flight, and
+// attempts made at the same time must count as one failure.
+func TestBreakerOpensForUnresponsivePeerAndProbesIt(t *testing.T) {
+	cfg := Default()
+	var breaker circuitBreaker
+	attempts, lastRefusal := []time.Duration{}, time.Duration(0)
 	for now := time.Second; now < 10*time.Minute; now += 100 * time.Millisecond {
-		b.checkTimeout(now, &c)
-		if !b.allows(now) {
-			open = max(open, now)
+		breaker.checkTimeout(now, &cfg)
+		if !breaker.allows(now) {
+			lastRefusal = max(lastRefusal, now)
 			continue
 		}
-		for range 100 { // as long as it is closed, all go
-			if b.allows(now) {
-				b.onTry(now, &c)
-				tries = append(tries, now)
+		for range 100 { // many hand-offs in flight
+			if breaker.allows(now) {
+				breaker.onAttempt(now, &cfg)
+				attempts = append(attempts, now)
 			}
 		}
 	}
-	late := tries[len(tries)-3:]
-	if opened := time.Duration(c.BreakerThreshold) * seconds(c.RetryS); tries[99] != time.Second || tries[1000] > opened+time.Second {
-		t.Errorf("opens at once: try 1000 at %v", tries[1000])
+	last := attempts[len(attempts)-3:]
+	if opened := time.Duration(cfg.BreakerThreshold) * seconds(cfg.RetryS); attempts[99] != time.Second || attempts[1000] > opened+time.Second {
+		t.Errorf("breaker opened before the threshold was reached: attempt 1000 at %v", attempts[1000])
 	}
-	if late[2]-late[1] < seconds(c.RetryMaxS) || late[1]-late[0] < seconds(c.RetryMaxS) {
-		t.Errorf("probes at %v", late)
+	if last[2]-last[1] < seconds(cfg.RetryMaxS) || last[1]-last[0] < seconds(cfg.RetryMaxS) {
+		t.Errorf("last probes at %v, want them RetryMaxS apart", last)
 	}
-	b.close()
-	if !b.allows(open) {
-		t.Error("an answer does not close it")
+	breaker.close()
+	if !breaker.allows(lastRefusal) {
+		t.Error("breaker still open after an answer")
 	}
 }
--- a/internal/federation/compare.go
+++ b/internal/federation/compare.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// comparison is how far two sites have come in comparing their records, which they do before
-// anything else passes between them, each time that a site's coordinator starts. A store that
-// was restored from an old copy has forgotten epochs that it gave, or decisions that it made,
-// and either would let a job run at two sites. Each finds out by itself, from what the other
-// holds: the answer carries the nonce of this run, so it is no older than the request. A site
-// that is behind suspends hand-offs with that peer, in both directions, until an operator
-// says that nothing of what it forgot still runs.
+// comparison is the state of comparing records with a peer. A site compares its records with
+// those of each peer after its coordinator has started, before any hand-off with that peer. If
+// the site's store was restored from an old backup, it lacks epochs that the site has assigned
+// or decisions that it has made, and either could let a job run at two sites. Each site detects
+// this on its own from the peer's view. The view carries the nonce of the request, so it is not
+// older than the request. A site whose records are out of date suspends hand-offs with the peer,
+// in both directions, until an operator confirms that nothing from the lost records is still
+// running.
 type comparison struct {
 	// recordsCompared is set once the records agree.
 	recordsCompared bool
-	// nonce marks this run's requests for the peer's view, viewRequests counts them.
+	// nonce identifies the view requests of this coordinator run, viewRequestCount counts them.
 	nonce            uint64
-	viewRequests     int
+	viewRequestCount int
 	viewRequestDueAt time.Duration
-	// suspendedReason tells why there are no hand-offs.
+	// suspendedReason says why hand-offs are suspended; it is empty if they are not.
 	suspendedReason string
-	// peerLastEpoch is the highest epoch of this site that the peer knows and this site does
-	// not, or 0.
-	peerLastEpoch Epoch
-	// lostEpochs are those that the peer was told were accepted here and that are not in the
-	// records.
+	// lastEpochAtPeer is the highest epoch from this site in the peer's records if it is missing
+	// from this site's records, otherwise 0.
+	lastEpochAtPeer Epoch
+	// lostEpochs are the epochs of the peer that it was told were accepted here, but that are
+	// missing from the records.
 	lostEpochs map[Epoch]bool
 }
 
-// Reasons for which hand-offs with a peer are suspended.
+// Reasons for suspending hand-offs with a peer.
 const (
 	suspendedLostEpochs    = "it knows of hand-offs from here that are not in the records"
 	suspendedLostDecisions = "it was told of acceptances here that are not in the records"
 )
 
-// requestView asks a peer what it holds, again and again until it tells.
+// requestView asks a peer for its view, repeatedly until the peer answers.
 func (c *Coordinator) requestView(peer *peerState) {
 	if peer.recordsCompared || peer.suspendedReason != "" {
 		return
@@ -46,28 +47,28 @@
 	if peer.nonce == 0 {
 		peer.nonce = c.rng.Uint64() | 1
 	}
-	peer.breaker.onTry(c.now, c.cfg)
-	peer.viewRequestDueAt = c.now + jitter(c.rng, c.retryDelay(peer.viewRequests))
-	peer.viewRequests++
+	peer.breaker.onAttempt(c.now, c.cfg)
+	peer.viewRequestDueAt = c.now + jitter(c.rng, c.retryDelay(peer.viewRequestCount))
+	peer.viewRequestCount++
 	c.send(Message{To: peer.site, Kind: KindViewRequest, Nonce: peer.nonce})
 }
 
-// view is what this site holds of its hand-offs with another one.
-func (c *Coordinator) view(of Site) *View {
+// view returns what this site's records hold about hand-offs with a peer.
+func (c *Coordinator) view(peer Site) *View {
 	view := &View{
-		LastEpoch:    c.records.LastEpochs[of],
-		Open:         slices.Clone(c.index.openEpochs[of]),
-		HighestEpoch: c.highestEpoch(of),
+		LastEpoch:    c.records.LastEpochs[peer],
+		Open:         slices.Clone(c.index.openEpochs[peer]),
+		HighestEpoch: c.highestEpoch(peer),
 	}
 	for _, epoch := range view.Open {
-		if c.records.Outgoing[c.index.outgoing[outgoingID{of, epoch}]].Accepted {
+		if c.records.Outgoing[c.index.outgoing[outgoingID{peer, epoch}]].Accepted {
 			view.Accepted = append(view.Accepted, epoch)
 		}
 	}
 	return view
 }
 
-// highestEpoch is the highest epoch of an origin that is stored here.
+// highestEpoch returns the highest epoch of an origin in this site's records.
 func (c *Coordinator) highestEpoch(origin Site) Epoch {
 	highest := c.records.LowWaterMarks[origin]
 	if epochs := c.index.incoming[origin]; len(epochs) > 0 {
@@ -76,7 +77,7 @@
 	return highest
 }
 
-// handleView compares what a peer holds with the records here.
+// handleView compares the peer's view with the records of this site.
 func (c *Coordinator) handleView(msg Message) {
 	peer := c.peer(msg.From)
 	if msg.View == nil || msg.Nonce != peer.nonce || peer.recordsCompared || peer.suspendedReason != "" {
@@ -84,13 +85,13 @@
 	}
 	clear(peer.lostEpochs)
 	for _, epoch := range msg.View.Accepted {
-		if c.hasLost(IncomingID{msg.From, epoch}) {
+		if c.isAcceptanceLost(IncomingID{msg.From, epoch}) {
 			peer.lostEpochs[epoch] = true
 		}
 	}
 	switch {
 	case msg.View.HighestEpoch > c.records.LastEpochs[msg.From]:
-		peer.peerLastEpoch = msg.View.HighestEpoch
+		peer.lastEpochAtPeer = msg.View.HighestEpoch
 		c.suspend(peer, suspendedLostEpochs)
 	case len(peer.lostEpochs) > 0:
 		c.suspend(peer, suspendedLostDecisions)
@@ -103,12 +104,13 @@
 	}
 }
 
-// hasLost tells whether an acceptance that the origin was told of is not in the records.
-func (c *Coordinator) hasLost(id IncomingID) bool {
+// isAcceptanceLost reports whether an acceptance that the origin was told of is missing from the
+// records.
+func (c *Coordinator) isAcceptanceLost(id IncomingID) bool {
 	return !c.records.Incoming[id].Accepted && id.Epoch > c.records.LowWaterMarks[id.Origin]
 }
 
-// suspend ends hand-offs with a peer until an operator has looked.
+// suspend suspends hand-offs with a peer until an operator resumes them with Renew.
 func (c *Coordinator) suspend(peer *peerState, reason string) {
 	peer.suspendedReason = reason
 	c.logError("hand-offs suspended: this site's records are older than its peer's",
@@ -117,30 +119,31 @@
 		"resume_with", "pepperlever gateway renew")
 }
 
-// handleRenew goes on after a suspension, on an operator's instruction: epochs beyond what the
-// peer has seen are given from now on, and what was forgotten here is refused as lost.
+// handleRenew resumes suspended hand-offs on an operator's instruction. From then on this site
+// assigns epochs above those that the peer has seen, and refuses offers of lost epochs with
+// reasonRecordLost.
 func (c *Coordinator) handleRenew(in Renew) {
 	peer := c.peer(in.Site)
 	switch {
 	case peer.suspendedReason == "":
 		c.answerError(in.Req, notSuspendedError{in.Site})
 	case in.Operator == "" || in.Reason == "":
-		c.answerError(in.Req, errRenewUnsigned)
+		c.answerError(in.Req, errRenewUnattributed)
 	default:
 		c.log("hand-offs resumed by operator",
 			"peer", in.Site,
 			"lost", len(peer.lostEpochs),
 			"operator", in.Operator,
 			"reason", in.Reason)
-		last := max(peer.peerLastEpoch, c.records.LastEpochs[in.Site])
-		c.writeFor(in.Req, lastEpochSubject(in.Site), SetLastEpoch{Site: in.Site, Epoch: last})
+		lastEpoch := max(peer.lastEpochAtPeer, c.records.LastEpochs[in.Site])
+		c.writeFor(in.Req, lastEpochSubject(in.Site), SetLastEpoch{Site: in.Site, Epoch: lastEpoch})
 	}
 }
 
-// onRenewed notes that a suspension is over.
+// onRenewed ends the suspension after the last epoch has been stored.
 func (c *Coordinator) onRenewed(w SetLastEpoch, req uint64) {
 	c.records.LastEpochs[w.Site] = max(c.records.LastEpochs[w.Site], w.Epoch)
 	peer := c.peer(w.Site)
-	peer.suspendedReason, peer.recordsCompared, peer.peerLastEpoch = "", true, 0
+	peer.suspendedReason, peer.recordsCompared, peer.lastEpochAtPeer = "", true, 0
 	c.emit(Answer{Req: req, State: "renewed"})
 }
--- a/internal/federation/compare_test.go
+++ b/internal/federation/compare_test.go
@@ -5,100 +5,100 @@
 	"time"
 )
 
-// A store restored from an old copy has forgotten what it gave or decided. Its site has to
-// suspend hand-offs and say so, and goes on at an operator's instruction.
+// A store restored from an old backup lacks epochs or decisions, so that jobs could run twice.
+// The site must suspend hand-offs, log an error, and resume only on an operator's instruction.
 func TestRestoredStoreSuspendsHandOffs(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		class    string
 		restored Site
-		// before is how many messages pass before the copy is made.
-		before int
-		final  string
+		// before is the number of messages delivered before the backup is made.
+		before     int
+		finalState string
 	}{
-		"origin forgot that it gave the job":       {"k", "a", 0, Done},
-		"receiver forgot that it took the job":     {"k", "b", 0, Done},
-		"receiver forgot a job that may not again": {"once", "b", 0, Cancelled},
+		"origin lost its hand-off":                        {"k", "a", 0, Done},
+		"receiver lost its acceptance":                    {"k", "b", 0, Done},
+		"receiver lost its acceptance, no repeat allowed": {"once", "b", 0, Cancelled},
 	} {
-		w := newSim(t.Errorf)
-		for len(w.inFlight) > 0 {
-			w.deliver(0, false, fine) // the sites compare their records
+		sim := newSimulation(t.Errorf)
+		for len(sim.inFlight) > 0 {
+			sim.deliver(0, false, noFault) // the sites compare their records
 		}
-		w.drain("c")
-		w.submit("a", "req-1", c.class)
-		records, jobs := w.sites[c.restored].snapshot()
-		w.userJobs["req-1"].givenUp = true // two copies of the truth may make it run twice
+		sim.drainPeersOf("c")
+		sim.submit("a", "req-1", tc.class)
+		records, jobs := sim.sites[tc.restored].snapshot()
+		sim.userJobs["req-1"].givenUp = true // after the restore it may run twice
 		for range 3 {
-			w.now += time.Second
-			w.tick("a", fine)
-			w.tick("b", fine)
-			for len(w.inFlight) > 0 {
-				w.deliver(0, false, fine)
+			sim.now += time.Second
+			sim.tick("a", noFault)
+			sim.tick("b", noFault)
+			for len(sim.inFlight) > 0 {
+				sim.deliver(0, false, noFault)
 			}
 		}
-		if !w.sites["a"].records.Outgoing["req-1"].Accepted {
-			t.Fatalf("%s: not handed off", name)
+		if !sim.sites["a"].records.Outgoing["req-1"].Accepted {
+			t.Fatalf("%s: job was not accepted by another site", name)
 		}
-		w.restore(c.restored, records, jobs)
-		w.play(20 * time.Second)
-		s := w.sites[c.restored]
-		if other := map[Site]Site{"a": "b", "b": "a"}[c.restored]; s.coordinator.peer(other).suspendedReason == "" || s.loggedErrors == 0 {
-			t.Errorf("%s: goes on, %d warnings", name, s.loggedErrors)
+		sim.restore(tc.restored, records, jobs)
+		sim.play(20 * time.Second)
+		s := sim.sites[tc.restored]
+		if other := map[Site]Site{"a": "b", "b": "a"}[tc.restored]; s.coordinator.peer(other).suspendedReason == "" || s.loggedErrors == 0 {
+			t.Errorf("%s: hand-offs not suspended or no error logged (%d logged errors)", name, s.loggedErrors)
 		}
 		if len(s.records.Incoming)+len(s.records.Outgoing) > 0 {
-			t.Errorf("%s: it hands off all the same: %v", name, s.records)
+			t.Errorf("%s: got hand-offs while suspended: %v", name, s.records)
 		}
 		for _, peer := range siteNames {
-			w.step(c.restored, Renew{Req: 7, Site: peer, Operator: "ana", Reason: "all machines were returned"})
+			sim.step(tc.restored, Renew{Req: 7, Site: peer, Operator: "ana", Reason: "all machines were returned"})
 		}
-		w.play(20 * time.Second)
-		if c.final == Cancelled {
-			if _, away := w.sites["a"].records.Outgoing["req-1"]; !away || w.userJobs["req-1"].final != "" {
-				t.Errorf("%s: it may run here again, or is %q", name, w.userJobs["req-1"].final)
+		sim.play(20 * time.Second)
+		if tc.finalState == Cancelled {
+			if _, isOutgoing := sim.sites["a"].records.Outgoing["req-1"]; !isOutgoing || sim.userJobs["req-1"].finalState != "" {
+				t.Errorf("%s: job is no longer outgoing, or has final state %q, before its user cancels it", name, sim.userJobs["req-1"].finalState)
 			}
-			w.cancel("a", "req-1")
+			sim.cancel("a", "req-1")
 		}
-		w.finish()
-		if got := w.userJobs["req-1"].final; got != c.final {
-			t.Errorf("%s: it is %q in the end", name, got)
+		sim.runToCompletion()
+		if got := sim.userJobs["req-1"].finalState; got != tc.finalState {
+			t.Errorf("%s: got final state %q", name, got)
 		}
 	}
 }
 
-// Before two sites have compared their records nothing passes, and an answer to an
-// earlier question does not count.
-func TestNothingPassesBeforeRecordsAreCompared(t *testing.T) {
-	m := New(simConfig("a"), 1)
+// No hand-off message may be processed before the records have been compared, and a view with a
+// different nonce must be ignored.
+func TestNoHandOffsBeforeRecordsAreCompared(t *testing.T) {
+	coordinator := New(simConfig("a"), 1)
 	var nonce uint64
-	for _, e := range m.Step(time.Second, RecordsLoaded{Records{}.copy()}, JobsWaiting{Jobs: []WaitingJob{{ID: "req-1", Class: "k", Waited: time.Hour}}}) {
-		switch e := e.(type) {
+	for _, effect := range coordinator.Step(time.Second, RecordsLoaded{Records{}.copy()}, JobsWaiting{Jobs: []WaitingJob{{ID: "req-1", Class: "k", Waited: time.Hour}}}) {
+		switch effect := effect.(type) {
 		case Send:
-			if e.Message.Kind != KindViewRequest {
-				t.Errorf("%s is sent", e.Message.Kind)
+			if effect.Message.Kind != KindViewRequest {
+				t.Errorf("sent message %s before the records were compared", effect.Message.Kind)
 			}
-			if e.Message.To == "b" {
-				nonce = e.Message.Nonce
+			if effect.Message.To == "b" {
+				nonce = effect.Message.Nonce
 			}
 		case StoreWrite:
-			t.Errorf("%T is written", e.Write)
+			t.Errorf("got write %T before the records were compared", effect.Write)
 		}
 	}
 	offer := Message{From: "b", To: "a", Kind: KindOffer, Epoch: 1, Ticket: &Ticket{Origin: "b", To: "a", Epoch: 1, Class: "k", Path: []Site{"b"}}}
 	view := Message{From: "b", To: "a", Kind: KindView, Nonce: nonce, View: &View{LastEpoch: 1, Open: []Epoch{1}}}
-	late := view
-	late.Nonce++
-	for i, c := range []struct {
-		in      Message
+	mismatched := view
+	mismatched.Nonce++
+	for i, tc := range []struct {
+		message Message
 		decides bool
-	}{{offer, false}, {late, false}, {offer, false}, {view, false}, {offer, true}} {
+	}{{offer, false}, {mismatched, false}, {offer, false}, {view, false}, {offer, true}} {
 		decides := false
-		for _, e := range m.Step(2*time.Second, MessageReceived{Message: c.in}) {
-			if st, ok := e.(StoreWrite); ok {
-				_, d := st.Write.(DecideIncoming)
-				decides = decides || d
+		for _, effect := range coordinator.Step(2*time.Second, MessageReceived{Message: tc.message}) {
+			if write, ok := effect.(StoreWrite); ok {
+				_, isDecision := write.Write.(DecideIncoming)
+				decides = decides || isDecision
 			}
 		}
-		if decides != c.decides {
-			t.Errorf("message %d, %s: decides %v", i, c.in.Kind, decides)
+		if decides != tc.decides {
+			t.Errorf("message %d, %s: got decision %v", i, tc.message.Kind, decides)
 		}
 	}
 }
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -10,93 +10,96 @@
 	"pepperlever/internal/strictconfig"
 )
 
-// Config is the federation's configuration file. Times are in seconds.
+// Config is the configuration file of the federation. Times are in seconds.
 type Config struct {
 	Site Site `toml:"site"`
-	// RetryS is the first pause between two tries of the same, RetryMaxS the longest.
+	// RetryS is the first delay between two attempts to send a message, RetryMaxS the longest.
 	RetryS    float64 `toml:"retry_s"`
 	RetryMaxS float64 `toml:"retry_max_s"`
-	// RetryRate is how many repeated tries a second all hand-offs to one peer share.
+	// RetryRate is the number of retries per second that all hand-offs with one peer share.
 	RetryRate float64 `toml:"retries_per_s"`
-	// BreakerThreshold is how many tries in a row without an answer open a peer's breaker.
+	// BreakerThreshold is the number of consecutive attempts without an answer that opens a
+	// peer's circuit breaker.
 	BreakerThreshold int `toml:"break_after"`
-	// MaxHops bounds the sites that a job may pass through.
+	// MaxHops is the maximum number of sites in the path of a job.
 	MaxHops int `toml:"hops"`
-	// LoadMaxAgeS is for how long what a peer tells of its waiting work counts.
+	// LoadMaxAgeS is how long the load that a peer has reported is used.
 	LoadMaxAgeS float64 `toml:"room_age_s"`
-	// Listen is where this controller takes peers' streams.
+	// Listen is the address on which this controller accepts streams from peers.
 	Listen string `toml:"listen"`
-	// Authority, Certificate and Key are PEM files for mutual TLS. Certificates name
-	// the site as their DNS name.
+	// Authority, Certificate and Key are PEM files for mutual TLS. A certificate carries the
+	// site's name as its DNS name.
 	Authority   string `toml:"authority"`
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	// TicketKeys is the file of the keys that sign tickets.
+	// TicketKeys is the file with the keys that sign tickets.
 	TicketKeys string `toml:"ticket_keys"`
-	// MaxForget is how many decisions one write may forget; it follows from the store's
-	// limit on changes.
+	// MaxForget is the maximum number of decisions that one write deletes. It follows from the
+	// store's limit on changes per transaction.
 	MaxForget int     `toml:"-"`
 	Peers     []Peer  `toml:"peers"`
 	Classes   []Class `toml:"classes"`
 }
 
-// Peer is another site.
+// Peer is the configuration of another site.
 type Peer struct {
 	Site Site `toml:"site"`
-	// Addresses are its controllers', tried in turn.
+	// Addresses are the addresses of its controllers, tried in turn.
 	Addresses []string `toml:"addresses"`
-	// MaxOutgoing bounds the jobs that are there at a time.
+	// MaxOutgoing is the maximum number of jobs handed off to the peer at the same time.
 	MaxOutgoing int `toml:"at_once"`
-	// MaxIncoming bounds the jobs accepted from it at a time; 0 accepts none.
+	// MaxIncoming is the maximum number of running jobs accepted from the peer; 0 accepts none.
 	MaxIncoming int `toml:"takes"`
-	// Drained allows no new hand-offs with it.
+	// Drained disables new hand-offs with the peer, in both directions.
 	Drained bool `toml:"drain"`
-	// Zones and Types are what it has; jobs that name others are not offered. Not
-	// given: any.
+	// Zones and Types are the zones and machine types of the peer. Jobs that ask for others are
+	// not offered to it. If unset, the peer may have any.
 	Zones []string `toml:"zones"`
 	Types []string `toml:"types"`
 }
 
-// Class says what may happen to the jobs of a class.
+// Class holds the hand-off rules for the jobs of one class.
 type Class struct {
 	Name string `toml:"name"`
-	// To lists the sites that its jobs may go to, the preferred first.
+	// To lists the sites that jobs may be handed off to, in order of preference.
 	To []Site `toml:"to"`
-	// OfferAfterS is for how long a job waits here before it is offered.
+	// OfferAfterS is how long a job waits here before it is offered to another site.
 	OfferAfterS float64 `toml:"after_s"`
-	// MaxOutgoing bounds the jobs of the class that are at other sites at a time; 0: no bound.
+	// MaxOutgoing is the maximum number of jobs of the class at other sites at the same time; 0
+	// means no limit.
 	MaxOutgoing int `toml:"at_once"`
-	// AllowsRepeat allows an operator to run its jobs again although they may have run.
+	// AllowsRepeat allows a job to run again although it may have run at the site that it was
+	// handed off to.
 	AllowsRepeat bool `toml:"repeat"`
-	// AcceptFrom lists the sites whose jobs of the class are accepted.
+	// AcceptFrom lists the sites from which jobs of the class are accepted.
 	AcceptFrom []Site `toml:"accept"`
 }
 
-// Default holds the figures that a file need not give.
+// Default returns the default values of optional settings.
 func Default() Config {
 	return Config{RetryS: 2, RetryMaxS: 60, RetryRate: 20, BreakerThreshold: 3, MaxHops: 3, LoadMaxAgeS: 20}
 }
 
-// Load reads and checks a configuration file. Unknown keys are errors, told in one line.
+// Load reads and validates a configuration file. Unknown keys are an error.
 func Load(path string) (*Config, error) {
 	c := Default()
 	return &c, strictconfig.Load(path, &c)
 }
 
-// MaxJobsPerPeer bounds the jobs that are at one peer, so that a list of them fits a
-// message.
+// MaxJobsPerPeer limits the jobs handed off to one peer, so that a list of their epochs fits
+// into one message.
 const MaxJobsPerPeer = 10_000
 
-// errLimits says which figures of a file are out of range.
-var errLimits = errors.New("retry_s, retry_max_s, retries_per_s, break_after, hops and room_age_s must be positive, retry_max_s at least retry_s")
+// errInvalidLimits reports numeric settings that are out of range.
+var errInvalidLimits = errors.New("retry_s, retry_max_s, retries_per_s, break_after, hops and room_age_s must be positive, retry_max_s at least retry_s")
 
-// Check tells what is wrong with the file.
+// Check validates the configuration.
 func (c *Config) Check() error {
 	if !siteName.MatchString(string(c.Site)) {
-		return fmt.Errorf("site %q is missing or not made of letters, digits and -", c.Site)
+		return fmt.Errorf("site %q is missing or is not 1 to 32 letters, digits or hyphens", c.Site)
 	}
-	if !c.limitsValid() {
-		return errLimits
+	if !c.areLimitsValid() {
+		return errInvalidLimits
 	}
 	peers, err := c.checkPeers()
 	if err != nil {
@@ -105,12 +108,13 @@
 	return c.checkClasses(peers)
 }
 
-func (c *Config) limitsValid() bool {
-	retries := c.RetryS > 0 && c.RetryMaxS >= c.RetryS && c.RetryRate > 0
-	return retries && c.BreakerThreshold >= 1 && c.MaxHops >= 1 && c.LoadMaxAgeS > 0
+// areLimitsValid reports whether the numeric settings are in range.
+func (c *Config) areLimitsValid() bool {
+	retriesValid := c.RetryS > 0 && c.RetryMaxS >= c.RetryS && c.RetryRate > 0
+	return retriesValid && c.BreakerThreshold >= 1 && c.MaxHops >= 1 && c.LoadMaxAgeS > 0
 }
 
-// checkPeers checks the peers and returns their names.
+// checkPeers validates the peers and returns their names.
 func (c *Config) checkPeers() ([]Site, error) {
 	names := []Site{}
 	for _, peer := range c.Peers {
@@ -118,8 +122,8 @@
 		case peer.Site == "" || peer.Site == c.Site || slices.Contains(names, peer.Site):
 			return nil, fmt.Errorf("peer %q is this site, empty or named twice", peer.Site)
 		case !siteName.MatchString(string(peer.Site)):
-			return nil, fmt.Errorf("peer %q is not made of letters, digits and -", peer.Site)
-		case !isJobLimit(peer.MaxOutgoing) || !isJobLimit(peer.MaxIncoming):
+			return nil, fmt.Errorf("peer %q is not 1 to 32 letters, digits or hyphens", peer.Site)
+		case !isValidJobLimit(peer.MaxOutgoing) || !isValidJobLimit(peer.MaxIncoming):
 			return nil, fmt.Errorf("peer %q: at_once and takes must be from 0 to %d", peer.Site, MaxJobsPerPeer)
 		}
 		names = append(names, peer.Site)
@@ -127,25 +131,25 @@
 	return names, nil
 }
 
-func isJobLimit(limit int) bool { return limit >= 0 && limit <= MaxJobsPerPeer }
+func isValidJobLimit(limit int) bool { return limit >= 0 && limit <= MaxJobsPerPeer }
 
-// checkClasses checks that classes name peers alone.
+// checkClasses checks that classes refer only to configured peers.
 func (c *Config) checkClasses(peers []Site) error {
 	for _, class := range c.Classes {
 		for _, site := range append(slices.Clone(class.To), class.AcceptFrom...) {
 			if !slices.Contains(peers, site) {
-				return fmt.Errorf("class %q names %q, which is no peer", class.Name, site)
+				return fmt.Errorf("class %q names site %q, which is not a configured peer", class.Name, site)
 			}
 		}
 	}
 	return nil
 }
 
-// siteName is what a site may be called: its name becomes part of keys and ids.
+// siteName matches valid site names. They become part of store keys and job IDs.
 var siteName = regexp.MustCompile(`^[A-Za-z0-9-]{1,32}$`)
 
-// CanRunElsewhere tells whether a job of a class that asks for a zone or types which this
-// site has not may go to a site that has them.
+// CanRunElsewhere reports whether a job that needs a zone or machine types which this site lacks
+// may be handed off to a site that has them.
 func (c *Config) CanRunElsewhere(class, zone string, types []string) bool {
 	return slices.ContainsFunc(c.class(class).To, func(site Site) bool {
 		peer, _ := c.peer(site)
@@ -154,13 +158,14 @@
 	})
 }
 
-// MayOffer tells whether jobs of a class may go anywhere once they have waited.
+// MayOffer reports whether jobs of a class may be offered to other sites after the given waiting
+// time.
 func (c *Config) MayOffer(class string, waited time.Duration) bool {
 	rules := c.class(class)
 	return len(rules.To) > 0 && waited >= seconds(rules.OfferAfterS)
 }
 
-// peer finds a peer by its name.
+// peer looks up a peer by name.
 func (c *Config) peer(site Site) (peer Peer, found bool) {
 	i := slices.IndexFunc(c.Peers, func(p Peer) bool { return p.Site == site })
 	if i < 0 {
@@ -169,7 +174,7 @@
 	return c.Peers[i], true
 }
 
-// class finds the rules of a class; one that is not named goes nowhere and is not
+// class returns the rules of a class. Jobs of an unknown class are neither handed off nor
 // accepted.
 func (c *Config) class(name string) Class {
 	i := slices.IndexFunc(c.Classes, func(class Class) bool { return class.Name == name })
@@ -179,16 +184,17 @@
 	return c.Classes[i]
 }
 
-// offersZone tells whether a peer may have the zone that a job asks for.
+// offersZone reports whether the peer may have the zone that a job asks for.
 func (p Peer) offersZone(zone string) bool {
 	return zone == "" || p.Zones == nil || slices.Contains(p.Zones, zone)
 }
 
-// offersTypes tells whether a peer may have a type that a job asks for.
+// offersTypes reports whether the peer may have one of the machine types that a job asks for.
 func (p Peer) offersTypes(types []string) bool {
 	return types == nil || p.Types == nil || containsAny(p.Types, types)
 }
 
+// containsAny reports whether list contains at least one of the wanted elements.
 func containsAny(list, wanted []string) bool {
 	return slices.ContainsFunc(wanted, func(s string) bool { return slices.Contains(list, s) })
 }
--- a/internal/federation/coordinator.go
+++ b/internal/federation/coordinator.go
@@ -6,54 +6,54 @@
 	"time"
 )
 
-// rngStream is the second half of the seed of a coordinator's random numbers.
+// rngStream is the second word of the seed of a coordinator's random number generator.
 const rngStream = 7
 
-// Coordinator runs one site's hand-offs. It acts only on what its store holds: a message
-// goes out after the write that it tells of, and what a message asks for is answered from
-// the records.
+// Coordinator runs the hand-offs of one site. It acts only on what is in the site's store: a
+// message is sent only after the write that it reports has been applied, and requests are
+// answered from the stored records.
 type Coordinator struct {
 	cfg     *Config
 	rng     *rand.Rand
 	now     time.Duration
 	effects []Effect
-	// loaded is set while the records are known.
+	// loaded is true while records is up to date with the store.
 	loaded  bool
 	records Records
 	index   *index
 	writes  pendingWrites
 	peers   map[Site]*peerState
-	// waiting are jobs that may go elsewhere.
+	// waiting holds the jobs that may be handed off.
 	waiting []WaitingJob
-	// longestWaitS is for how many seconds work waits here.
+	// longestWaitS is the longest time in seconds that a job has been waiting at this site.
 	longestWaitS float64
-	// rejected holds which site has refused which job, until the job ends.
-	rejected map[rejectionKey]bool
-	// reloadAt is when the records are read again after a write of unknown outcome.
+	// refusals records which sites have refused a job, until the job ends.
+	refusals map[refusalKey]bool
+	// reloadAt is when to read the records again after a write with an unknown outcome, or 0.
 	reloadAt time.Duration
 }
 
-// rejectionKey names a job and a site that has refused it.
-type rejectionKey struct {
-	job string
-	by  Site
+// refusalKey identifies a job and a site that has refused it.
+type refusalKey struct {
+	job  string
+	site Site
 }
 
-// New makes a coordinator that knows nothing until RecordsLoaded comes.
+// New creates a coordinator. It does nothing before it receives RecordsLoaded.
 func New(cfg *Config, seed uint64) *Coordinator {
 	return &Coordinator{
 		cfg:      cfg,
 		rng:      rand.New(rand.NewPCG(seed, rngStream)),
 		writes:   newPendingWrites(),
 		peers:    map[Site]*peerState{},
-		rejected: map[rejectionKey]bool{},
+		refusals: map[refusalKey]bool{},
 	}
 }
 
-// Loaded tells whether the records are known.
+// Loaded reports whether the records are loaded.
 func (c *Coordinator) Loaded() bool { return c.loaded }
 
-// Step takes inputs in order and returns the effects in order.
+// Step processes inputs in order and returns the resulting effects in order.
 func (c *Coordinator) Step(now time.Duration, inputs ...Input) []Effect {
 	c.now, c.effects = now, nil
 	for _, input := range inputs {
@@ -63,6 +63,7 @@
 	return c.effects
 }
 
+// handle dispatches one input to its handler.
 func (c *Coordinator) handle(input Input) {
 	switch input := input.(type) {
 	case RecordsLoaded:
@@ -100,8 +101,8 @@
 	}
 }
 
-// handleWithoutRecords answers users and operators while the records are not known; all else
-// comes again.
+// handleWithoutRecords answers requests from users and operators while the records are not
+// loaded. All other inputs are dropped, because their senders repeat them.
 func (c *Coordinator) handleWithoutRecords(input Input) {
 	switch input := input.(type) {
 	case CancelRequested:
@@ -115,8 +116,9 @@
 	}
 }
 
-// handleMessage takes a message. One about an epoch that is not the record's is dropped,
-// and all before the two sites have compared their records.
+// handleMessage processes a message from a peer. Only messages of the comparison itself are
+// processed before the two sites have compared their records. A decision or
+// result about an epoch that is not outgoing changes no record.
 func (c *Coordinator) handleMessage(in MessageReceived) {
 	msg := in.Message
 	if _, known := c.cfg.peer(msg.From); !known || msg.To != c.cfg.Site {
@@ -148,8 +150,8 @@
 	c.handleClosed(msg)
 }
 
-// advance sends again what has no answer, as far as circuit breakers and retry budgets allow,
-// and hands off jobs that wait.
+// advance retries what is unanswered, within the limits of circuit breakers and retry budgets,
+// and hands off waiting jobs.
 func (c *Coordinator) advance() {
 	if c.reloadAt > 0 && c.now >= c.reloadAt {
 		c.reloadAt = 0
@@ -164,6 +166,7 @@
 	c.offerWaiting()
 }
 
+// advancePeer sends a peer everything that is due and deletes the decisions that it has closed.
 func (c *Coordinator) advancePeer(peer *peerState) {
 	peer.budget.refill(c.now, c.cfg.RetryRate)
 	peer.breaker.checkTimeout(c.now, c.cfg)
@@ -184,6 +187,7 @@
 	c.emit(Log{Text: text, Attrs: attrs, IsError: true})
 }
 
+// send sends a message with the sender, low-water mark and load filled in.
 func (c *Coordinator) send(msg Message) {
 	msg.From = c.cfg.Site
 	msg.LowWaterMark = c.lowWaterMark(msg.To)
--- a/internal/federation/effects.go
+++ b/internal/federation/effects.go
@@ -1,29 +1,30 @@
 package federation
 
-// Effect is something to be done: a message to be sent, a record to be written.
+// Effect is an action that the caller of Step carries out, such as sending a message or writing
+// a record.
 type Effect any
 
-// Effects.
+// Effects of a step.
 type (
-	// StoreWrite is one conditional write. It is answered by WriteCompleted.
+	// StoreWrite requests one conditional write. It is answered by WriteCompleted.
 	StoreWrite struct {
 		ID    uint64
 		Write Write
 	}
-	// Reload asks for all records to be read again.
+	// Reload requests that all records be read again. It is answered by RecordsLoaded.
 	Reload struct{}
-	// Send sends a message; it may be lost, late or repeated.
+	// Send sends a message. The message may be lost, delayed or duplicated.
 	Send struct{ Message Message }
-	// CancelLocal cancels a job that this site has accepted.
+	// CancelLocal cancels a job that this site has accepted from another site.
 	CancelLocal struct{ LocalID string }
-	// Answer ends a request of a user or operator. State is empty while nobody can
-	// tell: 503 with Retry-After.
+	// Answer completes a request of a user or operator. An empty State means that the outcome is
+	// not known yet: the API answers 503 with Retry-After.
 	Answer struct {
 		Req   uint64
 		State string
 		Error string
 	}
-	// Log is a line for the operator; an error asks for something to be done.
+	// Log writes a log line. An error asks the operator to act.
 	Log struct {
 		Text    string
 		Attrs   []any
@@ -31,44 +32,46 @@
 	}
 )
 
-// Write is one transaction on the site's own records. Each is conditioned on this
-// node still being the coordinator's leader, and on what is said with it.
+// Write is one transaction on the site's own records. Every write is conditional on this node
+// still being the leader, and on the conditions given with its type.
 type Write interface{ write() }
 
-// Writes about outgoing jobs.
+// Writes that concern outgoing jobs.
 type (
-	// CreateOutgoing gives the right to run a job to another site, and takes an epoch: if the
-	// job is here, not cancelled, nothing of it is bound, and the epoch is the next.
+	// CreateOutgoing transfers the right to run a job to another site under a new epoch.
+	// Condition: the job is at this site and not cancelled, none of its tasks is bound to a
+	// machine, and the epoch is the next one.
 	CreateOutgoing struct {
 		JobID    string
 		Outgoing Outgoing
 	}
-	// MarkAccepted notes that the receiver has told of its acceptance: if the job is outgoing
-	// under the epoch.
+	// MarkAccepted records that the receiver has reported its acceptance. Condition: the job is
+	// outgoing under the epoch.
 	MarkAccepted struct {
 		JobID string
 		Epoch Epoch
 	}
-	// MarkCancelRequested notes that a user wants an end: if the job is outgoing under the
-	// epoch.
+	// MarkCancelRequested records that a user has asked to cancel the job. Condition: the job is
+	// outgoing under the epoch.
 	MarkCancelRequested struct {
 		JobID string
 		Epoch Epoch
 	}
-	// RevertOutgoing takes the right to run a job back: if it is outgoing under the epoch. It
-	// is written only after the receiver has told of a stored refusal, or on an operator's
-	// instruction.
+	// RevertOutgoing takes back the right to run a job. Condition: the job is outgoing under the
+	// epoch. It is written only after the receiver has reported a stored refusal, or on an
+	// operator's instruction.
 	RevertOutgoing struct {
 		JobID string
 		Epoch Epoch
-		// Cancelled ends the job at once: its user has asked for that.
+		// Cancelled ends the job at once, because its user has asked to cancel it.
 		Cancelled bool
-		// Operator and Reason are set when the receiver has told nothing.
+		// Operator and Reason are set if an operator has given up the hand-off without an answer
+		// from the receiver.
 		Operator string
 		Reason   string
 	}
-	// FinishOutgoing stores the final state of an outgoing job: if it is outgoing under the
-	// epoch and has no final state.
+	// FinishOutgoing stores the final state of an outgoing job. Condition: the job is outgoing
+	// under the epoch and has no final state.
 	FinishOutgoing struct {
 		JobID      string
 		Epoch      Epoch
@@ -76,37 +79,38 @@
 	}
 )
 
-// Writes about incoming jobs.
+// Writes that concern incoming jobs.
 type (
-	// DecideIncoming accepts an epoch, with the job under its local ID, or refuses it: if
-	// nothing is stored of it and it is above the low-water mark.
+	// DecideIncoming stores the decision on an epoch: either its acceptance, together with the
+	// job under its local ID, or its refusal. Condition: there is no decision on the epoch yet,
+	// and it is above the low-water mark.
 	DecideIncoming struct {
 		ID       IncomingID
 		Incoming Incoming
 		Ticket   Ticket
 	}
-	// FinishIncoming notes the final state of an accepted job, so that its origin can be told.
+	// FinishIncoming stores the final state of an accepted job, so that its origin can be told.
 	FinishIncoming struct {
 		ID         IncomingID
 		FinalState string
 	}
-	// ForgetIncoming drops decisions on what is closed, and raises the low-water mark.
+	// ForgetIncoming deletes decisions on closed epochs and raises the low-water mark.
 	ForgetIncoming struct {
 		Origin       Site
 		LowWaterMark Epoch
-		// IDs are the decisions that go, none above LowWaterMark.
+		// IDs are the decisions to delete, none of them above LowWaterMark.
 		IDs []IncomingID
 	}
 )
 
-// Writes about sites.
+// Writes that concern sites.
 type (
-	// SetDrained notes whether an operator wants no new hand-offs with a site.
+	// SetDrained stores whether an operator has disabled new hand-offs with a site.
 	SetDrained struct {
 		Site    Site
 		Drained bool
 	}
-	// SetLastEpoch raises the highest epoch given to a site.
+	// SetLastEpoch raises the highest epoch assigned to hand-offs to a site.
 	SetLastEpoch struct {
 		Site  Site
 		Epoch Epoch
--- a/internal/federation/incoming.go
+++ b/internal/federation/incoming.go
@@ -1,21 +1,22 @@
 package federation
 
-// Reasons of refusals. They are stored and sent to the origin.
+// Reasons for refusing an offer. They are stored and sent to the origin.
 const (
-	reasonUnknownSite   = "site is unknown"
-	reasonDrained       = "site is drained"
-	reasonBadPath       = "path is a loop or too long"
-	reasonClassNotTaken = "class is not taken from there"
-	reasonUserCancelled = "its user has cancelled it"
-	// reasonBusy may pass.
+	reasonUnknownSite      = "site is unknown"
+	reasonDrained          = "site is drained"
+	reasonInvalidPath      = "path is a loop or too long"
+	reasonClassNotAccepted = "class is not taken from there"
+	reasonUserCancelled    = "its user has cancelled it"
+	// reasonBusy is temporary: the origin may offer the job again later.
 	reasonBusy = "as many are here as may be"
-	// reasonRecordLost refuses what was forgotten here.
+	// reasonRecordLost refuses an epoch whose record was lost when the store was restored.
 	reasonRecordLost = "its record was lost"
-	// reasonClosed refuses an epoch whose origin has closed it and forgotten that.
+	// reasonClosed refuses an epoch that its origin has closed but no longer has on record as
+	// closed.
 	reasonClosed = "its origin has closed it before"
 )
 
-// handleOffer decides on an offer, once and for good.
+// handleOffer decides on an offer. A decision is final: a repeated offer gets the stored one.
 func (c *Coordinator) handleOffer(in MessageReceived) {
 	id := IncomingID{in.Message.From, in.Message.Epoch}
 	if c.isDecided(id) {
@@ -27,10 +28,10 @@
 		return
 	}
 	ticket := in.Message.Ticket
-	if ticket == nil || !c.isFor(*ticket, id) {
+	if ticket == nil || !c.ticketMatches(*ticket, id) {
 		return
 	}
-	if reason := c.rejectionReason(*ticket, in.Infeasible); reason != "" {
+	if reason := c.refusalReason(*ticket, in.Infeasible); reason != "" {
 		c.write(incomingSubject(id), DecideIncoming{ID: id, Incoming: Incoming{Reason: reason}, Ticket: *ticket})
 		return
 	}
@@ -38,8 +39,8 @@
 	c.write(incomingSubject(id), DecideIncoming{ID: id, Incoming: accepted, Ticket: *ticket})
 }
 
-// isFor tells whether a ticket hands an epoch to this site.
-func (c *Coordinator) isFor(ticket Ticket, id IncomingID) bool {
+// ticketMatches reports whether a ticket hands off the given epoch to this site.
+func (c *Coordinator) ticketMatches(ticket Ticket, id IncomingID) bool {
 	path := ticket.Path
 	return ticket.Epoch == id.Epoch && ticket.To == c.cfg.Site && len(path) > 0 && path[len(path)-1] == id.Origin
 }
@@ -49,14 +50,15 @@
 	c.write(incomingSubject(id), DecideIncoming{ID: id, Incoming: Incoming{Reason: reason}})
 }
 
-// isDecided tells whether an epoch is decided or closed.
+// isDecided reports whether an epoch has a stored decision or is closed.
 func (c *Coordinator) isDecided(id IncomingID) bool {
 	_, decided := c.records.Incoming[id]
 	return decided || id.Epoch <= c.records.LowWaterMarks[id.Origin]
 }
 
-// sendDecision answers with what is stored. Of a closed epoch nothing is: only an
-// origin that has forgotten that it closed it minds.
+// sendDecision sends the origin the stored decision on an epoch. There is none for a closed
+// epoch; it is answered with reasonClosed, which matters only to an origin that has lost its
+// record of closing the epoch.
 func (c *Coordinator) sendDecision(id IncomingID) {
 	msg := Message{To: id.Origin, Kind: KindDecision, Epoch: id.Epoch}
 	incoming, found := c.records.Incoming[id]
@@ -75,8 +77,9 @@
 	c.send(msg)
 }
 
-// handleCancelMessage ends an epoch: one that is not decided is refused, so that no late
-// offer of it is accepted; an accepted job is cancelled here, and its end is told.
+// handleCancelMessage cancels an epoch. If it is undecided, it is refused, so that an offer that
+// arrives later is not accepted. If it was accepted and still runs, the local job is cancelled,
+// and its final state is reported once it has ended.
 func (c *Coordinator) handleCancelMessage(msg Message) {
 	id := IncomingID{msg.From, msg.Epoch}
 	if !c.isDecided(id) {
@@ -89,8 +92,8 @@
 	c.sendDecision(id)
 }
 
-// handleLocalJobEnded notes the end of an accepted job, to be told until its origin has
-// stored it.
+// handleLocalJobEnded stores the final state of an accepted job. It is then reported to the
+// origin until the origin has stored it.
 func (c *Coordinator) handleLocalJobEnded(in LocalJobEnded) {
 	id, found := c.index.byLocalID[in.LocalID]
 	if found && c.records.Incoming[id].FinalState == "" {
--- a/internal/federation/index.go
+++ b/internal/federation/index.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// index finds records without going through all of them; there may be thousands.
+// index provides lookups into the records without scanning them; there may be thousands.
 type index struct {
-	// outgoing finds the job that is outgoing under an epoch.
+	// outgoing maps an epoch to the job that is outgoing under it.
 	outgoing map[outgoingID]string
-	// openEpochs lists the epochs of the outgoing jobs at each site.
+	// openEpochs lists, per receiver, the epochs of outgoing jobs in ascending order.
 	openEpochs map[Site][]Epoch
-	// outgoingByClass counts the outgoing jobs by class.
+	// outgoingByClass counts outgoing jobs per class.
 	outgoingByClass map[string]int
-	// incoming lists the epochs of each origin that are decided.
+	// incoming lists, per origin, the epochs with a stored decision in ascending order.
 	incoming map[Site][]Epoch
-	// byLocalID finds the epoch of an accepted job.
+	// byLocalID maps the local ID of an accepted job to its epoch.
 	byLocalID map[string]IncomingID
-	// runningByOrigin counts the accepted jobs that have not ended.
+	// runningByOrigin counts, per origin, the accepted jobs that have not ended.
 	runningByOrigin map[Site]int
 }
 
+// newIndex builds the index of the given records.
 func newIndex(records *Records) *index {
 	x := &index{
 		outgoing:        map[outgoingID]string{},
@@ -49,39 +50,40 @@
 
 func (x *index) addOutgoing(job string, outgoing Outgoing) {
 	x.outgoing[outgoingID{outgoing.To, outgoing.Epoch}] = job
-	x.openEpochs[outgoing.To] = insert(x.openEpochs[outgoing.To], outgoing.Epoch)
+	x.openEpochs[outgoing.To] = insertEpoch(x.openEpochs[outgoing.To], outgoing.Epoch)
 	x.outgoingByClass[outgoing.Ticket.Class]++
 }
 
 func (x *index) removeOutgoing(outgoing Outgoing) {
 	delete(x.outgoing, outgoingID{outgoing.To, outgoing.Epoch})
-	x.openEpochs[outgoing.To] = remove(x.openEpochs[outgoing.To], outgoing.Epoch)
+	x.openEpochs[outgoing.To] = removeEpoch(x.openEpochs[outgoing.To], outgoing.Epoch)
 	x.outgoingByClass[outgoing.Ticket.Class]--
 }
 
 func (x *index) addIncoming(id IncomingID, incoming Incoming) {
-	x.incoming[id.Origin] = insert(x.incoming[id.Origin], id.Epoch)
+	x.incoming[id.Origin] = insertEpoch(x.incoming[id.Origin], id.Epoch)
 	x.countIncoming(id, incoming, 1)
 }
 
 func (x *index) removeIncoming(id IncomingID, incoming Incoming) {
 	x.countIncoming(id, incoming, -1)
 	delete(x.byLocalID, incoming.LocalID)
-	x.incoming[id.Origin] = remove(x.incoming[id.Origin], id.Epoch)
+	x.incoming[id.Origin] = removeEpoch(x.incoming[id.Origin], id.Epoch)
 }
 
-// countIncoming adds an accepted job to the count of running ones, or takes it off.
-func (x *index) countIncoming(id IncomingID, incoming Incoming, n int) {
+// countIncoming records the local ID of an accepted job and, if the job is running, adds delta
+// to the count of its origin.
+func (x *index) countIncoming(id IncomingID, incoming Incoming, delta int) {
 	if incoming.Accepted {
 		x.byLocalID[incoming.LocalID] = id
 	}
 	if incoming.isRunning() {
-		x.runningByOrigin[id.Origin] += n
+		x.runningByOrigin[id.Origin] += delta
 	}
 }
 
-// insert adds an epoch to a sorted list, unless it is there.
-func insert(epochs []Epoch, epoch Epoch) []Epoch {
+// insertEpoch adds an epoch to a sorted list unless the list already contains it.
+func insertEpoch(epochs []Epoch, epoch Epoch) []Epoch {
 	i, found := slices.BinarySearch(epochs, epoch)
 	if found {
 		return epochs
@@ -89,29 +91,31 @@
 	return slices.Insert(epochs, i, epoch)
 }
 
-// remove removes an epoch from a sorted list.
-func remove(epochs []Epoch, epoch Epoch) []Epoch {
+// removeEpoch removes an epoch from a sorted list if the list contains it.
+func removeEpoch(epochs []Epoch, epoch Epoch) []Epoch {
 	if i, found := slices.BinarySearch(epochs, epoch); found {
 		return slices.Delete(epochs, i, i+1)
 	}
 	return epochs
 }
 
-// addOutgoing adds an outgoing job to the records and the index.
+// addOutgoing adds an outgoing job to the records and to the index.
 func (c *Coordinator) addOutgoing(job string, outgoing Outgoing) {
 	c.records.Outgoing[job] = outgoing
 	c.index.addOutgoing(job, outgoing)
 }
 
-// changeOutgoing changes the record of an outgoing job.
-func (c *Coordinator) changeOutgoing(job string, change func(*Outgoing)) Outgoing {
+// updateOutgoing updates the record of an outgoing job and returns the new record. The update
+// must not change what the index depends on.
+func (c *Coordinator) updateOutgoing(job string, update func(*Outgoing)) Outgoing {
 	outgoing := c.records.Outgoing[job]
-	change(&outgoing)
+	update(&outgoing)
 	c.records.Outgoing[job] = outgoing
 	return outgoing
 }
 
-// removeOutgoing removes an outgoing job, of which its receiver is told no more.
+// removeOutgoing removes an outgoing job from the records, the index and the retry queue, and
+// returns its record.
 func (c *Coordinator) removeOutgoing(job string) Outgoing {
 	outgoing := c.records.Outgoing[job]
 	delete(c.records.Outgoing, job)
@@ -120,14 +124,16 @@
 	return outgoing
 }
 
-// setIncoming notes a decision, or the end of an accepted job.
+// setIncoming stores the decision on an epoch, or the final state of its job, in the records and
+// the index.
 func (c *Coordinator) setIncoming(id IncomingID, incoming Incoming) {
 	c.removeIncoming(id)
 	c.records.Incoming[id] = incoming
 	c.index.addIncoming(id, incoming)
 }
 
-// removeIncoming removes a decision, of which its origin is told no more.
+// removeIncoming removes the decision on an epoch from the records, the index and the retry
+// queue.
 func (c *Coordinator) removeIncoming(id IncomingID) {
 	incoming, found := c.records.Incoming[id]
 	if !found {
--- a/internal/federation/inputs.go
+++ b/internal/federation/inputs.go
@@ -5,81 +5,82 @@
 	"time"
 )
 
-// Input is something that happened: a message, a reply of the store, a change of a job.
+// Input is an event: a message, a result from the store, a change to a job or a request.
 type Input any
 
 // Inputs from other sites and from the store.
 type (
-	// MessageReceived is a message of another site, whose sender has been verified.
+	// MessageReceived is a message from another site. The sender has been authenticated.
 	MessageReceived struct {
 		Message Message
-		// Infeasible tells why a job that it offers can never run here.
+		// Infeasible says why the offered job can never run at this site; it is empty if it can.
 		Infeasible string
 	}
-	// PeerReachable tells that messages can be sent to a site again.
+	// PeerReachable reports that messages can be sent to a site again.
 	PeerReachable struct{ Site Site }
-	// WriteCompleted answers StoreWrite.
+	// WriteCompleted is the result of a StoreWrite.
 	WriteCompleted struct {
 		ID      uint64
 		Outcome Outcome
 	}
-	// RecordsLoaded is what the store holds: at first, after Reload, and whenever the watch
-	// shows a change that is not one of the coordinator's own writes.
+	// RecordsLoaded carries the records in the store. It is sent at the start, after Reload, and
+	// whenever the watch reports a change that is not one of the coordinator's own writes.
 	RecordsLoaded struct{ Records Records }
-	// ConfigChanged is the configuration file, read again.
+	// ConfigChanged carries the reloaded configuration.
 	ConfigChanged struct{ Config *Config }
 )
 
-// Inputs about jobs of this site.
+// Inputs about jobs at this site.
 type (
-	// JobsWaiting lists the jobs that wait here and may go elsewhere, the most urgent first.
+	// JobsWaiting lists the waiting jobs that may be handed off, most urgent first.
 	JobsWaiting struct {
 		Jobs []WaitingJob
-		// LongestWaitS is for how many seconds the longest has waited.
+		// LongestWaitS is the longest time in seconds that a job has been waiting at this site.
 		LongestWaitS float64
 	}
-	// LocalJobEnded tells that a job which this site has accepted is final.
+	// LocalJobEnded reports that a job accepted from another site has reached its final state.
 	LocalJobEnded struct{ LocalID, FinalState string }
-	// CancelRequested is a user's request to cancel a job at another site.
+	// CancelRequested is a user's request to cancel a job that was handed off.
 	CancelRequested struct {
 		Req   uint64
 		JobID string
 	}
 )
 
-// WaitingJob is a job that waits here, as far as the coordinator has to know it.
+// WaitingJob holds what the coordinator needs to know about a waiting job.
 type WaitingJob struct {
 	ID    string
 	Class string
-	// Waited is for how long it has waited.
+	// Waited is how long the job has been waiting.
 	Waited time.Duration
-	// Zone and Types are what it asks for.
+	// Zone and Types are the zone and machine types that the job asks for.
 	Zone  string
 	Types []string
-	// InfeasibleHere tells that this site has no such machine at all.
+	// InfeasibleHere is set if this site has no machine that could ever run the job.
 	InfeasibleHere bool
-	// Path holds the sites that it came through, if it was handed to this one.
+	// Path lists the sites that the job came through if it was handed off to this one.
 	Path []Site
 	Body json.RawMessage
 }
 
-// Instructions of operators.
+// Instructions from operators.
 type (
-	// GiveUp says that the site which has a job will not come back.
+	// GiveUp says that the site which holds a job will not come back, so that the job can run
+	// here again.
 	GiveUp struct {
 		Req      uint64
 		JobID    string
 		Operator string
 		Reason   string
 	}
-	// Drain says that there shall be no new hand-offs with a site, or that there may be again.
+	// Drain disables or re-enables new hand-offs with a site.
 	Drain struct {
 		Req     uint64
 		Site    Site
 		Drained bool
 	}
-	// Renew says that hand-offs with a site go on although this site's records are older than
-	// the other's: nothing that this site has forgotten runs any more.
+	// Renew resumes hand-offs with a site after the records of this site turned out to be out of
+	// date. The operator confirms that nothing from the lost records is still running.
 	Renew struct {
 		Req      uint64
 		Site     Site
@@ -88,15 +89,16 @@
 	}
 )
 
-// Outcome tells what became of a write.
+// Outcome is the result of a write.
 type Outcome uint8
 
 // Outcomes of a write.
 const (
-	// Applied means carried out.
+	// Applied means that the write was applied.
 	Applied Outcome = iota
-	// Conflict means that its condition failed; nothing was changed.
+	// Conflict means that the condition of the write failed and nothing was changed.
 	Conflict
-	// Unknown means perhaps carried out, perhaps later, perhaps refused.
+	// Unknown means that the write may have been applied, may still be applied later, or may
+	// have failed.
 	Unknown
 )
--- a/internal/federation/interleaving_test.go
+++ b/internal/federation/interleaving_test.go
@@ -11,95 +11,97 @@
 	"pepperlever/internal/testseed"
 )
 
-// TestMain fixes the seed of the property tests; -rapid.seed and -rapid.checks search further.
+// TestMain sets the default seed of the property tests. The flags -rapid.seed and -rapid.checks
+// extend the search.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// Three sites, any order of messages, cuts, restarts of coordinators, outages of stores,
-// writes without an answer or applied late, cancels and operators: one right to
-// run, one final answer, and everything ends once the troubles do.
-func TestAnyInterleavingKeepsOneOwnerAndOneAnswer(t *testing.T) {
+// Three sites with reordered messages, cut links, coordinator restarts, store outages,
+// unanswered and delayed writes, cancellations and give-ups: at most one site may have the right
+// to run a job, a job must have one final state, and all jobs must finish once the faults have
+// ended.
+func TestInterleavingsKeepOneOwnerAndOneFinalState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSim(t.Fatalf)
-		for len(w.inFlight) > 0 {
-			w.deliver(0, false, fine) // the sites compare their records
+		sim := newSimulation(t.Fatalf)
+		for len(sim.inFlight) > 0 {
+			sim.deliver(0, false, noFault) // the sites compare their records
 		}
-		site := rapid.SampledFrom(siteNames)
-		fates := rapid.SampledFrom([]fate{fine, fine, fine, unanswered, lost, late})
-		next := 0
-		job := func(t *rapid.T) (Site, string) {
-			n := site.Draw(t, "site")
-			ids := sortedJobs(w.sites[n])
+		siteGen := rapid.SampledFrom(siteNames)
+		faultGen := rapid.SampledFrom([]writeFault{noFault, noFault, noFault, appliedUnanswered, notApplied, delayed})
+		submitted := 0
+		drawJob := func(t *rapid.T) (Site, string) {
+			site := siteGen.Draw(t, "site")
+			ids := sortedJobs(sim.sites[site])
 			if len(ids) == 0 {
-				t.Skip("no job here")
+				t.Skip("site has no jobs")
 			}
-			return n, rapid.SampledFrom(ids).Draw(t, "job")
+			return site, rapid.SampledFrom(ids).Draw(t, "job")
 		}
 		tick := func(t *rapid.T) {
-			w.now += time.Duration(rapid.SampledFrom([]int{1, 1, 4, 20}).Draw(t, "seconds")) * time.Second
-			w.tick(site.Draw(t, "site"), fates.Draw(t, "fate"))
+			sim.now += time.Duration(rapid.SampledFrom([]int{1, 1, 4, 20}).Draw(t, "seconds")) * time.Second
+			sim.tick(siteGen.Draw(t, "site"), faultGen.Draw(t, "write fault"))
 		}
 		deliver := func(t *rapid.T) {
-			if len(w.inFlight) == 0 {
-				t.Skip("nothing flies")
+			if len(sim.inFlight) == 0 {
+				t.Skip("no message in flight")
 			}
-			w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message"), rapid.Bool().Draw(t, "again"), fates.Draw(t, "fate"))
+			sim.deliver(rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "message"), rapid.Bool().Draw(t, "duplicate"), faultGen.Draw(t, "write fault"))
 		}
-		seldom := func(t *rapid.T, f func()) {
-			if rapid.IntRange(0, 7).Draw(t, "seldom") == 0 {
+		rarely := func(t *rapid.T, f func()) {
+			if rapid.IntRange(0, 7).Draw(t, "rarely") == 0 {
 				f()
 			}
 		}
 		submit := func(t *rapid.T) {
-			next++
-			w.submit(site.Draw(t, "site"), fmt.Sprintf("req-%d", next), rapid.SampledFrom([]string{"k", "once"}).Draw(t, "class"))
+			submitted++
+			sim.submit(siteGen.Draw(t, "site"), fmt.Sprintf("req-%d", submitted), rapid.SampledFrom([]string{"k", "once"}).Draw(t, "class"))
 		}
 		submit(t)
 		submit(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"tick": tick, "tick more": tick, "deliver": deliver, "deliver more": deliver, "deliver most": deliver,
 			"submit": func(t *rapid.T) {
-				if next < 4 {
+				if submitted < 4 {
 					submit(t)
 				}
 			},
 			"lose": func(t *rapid.T) {
-				if len(w.inFlight) == 0 {
-					t.Skip("nothing flies")
+				if len(sim.inFlight) == 0 {
+					t.Skip("no message in flight")
 				}
-				i := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message")
-				w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
+				i := rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "message")
+				sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
 			},
 			"run": func(t *rapid.T) {
-				n, id := job(t)
-				if w.sites[n].jobs[id].userJobID != id {
-					w.run(n, id)
-				} else { // jobs that run at once are never handed off
-					seldom(t, func() { w.run(n, id) })
+				site, id := drawJob(t)
+				if sim.sites[site].jobs[id].userJobID != id {
+					sim.startOrFinish(site, id)
+				} else { // a job that starts here is no longer handed off
+					rarely(t, func() { sim.startOrFinish(site, id) })
 				}
 			},
 			"cancel": func(t *rapid.T) {
-				n, id := job(t)
-				if w.sites[n].jobs[id].userJobID == id { // users know their own jobs
-					seldom(t, func() { w.cancel(n, id) })
+				site, id := drawJob(t)
+				if sim.sites[site].jobs[id].userJobID == id { // users cancel only jobs that they submitted
+					rarely(t, func() { sim.cancel(site, id) })
 				}
 			},
 			"give up": func(t *rapid.T) {
-				seldom(t, func() {
-					n, id := job(t)
-					w.step(n, GiveUp{Req: 1, JobID: id, Operator: "ana", Reason: "site burnt down"})
+				rarely(t, func() {
+					site, id := drawJob(t)
+					sim.step(site, GiveUp{Req: 1, JobID: id, Operator: "ana", Reason: "site burnt down"})
 				})
 			},
-			"crash":      func(t *rapid.T) { seldom(t, func() { w.boot(site.Draw(t, "site")) }) },
-			"late write": func(t *rapid.T) { w.applyLate(site.Draw(t, "site")) },
+			"crash":      func(t *rapid.T) { rarely(t, func() { sim.startCoordinator(siteGen.Draw(t, "site")) }) },
+			"late write": func(t *rapid.T) { sim.applyDelayedWrite(siteGen.Draw(t, "site")) },
 			"cut": func(t *rapid.T) {
-				seldom(t, func() { w.cut[[2]Site{site.Draw(t, "from"), site.Draw(t, "to")}] = true })
+				rarely(t, func() { sim.cutLinks[[2]Site{siteGen.Draw(t, "from"), siteGen.Draw(t, "to")}] = true })
 			},
-			"outage": func(t *rapid.T) { seldom(t, func() { w.down[site.Draw(t, "site")] = true }) },
+			"outage": func(t *rapid.T) { rarely(t, func() { sim.failedStores[siteGen.Draw(t, "site")] = true }) },
 			"heal": func(t *rapid.T) {
-				clear(w.cut)
-				clear(w.down)
+				clear(sim.cutLinks)
+				clear(sim.failedStores)
 			},
 		})
-		w.finish()
+		sim.runToCompletion()
 	})
 }
--- a/internal/federation/localid.go
+++ b/internal/federation/localid.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// LocalIDPrefix starts the IDs of jobs that were accepted from other sites.
+// LocalIDPrefix is the prefix of the local IDs of jobs that were accepted from other sites.
 const LocalIDPrefix = "req-gw-"
 
-// localID is the ID of an accepted job here. It names the epoch, so that a job that
-// comes again under another one is another job.
+// localID returns the local ID of an accepted job. It contains the epoch, so that a job that is
+// handed off to this site again under another epoch gets a different ID.
 func localID(id IncomingID) string {
 	return fmt.Sprintf("%s%s-%d", LocalIDPrefix, id.Origin, id.Epoch)
 }
 
-// ParseLocalID tells which epoch a local ID stands for.
+// ParseLocalID returns the epoch that a local ID was made from.
 func ParseLocalID(text string) (id IncomingID, ok bool) {
 	rest, found := strings.CutPrefix(text, LocalIDPrefix)
 	separator := strings.LastIndexByte(rest, '-')
--- a/internal/federation/lowwatermark.go
+++ b/internal/federation/lowwatermark.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// lowWaterMark is the epoch up to which all that was offered to a site is closed.
+// lowWaterMark returns the epoch up to which all hand-offs to a site are closed.
 func (c *Coordinator) lowWaterMark(to Site) Epoch {
 	if open := c.index.openEpochs[to]; len(open) > 0 {
 		return open[0] - 1
@@ -10,8 +10,8 @@
 	return c.records.LastEpochs[to]
 }
 
-// handleClosed notes what an origin has closed: that need not be told again. It is
-// forgotten a little later, so that one write forgets several.
+// handleClosed records which epochs the origin has closed. Their decisions need no more reports
+// and are deleted after forgetDelay, so that one write deletes several.
 func (c *Coordinator) handleClosed(msg Message) {
 	peer := c.peer(msg.From)
 	if msg.Kind == KindClosed && msg.Epoch > 0 {
@@ -27,12 +27,12 @@
 	peer.lowWaterMark = msg.LowWaterMark
 }
 
-// forgetDelay is how long decisions are collected that one write forgets.
+// forgetDelay is how long closed decisions are collected before one write deletes them.
 func (c *Coordinator) forgetDelay() time.Duration { return seconds(c.cfg.RetryS) / 4 }
 
-// advanceLowWaterMark forgets what an origin has closed, as much as one write may. The mark
-// is stored even if there is nothing to forget: a late offer of a hand-off that was given up
-// must find it.
+// advanceLowWaterMark raises the stored low-water mark and deletes the decisions below it, as
+// many as one write may. The mark is stored even if there is nothing to delete, so that a
+// delayed offer of a hand-off that was given up finds its epoch closed.
 func (c *Coordinator) advanceLowWaterMark(peer *peerState) {
 	stored := c.records.LowWaterMarks[peer.site]
 	mark := max(peer.lowWaterMark, stored)
@@ -45,17 +45,18 @@
 	}
 }
 
-// hasForgettable tells whether the mark rises, or decisions are left below the stored one: one
-// of unknown outcome may be found there later, and goes like the others.
+// hasForgettable reports whether the mark rises above the stored one, or whether there are
+// decisions at or below the stored one. Such a decision may turn up after its write had an
+// unknown outcome, and is deleted like the others.
 func (c *Coordinator) hasForgettable(origin Site, mark Epoch) bool {
 	stored := c.records.LowWaterMarks[origin]
 	epochs := c.index.incoming[origin]
 	return mark > stored || len(epochs) > 0 && epochs[0] <= stored
 }
 
-// forgettable lists the decisions up to a mark that one write may forget, and the mark up to
-// which it does. A job that was closed without its end was given up by its origin: it is
-// cancelled here, and forgotten once it has ended.
+// forgettable returns the decisions up to a mark that one write may delete, and the mark that
+// this write may set. If a closed job is still running, its origin has given it up: the job is
+// cancelled, and its decision is deleted after it has ended.
 func (c *Coordinator) forgettable(peer *peerState, mark Epoch) ([]IncomingID, Epoch) {
 	var ids []IncomingID
 	for _, epoch := range c.index.incoming[peer.site] {
@@ -76,7 +77,7 @@
 	return ids, mark
 }
 
-// onForgotten notes that decisions up to a mark are dropped.
+// onForgotten applies a stored deletion to the records in memory.
 func (c *Coordinator) onForgotten(w ForgetIncoming) {
 	c.records.LowWaterMarks[w.Origin] = max(c.records.LowWaterMarks[w.Origin], w.LowWaterMark)
 	for _, id := range w.IDs {
--- a/internal/federation/operators.go
+++ b/internal/federation/operators.go
@@ -2,51 +2,51 @@
 
 import "errors"
 
-// Errors that operators are answered with.
+// Errors returned to operators.
 var (
-	errRecordsNotLoaded = errors.New("records are not read yet")
-	errWritePending     = errors.New("another change is on its way, try again")
-	errNotStored        = errors.New("not stored, try again")
-	errNotOutgoing      = errors.New("job is not away")
-	errGiveUpUnsigned   = errors.New("who gives it up, and why, must be said")
-	errRenewUnsigned    = errors.New("who renews, and why, must be said")
+	errRecordsNotLoaded   = errors.New("records are not loaded yet")
+	errWritePending       = errors.New("another change is in progress, try again")
+	errNotStored          = errors.New("change was not confirmed, try again")
+	errNotOutgoing        = errors.New("job is not handed off")
+	errGiveUpUnattributed = errors.New("operator and reason are required to give up a hand-off")
+	errRenewUnattributed  = errors.New("operator and reason are required to resume hand-offs")
 )
 
-// notSuspendedError answers the renewal of a site with which hand-offs go on.
+// notSuspendedError reports a Renew for a site with which hand-offs are not suspended.
 type notSuspendedError struct{ site Site }
 
-// Error names the site.
+// Error returns a message that names the site.
 func (e notSuspendedError) Error() string {
-	return "hand-offs with " + string(e.site) + " are not stopped"
+	return "hand-offs with " + string(e.site) + " are not suspended"
 }
 
-// unknownPeerError answers an instruction about a site that is not configured.
+// unknownPeerError reports an instruction about a site that is not a configured peer.
 type unknownPeerError struct{ site Site }
 
-// Error names the site.
-func (e unknownPeerError) Error() string { return string(e.site) + " is no peer" }
+// Error returns a message that names the site.
+func (e unknownPeerError) Error() string { return string(e.site) + " is not a configured peer" }
 
-// noRepeatError answers the give-up of a job that must not run twice.
-type noRepeatError struct{ class string }
+// repeatNotAllowedError reports a GiveUp for a job whose class does not allow it to run twice.
+type repeatNotAllowedError struct{ class string }
 
-// Error names the class.
-func (e noRepeatError) Error() string { return "class " + e.class + " does not allow a repeat" }
+// Error returns a message that names the class.
+func (e repeatNotAllowedError) Error() string { return "class " + e.class + " does not allow a repeat" }
 
-// answerError answers an operator's request that is not carried out.
+// answerError answers a request with an error.
 func (c *Coordinator) answerError(req uint64, err error) {
 	c.emit(Answer{Req: req, Error: err.Error()})
 }
 
-// handleGiveUp takes a job back without an answer of its receiver.
+// handleGiveUp takes back an outgoing job without an answer from its receiver.
 func (c *Coordinator) handleGiveUp(in GiveUp) {
 	outgoing, found := c.records.Outgoing[in.JobID]
 	switch {
 	case !found:
 		c.answerError(in.Req, errNotOutgoing)
 	case in.Operator == "" || in.Reason == "":
-		c.answerError(in.Req, errGiveUpUnsigned)
+		c.answerError(in.Req, errGiveUpUnattributed)
 	case !c.cfg.class(outgoing.Ticket.Class).AllowsRepeat:
-		c.answerError(in.Req, noRepeatError{outgoing.Ticket.Class})
+		c.answerError(in.Req, repeatNotAllowedError{outgoing.Ticket.Class})
 	default:
 		c.writeFor(in.Req, outgoingSubject(in.JobID), RevertOutgoing{
 			JobID:     in.JobID,
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleDrain notes whether an operator wants no new hand-offs with a site.
+// handleDrain disables or re-enables new hand-offs with a site on an operator's instruction.
 func (c *Coordinator) handleDrain(in Drain) {
 	if _, known := c.cfg.peer(in.Site); !known {
 		c.answerError(in.Req, unknownPeerError{in.Site})
@@ -67,14 +67,14 @@
 	c.writeFor(in.Req, drainedSubject(in.Site), SetDrained{Site: in.Site, Drained: in.Drained})
 }
 
-// onDrained answers the operator once the drain of a site has changed.
+// onDrained answers the operator once the drain setting of a site has been stored.
 func (c *Coordinator) onDrained(w SetDrained, req uint64) {
 	c.records.Drained[w.Site] = w.Drained
-	c.log("drain of peer changed", "peer", w.Site, "drained", w.Drained)
-	c.emit(Answer{Req: req, State: drainedText(w.Drained)})
+	c.log("drain setting of peer changed", "peer", w.Site, "drained", w.Drained)
+	c.emit(Answer{Req: req, State: drainStateName(w.Drained)})
 }
 
-func drainedText(drained bool) string {
+func drainStateName(drained bool) string {
 	if drained {
 		return "drained"
 	}
--- a/internal/federation/operators_test.go
+++ b/internal/federation/operators_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-func TestGiveUpNeedsAClassThatAllowsRepeats(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestGiveUpRequiresClassThatAllowsRepeat(t *testing.T) {
+	for name, tc := range map[string]struct {
 		in   GiveUp
 		want string
 	}{
-		"class allows it":        {GiveUp{JobID: "req-away-b0", Operator: "ana", Reason: "burnt down"}, ""},
-		"class does not":         {GiveUp{JobID: "req-away-b1", Operator: "ana", Reason: "burnt down"}, "class once does not allow a repeat"},
-		"nobody says it":         {GiveUp{JobID: "req-away-b0", Reason: "burnt down"}, "who gives it up, and why, must be said"},
-		"nothing to be given up": {GiveUp{JobID: "req-x", Operator: "ana", Reason: "burnt down"}, "job is not away"},
+		"class allows a repeat":         {GiveUp{JobID: "req-away-b0", Operator: "ana", Reason: "burnt down"}, ""},
+		"class does not allow a repeat": {GiveUp{JobID: "req-away-b1", Operator: "ana", Reason: "burnt down"}, "class once does not allow a repeat"},
+		"operator is missing":           {GiveUp{JobID: "req-away-b0", Reason: "burnt down"}, "operator and reason are required to give up a hand-off"},
+		"job is not outgoing":           {GiveUp{JobID: "req-x", Operator: "ana", Reason: "burnt down"}, "job is not handed off"},
 	} {
-		m := newRoutingCoordinator(nil, Outgoing{To: "b", Ticket: Ticket{Class: "k"}}, Outgoing{To: "b", Ticket: Ticket{Class: "once"}})
-		got, stored := "", false // what is left to be written if it is let through
-		for _, e := range m.Step(2*time.Second, c.in) {
-			switch e := e.(type) {
+		coordinator := newRoutingCoordinator(nil, Outgoing{To: "b", Ticket: Ticket{Class: "k"}}, Outgoing{To: "b", Ticket: Ticket{Class: "once"}})
+		got, stored := "", false
+		for _, effect := range coordinator.Step(2*time.Second, tc.in) {
+			switch effect := effect.(type) {
 			case Answer:
-				got = e.Error
+				got = effect.Error
 			case StoreWrite:
 				stored = true
 			}
 		}
-		if got != c.want || stored != (c.want == "") {
-			t.Errorf("%s: %q, written %v", name, got, stored)
+		if got != tc.want || stored != (tc.want == "") {
+			t.Errorf("%s: got error %q, stored %v", name, got, stored)
 		}
 	}
 }
--- a/internal/federation/outgoing.go
+++ b/internal/federation/outgoing.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// offerWaiting hands waiting jobs off as far as they may go anywhere. One epoch of
-// a peer is given at a time; jobs that may not go now are listed again later.
+// offerWaiting hands off waiting jobs for which there is an eligible site. Only one epoch per
+// peer is assigned at a time. Jobs without an eligible site are dropped from the list; the next
+// JobsWaiting lists them again.
 func (c *Coordinator) offerWaiting() {
 	for len(c.waiting) > 0 && c.anyPeerUnlocked() {
 		job := c.waiting[0]
@@ -11,7 +12,7 @@
 		to, _ := c.route(job)
 		offered := !outgoing && to != ""
 		if offered && c.writes.locked[epochSubject(to)] {
-			return // it is the first to go there
+			return // stays first in the list until the pending epoch is stored
 		}
 		c.waiting = c.waiting[1:]
 		if offered {
@@ -20,7 +21,7 @@
 	}
 }
 
-// offer gives a job to a site, under the next epoch.
+// offer hands off a job to a site under the next epoch.
 func (c *Coordinator) offer(job WaitingJob, to Site) {
 	epoch := c.records.LastEpochs[to] + 1
 	ticket := Ticket{
@@ -29,24 +30,24 @@
 		Class:  job.Class,
 		Epoch:  epoch,
 		To:     to,
-		Path:   c.pathFromHere(job),
+		Path:   c.pathIncludingSelf(job),
 		Body:   job.Body,
 	}
 	outgoing := Outgoing{Epoch: epoch, To: to, Ticket: ticket}
 	c.write(epochSubject(to), CreateOutgoing{JobID: job.ID, Outgoing: outgoing})
 }
 
-// pathFromHere lists the sites that a job has come through, with this one.
-func (c *Coordinator) pathFromHere(job WaitingJob) []Site {
+// pathIncludingSelf returns the sites that a job came through, followed by this site.
+func (c *Coordinator) pathIncludingSelf(job WaitingJob) []Site {
 	return append(slices.Clone(job.Path), c.cfg.Site)
 }
 
-// anyPeerUnlocked tells whether some peer could be given a job now.
+// anyPeerUnlocked reports whether there is a peer without a pending epoch assignment.
 func (c *Coordinator) anyPeerUnlocked() bool {
 	return slices.ContainsFunc(c.cfg.Peers, func(p Peer) bool { return !c.writes.locked[epochSubject(p.Site)] })
 }
 
-// onOutgoingCreated offers a job to its receiver.
+// onOutgoingCreated schedules the offer of a job after its hand-off has been stored.
 func (c *Coordinator) onOutgoingCreated(w CreateOutgoing) {
 	c.records.LastEpochs[w.Outgoing.To] = w.Outgoing.Epoch
 	c.addOutgoing(w.JobID, w.Outgoing)
@@ -54,8 +55,8 @@
 	c.scheduleNow(w.Outgoing.To, retryKey{w.Outgoing.Epoch, true})
 }
 
-// sendOutgoing tells the receiver of a job what it has to know. One that has told of
-// its acceptance is only asked how the job is.
+// sendOutgoing sends the receiver of a job an offer or a cancellation. After the receiver has
+// reported its acceptance, the offer carries no ticket and only asks for the job's state.
 func (c *Coordinator) sendOutgoing(job string) {
 	outgoing := c.records.Outgoing[job]
 	msg := Message{To: outgoing.To, Kind: KindOffer, Epoch: outgoing.Epoch}
@@ -67,14 +68,14 @@
 	c.send(msg)
 }
 
-// findOutgoing finds the job that is outgoing under an epoch.
+// findOutgoing looks up the job that is outgoing under an epoch.
 func (c *Coordinator) findOutgoing(epoch Epoch, to Site) (job string, outgoing Outgoing, found bool) {
 	job = c.index.outgoing[outgoingID{to, epoch}]
 	outgoing, found = c.records.Outgoing[job]
 	return job, outgoing, found
 }
 
-// OutgoingJob is the job that is at a site under an epoch.
+// OutgoingJob returns the job that was handed off to a site under an epoch.
 func (c *Coordinator) OutgoingJob(at Site, epoch Epoch) (job string, found bool) {
 	if !c.loaded {
 		return "", false
@@ -83,8 +84,8 @@
 	return job, found
 }
 
-// handleDecision takes the receiver's decision. After a stored refusal the job may run
-// here again; after an acceptance only its end is waited for.
+// handleDecision processes the receiver's decision. After a stored refusal the job may run here
+// again; after an acceptance only its final state is awaited.
 func (c *Coordinator) handleDecision(msg Message) {
 	job, outgoing, found := c.findOutgoing(msg.Epoch, msg.From)
 	if !found {
@@ -96,41 +97,41 @@
 	}
 	mayHaveRun := outgoing.Accepted || msg.RecordLost
 	if mayHaveRun && !outgoing.CancelRequested && !c.cfg.class(outgoing.Ticket.Class).AllowsRepeat {
-		c.onLost(job, outgoing)
+		c.onRecordLost(job, outgoing)
 		return
 	}
 	if msg.Reason != reasonBusy {
-		c.rejected[rejectionKey{job, msg.From}] = true
+		c.refusals[refusalKey{job, msg.From}] = true
 	}
 	c.log("job refused by peer", "job", job, "peer", msg.From, "reason", msg.Reason, "may_have_run", mayHaveRun)
 	c.write(outgoingSubject(job), RevertOutgoing{JobID: job, Epoch: msg.Epoch, Cancelled: outgoing.CancelRequested})
 }
 
-// onAccepted notes an acceptance. The job is asked for now and then, lest its end was
-// lost.
+// onAccepted records an acceptance and schedules the next query of the job's state. The query is
+// repeated in case the result is lost.
 func (c *Coordinator) onAccepted(job string, outgoing Outgoing) {
 	peer := c.peer(outgoing.To)
 	peer.backoff = 0
-	pause := seconds(c.cfg.RetryMaxS)
+	delay := seconds(c.cfg.RetryMaxS)
 	if outgoing.CancelRequested {
-		pause = jitter(c.rng, seconds(c.cfg.RetryS))
+		delay = jitter(c.rng, seconds(c.cfg.RetryS))
 	}
-	peer.retries.schedule(retryKey{outgoing.Epoch, true}, c.now+pause, 0)
+	peer.retries.schedule(retryKey{outgoing.Epoch, true}, c.now+delay, 0)
 	if !outgoing.Accepted {
 		c.write(outgoingSubject(job), MarkAccepted{JobID: job, Epoch: outgoing.Epoch})
 	}
 }
 
-// onLost goes on waiting for a job that its receiver has lost. It may have run there, and its
-// class allows no repeat: only its user can end it.
-func (c *Coordinator) onLost(job string, outgoing Outgoing) {
-	again := c.now + seconds(c.cfg.RetryMaxS)
-	c.peer(outgoing.To).retries.schedule(retryKey{outgoing.Epoch, true}, again, 0)
-	c.logError("job was lost by the site that had it, and its class allows no repeat", "job", job, "peer", outgoing.To)
+// onRecordLost keeps waiting for a job whose record the receiver has lost. The job may have run
+// there and its class does not allow a repeat, so only its user can end it by cancelling it.
+func (c *Coordinator) onRecordLost(job string, outgoing Outgoing) {
+	retryAt := c.now + seconds(c.cfg.RetryMaxS)
+	c.peer(outgoing.To).retries.schedule(retryKey{outgoing.Epoch, true}, retryAt, 0)
+	c.logError("record of job lost by peer, and its class does not allow a repeat", "job", job, "peer", outgoing.To)
 }
 
-// handleResult takes the end of a job at the receiver, which is the one final answer. One
-// that is no longer outgoing is closed already.
+// handleResult stores the final state that the receiver reports for a job. If the job is no
+// longer outgoing under the epoch, the epoch is closed and the receiver is told so.
 func (c *Coordinator) handleResult(msg Message) {
 	if job, _, found := c.findOutgoing(msg.Epoch, msg.From); found {
 		c.write(outgoingSubject(job), FinishOutgoing{JobID: job, Epoch: msg.Epoch, FinalState: msg.State})
@@ -141,22 +142,22 @@
 	}
 }
 
-// sendClosed tells a receiver that what became of an epoch is stored.
+// sendClosed tells a receiver that the outcome of an epoch is stored.
 func (c *Coordinator) sendClosed(to Site, epoch Epoch) {
 	c.send(Message{To: to, Kind: KindClosed, Epoch: epoch})
 }
 
-// onReverted notes that a job may run here again.
+// onReverted removes the hand-off of a job that may run here again.
 func (c *Coordinator) onReverted(w RevertOutgoing, req uint64) {
 	outgoing := c.removeOutgoing(w.JobID)
 	c.sendClosed(outgoing.To, outgoing.Epoch)
 	if w.Cancelled {
-		c.clearRejections(w.JobID)
+		c.clearRefusals(w.JobID)
 	}
 	if w.Operator == "" {
 		return
 	}
-	c.logError("hand-off given up: the job may have run, or still run, elsewhere",
+	c.logError("hand-off given up: the job may have run or may still be running at the peer",
 		"job", w.JobID,
 		"peer", outgoing.To,
 		"operator", w.Operator,
@@ -164,23 +165,24 @@
 	c.emit(Answer{Req: req, State: "given up: the job may have run, or still run, at " + string(outgoing.To)})
 }
 
-// onFinished notes that an outgoing job has its final state.
+// onFinished removes the hand-off of a job that has reached its final state.
 func (c *Coordinator) onFinished(w FinishOutgoing) {
 	outgoing := c.removeOutgoing(w.JobID)
-	c.clearRejections(w.JobID)
+	c.clearRefusals(w.JobID)
 	c.log("job ended at peer", "job", w.JobID, "peer", outgoing.To, "state", w.FinalState)
 	c.sendClosed(outgoing.To, outgoing.Epoch)
 }
 
-// clearRejections forgets which sites have refused a job.
-func (c *Coordinator) clearRejections(job string) {
+// clearRefusals removes the recorded refusals of a job.
+func (c *Coordinator) clearRefusals(job string) {
 	for _, peer := range c.cfg.Peers {
-		delete(c.rejected, rejectionKey{job, peer.Site})
+		delete(c.refusals, refusalKey{job, peer.Site})
 	}
 }
 
-// handleCancelRequested notes a user's request. The answer comes at once, 503 until the job has its
-// one final state: the end of the job at its receiver, or the receiver's refusal.
+// handleCancelRequested stores a user's request to cancel an outgoing job. It is answered at
+// once, with 503 until the job has a final state. That state is either the result reported by
+// the receiver or, if the receiver refuses the job, cancelled.
 func (c *Coordinator) handleCancelRequested(in CancelRequested) {
 	c.emit(Answer{Req: in.Req})
 	outgoing, found := c.records.Outgoing[in.JobID]
--- a/internal/federation/peers.go
+++ b/internal/federation/peers.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// peerState is what is known of another site.
+// peerState is what the coordinator knows about a peer. It is kept in memory only.
 type peerState struct {
 	site    Site
 	breaker circuitBreaker
 	budget  retryBudget
 	retries retryQueue
-	// retryCount is how many repeated tries were made.
+	// retryCount is the number of retries sent to the peer.
 	retryCount int
-	// backoffUntil is until when the peer has asked for no offers, backoff the length of that.
+	// backoffUntil is the end of the period in which the peer accepts no offers, backoff its
+	// length.
 	backoff, backoffUntil time.Duration
-	// longestWaitS is for how many seconds work waits there, as told at loadReceivedAt.
+	// longestWaitS is the longest time in seconds that a job has been waiting at the peer, as
+	// reported at loadReceivedAt.
 	longestWaitS   float64
 	loadReceivedAt time.Duration
-	// loadDueAt is when the peer is told the same of this site.
+	// loadDueAt is when to report the load of this site to the peer.
 	loadDueAt time.Duration
-	// lowWaterMark is up to where the peer has closed its epochs, to be stored at forgetAt.
+	// lowWaterMark is the epoch up to which the peer has closed its hand-offs to this site. It
+	// is stored at forgetAt.
 	lowWaterMark Epoch
 	forgetAt     time.Duration
 	comparison
 }
 
-// peer is the state of a peer.
+// peer returns the state of a peer, which it creates on first use.
 func (c *Coordinator) peer(site Site) *peerState {
 	if c.peers[site] == nil {
 		c.peers[site] = &peerState{
@@ -35,9 +38,9 @@
 	return c.peers[site]
 }
 
-// onMessage notes what any message of a peer tells about it. A peer that asks for a pause again
-// gets one that is at least twice as long: a job that is offered over and over again to full
-// sites would never be here for long enough to start.
+// onMessage updates the state of a peer from any message that it sends. If a peer asks for a
+// backoff again, the backoff at least doubles. Otherwise a job that is offered repeatedly to
+// sites without room would never stay here long enough to start.
 func (p *peerState) onMessage(msg Message, now time.Duration, cfg *Config) {
 	p.breaker.close()
 	p.budget.add(retriesPerAnswer)
@@ -48,8 +51,9 @@
 	}
 }
 
-// handlePeerReachable has a peer told of all that is open there at once, as far as its retry
-// budget goes. Otherwise the first message after a long cut would wait for the longest pause.
+// handlePeerReachable retries everything that the peer has not answered, as far as its retry
+// budget allows. Otherwise the first message after a long outage would be delayed by up to
+// RetryMaxS.
 func (c *Coordinator) handlePeerReachable(site Site) {
 	peer := c.peer(site)
 	peer.breaker.close()
@@ -57,7 +61,7 @@
 	peer.retries.expedite(c.now)
 }
 
-// sendLoad tells a peer now and then for how long work waits here.
+// sendLoad periodically reports the load of this site to a peer.
 func (c *Coordinator) sendLoad(peer *peerState) {
 	if c.now >= peer.loadDueAt && peer.breaker.allows(c.now) {
 		peer.loadDueAt = c.now + seconds(c.cfg.LoadMaxAgeS)/2
--- a/internal/federation/protocol.go
+++ b/internal/federation/protocol.go
@@ -1,7 +1,7 @@
-// Package federation hands jobs to other sites and brings their results back. It is
-// one site's part in that, for both roles, without input or output: messages, replies
-// of the store and the time go in, effects come out. docs/federation.md has the design
-// and what must hold.
+// Package federation hands off jobs to other sites and returns their results. It implements both
+// the origin's and the receiver's side of the protocol for one site, as a state machine without
+// I/O: messages, results from the store and the current time are inputs, and the actions to take
+// are returned as effects. See docs/federation.md for the design and its invariants.
 package federation
 
 import (
@@ -9,92 +9,95 @@
 	"time"
 )
 
-// Site names a site.
+// Site is the name of a site.
 type Site string
 
-// Epoch numbers the hand-offs of one site to another. A number is never given twice.
+// Epoch is the sequence number of a hand-off from one site to another. No number is used twice.
 type Epoch uint64
 
-// Ticket is what the origin hands out with a job.
+// Ticket is the authorization, issued by the origin, to run a job under an epoch.
 type Ticket struct {
 	Origin Site   `json:"origin"`
 	JobID  string `json:"job"`
 	Class  string `json:"class"`
 	Epoch  Epoch  `json:"epoch"`
-	// To is the only site that may take it.
+	// To is the only site that may accept the ticket.
 	To Site `json:"to"`
-	// Path holds the sites that the job came through, the origin first.
+	// Path lists the sites that the job came through, starting with the one where it was
+	// submitted.
 	Path []Site `json:"path"`
-	// Body is the job's description as its user gave it.
+	// Body is the job description as the user submitted it.
 	Body json.RawMessage `json:"body"`
-	// KeyID names the key of MAC, which signs all the rest.
+	// KeyID names the key used for MAC, which authenticates all other fields.
 	KeyID string `json:"key,omitempty"`
 	MAC   []byte `json:"mac,omitempty"`
 }
 
-// Kind tells what a message says.
+// Kind is the type of a message.
 type Kind string
 
 // Kinds of messages.
 const (
-	// KindOffer hands a job over; it is repeated until the decision arrives.
+	// KindOffer hands off a job. It is repeated until the decision arrives.
 	KindOffer Kind = "offer"
-	// KindDecision tells what the receiver has stored of an epoch.
+	// KindDecision reports the receiver's stored decision on an epoch.
 	KindDecision Kind = "decision"
-	// KindResult tells the final state of an accepted job; it is repeated until closed.
+	// KindResult reports the final state of an accepted job. It is repeated until the epoch is
+	// closed.
 	KindResult Kind = "result"
-	// KindCancel asks for an end of an epoch, decided or not.
+	// KindCancel asks the receiver to cancel an epoch, whether it is decided or not.
 	KindCancel Kind = "cancel"
-	// KindClosed tells that the origin has stored what became of an epoch, and of all up
-	// to its low-water mark.
+	// KindClosed reports that the origin has stored the outcome of an epoch, and of all epochs
+	// up to its low-water mark.
 	KindClosed Kind = "closed"
-	// KindViewRequest asks what the other side holds of the two sites' hand-offs. Nothing
-	// else passes before both records have been compared.
+	// KindViewRequest asks for the peer's view of the hand-offs between the two sites. A site
+	// ignores a peer's hand-off messages until it has compared its records with that view.
 	KindViewRequest Kind = "ask"
-	// KindView answers KindViewRequest.
+	// KindView is the answer to KindViewRequest.
 	KindView Kind = "view"
-	// KindLoad tells now and then for how long work waits at a site.
+	// KindLoad periodically reports how long jobs wait at a site.
 	KindLoad Kind = "room"
 )
 
-// Message passes between two sites. Every message of an origin carries its low-water mark.
+// Message is a message between two sites. Every message carries the sender's low-water mark.
 type Message struct {
 	From   Site    `json:"from"`
 	To     Site    `json:"to"`
 	Kind   Kind    `json:"kind"`
 	Epoch  Epoch   `json:"epoch,omitempty"`
 	Ticket *Ticket `json:"ticket,omitempty"`
-	// Accepted and Reason are the decision.
+	// Accepted and Reason are the decision on the epoch.
 	Accepted bool   `json:"accepted,omitempty"`
 	Reason   string `json:"reason,omitempty"`
-	// State is the final state of an ended job.
+	// State is the final state of a job.
 	State string `json:"state,omitempty"`
-	// RecordLost tells of a refusal that does not prove that the job has never run.
+	// RecordLost marks a refusal that does not prove that the job never ran.
 	RecordLost bool `json:"lost,omitempty"`
-	// Done and Running are tasks of an accepted job, for display.
+	// Done and Running count tasks of an accepted job, for display only.
 	Done    int `json:"done,omitempty"`
 	Running int `json:"running,omitempty"`
-	// LowWaterMark is the epoch up to which the origin has closed all that it offered to
-	// the receiver.
+	// LowWaterMark is the epoch up to which the sender has closed all its hand-offs to the
+	// receiver of the message.
 	LowWaterMark Epoch `json:"floor,omitempty"`
-	// Backoff asks the other side to offer nothing for so long.
+	// Backoff asks the peer to send no offers for this long.
 	Backoff time.Duration `json:"busy,omitempty"`
-	// LongestWaitS is for how many seconds the work that has waited longest at From waits.
+	// LongestWaitS is the longest time in seconds that a job has been waiting at From.
 	LongestWaitS float64 `json:"wait_s,omitempty"`
-	// Nonce marks the answer to KindViewRequest, View is that answer.
+	// Nonce identifies a KindViewRequest and is returned in its answer. View is the content of
+	// that answer.
 	Nonce uint64 `json:"nonce,omitempty"`
 	View  *View  `json:"view,omitempty"`
 }
 
-// View is what a site holds of its hand-offs with another one.
+// View is what a site's records hold about its hand-offs with a peer.
 type View struct {
-	// LastEpoch is the highest epoch given to the other site.
+	// LastEpoch is the highest epoch that the site has assigned to hand-offs to the peer.
 	LastEpoch Epoch `json:"last"`
-	// Open are the epochs given to it that are not closed.
+	// Open lists the epochs assigned to the peer that are not closed.
 	Open []Epoch `json:"open,omitempty"`
-	// Accepted are those of the open ones that the other site has accepted.
+	// Accepted lists the epochs in Open that the peer has accepted.
 	Accepted []Epoch `json:"accepted,omitempty"`
-	// HighestEpoch is the highest epoch of the other site that is stored here.
+	// HighestEpoch is the highest epoch of the peer in the site's records.
 	HighestEpoch Epoch `json:"highest"`
 }
 
--- a/internal/federation/records.go
+++ b/internal/federation/records.go
@@ -5,24 +5,24 @@
 	"maps"
 )
 
-// Records are what the site's store holds of the hand-offs.
+// Records holds everything about hand-offs in the site's store.
 type Records struct {
-	// LastEpochs is the highest epoch that this site has given to each other.
+	// LastEpochs is the highest epoch assigned to hand-offs to each site.
 	LastEpochs map[Site]Epoch
-	// Outgoing holds the jobs of this site that another one has the right to run, by ID.
+	// Outgoing holds, by job ID, the jobs that another site has the right to run.
 	Outgoing map[string]Outgoing
-	// Incoming holds what this site has decided on the jobs of others.
+	// Incoming holds the decisions of this site on hand-offs from other sites.
 	Incoming map[IncomingID]Incoming
-	// LowWaterMarks are the epochs up to which each origin has closed all.
+	// LowWaterMarks holds, for each origin, the epoch up to which it has closed all hand-offs.
 	LowWaterMarks map[Site]Epoch
-	// Drained holds the sites that an operator wants no new hand-offs with.
+	// Drained holds the sites with which an operator has disabled new hand-offs.
 	Drained map[Site]bool
 }
 
-// NewRecords makes records without any hand-off.
+// NewRecords returns empty records.
 func NewRecords() Records { return Records{}.copy() }
 
-// copy makes records that share nothing with others.
+// copy returns a copy that shares no maps with the original.
 func (r Records) copy() Records {
 	return Records{
 		LastEpochs:    clone(r.LastEpochs),
@@ -33,7 +33,7 @@
 	}
 }
 
-// clone copies a map. The copy of nil is empty.
+// clone copies a map. The copy of a nil map is an empty map.
 func clone[K comparable, V any](m map[K]V) map[K]V {
 	if m == nil {
 		return map[K]V{}
@@ -48,13 +48,13 @@
 	Ticket Ticket `json:"t"`
 	// CancelRequested is set once a user has asked to cancel the job.
 	CancelRequested bool `json:"c,omitempty"`
-	// Accepted is set once its receiver has told that it has accepted it.
+	// Accepted is set once the receiver has reported its acceptance.
 	Accepted bool `json:"a,omitempty"`
-	// HandedOffAt is the time of day of the hand-off in milliseconds, for display.
+	// HandedOffAt is the Unix time of the hand-off in milliseconds, for display only.
 	HandedOffAt int64 `json:"at,omitempty"`
 }
 
-// Stage is how far an outgoing job has come.
+// Stage returns the stage of an outgoing job, as shown to operators.
 func (o Outgoing) Stage() string {
 	switch {
 	case o.CancelRequested:
@@ -65,42 +65,42 @@
 	return "offered"
 }
 
-// outgoingID names an epoch of this site, by whom it was given to.
+// outgoingID identifies an epoch that this site has assigned to another.
 type outgoingID struct {
 	to    Site
 	epoch Epoch
 }
 
-// IncomingID names an epoch of another site, its origin.
+// IncomingID identifies an epoch that another site, the origin, has assigned to this site.
 type IncomingID struct {
 	Origin Site
 	Epoch  Epoch
 }
 
-// CompareIncomingIDs orders epochs by origin and number.
+// CompareIncomingIDs orders IDs by origin, then by epoch.
 func CompareIncomingIDs(a, b IncomingID) int {
 	return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.Epoch, b.Epoch))
 }
 
-// Incoming is what this site has decided on an epoch of another. It never changes but
-// for the state in which the job ended.
+// Incoming is the decision of this site on an epoch of another site. It never changes, except
+// that FinalState is set when the job ends.
 type Incoming struct {
 	Accepted bool   `json:"a"`
 	Reason   string `json:"r,omitempty"`
-	// LocalID is the job's ID here.
+	// LocalID is the ID of the accepted job at this site.
 	LocalID string `json:"l,omitempty"`
-	// FinalState is set once the job has ended.
+	// FinalState is the state in which the job ended; it is empty until then.
 	FinalState string `json:"s,omitempty"`
-	// Path holds the sites that an accepted job came through.
+	// Path lists the sites that an accepted job came through.
 	Path []Site `json:"p,omitempty"`
-	// DecidedAt is the time of day of the decision in milliseconds, for display.
+	// DecidedAt is the Unix time of the decision in milliseconds, for display only.
 	DecidedAt int64 `json:"at,omitempty"`
 }
 
-// isRunning tells whether the job was accepted and has not ended.
+// isRunning reports whether the job was accepted and has not ended.
 func (i Incoming) isRunning() bool { return i.Accepted && i.FinalState == "" }
 
-// Stage is how far an incoming job has come.
+// Stage returns the stage of an incoming job, as shown to operators.
 func (i Incoming) Stage() string {
 	switch {
 	case !i.Accepted:
--- a/internal/federation/recordwrites.go
+++ b/internal/federation/recordwrites.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// subject names what a write is about. There is one write at a time for each.
+// subject identifies what a write concerns. There is at most one pending write per subject.
 type subject string
 
 func epochSubject(to Site) subject { return subject("epoch/" + to) }
@@ -19,15 +19,15 @@
 
 func drainedSubject(site Site) subject { return subject("drained/" + site) }
 
-// pendingWrite is a write without an answer.
+// pendingWrite is a write whose outcome has not been reported yet.
 type pendingWrite struct {
 	write   Write
 	subject subject
-	// req is the request of an operator that the write answers, or 0.
+	// req is the operator request that the write answers, or 0.
 	req uint64
 }
 
-// pendingWrites holds the writes without an answer, by ID.
+// pendingWrites holds the pending writes by ID.
 type pendingWrites struct {
 	byID   map[uint64]pendingWrite
 	locked map[subject]bool
@@ -38,7 +38,7 @@
 	return pendingWrites{byID: map[uint64]pendingWrite{}, locked: map[subject]bool{}}
 }
 
-// add numbers a write and locks its subject.
+// add assigns an ID to a write and locks its subject.
 func (p *pendingWrites) add(write pendingWrite) (id uint64) {
 	p.lastID++
 	p.locked[write.subject] = true
@@ -46,8 +46,8 @@
 	return p.lastID
 }
 
-// take removes a write and unlocks its subject.
-func (p *pendingWrites) take(id uint64) (write pendingWrite, pending bool) {
+// complete removes a write and unlocks its subject.
+func (p *pendingWrites) complete(id uint64) (write pendingWrite, pending bool) {
 	write, pending = p.byID[id]
 	if pending {
 		delete(p.byID, id)
@@ -56,14 +56,14 @@
 	return write, pending
 }
 
-// clear drops all writes.
+// clear removes all writes.
 func (p *pendingWrites) clear() {
 	clear(p.byID)
 	clear(p.locked)
 }
 
-// acceptances counts the pending acceptances of an origin's jobs.
-func (p *pendingWrites) acceptances(origin Site) int {
+// countAcceptances returns the number of pending acceptances of jobs from an origin.
+func (p *pendingWrites) countAcceptances(origin Site) int {
 	count := 0
 	for _, pending := range p.byID {
 		decision, ok := pending.write.(DecideIncoming)
@@ -74,8 +74,9 @@
 	return count
 }
 
-// load takes the records, which replace all that was known. Writes without an answer may still
-// be applied; their conditions see to it that they or what follows them fail.
+// load replaces all records with those read from the store. Pending writes are dropped, although
+// the store may still apply them. Their conditions ensure that either they fail or later writes
+// that contradict them do.
 func (c *Coordinator) load(records Records) {
 	c.records = records.copy()
 	c.index = newIndex(&c.records)
@@ -85,10 +86,10 @@
 	c.rebuildRetryQueues()
 }
 
-// write writes a record, unless a write on the same subject has no answer.
+// write issues a write unless another write on the same subject is pending.
 func (c *Coordinator) write(s subject, write Write) { c.writeFor(0, s, write) }
 
-// writeFor writes a record on an operator's request.
+// writeFor issues a write that answers an operator's request, or any write if req is 0.
 func (c *Coordinator) writeFor(req uint64, s subject, write Write) {
 	if c.writes.locked[s] {
 		if req != 0 {
@@ -100,10 +101,11 @@
 	c.emit(StoreWrite{ID: id, Write: write})
 }
 
-// handleWriteCompleted takes the outcome of a write. What failed, or may have been applied, is
-// found out by reading: only this node writes these records while it is the leader.
+// handleWriteCompleted processes the outcome of a write. After a conflict or an unknown outcome
+// the records are read again. This shows what is stored, because only the leader writes these
+// records.
 func (c *Coordinator) handleWriteCompleted(in WriteCompleted) {
-	pending, found := c.writes.take(in.ID)
+	pending, found := c.writes.complete(in.ID)
 	if !found {
 		return
 	}
@@ -123,15 +125,15 @@
 	}
 }
 
-// onApplied applies a write to the records in memory and goes on with what follows from it.
+// onApplied applies a completed write to the records in memory and takes the next steps.
 func (c *Coordinator) onApplied(pending pendingWrite) {
 	switch write := pending.write.(type) {
 	case CreateOutgoing:
 		c.onOutgoingCreated(write)
 	case MarkAccepted:
-		c.changeOutgoing(write.JobID, func(outgoing *Outgoing) { outgoing.Accepted = true })
+		c.updateOutgoing(write.JobID, func(outgoing *Outgoing) { outgoing.Accepted = true })
 	case MarkCancelRequested:
-		outgoing := c.changeOutgoing(write.JobID, func(outgoing *Outgoing) { outgoing.CancelRequested = true })
+		outgoing := c.updateOutgoing(write.JobID, func(outgoing *Outgoing) { outgoing.CancelRequested = true })
 		c.scheduleNow(outgoing.To, retryKey{outgoing.Epoch, true})
 	case RevertOutgoing:
 		c.onReverted(write, pending.req)
--- a/internal/federation/retries.go
+++ b/internal/federation/retries.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// rebuildRetryQueues queues all that has no answer, and keeps the times of what was queued
-// before.
+// rebuildRetryQueues queues everything that is unacknowledged. Entries that were queued before
+// keep their due time.
 func (c *Coordinator) rebuildRetryQueues() {
 	for _, peer := range c.peers {
-		peer.retries.retain(func(key retryKey) bool { return c.isOpen(peer.site, key) })
+		peer.retries.retain(func(key retryKey) bool { return c.isUnacknowledged(peer.site, key) })
 	}
 	for to, epochs := range c.index.openEpochs {
 		for _, epoch := range epochs {
@@ -18,28 +18,28 @@
 	}
 	for origin, epochs := range c.index.incoming {
 		for _, epoch := range epochs {
-			if key := (retryKey{epoch, false}); c.isOpen(origin, key) {
+			if key := (retryKey{epoch, false}); c.isUnacknowledged(origin, key) {
 				c.peer(origin).retries.scheduleIfMissing(key)
 			}
 		}
 	}
 }
 
-// isOpen tells whether a peer is still to be told of an epoch.
-func (c *Coordinator) isOpen(peer Site, key retryKey) bool {
+// isUnacknowledged reports whether a peer still has to be told about an epoch.
+func (c *Coordinator) isUnacknowledged(peer Site, key retryKey) bool {
 	if key.outgoing {
 		return c.index.outgoing[outgoingID{peer, key.epoch}] != ""
 	}
 	return c.records.Incoming[IncomingID{peer, key.epoch}].FinalState != ""
 }
 
-// sendDue tells a peer what is due.
+// sendDue sends a peer all messages that are due, within the limits of maySend.
 func (c *Coordinator) sendDue(peer *peerState) {
 	for due := peer.retries.next(c.now); due != nil; due = peer.retries.next(c.now) {
-		if !c.mayTry(peer, due.attempts > 0) {
+		if !c.maySend(peer, due.attempts > 0) {
 			return
 		}
-		peer.breaker.onTry(c.now, c.cfg)
+		peer.breaker.onAttempt(c.now, c.cfg)
 		next := c.now + jitter(c.rng, c.retryDelay(due.attempts))
 		peer.retries.schedule(due.retryKey, next, due.attempts+1)
 		if due.outgoing {
@@ -50,59 +50,60 @@
 	}
 }
 
-// mayTry tells whether something may be sent to a peer now. A repeated try is charged to the
+// maySend reports whether a message may be sent to a peer now. A retry takes a token from the
 // peer's retry budget.
-func (c *Coordinator) mayTry(peer *peerState, repeated bool) bool {
+func (c *Coordinator) maySend(peer *peerState, repeated bool) bool {
 	if !peer.breaker.allows(c.now) {
 		return false
 	}
 	if !repeated {
 		return true
 	}
-	if !peer.budget.take() {
+	if !peer.budget.takeToken() {
 		return false
 	}
 	peer.retryCount++
 	return true
 }
 
-// scheduleNow has a peer told of an epoch at the next chance.
+// scheduleNow makes the message about an epoch due immediately.
 func (c *Coordinator) scheduleNow(peer Site, key retryKey) { c.peer(peer).retries.schedule(key, 0, 0) }
 
-// retryDelay is how long to wait after a try: twice as long each time, up to RetryMaxS.
+// retryDelay returns the delay before the next attempt. It doubles with each attempt, up to
+// RetryMaxS.
 func (c *Coordinator) retryDelay(attempts int) time.Duration {
 	return min(seconds(c.cfg.RetryS)<<min(attempts, maxDoublings), seconds(c.cfg.RetryMaxS))
 }
 
-// maxDoublings keeps retryDelay from overflowing.
+// maxDoublings limits the exponent in retryDelay to prevent an overflow.
 const maxDoublings = 16
 
-// retryBudget bounds repeated tries, so that many hand-offs in flight do not flood a peer
-// that has just come back: a few a second, and with each answer some more, so that
-// the pace is the peer's own.
+// retryBudget is a token bucket for retries. It keeps many hand-offs in flight from overloading
+// a peer that has just come back. A few tokens per second are added at a fixed rate and some
+// with each message from the peer, so that the retry rate adapts to the peer's pace.
 type retryBudget struct {
 	tokens     float64
 	refilledAt time.Duration
 }
 
-// retriesPerAnswer is how many tries an answer allows. More than one lets the pace
-// rise until the peer's answers, or its pauses, hold it.
+// retriesPerAnswer is the number of tokens added for each message from a peer. It is greater
+// than one so that the retry rate can rise until the peer's answers or backoffs limit it.
 const retriesPerAnswer = 2
 
-// maxRetryBudget is how many tries may be saved up.
+// maxRetryBudget is the capacity of the bucket.
 const maxRetryBudget = 64
 
-// refill adds what the rate allows since the last call.
+// refill adds the tokens that have accumulated at the given rate since the last call.
 func (b *retryBudget) refill(now time.Duration, rate float64) {
 	b.add((now - b.refilledAt).Seconds() * rate)
 	b.refilledAt = now
 }
 
-// add adds tries.
-func (b *retryBudget) add(tries float64) { b.tokens = min(maxRetryBudget, b.tokens+tries) }
+// add adds tokens, up to the capacity.
+func (b *retryBudget) add(amount float64) { b.tokens = min(maxRetryBudget, b.tokens+amount) }
 
-// take takes one try, or reports that there is none.
-func (b *retryBudget) take() bool {
+// takeToken removes one token, and reports whether there was one.
+func (b *retryBudget) takeToken() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -110,10 +111,10 @@
 	return true
 }
 
-// jitter spreads a pause over half to one and a half times its length.
-func jitter(rng *rand.Rand, pause time.Duration) time.Duration {
-	return pause/2 + time.Duration(rng.Int64N(int64(max(pause, 1))))
+// jitter returns a random delay between half and one and a half times the given one.
+func jitter(rng *rand.Rand, delay time.Duration) time.Duration {
+	return delay/2 + time.Duration(rng.Int64N(int64(max(delay, 1))))
 }
 
-// seconds turns a figure of the configuration into a duration.
+// seconds converts a number of seconds from the configuration to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/federation/retries_test.go
+++ b/internal/federation/retries_test.go
@@ -7,66 +7,66 @@
 	"time"
 )
 
-// Without answers repeated tries are a few a second, however many hand-offs are in
-// flight; with them the pace rises.
-func TestRetryRateFollowsTheAnswers(t *testing.T) {
+// Without answers the retry rate must stay at the configured limit, however many hand-offs are
+// in flight. With answers it must rise.
+func TestRetryRateFollowsAnswerRate(t *testing.T) {
 	sent := map[bool]int{}
-	for _, answers := range []bool{false, true} {
-		m := newRoutingCoordinator(func(c *Config) { c.Peers[0].MaxOutgoing, c.RetryRate, c.BreakerThreshold = 1000, 5, 1<<30 })
-		r := Records{}.copy()
+	for _, answering := range []bool{false, true} {
+		coordinator := newRoutingCoordinator(func(cfg *Config) { cfg.Peers[0].MaxOutgoing, cfg.RetryRate, cfg.BreakerThreshold = 1000, 5, 1<<30 })
+		records := Records{}.copy()
 		for i := range 500 {
-			r.Outgoing[fmt.Sprint("req-", i)] = Outgoing{Epoch: Epoch(i + 1), To: "b"}
+			records.Outgoing[fmt.Sprint("req-", i)] = Outgoing{Epoch: Epoch(i + 1), To: "b"}
 		}
-		m.Step(2*time.Second, RecordsLoaded{r})
-		const span = 30
-		last := 0
-		for s := range span {
-			var in []Input
-			for i := 0; answers && i < last; i++ {
-				in = append(in, MessageReceived{Message: Message{From: "b", To: "a", Kind: KindLoad}})
+		coordinator.Step(2*time.Second, RecordsLoaded{records})
+		const spanSeconds = 30
+		offers := 0
+		for second := range spanSeconds {
+			var inputs []Input
+			for i := 0; answering && i < offers; i++ {
+				inputs = append(inputs, MessageReceived{Message: Message{From: "b", To: "a", Kind: KindLoad}})
 			}
-			last = 0
-			for _, e := range m.Step(time.Duration(s+3)*time.Second, in...) {
-				if send, ok := e.(Send); ok && send.Message.Kind == KindOffer {
-					last++
+			offers = 0
+			for _, effect := range coordinator.Step(time.Duration(second+3)*time.Second, inputs...) {
+				if send, ok := effect.(Send); ok && send.Message.Kind == KindOffer {
+					offers++
 				}
 			}
-			sent[answers] += last
+			sent[answering] += offers
 		}
-		if most := span*5 + maxRetryBudget; !answers && sent[answers] > most {
-			t.Errorf("%d messages without an answer, %d are allowed", sent[answers], most)
+		if limit := spanSeconds*5 + maxRetryBudget; !answering && sent[answering] > limit {
+			t.Errorf("got %d messages without answers, want at most %d", sent[answering], limit)
 		}
 	}
 	if sent[true] < 2*sent[false] {
-		t.Errorf("%d messages with answers, %d without", sent[true], sent[false])
+		t.Errorf("got %d messages with answers and %d without, want at least twice as many with answers", sent[true], sent[false])
 	}
 }
 
-// After a long cut the first message does not wait for the longest pause.
-func TestReachablePeerIsRetriedAtOnce(t *testing.T) {
-	m := newRoutingCoordinator(nil, Outgoing{To: "b"})
+// After a long outage, the first message must not wait for the remaining retry delay.
+func TestReachablePeerIsRetriedImmediately(t *testing.T) {
+	coordinator := newRoutingCoordinator(nil, Outgoing{To: "b"})
 	now := 2 * time.Second
 	for ; now < 5*time.Minute; now += time.Second {
-		m.Step(now) // nothing answers
+		coordinator.Step(now) // the peer never answers
 	}
-	tell := func(in ...Input) (n int) {
-		for _, e := range m.Step(now, in...) {
-			if s, ok := e.(Send); ok && s.Message.To == "b" && s.Message.Kind == KindOffer {
-				n++
+	countOffers := func(inputs ...Input) (count int) {
+		for _, effect := range coordinator.Step(now, inputs...) {
+			if send, ok := effect.(Send); ok && send.Message.To == "b" && send.Message.Kind == KindOffer {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	if before, after := tell(), tell(PeerReachable{"b"}); before != 0 || after != 1 {
-		t.Errorf("told %d times before it was reachable, %d then", before, after)
+	if before, after := countOffers(), countOffers(PeerReachable{"b"}); before != 0 || after != 1 {
+		t.Errorf("got %d offers before the peer became reachable and %d after, want 0 and 1", before, after)
 	}
 }
 
-func TestJitterSpreadsAroundThePause(t *testing.T) {
+func TestJitterStaysInRange(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 1000 {
-		if d := jitter(rng, time.Second); d < time.Second/2 || d >= 3*time.Second/2 {
-			t.Fatalf("a pause of a second became %v", d)
+		if delay := jitter(rng, time.Second); delay < time.Second/2 || delay >= 3*time.Second/2 {
+			t.Fatalf("got delay %v for 1s, want 500ms to 1.5s", delay)
 		}
 	}
 }
--- a/internal/federation/retryqueue.go
+++ b/internal/federation/retryqueue.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// retryKey names something that a peer is told until it answers.
+// retryKey identifies a message that is repeated until the peer acknowledges it.
 type retryKey struct {
-	// epoch is of this site if it is outgoing, or of the peer.
+	// epoch is an epoch of this site if outgoing is set, otherwise of the peer.
 	epoch    Epoch
 	outgoing bool
 }
 
-// retry is something to be told, with its next time.
+// retry is a queued message with the time of its next attempt.
 type retry struct {
 	retryKey
 	due      time.Duration
 	attempts int
-	// index is its place in the heap.
+	// index is the position in the heap.
 	index int
 }
 
-// retryQueue orders what is to be told to a peer by its time.
+// retryQueue is a priority queue of the messages to a peer, ordered by due time.
 type retryQueue struct {
 	heap  retryHeap
 	byKey map[retryKey]*retry
 }
 
-// schedule gives a key its next time.
+// schedule sets the due time and the attempt count of a key, and adds the key if it is missing.
 func (q *retryQueue) schedule(key retryKey, due time.Duration, attempts int) {
 	if r := q.byKey[key]; r != nil {
 		r.due, r.attempts = due, attempts
@@ -43,14 +43,14 @@
 	heap.Push(&q.heap, r)
 }
 
-// scheduleIfMissing makes a key due at once, unless it is queued.
+// scheduleIfMissing makes a key due immediately unless it is already queued.
 func (q *retryQueue) scheduleIfMissing(key retryKey) {
 	if q.byKey[key] == nil {
 		q.schedule(key, 0, 0)
 	}
 }
 
-// expedite makes everything due by now.
+// expedite makes every queued key due no later than now.
 func (q *retryQueue) expedite(now time.Duration) {
 	for _, r := range q.heap {
 		r.due = min(r.due, now)
@@ -58,7 +58,7 @@
 	heap.Init(&q.heap)
 }
 
-// remove removes a key.
+// remove removes a key if it is queued.
 func (q *retryQueue) remove(key retryKey) {
 	if r := q.byKey[key]; r != nil {
 		heap.Remove(&q.heap, r.index)
@@ -66,7 +66,7 @@
 	}
 }
 
-// retain removes the keys that a function does not keep.
+// retain removes the keys for which keep returns false.
 func (q *retryQueue) retain(keep func(retryKey) bool) {
 	for key := range q.byKey {
 		if !keep(key) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// next is what is due first by now, or nil.
+// next returns the first entry that is due without removing it, or nil if none is due.
 func (q *retryQueue) next(now time.Duration) *retry {
 	if len(q.heap) == 0 || q.heap[0].due > now {
 		return nil
@@ -83,7 +83,8 @@
 	return q.heap[0]
 }
 
-// retryHeap is a heap by due time; of those due together the outgoing come first, then by epoch.
+// retryHeap is a min-heap by due time. Entries with the same due time are ordered with outgoing
+// ones first, then by epoch.
 type retryHeap []*retry
 
 // Len implements heap.Interface.
--- a/internal/federation/routing.go
+++ b/internal/federation/routing.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// ineligibility is why a job may not go to another site now; empty if it may.
+// ineligibility is the reason why a job may not be handed off now. It is empty if the job may
+// be.
 type ineligibility string
 
-// Reasons why a job may go to no site.
+// Reasons that rule out every site.
 const (
 	eligible          ineligibility = ""
-	classStays        ineligibility = "class goes nowhere"
+	classNotRouted    ineligibility = "class goes nowhere"
 	waitTooShort      ineligibility = "has not waited for long enough"
 	tooManyHops       ineligibility = "has come through too many sites"
 	classLimitReached ineligibility = "as many of its class are away as may be"
-	noSite            ineligibility = "no site"
+	noCandidateSite   ineligibility = "no site"
 )
 
-// Reasons why a job may not go to a site.
+// Reasons that rule out one site.
 const (
 	siteUnknown        ineligibility = "site is no peer"
 	siteOnPath         ineligibility = "came from there"
@@ -24,19 +25,19 @@
 	siteDrained        ineligibility = "site is drained"
 	siteLacksZone      ineligibility = "site has not the zone"
 	siteLacksTypes     ineligibility = "site has none of the types"
-	siteBacksOff       ineligibility = "site has asked for a pause"
+	siteInBackoff      ineligibility = "site has asked for a pause"
 	siteUnreachable    ineligibility = "site does not answer"
 	siteLimitReached   ineligibility = "as many are there as may be"
-	siteWaitsLonger    ineligibility = "work waits for longer there"
+	siteWaitLonger     ineligibility = "work waits for longer there"
 )
 
-// route picks the site that a job is offered to, or tells why there is none.
+// route selects the site to offer a job to. If there is none, it returns the reason.
 func (c *Coordinator) route(job WaitingJob) (Site, ineligibility) {
 	class := c.cfg.class(job.Class)
-	path := c.pathFromHere(job)
+	path := c.pathIncludingSelf(job)
 	switch {
 	case len(class.To) == 0:
-		return "", classStays
+		return "", classNotRouted
 	case !job.InfeasibleHere && job.Waited < seconds(class.OfferAfterS):
 		return "", waitTooShort
 	case len(path) > c.cfg.MaxHops:
@@ -44,9 +45,9 @@
 	case class.MaxOutgoing > 0 && c.index.outgoingByClass[class.Name] >= class.MaxOutgoing:
 		return "", classLimitReached
 	}
-	reason := noSite
+	reason := noCandidateSite
 	for _, site := range class.To {
-		reason = c.ineligibleFor(site, job, path)
+		reason = c.ineligibilityFor(site, job, path)
 		if reason == eligible {
 			return site, eligible
 		}
@@ -54,8 +55,8 @@
 	return "", reason
 }
 
-// ineligibleFor tells why a job may not go to a site now.
-func (c *Coordinator) ineligibleFor(site Site, job WaitingJob, path []Site) ineligibility {
+// ineligibilityFor returns the reason why a job may not be handed off to a site now.
+func (c *Coordinator) ineligibilityFor(site Site, job WaitingJob, path []Site) ineligibility {
 	cfg, known := c.cfg.peer(site)
 	peer := c.peer(site)
 	switch {
@@ -63,7 +64,7 @@
 		return siteUnknown
 	case slices.Contains(path, site):
 		return siteOnPath
-	case c.rejected[rejectionKey{job.ID, site}]:
+	case c.refusals[refusalKey{job.ID, site}]:
 		return siteRefused
 	case peer.suspendedReason != "" || !peer.recordsCompared:
 		return recordsNotCompared
@@ -74,27 +75,27 @@
 	case !cfg.offersTypes(job.Types):
 		return siteLacksTypes
 	case c.now < peer.backoffUntil:
-		return siteBacksOff
+		return siteInBackoff
 	case !peer.breaker.allows(c.now):
 		return siteUnreachable
 	case len(c.index.openEpochs[site]) >= cfg.MaxOutgoing:
 		return siteLimitReached
-	case !job.InfeasibleHere && c.waitsLongerThan(peer, job):
-		return siteWaitsLonger
+	case !job.InfeasibleHere && c.hasLongerWait(peer, job):
+		return siteWaitLonger
 	}
 	return eligible
 }
 
-// waitsLongerThan tells whether work at a peer waits for longer than a job has here, as far as
-// that was told lately.
-func (c *Coordinator) waitsLongerThan(peer *peerState, job WaitingJob) bool {
+// hasLongerWait reports whether jobs wait longer at a peer than the given job has waited here,
+// according to the peer's last load report. A report older than LoadMaxAgeS is ignored.
+func (c *Coordinator) hasLongerWait(peer *peerState, job WaitingJob) bool {
 	recent := c.now-peer.loadReceivedAt < seconds(c.cfg.LoadMaxAgeS)
 	return recent && peer.longestWaitS > job.Waited.Seconds()
 }
 
-// rejectionReason tells why this site does not take an offer, or nothing. infeasible tells why
-// the job can never run here.
-func (c *Coordinator) rejectionReason(ticket Ticket, infeasible string) string {
+// refusalReason returns the reason for refusing an offer, or an empty string to accept it.
+// infeasible is the reason why the job can never run here, if there is one.
+func (c *Coordinator) refusalReason(ticket Ticket, infeasible string) string {
 	origin := ticket.Origin
 	cfg, known := c.cfg.peer(origin)
 	switch {
@@ -103,19 +104,19 @@
 	case cfg.Drained || c.records.Drained[origin]:
 		return reasonDrained
 	case !c.isValidPath(ticket.Path, origin):
-		return reasonBadPath
+		return reasonInvalidPath
 	case !slices.Contains(c.cfg.class(ticket.Class).AcceptFrom, origin):
-		return reasonClassNotTaken
+		return reasonClassNotAccepted
 	case infeasible != "":
 		return infeasible
-	case c.index.runningByOrigin[origin]+c.writes.acceptances(origin) >= cfg.MaxIncoming:
+	case c.index.runningByOrigin[origin]+c.writes.countAcceptances(origin) >= cfg.MaxIncoming:
 		return reasonBusy
 	}
 	return ""
 }
 
-// isValidPath tells whether a path ends at its origin, is not too long and has not come through
-// this site.
+// isValidPath reports whether a path ends with the sender of the offer, is not too long and does
+// not contain this site.
 func (c *Coordinator) isValidPath(path []Site, origin Site) bool {
 	if len(path) == 0 || len(path) > c.cfg.MaxHops {
 		return false
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// sim is three sites with their stores and a network that does as it likes. It
-// checks after every step what must hold.
-type sim struct {
+// simulation runs three sites with their stores and an unreliable network, and checks the
+// invariants after every step.
+type simulation struct {
 	now   time.Duration
 	sites map[Site]*simSite
-	// inFlight are the messages on their way, heldBack those that come when all is over.
+	// inFlight holds the messages that can be delivered, heldBack those that are delivered only
+	// after all hand-offs have ended.
 	inFlight, heldBack []Message
-	// userJobs holds for each job of a user what has become of it.
+	// userJobs holds the outcome of each submitted job.
 	userJobs map[string]*userJob
 	fail     func(format string, args ...any)
-	// cut holds back what passes between two sites, in one direction.
-	cut map[[2]Site]bool
-	// down holds the sites whose store answers nothing.
-	down map[Site]bool
+	// cutLinks holds pairs of sites; messages from the first to the second are dropped.
+	cutLinks map[[2]Site]bool
+	// failedStores holds the sites whose store does not answer.
+	failedStores map[Site]bool
 }
 
 type userJob struct {
-	runs    int
-	final   string // at the origin, once it is
-	givenUp bool
+	runs       int
+	finalState string // at the origin, empty until the job has ended there
+	givenUp    bool
 }
 
 type simSite struct {
@@ -35,24 +36,25 @@
 	coordinator *Coordinator
 	records     Records
 	jobs        map[string]*simJob
-	// leaderVersion is the version of the leader's key; writes of an earlier one fail.
+	// leaderVersion is the version of the leader's key. Writes issued under an earlier version
+	// fail.
 	leaderVersion int
-	// late are writes that may yet be applied.
-	late []lateWrite
-	seed uint64
-	// loggedErrors counts the lines that ask an operator to do something.
+	// delayed holds writes with an unknown outcome that may still be applied.
+	delayed []delayedWrite
+	seed    uint64
+	// loggedErrors counts log lines that ask an operator to act.
 	loggedErrors int
 	answers      []Answer
 }
 
-type lateWrite struct {
+type delayedWrite struct {
 	write         Write
 	leaderVersion int
 }
 
 type simJob struct {
 	userJobID, class string
-	final            string
+	finalState       string
 	outgoingEpoch    Epoch
 	running          bool
 	path             []Site
@@ -61,225 +63,227 @@
 var siteNames = []Site{"a", "b", "c"}
 
 func simConfig(self Site) *Config {
-	c := Default()
-	c.Site, c.RetryS, c.RetryMaxS = self, 1, 8
-	k := Class{Name: "k", AllowsRepeat: true}
+	cfg := Default()
+	cfg.Site, cfg.RetryS, cfg.RetryMaxS = self, 1, 8
+	repeatable := Class{Name: "k", AllowsRepeat: true}
 	once := Class{Name: "once"}
-	for _, s := range siteNames {
-		if s != self {
-			c.Peers = append(c.Peers, Peer{Site: s, MaxOutgoing: 2, MaxIncoming: 1})
-			k.To, k.AcceptFrom = append(k.To, s), append(k.AcceptFrom, s)
-			once.To, once.AcceptFrom = append(once.To, s), append(once.AcceptFrom, s)
+	for _, site := range siteNames {
+		if site != self {
+			cfg.Peers = append(cfg.Peers, Peer{Site: site, MaxOutgoing: 2, MaxIncoming: 1})
+			repeatable.To, repeatable.AcceptFrom = append(repeatable.To, site), append(repeatable.AcceptFrom, site)
+			once.To, once.AcceptFrom = append(once.To, site), append(once.AcceptFrom, site)
 		}
 	}
-	c.Classes = []Class{k, once}
-	return &c
+	cfg.Classes = []Class{repeatable, once}
+	return &cfg
 }
 
-func newSim(fail func(format string, args ...any)) *sim {
-	w := &sim{sites: map[Site]*simSite{}, userJobs: map[string]*userJob{}, fail: fail, cut: map[[2]Site]bool{}, down: map[Site]bool{}}
-	for _, n := range siteNames {
-		w.sites[n] = &simSite{name: n, cfg: simConfig(n), jobs: map[string]*simJob{},
+func newSimulation(fail func(format string, args ...any)) *simulation {
+	sim := &simulation{sites: map[Site]*simSite{}, userJobs: map[string]*userJob{}, fail: fail, cutLinks: map[[2]Site]bool{}, failedStores: map[Site]bool{}}
+	for _, site := range siteNames {
+		sim.sites[site] = &simSite{name: site, cfg: simConfig(site), jobs: map[string]*simJob{},
 			records: Records{}.copy()}
 	}
-	for _, n := range siteNames {
-		w.boot(n)
+	for _, site := range siteNames {
+		sim.startCoordinator(site)
 	}
-	return w
+	return sim
 }
 
-// boot starts a site's coordinator, or starts it again.
-func (w *sim) boot(n Site) {
-	s := w.sites[n]
+// startCoordinator starts or restarts the coordinator of a site.
+func (sim *simulation) startCoordinator(site Site) {
+	s := sim.sites[site]
 	s.leaderVersion++
 	s.seed++
 	s.coordinator = New(s.cfg, s.seed)
-	w.step(n, RecordsLoaded{s.records.copy()})
+	sim.step(site, RecordsLoaded{s.records.copy()})
 }
 
-// fate is what becomes of a write.
-type fate int
+// writeFault is what happens to a write.
+type writeFault int
 
 const (
-	fine       fate = iota
-	unanswered      // applied, no answer
-	lost            // not applied, no answer
-	late            // no answer, applied later or never
+	noFault           writeFault = iota
+	appliedUnanswered            // applied, but the outcome is unknown
+	notApplied                   // not applied, and the outcome is unknown
+	delayed                      // outcome unknown, applied later or never
 )
 
-// step hands inputs to a site and carries the effects out, writes as planned.
-func (w *sim) step(n Site, in ...Input) { w.stepWith(n, fine, in...) }
+// step passes inputs to a site and carries out the effects without write faults.
+func (sim *simulation) step(site Site, inputs ...Input) { sim.stepWith(site, noFault, inputs...) }
 
-func (w *sim) stepWith(n Site, f fate, in ...Input) {
-	s := w.sites[n]
-	queue := in
+// stepWith passes inputs to a site and carries out the effects, with a fault at every write.
+func (sim *simulation) stepWith(site Site, fault writeFault, inputs ...Input) {
+	target := sim.sites[site]
+	queue := inputs
 	for first := true; first || len(queue) > 0; first = false {
-		effects := s.coordinator.Step(w.now, queue...)
+		effects := target.coordinator.Step(sim.now, queue...)
 		queue = nil
-		for _, e := range effects {
-			switch e := e.(type) {
+		for _, effect := range effects {
+			switch effect := effect.(type) {
 			case StoreWrite:
-				queue = append(queue, WriteCompleted{e.ID, w.write(s, e.Write, f)})
+				queue = append(queue, WriteCompleted{effect.ID, sim.executeWrite(target, effect.Write, fault)})
 			case Reload:
-				if !w.down[n] {
-					queue = append(queue, RecordsLoaded{s.records.copy()})
+				if !sim.failedStores[site] {
+					queue = append(queue, RecordsLoaded{target.records.copy()})
 				} else {
-					s.coordinator.reloadAt = w.now + time.Second // the adapter tries again
+					target.coordinator.reloadAt = sim.now + time.Second // the adapter retries the read
 				}
 			case Log:
-				if e.IsError {
-					s.loggedErrors++
+				if effect.IsError {
+					target.loggedErrors++
 				}
 			case Answer:
-				s.answers = append(s.answers, e)
+				target.answers = append(target.answers, effect)
 			case Send:
-				if !w.cut[[2]Site{n, e.Message.To}] {
-					w.inFlight = append(w.inFlight, e.Message)
+				if !sim.cutLinks[[2]Site{site, effect.Message.To}] {
+					sim.inFlight = append(sim.inFlight, effect.Message)
 				}
 			case CancelLocal:
-				w.cancelLocal(n, e.LocalID)
+				sim.cancelLocal(site, effect.LocalID)
 			}
 		}
 	}
-	w.check()
+	sim.checkInvariants()
 }
 
-func (w *sim) write(s *simSite, wr Write, f fate) Outcome {
-	if w.down[s.name] {
-		f = lost
+// executeWrite returns the outcome of a write under the given fault.
+func (sim *simulation) executeWrite(s *simSite, write Write, fault writeFault) Outcome {
+	if sim.failedStores[s.name] {
+		fault = notApplied
 	}
-	switch f {
-	case unanswered:
-		w.apply(s, wr, s.leaderVersion)
+	switch fault {
+	case appliedUnanswered:
+		sim.apply(s, write, s.leaderVersion)
 		return Unknown
-	case lost:
+	case notApplied:
 		return Unknown
-	case late:
-		s.late = append(s.late, lateWrite{wr, s.leaderVersion})
+	case delayed:
+		s.delayed = append(s.delayed, delayedWrite{write, s.leaderVersion})
 		return Unknown
 	}
-	if w.apply(s, wr, s.leaderVersion) {
+	if sim.apply(s, write, s.leaderVersion) {
 		return Applied
 	}
 	return Conflict
 }
 
-// apply is the store: one transaction under its conditions.
-func (w *sim) apply(s *simSite, wr Write, leaderVersion int) bool {
+// apply executes a write on the store of a site if the conditions of the write hold.
+func (sim *simulation) apply(s *simSite, write Write, leaderVersion int) bool {
 	if leaderVersion != s.leaderVersion {
 		return false
 	}
-	switch wr := wr.(type) {
+	switch write := write.(type) {
 	case CreateOutgoing:
-		j := s.jobs[wr.JobID]
-		if j == nil || j.final != "" || j.outgoingEpoch != 0 || j.running || wr.Outgoing.Epoch != s.records.LastEpochs[wr.Outgoing.To]+1 {
+		j := s.jobs[write.JobID]
+		if j == nil || j.finalState != "" || j.outgoingEpoch != 0 || j.running || write.Outgoing.Epoch != s.records.LastEpochs[write.Outgoing.To]+1 {
 			return false
 		}
-		s.records.LastEpochs[wr.Outgoing.To], j.outgoingEpoch = wr.Outgoing.Epoch, wr.Outgoing.Epoch
-		s.records.Outgoing[wr.JobID] = wr.Outgoing
+		s.records.LastEpochs[write.Outgoing.To], j.outgoingEpoch = write.Outgoing.Epoch, write.Outgoing.Epoch
+		s.records.Outgoing[write.JobID] = write.Outgoing
 	case MarkCancelRequested:
-		a, ok := s.records.Outgoing[wr.JobID]
-		if !ok || a.Epoch != wr.Epoch {
+		outgoing, ok := s.records.Outgoing[write.JobID]
+		if !ok || outgoing.Epoch != write.Epoch {
 			return false
 		}
-		a.CancelRequested = true
-		s.records.Outgoing[wr.JobID] = a
+		outgoing.CancelRequested = true
+		s.records.Outgoing[write.JobID] = outgoing
 	case RevertOutgoing:
-		if a, ok := s.records.Outgoing[wr.JobID]; !ok || a.Epoch != wr.Epoch {
+		if outgoing, ok := s.records.Outgoing[write.JobID]; !ok || outgoing.Epoch != write.Epoch {
 			return false
 		}
-		delete(s.records.Outgoing, wr.JobID)
-		s.jobs[wr.JobID].outgoingEpoch = 0
-		if wr.Operator != "" {
-			w.userJobs[s.jobs[wr.JobID].userJobID].givenUp = true
+		delete(s.records.Outgoing, write.JobID)
+		s.jobs[write.JobID].outgoingEpoch = 0
+		if write.Operator != "" {
+			sim.userJobs[s.jobs[write.JobID].userJobID].givenUp = true
 		}
-		if wr.Cancelled {
-			w.end(s, wr.JobID, Cancelled)
+		if write.Cancelled {
+			sim.setFinalState(s, write.JobID, Cancelled)
 		}
 	case FinishOutgoing:
-		if a, ok := s.records.Outgoing[wr.JobID]; !ok || a.Epoch != wr.Epoch || s.jobs[wr.JobID].final != "" {
+		if outgoing, ok := s.records.Outgoing[write.JobID]; !ok || outgoing.Epoch != write.Epoch || s.jobs[write.JobID].finalState != "" {
 			return false
 		}
-		delete(s.records.Outgoing, wr.JobID)
-		s.jobs[wr.JobID].outgoingEpoch = 0
-		w.end(s, wr.JobID, wr.FinalState)
+		delete(s.records.Outgoing, write.JobID)
+		s.jobs[write.JobID].outgoingEpoch = 0
+		sim.setFinalState(s, write.JobID, write.FinalState)
 	case DecideIncoming:
-		if _, ok := s.records.Incoming[wr.ID]; ok || wr.ID.Epoch <= s.records.LowWaterMarks[wr.ID.Origin] {
+		if _, ok := s.records.Incoming[write.ID]; ok || write.ID.Epoch <= s.records.LowWaterMarks[write.ID.Origin] {
 			return false
 		}
-		s.records.Incoming[wr.ID] = wr.Incoming
-		if wr.Incoming.Accepted {
-			from := w.sites[wr.ID.Origin].jobs[wr.Ticket.JobID]
-			s.jobs[wr.Incoming.LocalID] = &simJob{userJobID: from.userJobID, class: from.class, path: wr.Ticket.Path}
+		s.records.Incoming[write.ID] = write.Incoming
+		if write.Incoming.Accepted {
+			originJob := sim.sites[write.ID.Origin].jobs[write.Ticket.JobID]
+			s.jobs[write.Incoming.LocalID] = &simJob{userJobID: originJob.userJobID, class: originJob.class, path: write.Ticket.Path}
 		}
 	case FinishIncoming:
-		k, ok := s.records.Incoming[wr.ID]
+		incoming, ok := s.records.Incoming[write.ID]
 		if !ok {
 			return false
 		}
-		k.FinalState = wr.FinalState
-		s.records.Incoming[wr.ID] = k
+		incoming.FinalState = write.FinalState
+		s.records.Incoming[write.ID] = incoming
 	case ForgetIncoming:
-		if wr.LowWaterMark < s.records.LowWaterMarks[wr.Origin] {
+		if write.LowWaterMark < s.records.LowWaterMarks[write.Origin] {
 			return false
 		}
-		s.records.LowWaterMarks[wr.Origin] = wr.LowWaterMark
-		for _, h := range wr.IDs {
-			delete(s.records.Incoming, h)
+		s.records.LowWaterMarks[write.Origin] = write.LowWaterMark
+		for _, id := range write.IDs {
+			delete(s.records.Incoming, id)
 		}
 	case MarkAccepted:
-		a, ok := s.records.Outgoing[wr.JobID]
-		if !ok || a.Epoch != wr.Epoch {
+		outgoing, ok := s.records.Outgoing[write.JobID]
+		if !ok || outgoing.Epoch != write.Epoch {
 			return false
 		}
-		a.Accepted = true
-		s.records.Outgoing[wr.JobID] = a
+		outgoing.Accepted = true
+		s.records.Outgoing[write.JobID] = outgoing
 	case SetDrained:
-		s.records.Drained[wr.Site] = wr.Drained
+		s.records.Drained[write.Site] = write.Drained
 	case SetLastEpoch:
-		s.records.LastEpochs[wr.Site] = wr.Epoch
+		s.records.LastEpochs[write.Site] = write.Epoch
 	default:
-		panic(fmt.Sprintf("unknown write %T", wr))
+		panic(fmt.Sprintf("unknown write %T", write))
 	}
 	return true
 }
 
-// end gives a job its final state at a site, for good.
-func (w *sim) end(s *simSite, job, state string) {
+// setFinalState sets the final state of a job at a site, which must not change afterwards.
+func (sim *simulation) setFinalState(s *simSite, job, state string) {
 	j := s.jobs[job]
-	if j.final != "" {
-		w.fail("%s at %s was %s and becomes %s", job, s.name, j.final, state)
+	if j.finalState != "" {
+		sim.fail("%s at %s: final state changed from %s to %s", job, s.name, j.finalState, state)
 	}
-	j.final, j.running = state, false
-	if r := w.userJobs[j.userJobID]; j.userJobID == job {
-		r.final = state
+	j.finalState, j.running = state, false
+	if user := sim.userJobs[j.userJobID]; j.userJobID == job {
+		user.finalState = state
 	}
 }
 
-// submit hands a job of a user in at a site.
-func (w *sim) submit(n Site, id, class string) {
-	w.userJobs[id] = &userJob{}
-	w.sites[n].jobs[id] = &simJob{userJobID: id, class: class}
+// submit adds a user's job at a site.
+func (sim *simulation) submit(site Site, id, class string) {
+	sim.userJobs[id] = &userJob{}
+	sim.sites[site].jobs[id] = &simJob{userJobID: id, class: class}
 }
 
-// mayRun tells whether a site holds the right to a job.
-func (j *simJob) mayRun() bool { return j.final == "" && j.outgoingEpoch == 0 }
+// mayRun reports whether the site holds the right to run the job.
+func (j *simJob) mayRun() bool { return j.finalState == "" && j.outgoingEpoch == 0 }
 
-// run starts a job where it is, or ends it as done.
-func (w *sim) run(n Site, id string) {
-	s := w.sites[n]
+// startOrFinish starts a job that the site may run, or finishes it if it is already running.
+func (sim *simulation) startOrFinish(site Site, id string) {
+	s := sim.sites[site]
 	j := s.jobs[id]
 	switch {
-	case j.running: // it goes on, whatever the records say
-		w.userJobs[j.userJobID].runs++
-		w.end(s, id, Done)
+	case j.running: // a running job finishes regardless of its records
+		sim.userJobs[j.userJobID].runs++
+		sim.setFinalState(s, id, Done)
 	case j.mayRun():
 		j.running = true
 	}
-	w.check()
+	sim.checkInvariants()
 }
 
-// snapshot is a copy of a site's store; restore brings it back, as of then.
+// snapshot returns a copy of a site's store, which restore can put back.
 func (s *simSite) snapshot() (Records, map[string]simJob) {
 	jobs := map[string]simJob{}
 	for id, j := range s.jobs {
@@ -288,152 +292,154 @@
 	return s.records.copy(), jobs
 }
 
-func (w *sim) restore(n Site, r Records, jobs map[string]simJob) {
-	s := w.sites[n]
-	s.records, s.late = r, nil
+// restore replaces a site's store with a snapshot and restarts its coordinator.
+func (sim *simulation) restore(site Site, stored Records, jobs map[string]simJob) {
+	s := sim.sites[site]
+	s.records, s.delayed = stored, nil
 	clear(s.jobs)
 	for id, j := range jobs {
 		j.running = false
 		s.jobs[id] = &j
 	}
-	w.boot(n)
+	sim.startCoordinator(site)
 }
 
-// cancelLocal is the site's own cancellation of a job that it has accepted.
-func (w *sim) cancelLocal(n Site, id string) {
-	j := w.sites[n].jobs[id]
+// cancelLocal cancels a job that the site has accepted from another site.
+func (sim *simulation) cancelLocal(site Site, id string) {
+	j := sim.sites[site].jobs[id]
 	switch {
-	case j == nil || j.final != "":
+	case j == nil || j.finalState != "":
 	case j.outgoingEpoch != 0:
-		w.step(n, CancelRequested{JobID: id})
+		sim.step(site, CancelRequested{JobID: id})
 	default:
-		w.end(w.sites[n], id, Cancelled)
+		sim.setFinalState(sim.sites[site], id, Cancelled)
 	}
 }
 
-// cancel is a user's request at the site where the job was handed in.
-func (w *sim) cancel(n Site, id string) {
-	j := w.sites[n].jobs[id]
-	if j.final == "" && j.outgoingEpoch == 0 {
-		w.end(w.sites[n], id, Cancelled)
-	} else if j.final == "" {
-		w.step(n, CancelRequested{Req: 1, JobID: id})
+// cancel is a user's request to cancel a job at the site where it was submitted.
+func (sim *simulation) cancel(site Site, id string) {
+	j := sim.sites[site].jobs[id]
+	if j.finalState == "" && j.outgoingEpoch == 0 {
+		sim.setFinalState(sim.sites[site], id, Cancelled)
+	} else if j.finalState == "" {
+		sim.step(site, CancelRequested{Req: 1, JobID: id})
 	}
-	w.check()
+	sim.checkInvariants()
 }
 
-// deliver hands the i-th message over, and keeps it when it comes again.
-func (w *sim) deliver(i int, again bool, f fate) {
-	m := w.inFlight[i]
-	if !again {
-		w.inFlight = slices.Delete(w.inFlight, i, i+1)
+// deliver delivers the i-th message in flight. A duplicated message stays in flight.
+func (sim *simulation) deliver(i int, duplicate bool, fault writeFault) {
+	msg := sim.inFlight[i]
+	if !duplicate {
+		sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
 	}
-	w.stepWith(m.To, f, MessageReceived{Message: m})
+	sim.stepWith(msg.To, fault, MessageReceived{Message: msg})
 }
 
-// tick lets a second pass at a site: its jobs that wait may go elsewhere, and ends
-// that are not noted yet are reported to the coordinator.
-func (w *sim) tick(n Site, f fate) {
-	s := w.sites[n]
-	var wait JobsWaiting
+// tick passes a site's waiting jobs to its coordinator, and the final states that are not stored
+// in its incoming records yet.
+func (sim *simulation) tick(site Site, fault writeFault) {
+	s := sim.sites[site]
+	var waiting JobsWaiting
 	for _, id := range sortedJobs(s) {
 		j := s.jobs[id]
 		if j.mayRun() && !j.running {
-			wait.Jobs = append(wait.Jobs, WaitingJob{ID: id, Class: j.class, Path: j.path, Waited: time.Hour})
+			waiting.Jobs = append(waiting.Jobs, WaitingJob{ID: id, Class: j.class, Path: j.path, Waited: time.Hour})
 		}
 	}
-	in := []Input{wait}
-	for _, k := range s.records.Incoming {
-		if k.Accepted && k.FinalState == "" && s.jobs[k.LocalID].final != "" {
-			in = append(in, LocalJobEnded{k.LocalID, s.jobs[k.LocalID].final})
+	inputs := []Input{waiting}
+	for _, incoming := range s.records.Incoming {
+		if incoming.Accepted && incoming.FinalState == "" && s.jobs[incoming.LocalID].finalState != "" {
+			inputs = append(inputs, LocalJobEnded{incoming.LocalID, s.jobs[incoming.LocalID].finalState})
 		}
 	}
-	w.stepWith(n, f, in...)
+	sim.stepWith(site, fault, inputs...)
 }
 
-// applyLate lets the oldest write of unknown outcome be applied now.
-func (w *sim) applyLate(n Site) {
-	s := w.sites[n]
-	if len(s.late) > 0 {
-		l := s.late[0]
-		s.late = s.late[1:]
-		if w.apply(s, l.write, l.leaderVersion) {
-			w.step(n, RecordsLoaded{s.records.copy()}) // its watch tells
+// applyDelayedWrite applies the oldest delayed write of a site.
+func (sim *simulation) applyDelayedWrite(site Site) {
+	s := sim.sites[site]
+	if len(s.delayed) > 0 {
+		oldest := s.delayed[0]
+		s.delayed = s.delayed[1:]
+		if sim.apply(s, oldest.write, oldest.leaderVersion) {
+			sim.step(site, RecordsLoaded{s.records.copy()}) // the watch reports the change
 		}
 	}
 }
 
-// check is what must hold at any moment.
-func (w *sim) check() {
+// checkInvariants fails the test if a job may run twice or its final state contradicts its runs.
+func (sim *simulation) checkInvariants() {
 	holders := map[string][]string{}
-	for _, n := range siteNames {
-		for id, j := range w.sites[n].jobs {
+	for _, site := range siteNames {
+		for id, j := range sim.sites[site].jobs {
 			if j.mayRun() || j.running {
-				holders[j.userJobID] = append(holders[j.userJobID], fmt.Sprintf("%s at %s", id, n))
+				holders[j.userJobID] = append(holders[j.userJobID], fmt.Sprintf("%s at %s", id, site))
 			}
 		}
 	}
-	for id, r := range w.userJobs {
-		if r.givenUp {
+	for id, user := range sim.userJobs {
+		if user.givenUp {
 			continue
 		}
 		if len(holders[id]) > 1 {
-			w.fail("%s may run twice: %v", id, holders[id])
+			sim.fail("%s: more than one site may run it: %v", id, holders[id])
 		}
-		if r.runs > 1 {
-			w.fail("%s ran %d times", id, r.runs)
+		if user.runs > 1 {
+			sim.fail("%s: got %d runs, want at most 1", id, user.runs)
 		}
-		if r.final == Done && r.runs == 0 {
-			w.fail("%s is done and never ran", id)
+		if user.finalState == Done && user.runs == 0 {
+			sim.fail("%s: final state is done, but the job never ran", id)
 		}
-		if r.final == Cancelled && r.runs > 0 {
-			w.fail("%s is cancelled at its origin and ran to its end", id)
+		if user.finalState == Cancelled && user.runs > 0 {
+			sim.fail("%s: final state is cancelled, but the job ran to its end", id)
 		}
-		if r.final != "" && len(holders[id]) > 0 {
-			w.fail("%s is %s, and may still run: %v", id, r.final, holders[id])
+		if user.finalState != "" && len(holders[id]) > 0 {
+			sim.fail("%s: final state is %s, but the job may still run: %v", id, user.finalState, holders[id])
 		}
 	}
 }
 
-// finish ends all faults, and plays until every job has its final state and no
-// hand-off is open.
-func (w *sim) finish() {
-	clear(w.cut)
-	clear(w.down)
+// runToCompletion ends all faults and runs until every job has its final state and no hand-off
+// is open.
+func (sim *simulation) runToCompletion() {
+	clear(sim.cutLinks)
+	clear(sim.failedStores)
 	for range 400 {
-		w.now += time.Second
-		for _, n := range siteNames {
-			w.applyLate(n)
-			w.tick(n, fine)
-			for _, id := range sortedJobs(w.sites[n]) {
-				w.run(n, id)
+		sim.now += time.Second
+		for _, site := range siteNames {
+			sim.applyDelayedWrite(site)
+			sim.tick(site, noFault)
+			for _, id := range sortedJobs(sim.sites[site]) {
+				sim.startOrFinish(site, id)
 			}
 		}
-		for len(w.inFlight) > 0 {
-			w.deliver(0, false, fine)
+		for len(sim.inFlight) > 0 {
+			sim.deliver(0, false, noFault)
 		}
-		if w.finished() && len(w.heldBack) > 0 {
-			w.inFlight, w.heldBack = w.heldBack, nil // late, and harmless
-		} else if w.finished() {
+		if sim.isComplete() && len(sim.heldBack) > 0 {
+			sim.inFlight, sim.heldBack = sim.heldBack, nil // delayed messages must have no effect
+		} else if sim.isComplete() {
 			return
 		}
 	}
 	var state []Status
-	for _, n := range siteNames {
-		state = append(state, w.sites[n].coordinator.Status())
+	for _, site := range siteNames {
+		state = append(state, sim.sites[site].coordinator.Status())
 	}
-	w.fail("hand-offs do not end: %+v", state)
+	sim.fail("hand-offs did not end: %+v", state)
 }
 
-func (w *sim) finished() bool {
-	for _, s := range w.sites {
+// isComplete reports whether every job has its final state and no hand-off is open.
+func (sim *simulation) isComplete() bool {
+	for _, s := range sim.sites {
 		for _, j := range s.jobs {
-			if j.final == "" {
+			if j.finalState == "" {
 				return false
 			}
 		}
-		for _, k := range s.records.Incoming {
-			if k.Accepted {
+		for _, incoming := range s.records.Incoming {
+			if incoming.Accepted {
 				return false
 			}
 		}
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -6,195 +6,208 @@
 	"time"
 )
 
-// faults are what can happen to a message of a hand-off, or to a site at that moment.
-var faults = map[string]func(w *sim, i int){
-	"lost":  func(w *sim, i int) { w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...) },
-	"twice": func(w *sim, i int) { w.deliver(i, true, fine); w.deliver(i, false, fine) },
-	"held past all that follows": func(w *sim, i int) {
-		w.heldBack = append(w.heldBack, w.inFlight[i])
-		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
+// faults maps a description to a function that injects a fault at the i-th message in flight.
+var faults = map[string]func(sim *simulation, i int){
+	"message lost":       func(sim *simulation, i int) { sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...) },
+	"message duplicated": func(sim *simulation, i int) { sim.deliver(i, true, noFault); sim.deliver(i, false, noFault) },
+	"message delayed past the end of the hand-off": func(sim *simulation, i int) {
+		sim.heldBack = append(sim.heldBack, sim.inFlight[i])
+		sim.inFlight = append(sim.inFlight[:i], sim.inFlight[i+1:]...)
 	},
-	"write applied, no answer":     func(w *sim, i int) { w.deliver(i, false, unanswered) },
-	"write lost":                   func(w *sim, i int) { w.deliver(i, false, lost) },
-	"write late":                   func(w *sim, i int) { w.deliver(i, false, late) },
-	"receiver ends before":         func(w *sim, i int) { w.boot(w.inFlight[i].To) },
-	"receiver ends after":          func(w *sim, i int) { to := w.inFlight[i].To; w.deliver(i, false, fine); w.boot(to) },
-	"sender ends":                  func(w *sim, i int) { w.boot(w.inFlight[i].From) },
-	"both end":                     func(w *sim, i int) { m := w.inFlight[i]; w.boot(m.From); w.boot(m.To) },
-	"link cut there for a while":   func(w *sim, i int) { m := w.inFlight[i]; w.cutFor(m.From, m.To, 30*time.Second) },
-	"link cut back for a while":    func(w *sim, i int) { m := w.inFlight[i]; w.cutFor(m.To, m.From, 30*time.Second) },
-	"link cut for less than a try": func(w *sim, i int) { m := w.inFlight[i]; w.cutFor(m.From, m.To, time.Second) },
-	"receiver's store out":         func(w *sim, i int) { w.downFor(w.inFlight[i].To, 20*time.Second) },
-	"sender's store out":           func(w *sim, i int) { w.downFor(w.inFlight[i].From, 20*time.Second) },
-	"cancelled by its user":        func(w *sim, _ int) { w.cancelAnywhere("req-1") },
-	"cancelled, and the link cut": func(w *sim, i int) {
-		m := w.inFlight[i]
-		w.cancelAnywhere("req-1")
-		w.cutFor(m.From, m.To, 30*time.Second)
+	"write applied, outcome unknown":       func(sim *simulation, i int) { sim.deliver(i, false, appliedUnanswered) },
+	"write not applied, outcome unknown":   func(sim *simulation, i int) { sim.deliver(i, false, notApplied) },
+	"write applied later, outcome unknown": func(sim *simulation, i int) { sim.deliver(i, false, delayed) },
+	"receiver restarted before delivery":   func(sim *simulation, i int) { sim.startCoordinator(sim.inFlight[i].To) },
+	"receiver restarted after delivery": func(sim *simulation, i int) {
+		to := sim.inFlight[i].To
+		sim.deliver(i, false, noFault)
+		sim.startCoordinator(to)
 	},
-	"job ends at that very moment": func(w *sim, _ int) { w.runAll(); w.runAll() },
-	"receiver drained":             func(w *sim, i int) { w.drain(w.inFlight[i].To) },
+	"sender restarted": func(sim *simulation, i int) { sim.startCoordinator(sim.inFlight[i].From) },
+	"both sites restarted": func(sim *simulation, i int) {
+		msg := sim.inFlight[i]
+		sim.startCoordinator(msg.From)
+		sim.startCoordinator(msg.To)
+	},
+	"link to receiver cut":                             func(sim *simulation, i int) { msg := sim.inFlight[i]; sim.cutLinkFor(msg.From, msg.To, 30*time.Second) },
+	"link to sender cut":                               func(sim *simulation, i int) { msg := sim.inFlight[i]; sim.cutLinkFor(msg.To, msg.From, 30*time.Second) },
+	"link to receiver cut for less than a retry delay": func(sim *simulation, i int) { msg := sim.inFlight[i]; sim.cutLinkFor(msg.From, msg.To, time.Second) },
+	"receiver's store unavailable":                     func(sim *simulation, i int) { sim.failStoreFor(sim.inFlight[i].To, 20*time.Second) },
+	"sender's store unavailable":                       func(sim *simulation, i int) { sim.failStoreFor(sim.inFlight[i].From, 20*time.Second) },
+	"job cancelled by its user":                        func(sim *simulation, _ int) { sim.cancelAnywhere("req-1") },
+	"job cancelled and link to receiver cut": func(sim *simulation, i int) {
+		msg := sim.inFlight[i]
+		sim.cancelAnywhere("req-1")
+		sim.cutLinkFor(msg.From, msg.To, 30*time.Second)
+	},
+	"job runs to its end": func(sim *simulation, _ int) { sim.stepAllJobs(); sim.stepAllJobs() },
+	"receiver drained":    func(sim *simulation, i int) { sim.drainPeersOf(sim.inFlight[i].To) },
 }
 
-// Every message of a hand-off, offered, run and closed, or refused, in turn meets
-// every fault, in either direction.
-func TestEveryStageSurvivesEveryFault(t *testing.T) {
-	cases, runs, answers := 0, 0, 0
+// Injects every fault at every message of a hand-off, both for an accepted and for a refused
+// job. Each job must get a final state and run at most once.
+func TestHandOffSurvivesEveryFaultAtEveryMessage(t *testing.T) {
+	cases, runs, finalStates := 0, 0, 0
 	for _, refused := range []bool{false, true} {
 		for name, fault := range faults {
 			for stage := 0; ; stage++ {
 				where := fmt.Sprintf("%s at message %d, refused %v", name, stage, refused)
-				w := newSim(func(format string, args ...any) { t.Errorf(where+": "+format, args...) })
-				w.submit("a", "req-1", "k")
+				sim := newSimulation(func(format string, args ...any) { t.Errorf(where+": "+format, args...) })
+				sim.submit("a", "req-1", "k")
 				if refused {
-					w.drain("b")
-					w.drain("c")
+					sim.drainPeersOf("b")
+					sim.drainPeersOf("c")
 				}
-				if !w.until(stage) {
+				if !sim.playUntilMessage(stage) {
 					break
 				}
-				fault(w, 0)
-				w.finish()
+				fault(sim, 0)
+				sim.runToCompletion()
 				cases++
-				runs += w.userJobs["req-1"].runs
-				if w.userJobs["req-1"].final != "" {
-					answers++
+				runs += sim.userJobs["req-1"].runs
+				if sim.userJobs["req-1"].finalState != "" {
+					finalStates++
 				}
 			}
 		}
 	}
-	if answers != cases || runs > cases {
-		t.Errorf("%d cases, %d runs, %d final answers", cases, runs, answers)
+	if finalStates != cases || runs > cases {
+		t.Errorf("got %d cases, %d runs and %d final states, want a final state per case and at most one run", cases, runs, finalStates)
 	}
-	t.Logf("%d cases: %d final answers, %d runs to the end, the others cancelled", cases, answers, runs)
+	t.Logf("%d cases: %d final states, %d completed runs, the others cancelled", cases, finalStates, runs)
 }
 
-// A cancellation ends a job at the site that has it, however long it would have run.
-func TestCancelEndsAnAcceptedJob(t *testing.T) {
-	w := newSim(t.Errorf)
-	w.submit("a", "req-1", "k")
+// A cancellation must end a job at the site that accepted it, even if the job would run for much
+// longer.
+func TestCancelEndsAcceptedJob(t *testing.T) {
+	sim := newSimulation(t.Errorf)
+	sim.submit("a", "req-1", "k")
 	for range 30 {
-		w.now += time.Second
-		for _, s := range siteNames {
-			w.tick(s, fine)
+		sim.now += time.Second
+		for _, site := range siteNames {
+			sim.tick(site, noFault)
 		}
-		for len(w.inFlight) > 0 {
-			w.deliver(0, false, fine)
+		for len(sim.inFlight) > 0 {
+			sim.deliver(0, false, noFault)
 		}
-		if w.sites["a"].records.Outgoing["req-1"].Accepted {
-			w.cancel("a", "req-1")
+		if sim.sites["a"].records.Outgoing["req-1"].Accepted {
+			sim.cancel("a", "req-1")
 		}
 	}
-	if r := w.userJobs["req-1"]; r.final != Cancelled || r.runs > 0 {
-		t.Errorf("it is %q after %d runs", r.final, r.runs)
+	if job := sim.userJobs["req-1"]; job.finalState != Cancelled || job.runs > 0 {
+		t.Errorf("got final state %q and %d runs, want cancelled and 0", job.finalState, job.runs)
 	}
 }
 
-// What an origin has closed is reported one by one, and goes from the receiver's records
-// once all before it is closed, wherever it lies.
-func TestClosedHandOffsAreReportedAndForgotten(t *testing.T) {
-	m := newRoutingCoordinator(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
-	delete(m.records.Outgoing, "req-away-b1")
-	m.load(m.records)
+// The origin must acknowledge a result whose epoch it has already closed, even if an earlier
+// epoch is still open. The receiver must delete decisions below the stored low-water mark.
+func TestClosedHandOffsAreAcknowledgedAndDeleted(t *testing.T) {
+	coordinator := newRoutingCoordinator(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
+	delete(coordinator.records.Outgoing, "req-away-b1")
+	coordinator.load(coordinator.records)
 	closed := false
-	for _, e := range m.Step(2*time.Second, MessageReceived{Message: Message{From: "b", To: "a", Kind: KindResult, Epoch: 2, State: Done}}) {
-		if s, ok := e.(Send); ok && s.Message.Kind == KindClosed {
+	for _, effect := range coordinator.Step(2*time.Second, MessageReceived{Message: Message{From: "b", To: "a", Kind: KindResult, Epoch: 2, State: Done}}) {
+		if s, ok := effect.(Send); ok && s.Message.Kind == KindClosed {
 			closed = s.Message.Epoch == 2 && s.Message.LowWaterMark == 0
 		}
 	}
 	if !closed {
-		t.Error("an epoch that is closed beside an open one is reported again and again")
+		t.Error("result of a closed epoch not acknowledged while an earlier epoch is open")
 	}
-	r := Records{}.copy()
-	r.LowWaterMarks["b"] = 5
-	r.Incoming[IncomingID{"b", 3}] = Incoming{Reason: reasonBusy}
-	var drop []IncomingID
-	for _, e := range m.Step(3*time.Second, RecordsLoaded{r}) {
-		if s, ok := e.(StoreWrite); ok {
-			drop = append(drop, s.Write.(ForgetIncoming).IDs...)
+	stored := Records{}.copy()
+	stored.LowWaterMarks["b"] = 5
+	stored.Incoming[IncomingID{"b", 3}] = Incoming{Reason: reasonBusy}
+	var deleted []IncomingID
+	for _, effect := range coordinator.Step(3*time.Second, RecordsLoaded{stored}) {
+		if s, ok := effect.(StoreWrite); ok {
+			deleted = append(deleted, s.Write.(ForgetIncoming).IDs...)
 		}
 	}
-	if len(drop) != 1 || drop[0] != (IncomingID{"b", 3}) {
-		t.Errorf("forgets %v of what lies below the low-water mark", drop)
+	if len(deleted) != 1 || deleted[0] != (IncomingID{"b", 3}) {
+		t.Errorf("got %v deleted below the low-water mark, want epoch 3 of b", deleted)
 	}
 }
 
-// until plays without faults until the n-th message is on its way, and tells
-// whether there is one.
-func (w *sim) until(n int) bool {
+// playUntilMessage runs without faults until n messages have been delivered and another one is
+// in flight. It reports whether there was one.
+func (sim *simulation) playUntilMessage(n int) bool {
 	for range 60 {
-		w.now += time.Second
-		for _, s := range siteNames {
-			w.tick(s, fine)
+		sim.now += time.Second
+		for _, site := range siteNames {
+			sim.tick(site, noFault)
 		}
-		for len(w.inFlight) > 0 {
+		for len(sim.inFlight) > 0 {
 			if n == 0 {
 				return true
 			}
 			n--
-			w.deliver(0, false, fine)
+			sim.deliver(0, false, noFault)
 		}
-		w.runOutgoing()
+		sim.stepHandedOffJobs()
 	}
 	return false
 }
 
-// runOutgoing runs the jobs that were handed to another site; runAll runs all.
-func (w *sim) runOutgoing() {
-	for _, n := range siteNames {
-		for _, id := range sortedJobs(w.sites[n]) {
-			if w.sites[n].jobs[id].userJobID != id {
-				w.run(n, id)
+// stepHandedOffJobs starts or finishes the jobs that were accepted from another site.
+func (sim *simulation) stepHandedOffJobs() {
+	for _, site := range siteNames {
+		for _, id := range sortedJobs(sim.sites[site]) {
+			if sim.sites[site].jobs[id].userJobID != id {
+				sim.startOrFinish(site, id)
 			}
 		}
 	}
 }
 
-func (w *sim) runAll() {
-	for _, n := range siteNames {
-		for _, id := range sortedJobs(w.sites[n]) {
-			w.run(n, id)
+// stepAllJobs starts or finishes the jobs at all sites.
+func (sim *simulation) stepAllJobs() {
+	for _, site := range siteNames {
+		for _, id := range sortedJobs(sim.sites[site]) {
+			sim.startOrFinish(site, id)
 		}
 	}
 }
 
-// cutFor holds a link back for some time; downFor a store.
-func (w *sim) cutFor(from, to Site, d time.Duration) {
-	w.cut[[2]Site{from, to}] = true
-	w.play(d)
-	delete(w.cut, [2]Site{from, to})
+// cutLinkFor cuts a link for the given duration and restores it.
+func (sim *simulation) cutLinkFor(from, to Site, duration time.Duration) {
+	sim.cutLinks[[2]Site{from, to}] = true
+	sim.play(duration)
+	delete(sim.cutLinks, [2]Site{from, to})
 }
 
-func (w *sim) downFor(n Site, d time.Duration) {
-	w.down[n] = true
-	w.play(d)
-	delete(w.down, n)
+// failStoreFor makes a site's store unavailable for the given duration.
+func (sim *simulation) failStoreFor(site Site, duration time.Duration) {
+	sim.failedStores[site] = true
+	sim.play(duration)
+	delete(sim.failedStores, site)
 }
 
-// play lets time pass with whatever is cut.
-func (w *sim) play(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.now += time.Second
-		for _, s := range siteNames {
-			w.tick(s, fine)
+// play runs for the given duration with the current cuts and outages.
+func (sim *simulation) play(duration time.Duration) {
+	for end := sim.now + duration; sim.now < end; {
+		sim.now += time.Second
+		for _, site := range siteNames {
+			sim.tick(site, noFault)
 		}
-		for len(w.inFlight) > 0 {
-			w.deliver(0, false, fine)
+		for len(sim.inFlight) > 0 {
+			sim.deliver(0, false, noFault)
 		}
-		w.runOutgoing()
+		sim.stepHandedOffJobs()
 	}
 }
 
-func (w *sim) cancelAnywhere(id string) {
-	for _, n := range siteNames {
-		if w.sites[n].jobs[id] != nil {
-			w.cancel(n, id)
+// cancelAnywhere cancels a job at every site that has it under the given ID.
+func (sim *simulation) cancelAnywhere(id string) {
+	for _, site := range siteNames {
+		if sim.sites[site].jobs[id] != nil {
+			sim.cancel(site, id)
 		}
 	}
 }
 
-func (w *sim) drain(n Site) {
-	for i := range w.sites[n].cfg.Peers {
-		w.sites[n].cfg.Peers[i].Drained = true
+// drainPeersOf disables new hand-offs between a site and all its peers.
+func (sim *simulation) drainPeersOf(site Site) {
+	for i := range sim.sites[site].cfg.Peers {
+		sim.sites[site].cfg.Peers[i].Drained = true
 	}
 }
--- a/internal/federation/status.go
+++ b/internal/federation/status.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Status is a site's part in the federation as operators see it.
+// Status is the state of a site's hand-offs, as shown to operators.
 type Status struct {
 	Site  Site         `json:"site"`
 	Peers []PeerStatus `json:"peers"`
 }
 
-// PeerStatus is what a site knows of another one.
+// PeerStatus is the state of the hand-offs with one peer.
 type PeerStatus struct {
 	Site            Site    `json:"site"`
 	RecordsCompared bool    `json:"met"`
@@ -21,26 +21,27 @@
 	Busy            bool    `json:"busy,omitempty"`
 	LongestWaitS    float64 `json:"wait_s"`
 	Retries         int     `json:"retries"`
-	// Outgoing counts the jobs there, Incoming those from there, by stage.
+	// Outgoing counts the jobs handed off to the peer and Incoming those offered by it, by
+	// stage.
 	Outgoing map[string]int `json:"away"`
 	Incoming map[string]int `json:"taken"`
-	// OldestHandOffAt is the time of day in milliseconds of the oldest hand-off that is
-	// open, 0 without one.
+	// OldestHandOffAt is the Unix time in milliseconds of the oldest recorded hand-off, or 0 if
+	// there is none.
 	OldestHandOffAt int64 `json:"oldest_at,omitempty"`
 }
 
-// HandOff is one open hand-off.
+// HandOff describes one recorded hand-off.
 type HandOff struct {
 	JobID string `json:"job"`
 	Class string `json:"class,omitempty"`
 	Peer  Site   `json:"peer"`
 	Epoch Epoch  `json:"epoch"`
 	Stage string `json:"stage"`
-	// Time is the time of day of the hand-off or of the decision, in milliseconds.
+	// Time is the Unix time in milliseconds of the hand-off or of the decision on it.
 	Time int64 `json:"at"`
 }
 
-// Status tells how hand-offs stand. The records have to be loaded.
+// Status returns the state of the hand-offs with all peers. The records must be loaded.
 func (c *Coordinator) Status() Status {
 	status := Status{Site: c.cfg.Site}
 	for _, cfg := range c.cfg.Peers {
@@ -66,24 +67,25 @@
 	for _, epoch := range c.index.openEpochs[cfg.Site] {
 		outgoing := c.records.Outgoing[c.index.outgoing[outgoingID{cfg.Site, epoch}]]
 		status.Outgoing[outgoing.Stage()]++
-		status.noteTime(outgoing.HandedOffAt)
+		status.updateOldest(outgoing.HandedOffAt)
 	}
 	for _, epoch := range c.index.incoming[cfg.Site] {
 		incoming := c.records.Incoming[IncomingID{cfg.Site, epoch}]
 		status.Incoming[incoming.Stage()]++
-		status.noteTime(incoming.DecidedAt)
+		status.updateOldest(incoming.DecidedAt)
 	}
 	return status
 }
 
-// noteTime takes the time of a hand-off into that of the oldest.
-func (s *PeerStatus) noteTime(at int64) {
+// updateOldest lowers OldestHandOffAt to the time of an older hand-off.
+func (s *PeerStatus) updateOldest(at int64) {
 	if s.OldestHandOffAt == 0 || at < s.OldestHandOffAt {
 		s.OldestHandOffAt = at
 	}
 }
 
-// ListHandOffs lists all that is open: the outgoing by job, then the incoming.
+// ListHandOffs lists all recorded hand-offs: the outgoing ones by job ID, then the incoming ones
+// by origin and epoch.
 func ListHandOffs(records *Records) []HandOff {
 	list := []HandOff{}
 	for _, job := range slices.Sorted(maps.Keys(records.Outgoing)) {
--- a/internal/federation/transport/authority.go
+++ b/internal/federation/transport/authority.go
@@ -21,36 +21,38 @@
 	"pepperlever/internal/strictconfig"
 )
 
-// Names of the files that Issue writes.
+// Names of files that Issue writes.
 const (
-	authorityFile = "authority.pem"
-	authorityKey  = "authority-key.pem"
-	ticketsFile   = "tickets.toml"
+	authorityFile    = "authority.pem"
+	authorityKeyFile = "authority-key.pem"
+	ticketKeysFile   = "tickets.toml"
 )
 
-// Issue writes an authority, a certificate and key for each site that is good for
-// validity, and a ticket key into dir. What is there of the authority and of ticket
-// keys is kept; roll adds a ticket key in front, which signs from then on.
-func Issue(dir string, sites []string, validity time.Duration, roll bool) error {
+// Issue writes to dir a certificate authority, a certificate and key for each site that are
+// valid for the given duration, and a file with a ticket key. An existing authority and existing
+// ticket keys are kept. If rotate is set, a new ticket key is put in front of the existing ones
+// and signs from then on.
+func Issue(dir string, sites []string, validity time.Duration, rotate bool) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	ca, err := authority(dir)
+	ca, err := loadOrCreateAuthority(dir)
 	if err != nil {
 		return err
 	}
 	for _, site := range sites {
-		if err := issue(dir, site+".pem", site+"-key.pem", siteCertificate(site, validity), ca); err != nil {
+		if err := issueCertificate(dir, site+".pem", site+"-key.pem", siteCertificate(site, validity), ca); err != nil {
 			return err
 		}
 	}
-	return ticketKeys(filepath.Join(dir, ticketsFile), roll)
+	return writeTicketKeys(filepath.Join(dir, ticketKeysFile), rotate)
 }
 
-// clockSkew is by how much certificates are valid from before they are issued.
+// clockSkew is how far the start of a certificate's validity is backdated, for sites whose
+// clocks are behind.
 const clockSkew = time.Hour
 
-// siteCertificate is the template of a site's certificate.
+// siteCertificate returns the template of a site's certificate.
 func siteCertificate(site string, validity time.Duration) *x509.Certificate {
 	return &x509.Certificate{
 		Subject:     pkix.Name{CommonName: site},
@@ -62,10 +64,10 @@
 	}
 }
 
-// authorityYears is for how many years an authority is valid.
+// authorityYears is the validity of a certificate authority in years.
 const authorityYears = 10
 
-// authorityCertificate is the template of an authority's certificate.
+// authorityCertificate returns the template of the authority's certificate.
 func authorityCertificate() *x509.Certificate {
 	return &x509.Certificate{
 		Subject:               pkix.Name{CommonName: "pepperlever test authority"},
@@ -77,11 +79,11 @@
 	}
 }
 
-// authority reads the authority of dir, or makes one.
-func authority(dir string) (*tls.Certificate, error) {
-	certFile, keyFile := filepath.Join(dir, authorityFile), filepath.Join(dir, authorityKey)
+// loadOrCreateAuthority reads the certificate authority in dir, or creates it if it is missing.
+func loadOrCreateAuthority(dir string) (*tls.Certificate, error) {
+	certFile, keyFile := filepath.Join(dir, authorityFile), filepath.Join(dir, authorityKeyFile)
 	if _, err := os.Stat(certFile); errors.Is(err, fs.ErrNotExist) {
-		if err := issue(dir, authorityFile, authorityKey, authorityCertificate(), nil); err != nil {
+		if err := issueCertificate(dir, authorityFile, authorityKeyFile, authorityCertificate(), nil); err != nil {
 			return nil, err
 		}
 	}
@@ -89,11 +91,12 @@
 	return &ca, err
 }
 
-// serialBits is the length of certificates' random serial numbers.
+// serialBits is the length of a certificate's random serial number in bits.
 const serialBits = 120
 
-// issue writes a certificate, signed by ca or by itself, and its key.
-func issue(dir, certName, keyName string, cert *x509.Certificate, ca *tls.Certificate) error {
+// issueCertificate writes a new key and its certificate. The certificate is signed by ca, or
+// self-signed if ca is nil.
+func issueCertificate(dir, certName, keyName string, cert *x509.Certificate, ca *tls.Certificate) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
@@ -126,12 +129,13 @@
 	return os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)
 }
 
-// ticketKeys makes a file of ticket keys, or puts a new one in front.
-func ticketKeys(path string, roll bool) error {
+// writeTicketKeys creates the file of ticket keys. If the file exists, it is left unchanged, or
+// gets a new key in front if rotate is set.
+func writeTicketKeys(path string, rotate bool) error {
 	var keys TicketKeys
 	err := strictconfig.Load(path, &keys)
 	missing := errors.Is(err, fs.ErrNotExist)
-	if err != nil && !missing || err == nil && !roll {
+	if err != nil && !missing || err == nil && !rotate {
 		return err
 	}
 	key, err := newTicketKey()
@@ -146,18 +150,18 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// Lengths of a new ticket key's random parts, in bytes.
+// Lengths of the random parts of a new ticket key in bytes.
 const (
 	secretBytes = 32
 	keyIDBytes  = 4
 )
 
-// newTicketKey makes a key whose ID begins with the date.
+// newTicketKey generates a ticket key. Its ID starts with the current date.
 func newTicketKey() (TicketKey, error) {
 	secret := make([]byte, secretBytes)
 	id := make([]byte, keyIDBytes)
-	for _, random := range [][]byte{secret, id} {
-		if _, err := rand.Read(random); err != nil {
+	for _, buffer := range [][]byte{secret, id} {
+		if _, err := rand.Read(buffer); err != nil {
 			return TicketKey{}, err
 		}
 	}
--- a/internal/federation/transport/dial.go
+++ b/internal/federation/transport/dial.go
@@ -20,10 +20,10 @@
 	"pepperlever/internal/federation"
 )
 
-// errFilesChanged ends the streams of a generation.
-var errFilesChanged = errors.New("files have changed")
+// errFilesChanged ends the streams of a generation after its files have changed.
+var errFilesChanged = errors.New("configuration files changed")
 
-// dialAll keeps a stream to each peer of the file that is in force.
+// dialAll keeps a stream open to each peer of the current configuration.
 func (l *Links) dialAll(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := l.dialPeers(ctx, l.generation()); err != nil {
@@ -33,7 +33,7 @@
 	return ctx.Err()
 }
 
-// dialPeers keeps a stream to each peer until the files change.
+// dialPeers keeps a stream open to each peer until the configuration files change.
 func (l *Links) dialPeers(ctx context.Context, current generation) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -46,25 +46,25 @@
 	})
 	for _, peer := range current.cfg.Peers {
 		group.Go(func() error {
-			l.keepOpen(ctx, current, peer)
+			l.maintainStream(ctx, current, peer)
 			return nil
 		})
 	}
 	return group.Wait()
 }
 
-// keepOpen opens a stream to one of a peer's controllers after the other. A stream that was not
-// open is logged once.
-func (l *Links) keepOpen(ctx context.Context, current generation, peer federation.Peer) {
-	logged := false
+// maintainStream keeps one stream open to a peer. It tries the addresses of the peer's
+// controllers in turn. Repeated failures to open the stream are logged only once.
+func (l *Links) maintainStream(ctx context.Context, current generation, peer federation.Peer) {
+	failureLogged := false
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if len(peer.Addresses) > 0 {
 			address := peer.Addresses[attempt%len(peer.Addresses)]
 			opened, err := l.dial(ctx, current, peer.Site, address)
-			if ctx.Err() == nil && (opened || !logged) {
-				slog.Info("no stream to site", "site", peer.Site, "error", err)
+			if ctx.Err() == nil && (opened || !failureLogged) {
+				slog.Info("stream to site failed", "site", peer.Site, "error", err)
 			}
-			logged = true
+			failureLogged = true
 		}
 		select {
 		case <-time.After(idleTimeout(current.cfg) / 4):
@@ -73,8 +73,8 @@
 	}
 }
 
-// dial opens a stream and writes to it until it breaks; opened tells that it was open
-// for a while, err why it no longer is.
+// dial opens a stream and writes to it until it breaks. It reports whether the stream was open
+// at all, and the error that ended it.
 func (l *Links) dial(ctx context.Context, current generation, site federation.Site, address string) (opened bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -86,29 +86,29 @@
 	}
 	onOpen := func() {
 		opened = true
-		slog.Info("stream to site is open", "site", site, "address", address)
+		slog.Info("stream to site opened", "site", site, "address", address)
 		l.emit(core.SiteConnected{Site: site})
 	}
 	onClose := func() {}
-	err = l.writer(site).Run(transport, req, onOpen, onClose, func(answers io.Reader) { logRefusals(site, answers) })
+	err = l.writer(site).Run(transport, req, onOpen, onClose, func(responses io.Reader) { logRefusals(site, responses) })
 	return opened, err
 }
 
-// logRefusals logs the lines by which a site refuses messages.
-func logRefusals(site federation.Site, answers io.Reader) {
-	lines := bufio.NewScanner(answers)
+// logRefusals logs the reasons that a site returns for refused messages.
+func logRefusals(site federation.Site, responses io.Reader) {
+	lines := bufio.NewScanner(responses)
 	for lines.Scan() {
 		slog.Error("message refused by site", "site", site, "reason", lines.Text())
 	}
 }
 
-// newTransport makes a transport to one address of a site.
+// newTransport creates an HTTP/2 transport to one address of a site.
 func newTransport(current generation, site federation.Site, address string) *http2.Transport {
 	timeout := idleTimeout(current.cfg)
 	return &http2.Transport{
 		TLSClientConfig: &tls.Config{
 			MinVersion:   tls.VersionTLS13,
-			Certificates: []tls.Certificate{current.secrets.own},
+			Certificates: []tls.Certificate{current.secrets.certificate},
 			RootCAs:      current.secrets.authority,
 			ServerName:   string(site),
 			NextProtos:   []string{http2.NextProtoTLS},
@@ -125,7 +125,7 @@
 	}
 }
 
-// bufferedConn is a connection whose first bytes have been read ahead.
+// bufferedConn is a connection that is read through a buffer.
 type bufferedConn struct {
 	net.Conn
 	buffered *bufio.Reader
@@ -134,9 +134,9 @@
 // Read implements net.Conn.
 func (c bufferedConn) Read(p []byte) (int, error) { return c.buffered.Read(p) }
 
-// handshake proves who this site is, and waits for the first byte of the other one: only
-// that shows that it accepts the certificate. Otherwise the reason of a refusal could be
-// lost behind an error of writing.
+// handshake performs the TLS handshake and waits for the first byte from the server, which shows
+// that the server has accepted the client certificate. In TLS 1.3 the client's handshake ends
+// before that, and the reason for a refusal could be lost behind a write error.
 func handshake(raw net.Conn, conf *tls.Config, timeout time.Duration) (net.Conn, error) {
 	conn := tls.Client(raw, conf)
 	buffered := bufferedConn{conn, bufio.NewReader(conn)}
--- a/internal/federation/transport/links.go
+++ b/internal/federation/transport/links.go
@@ -1,6 +1,6 @@
-// Package transport carries messages between the federations of sites: HTTP/2 streams
-// over mutual TLS, a JSON line a message. Each site opens streams to the others for
-// what it sends; the answers hold what was refused, and why.
+// Package transport carries messages between the federation coordinators of different sites, as
+// JSON lines in HTTP/2 streams over mutual TLS. Each site opens the streams that it sends on.
+// The response body of a stream reports the messages that the receiver refused, and why.
 package transport
 
 import (
@@ -25,12 +25,12 @@
 	queueLength = 4096
 )
 
-// Links holds the streams to and from all other sites.
+// Links holds the streams to and from all peers.
 type Links struct {
-	// path is that of the configuration file.
+	// path is the path of the configuration file.
 	path string
 	emit func(core.Command)
-	// Refused counts the lines and streams of others that were not accepted.
+	// Refused counts the connections, streams and messages from other sites that were refused.
 	Refused atomic.Int64
 
 	mu      sync.Mutex
@@ -38,16 +38,17 @@
 	writers map[federation.Site]*stream.Writer
 }
 
-// generation is what holds until a file changes.
+// generation is a version of the configuration and of the secrets that it names.
 type generation struct {
 	cfg     *federation.Config
 	secrets *secrets
-	// changed is closed when files have changed: streams are opened anew.
+	// changed is closed when a newer generation replaces this one; all streams are then
+	// reopened.
 	changed chan struct{}
 }
 
-// New reads a configuration file and all that it names, and makes Links that pass
-// messages to emit.
+// New loads a configuration file and the files that it names, and creates Links that pass
+// received messages to emit.
 func New(path string, emit func(core.Command)) (*Links, *federation.Config, error) {
 	cfg, err := federation.Load(path)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return l, cfg, nil
 }
 
-// addWriters makes writers for peers that have none.
+// addWriters creates writers for the peers that have none.
 func (l *Links) addWriters(cfg *federation.Config) {
 	for _, peer := range cfg.Peers {
 		if l.writers[peer.Site] == nil {
@@ -76,21 +77,22 @@
 	}
 }
 
-// generation is what holds at the moment.
+// generation returns the current generation.
 func (l *Links) generation() generation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current
 }
 
-// writer is the writer to a site, or nil.
+// writer returns the writer to a site, or nil if the site is unknown.
 func (l *Links) writer(site federation.Site) *stream.Writer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.writers[site]
 }
 
-// Send queues a message; what finds no stream is dropped, and sent again later.
+// Send queues a message. If no stream is open, the message is dropped; the coordinator retries
+// it.
 func (l *Links) Send(m federation.Message) {
 	l.mu.Lock()
 	writer, secrets := l.writers[m.To], l.current.secrets
@@ -101,20 +103,21 @@
 	if m.Ticket != nil {
 		signed, err := secrets.tickets.Sign(*m.Ticket)
 		if err != nil {
-			slog.Error("ticket not signed", "job", m.Ticket.JobID, "error", err)
+			slog.Error("failed to sign ticket", "job", m.Ticket.JobID, "error", err)
 			return
 		}
 		m.Ticket = &signed
 	}
 	line, err := json.Marshal(m)
 	if err != nil {
-		slog.Error("message not encoded", "to", m.To, "error", err)
+		slog.Error("failed to encode message", "to", m.To, "error", err)
 		return
 	}
 	writer.Send(append(line, '\n'))
 }
 
-// Run listens, keeps the streams open and follows the files until ctx ends.
+// Run listens for streams, keeps outgoing streams open and reloads changed files until ctx is
+// done.
 func (l *Links) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", l.generation().cfg.Listen)
 	if err != nil {
@@ -127,7 +130,7 @@
 	return group.Wait()
 }
 
-// idleTimeout is for how long nothing is heard before a stream is checked.
+// idleTimeout is how long a stream may be silent before its connection is checked with a ping.
 func idleTimeout(cfg *federation.Config) time.Duration {
 	return time.Duration(cfg.RetryS * float64(time.Second))
 }
--- a/internal/federation/transport/listen.go
+++ b/internal/federation/transport/listen.go
@@ -22,23 +22,25 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a connection could not be accepted.
+	// acceptRetryDelay is the delay before the next attempt after accepting a connection has
+	// failed.
 	acceptRetryDelay = 200 * time.Millisecond
-	// maxStreams bounds the streams on a connection.
+	// maxStreams limits the concurrent streams per connection.
 	maxStreams = 4
 )
 
-// notPeerError refuses a certificate that names no peer.
+// notPeerError reports a certificate that does not name a peer.
 type notPeerError struct {
 	names []string
 	site  federation.Site
 }
 
-// Error names the site of the certificate and this one.
+// Error returns a message with the names in the certificate and the name of this site.
 func (e notPeerError) Error() string {
-	return fmt.Sprintf("site %v is no peer of %s", e.names, e.site)
+	return fmt.Sprintf("site %v is not a peer of %s", e.names, e.site)
 }
 
+// serve accepts connections until ctx is done.
 func (l *Links) serve(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
@@ -54,13 +56,13 @@
 	}
 }
 
-// accept serves one connection of a site that proves who it is.
+// accept serves one connection after verifying the client's certificate.
 func (l *Links) accept(ctx context.Context, raw net.Conn) {
 	current := l.generation()
 	timeout := idleTimeout(current.cfg)
 	conn := tls.Server(raw, &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{current.secrets.own},
+		Certificates: []tls.Certificate{current.secrets.certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    current.secrets.authority,
 		NextProtos:   []string{http2.NextProtoTLS},
@@ -75,7 +77,7 @@
 	}
 	done := make(chan struct{})
 	defer close(done)
-	go func() { // old certificates do not outlive a change
+	go func() { // closes connections that use replaced certificates
 		select {
 		case <-current.changed:
 			conn.Close()
@@ -87,8 +89,8 @@
 	server.ServeConn(conn, &http2.ServeConnOpts{Context: ctx, Handler: handler})
 }
 
-// sender is the peer that a certificate names.
-func sender(cert *x509.Certificate, cfg *federation.Config) (federation.Site, error) {
+// peerFromCertificate returns the peer that a certificate names.
+func peerFromCertificate(cert *x509.Certificate, cfg *federation.Config) (federation.Site, error) {
 	for _, peer := range cfg.Peers {
 		if slices.Contains(cert.DNSNames, string(peer.Site)) {
 			return peer.Site, nil
@@ -97,9 +99,9 @@
 	return "", notPeerError{cert.DNSNames, cfg.Site}
 }
 
-// receive reads one site's messages for as long as its stream lasts.
+// receive reads the messages in a stream from a peer until the stream ends.
 func (l *Links) receive(w http.ResponseWriter, r *http.Request, current generation) {
-	from, err := sender(r.TLS.PeerCertificates[0], current.cfg)
+	from, err := peerFromCertificate(r.TLS.PeerCertificates[0], current.cfg)
 	if err != nil || r.URL.Path != streamPath {
 		l.Refused.Add(1)
 		slog.Error("stream refused", "error", err)
@@ -126,7 +128,7 @@
 	}
 }
 
-// receiveLine passes a message on.
+// receiveLine parses one message and passes it to emit.
 func (l *Links) receiveLine(line []byte, from federation.Site, current generation) error {
 	message, err := parseMessage(line, from, current)
 	if err != nil {
@@ -136,7 +138,8 @@
 	return nil
 }
 
-// refuse answers a line that is not accepted with the reason; the others go on.
+// refuse reports a refused message and the reason to the sender. The stream stays open for other
+// messages.
 func (l *Links) refuse(w http.ResponseWriter, controller *http.ResponseController, from federation.Site, reason error) error {
 	l.Refused.Add(1)
 	slog.Error("message from site refused", "site", from, "error", reason)
--- a/internal/federation/transport/listen_test.go
+++ b/internal/federation/transport/listen_test.go
@@ -10,30 +10,31 @@
 	"pepperlever/internal/federation"
 )
 
-// Strangers are told why they are refused, and nothing of theirs is read.
-func TestStrangersAreRefused(t *testing.T) {
-	for name, c := range map[string]struct {
-		keys func(own string) string
-		file string
-		why  string
+// Clients without a valid certificate of a peer must get the reason for the refusal, and none of
+// their messages may be processed.
+func TestUntrustedClientsAreRefused(t *testing.T) {
+	for name, tc := range map[string]struct {
+		makeKeys func(own string) string
+		certName string
+		reason   string
 	}{
-		"another authority's":    {func(string) string { return issued(t, time.Hour) }, "east", "unknown certificate authority"},
-		"one that has expired":   {func(own string) string { return reissued(t, own, -time.Minute, "east") }, "east", "expired certificate"},
-		"a site that is no peer": {func(own string) string { return reissued(t, own, time.Hour, "north") }, "north", "is no peer of west"},
+		"certificate of another authority": {func(string) string { return issueKeys(t, time.Hour) }, "east", "unknown certificate authority"},
+		"certificate that has expired":     {func(own string) string { return reissueCertificate(t, own, -time.Minute, "east") }, "east", "expired certificate"},
+		"site that is not a peer":          {func(own string) string { return reissueCertificate(t, own, time.Hour, "north") }, "north", "is not a peer of west"},
 	} {
-		p := newPair(t)
-		dir := c.keys(filepath.Dir(p.west.generation().cfg.Certificate))
-		cert, err := tls.LoadX509KeyPair(filepath.Join(dir, c.file+".pem"), filepath.Join(dir, c.file+"-key.pem"))
+		f := newFixture(t)
+		dir := tc.makeKeys(filepath.Dir(f.west.generation().cfg.Certificate))
+		cert, err := tls.LoadX509KeyPair(filepath.Join(dir, tc.certName+".pem"), filepath.Join(dir, tc.certName+"-key.pem"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, back, err := p.post(t, cert, line(t, federation.Message{From: "east", To: "west", Kind: federation.KindLoad}))
-		told := strings.Join(back, " ")
+		_, responses, err := f.post(t, cert, messageLine(t, federation.Message{From: "east", To: "west", Kind: federation.KindLoad}))
+		got := strings.Join(responses, " ")
 		if err != nil {
-			told += err.Error()
+			got += err.Error()
 		}
-		if !strings.Contains(told, c.why) || len(p.came) > 0 || p.west.Refused.Load() != 1 {
-			t.Errorf("%s: told %q, %d messages taken", name, told, len(p.came))
+		if !strings.Contains(got, tc.reason) || len(f.received) > 0 || f.west.Refused.Load() != 1 {
+			t.Errorf("%s: got response %q, %d messages received", name, got, len(f.received))
 		}
 	}
 }
--- a/internal/federation/transport/messages.go
+++ b/internal/federation/transport/messages.go
@@ -9,14 +9,14 @@
 	"pepperlever/internal/federation"
 )
 
-// maxLineBytes bounds a message: a ticket with the longest description, or a list of
-// all jobs that may be at a peer.
+// maxLineBytes is the maximum length of a message. The longest messages are a ticket with the
+// longest job description and a view of MaxJobsPerPeer jobs.
 const maxLineBytes = 512 << 10
 
-// errLineTooLong refuses a line that was read past.
+// errLineTooLong reports a message longer than maxLineBytes, which was skipped.
 var errLineTooLong = fmt.Errorf("message is longer than %d bytes", maxLineBytes)
 
-// readLine reads a line; one that is too long is read past.
+// readLine reads a line. A line that is too long is skipped and reported as errLineTooLong.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	tooLong := false
@@ -30,17 +30,18 @@
 	return line, err
 }
 
-// parseMessage reads and checks a message of a site.
+// parseMessage decodes and validates a message from a peer, including the signature of its
+// ticket.
 func parseMessage(line []byte, from federation.Site, current generation) (federation.Message, error) {
 	var m federation.Message
 	if err := json.Unmarshal(line, &m); err != nil {
-		return m, fmt.Errorf("message is not understood: %w", err)
+		return m, fmt.Errorf("invalid message: %w", err)
 	}
 	switch {
 	case m.From != from:
-		return m, fmt.Errorf("message says that it is from %q, the certificate says %q", m.From, from)
+		return m, fmt.Errorf("message is from %q, but the certificate is for %q", m.From, from)
 	case m.To != current.cfg.Site:
-		return m, fmt.Errorf("message is for %q, this is %q", m.To, current.cfg.Site)
+		return m, fmt.Errorf("message is for %q, but this site is %q", m.To, current.cfg.Site)
 	case m.Ticket == nil:
 		return m, nil
 	case m.Ticket.Origin != from || m.Ticket.To != current.cfg.Site || m.Ticket.Epoch != m.Epoch:
--- a/internal/federation/transport/messages_test.go
+++ b/internal/federation/transport/messages_test.go
@@ -10,58 +10,59 @@
 	"pepperlever/internal/federation"
 )
 
-// What is bad is refused with one line, and the good messages around it arrive.
-func TestBadMessagesAreRefusedAndGoodOnesArrive(t *testing.T) {
-	p := newPair(t)
+// An invalid message must be answered with one line, and the valid messages around it must be
+// delivered.
+func TestInvalidMessagesAreRefusedAndValidOnesReceived(t *testing.T) {
+	f := newFixture(t)
 	sign := func(change func(*federation.Ticket)) string {
 		ticket := federation.Ticket{Origin: "east", To: "west", JobID: "req-1", Class: "k", Epoch: 3, Path: []federation.Site{"east"}, Body: json.RawMessage(`{"a":"<b>"}`)}
-		signed, err := p.west.generation().secrets.tickets.Sign(ticket)
+		signed, err := f.west.generation().secrets.tickets.Sign(ticket)
 		if err != nil {
 			t.Fatal(err)
 		}
 		change(&signed)
-		return line(t, federation.Message{From: "east", To: "west", Kind: federation.KindOffer, Epoch: 3, Ticket: &signed})
+		return messageLine(t, federation.Message{From: "east", To: "west", Kind: federation.KindOffer, Epoch: 3, Ticket: &signed})
 	}
-	none := func(*federation.Ticket) {}
-	cases := []struct{ line, why string }{
-		{line(t, federation.Message{From: "east", To: "west", Kind: federation.KindLoad}), ""},
-		{"garbage", "message is not understood"},
+	unmodified := func(*federation.Ticket) {}
+	cases := []struct{ messageLine, reason string }{
+		{messageLine(t, federation.Message{From: "east", To: "west", Kind: federation.KindLoad}), ""},
+		{"garbage", "invalid message"},
 		{strings.Repeat("x", maxLineBytes+1), "message is longer than"},
-		{sign(none), ""},
-		{line(t, federation.Message{From: "north", To: "west"}), `from "north", the certificate says "east"`},
-		{line(t, federation.Message{From: "east", To: "north"}), `for "north"`},
+		{sign(unmodified), ""},
+		{messageLine(t, federation.Message{From: "north", To: "west"}), `message is from "north", but the certificate is for "east"`},
+		{messageLine(t, federation.Message{From: "east", To: "north"}), `message is for "north", but this site is "west"`},
 		{sign(func(k *federation.Ticket) { k.Origin = "north" }), "ticket is for another hand-off"},
 		{sign(func(k *federation.Ticket) { k.To = "north" }), "ticket is for another hand-off"},
 		{sign(func(k *federation.Ticket) { k.Epoch = 4 }), "ticket is for another hand-off"},
-		{sign(func(k *federation.Ticket) { k.JobID = "req-2" }), "signature is not that of key"},
-		{sign(func(k *federation.Ticket) { k.MAC = nil }), "signature is not that of key"},
-		{sign(func(k *federation.Ticket) { k.KeyID = "mine" }), `key "mine", which is not known`},
-		{sign(none), ""},
+		{sign(func(k *federation.Ticket) { k.JobID = "req-2" }), "ticket signature does not match key"},
+		{sign(func(k *federation.Ticket) { k.MAC = nil }), "ticket signature does not match key"},
+		{sign(func(k *federation.Ticket) { k.KeyID = "mine" }), `ticket is signed with unknown key "mine"`},
+		{sign(unmodified), ""},
 	}
 	var lines []string
-	good := 0
-	for _, c := range cases {
-		lines = append(lines, c.line)
+	validCount := 0
+	for _, tc := range cases {
+		lines = append(lines, tc.messageLine)
 	}
-	cert, err := tls.LoadX509KeyPair(strings.ReplaceAll(p.west.generation().cfg.Certificate, "west", "east"), strings.ReplaceAll(p.west.generation().cfg.Key, "west", "east"))
+	cert, err := tls.LoadX509KeyPair(strings.ReplaceAll(f.west.generation().cfg.Certificate, "west", "east"), strings.ReplaceAll(f.west.generation().cfg.Key, "west", "east"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	status, back, err := p.post(t, cert, lines...)
+	status, responses, err := f.post(t, cert, lines...)
 	if status != http.StatusOK || err != nil {
-		t.Fatalf("status %d, %v", status, err)
+		t.Fatalf("got status %d, error %v", status, err)
 	}
-	for _, c := range cases {
+	for _, tc := range cases {
 		switch {
-		case c.why == "":
-			good++
-		case len(back) == 0 || !strings.Contains(back[0], c.why):
-			t.Errorf("want %q, got %q", c.why, back)
+		case tc.reason == "":
+			validCount++
+		case len(responses) == 0 || !strings.Contains(responses[0], tc.reason):
+			t.Errorf("want refusal %q, got responses %q", tc.reason, responses)
 		default:
-			back = back[1:]
+			responses = responses[1:]
 		}
 	}
-	if len(p.came) != good || p.west.Refused.Load() != int64(len(cases)-good) {
-		t.Errorf("%d of %d good ones arrived, %d refused", len(p.came), good, p.west.Refused.Load())
+	if len(f.received) != validCount || f.west.Refused.Load() != int64(len(cases)-validCount) {
+		t.Errorf("received %d of %d valid messages, refused %d", len(f.received), validCount, f.west.Refused.Load())
 	}
 }
--- a/internal/federation/transport/reload.go
+++ b/internal/federation/transport/reload.go
@@ -10,11 +10,11 @@
 	"pepperlever/internal/federation"
 )
 
-// watchInterval is the pause between two looks at the files.
+// watchInterval is the interval at which the files are checked for changes.
 const watchInterval = 2 * time.Second
 
-// watch reads files that have changed. What can't be used is logged once, and the
-// earlier files stay in force.
+// watch reloads the files when they change. If a changed file is invalid, the error is logged
+// once and the previous files stay in use.
 func (l *Links) watch(ctx context.Context) error {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -32,13 +32,13 @@
 		}
 		last = times
 		if err := l.reload(); err != nil {
-			slog.Error("changed federation files rejected, the earlier ones stay in force", "error", err)
+			slog.Error("failed to reload federation files, keeping the previous ones", "error", err)
 		}
 		cfg = l.generation().cfg
 	}
 }
 
-// reload reads the files and has all streams opened anew.
+// reload loads the files and reopens all streams.
 func (l *Links) reload() error {
 	cfg, err := federation.Load(l.path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// replace puts files into force.
+// replace makes a generation the current one and ends the streams of the previous one.
 func (l *Links) replace(next generation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,10 +63,10 @@
 	l.current = next
 }
 
-// watchedFiles is the number of files that a configuration consists of.
+// watchedFiles is the number of files in a configuration.
 const watchedFiles = 5
 
-// modificationTimes tells when each of the files last changed.
+// modificationTimes returns the modification time of each file.
 func modificationTimes(cfg *federation.Config, path string) (times [watchedFiles]time.Time) {
 	files := [watchedFiles]string{path, cfg.Authority, cfg.Certificate, cfg.Key, cfg.TicketKeys}
 	for i, file := range files {
