--- a/internal/federation/transport/secrets.go
+++ b/internal/federation/transport/secrets.go
@@ -11,14 +11,15 @@
 	"pepperlever/internal/strictconfig"
 )
 
-// secrets are all that proves who a site is.
+// secrets holds the keys and certificates with which sites authenticate each other.
 type secrets struct {
-	authority *x509.CertPool
-	own       tls.Certificate
-	tickets   TicketKeys
+	authority   *x509.CertPool
+	certificate tls.Certificate
+	tickets     TicketKeys
 }
 
-// loadSecrets reads the files, and refuses a certificate that no peer would accept.
+// loadSecrets loads the files that the configuration names. It returns an error if peers would
+// reject the certificate.
 func loadSecrets(cfg *federation.Config) (*secrets, error) {
 	s := &secrets{authority: x509.NewCertPool()}
 	pem, err := os.ReadFile(cfg.Authority)
@@ -26,9 +27,9 @@
 		return nil, fmt.Errorf("authority: %w", err)
 	}
 	if !s.authority.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("authority: %s holds no certificate", cfg.Authority)
+		return nil, fmt.Errorf("authority: %s contains no certificate", cfg.Authority)
 	}
-	if s.own, err = tls.LoadX509KeyPair(cfg.Certificate, cfg.Key); err != nil {
+	if s.certificate, err = tls.LoadX509KeyPair(cfg.Certificate, cfg.Key); err != nil {
 		return nil, fmt.Errorf("certificate: %w", err)
 	}
 	if err := s.checkCertificate(cfg.Site); err != nil {
@@ -37,17 +38,18 @@
 	return s, strictconfig.Load(cfg.TicketKeys, &s.tickets)
 }
 
-// validityError tells that a certificate is not valid now.
+// validityError reports that a certificate has expired or is not valid yet.
 type validityError struct{ notBefore, notAfter time.Time }
 
-// Error tells when the certificate is valid.
+// Error returns a message with the period of validity.
 func (e validityError) Error() string {
-	return fmt.Sprintf("it is good from %s to %s only", e.notBefore.Format(time.RFC3339), e.notAfter.Format(time.RFC3339))
+	return fmt.Sprintf("valid only from %s to %s", e.notBefore.Format(time.RFC3339), e.notAfter.Format(time.RFC3339))
 }
 
-// checkCertificate tells why peers would not accept the certificate as that of a site.
+// checkCertificate returns the reason why peers would not accept the certificate as that of the
+// site.
 func (s *secrets) checkCertificate(site federation.Site) error {
-	leaf, err := x509.ParseCertificate(s.own.Certificate[0])
+	leaf, err := x509.ParseCertificate(s.certificate.Certificate[0])
 	if err != nil {
 		return err
 	}
--- a/internal/federation/transport/secrets_test.go
+++ b/internal/federation/transport/secrets_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// What no peer would take is refused at the start, with the reason.
-func TestOwnSecretsAreChecked(t *testing.T) {
-	for name, c := range map[string]struct {
-		spoil func(dir string) error
-		why   string
+// New must reject secrets that peers would not accept, and return the reason.
+func TestNewRejectsInvalidSecrets(t *testing.T) {
+	for name, tc := range map[string]struct {
+		spoil  func(dir string) error
+		reason string
 	}{
-		"good":         {func(string) error { return nil }, ""},
-		"expired":      {func(dir string) error { return Issue(dir, []string{"west"}, -time.Minute, false) }, "it is good from"},
-		"no authority": {func(dir string) error { return os.WriteFile(filepath.Join(dir, authorityFile), nil, 0o600) }, "holds no certificate"},
-		"another's": {func(dir string) error {
+		"valid":               {func(string) error { return nil }, ""},
+		"expired certificate": {func(dir string) error { return Issue(dir, []string{"west"}, -time.Minute, false) }, "valid only from"},
+		"no authority":        {func(dir string) error { return os.WriteFile(filepath.Join(dir, authorityFile), nil, 0o600) }, "contains no certificate"},
+		"certificate of another site": {func(dir string) error {
 			return os.Rename(filepath.Join(dir, "east.pem"), filepath.Join(dir, "west.pem"))
 		}, "private key does not match"},
-		"no ticket key": {func(dir string) error { return os.WriteFile(filepath.Join(dir, ticketsFile), nil, 0o600) }, "keys is missing"},
+		"no ticket key": {func(dir string) error { return os.WriteFile(filepath.Join(dir, ticketKeysFile), nil, 0o600) }, "keys is missing"},
 		"weak ticket key": {func(dir string) error {
-			return os.WriteFile(filepath.Join(dir, ticketsFile), []byte("[[keys]]\nid = \"1\"\nsecret = \"abcd\"\n"), 0o600)
+			return os.WriteFile(filepath.Join(dir, ticketKeysFile), []byte("[[keys]]\nid = \"1\"\nsecret = \"abcd\"\n"), 0o600)
 		}, "16 bytes"},
 	} {
-		keys := issued(t, time.Hour)
-		if err := c.spoil(keys); err != nil {
+		keys := issueKeys(t, time.Hour)
+		if err := tc.spoil(keys); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := New(site(t, t.TempDir(), keys, "west", "east"), nil)
-		if (err == nil) != (c.why == "") || err != nil && !strings.Contains(err.Error(), c.why) {
-			t.Errorf("%s: %v", name, err)
+		_, _, err := New(writeConfig(t, t.TempDir(), keys, "west", "east"), nil)
+		if (err == nil) != (tc.reason == "") || err != nil && !strings.Contains(err.Error(), tc.reason) {
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 }
--- a/internal/federation/transport/ticketkeys.go
+++ b/internal/federation/transport/ticketkeys.go
@@ -12,24 +12,24 @@
 	"pepperlever/internal/federation"
 )
 
-// minSecretBytes is the length of the shortest secret that is accepted.
+// minSecretBytes is the minimum length of a secret in bytes.
 const minSecretBytes = 16
 
-// TicketKey signs tickets between sites.
+// TicketKey is a shared key that signs tickets between sites.
 type TicketKey struct {
 	ID string `toml:"id"`
-	// Secret is at least 16 bytes, in hexadecimal.
+	// Secret is the key in hexadecimal, at least 16 bytes long.
 	Secret string `toml:"secret"`
 }
 
-// TicketKeys is a file of keys: the first signs, all of them are accepted, so that
-// a new one can be handed out before it is used and an old one kept until it is no
-// longer.
+// TicketKeys is the content of a key file. The first key signs and all keys verify, so that keys
+// can be rotated: a new key is distributed before it is used, and an old one stays until no
+// ticket uses it.
 type TicketKeys struct {
 	Keys []TicketKey `toml:"keys"`
 }
 
-// Check tells what is wrong with the file.
+// Check validates the keys.
 func (k *TicketKeys) Check() error {
 	if len(k.Keys) == 0 {
 		return errors.New("keys is missing")
@@ -37,16 +37,16 @@
 	for i, key := range k.Keys {
 		secret, err := hex.DecodeString(key.Secret)
 		if key.ID == "" || err != nil || len(secret) < minSecretBytes {
-			return fmt.Errorf("key %d (%q): id is missing or secret is no hexadecimal number of 16 bytes or more", i+1, key.ID)
+			return fmt.Errorf("key %d (%q): id is missing or secret is not at least 16 bytes in hexadecimal", i+1, key.ID)
 		}
 		if slices.ContainsFunc(k.Keys[:i], func(earlier TicketKey) bool { return earlier.ID == key.ID }) {
-			return fmt.Errorf("key %q is there twice", key.ID)
+			return fmt.Errorf("duplicate key %q", key.ID)
 		}
 	}
 	return nil
 }
 
-// sign computes the signature of all of a ticket but the signature.
+// sign computes the MAC of a ticket over all fields but the MAC itself.
 func sign(ticket federation.Ticket, key TicketKey) ([]byte, error) {
 	ticket.MAC = nil
 	raw, err := json.Marshal(ticket)
@@ -62,7 +62,7 @@
 	return signature.Sum(nil), nil
 }
 
-// Sign is a ticket with the first key's signature.
+// Sign returns the ticket with the ID and the signature of the first key.
 func (k *TicketKeys) Sign(ticket federation.Ticket) (federation.Ticket, error) {
 	ticket.KeyID = k.Keys[0].ID
 	var err error
@@ -70,23 +70,23 @@
 	return ticket, err
 }
 
-// unknownKeyError refuses a ticket whose key is not in the file.
+// unknownKeyError reports a ticket that was signed with a key that is not in the file.
 type unknownKeyError struct{ id string }
 
-// Error names the key.
+// Error returns a message that names the key.
 func (e unknownKeyError) Error() string {
-	return fmt.Sprintf("ticket is signed with key %q, which is not known here", e.id)
+	return fmt.Sprintf("ticket is signed with unknown key %q", e.id)
 }
 
-// badSignatureError refuses a ticket that was not signed with the key it names.
+// badSignatureError reports a ticket whose signature does not match the key that it names.
 type badSignatureError struct{ id string }
 
-// Error names the key.
+// Error returns a message that names the key.
 func (e badSignatureError) Error() string {
-	return fmt.Sprintf("ticket's signature is not that of key %q", e.id)
+	return fmt.Sprintf("ticket signature does not match key %q", e.id)
 }
 
-// Verify tells what is wrong with a ticket's signature, or nil.
+// Verify checks the signature of a ticket.
 func (k *TicketKeys) Verify(ticket federation.Ticket) error {
 	i := slices.IndexFunc(k.Keys, func(key TicketKey) bool { return key.ID == ticket.KeyID })
 	if i < 0 {
--- a/internal/federation/transport/ticketkeys_test.go
+++ b/internal/federation/transport/ticketkeys_test.go
@@ -10,31 +10,32 @@
 	"pepperlever/internal/federation"
 )
 
-// While ticket keys roll over, old and new ones are good; a reload takes the change
-// and hands it to the core, and a broken file leaves the earlier one in force.
-func TestTicketKeysRollOver(t *testing.T) {
-	p := newPair(t)
-	old, err := p.west.generation().secrets.tickets.Sign(federation.Ticket{JobID: "req-1"})
+// During a rotation of ticket keys, old and new keys must verify. A reload must apply the new
+// files and pass the configuration to the core. A broken file must leave the previous
+// configuration in use.
+func TestTicketKeyRotation(t *testing.T) {
+	f := newFixture(t)
+	oldTicket, err := f.west.generation().secrets.tickets.Sign(federation.Ticket{JobID: "req-1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Issue(filepath.Dir(p.west.generation().cfg.TicketKeys), nil, time.Hour, true); err != nil {
+	if err := Issue(filepath.Dir(f.west.generation().cfg.TicketKeys), nil, time.Hour, true); err != nil {
 		t.Fatal(err)
 	}
-	taken := 0
-	p.west.emit = func(c core.Command) { taken += len(c.(core.SiteConfig).Config.Peers) }
-	if err := p.west.reload(); err != nil || taken != 1 {
-		t.Fatalf("reload: %v, %d", err, taken)
+	peerCount := 0
+	f.west.emit = func(c core.Command) { peerCount += len(c.(core.SiteConfig).Config.Peers) }
+	if err := f.west.reload(); err != nil || peerCount != 1 {
+		t.Fatalf("reload: got error %v and %d peers, want 1 peer", err, peerCount)
 	}
-	keys := p.west.generation().secrets.tickets
-	fresh, err := keys.Sign(federation.Ticket{JobID: "req-1"})
-	if err != nil || fresh.KeyID == old.KeyID || keys.Verify(old) != nil || keys.Verify(fresh) != nil {
-		t.Errorf("keys %q and %q: %v, %v, %v", old.KeyID, fresh.KeyID, err, keys.Verify(old), keys.Verify(fresh))
+	keys := f.west.generation().secrets.tickets
+	newTicket, err := keys.Sign(federation.Ticket{JobID: "req-1"})
+	if err != nil || newTicket.KeyID == oldTicket.KeyID || keys.Verify(oldTicket) != nil || keys.Verify(newTicket) != nil {
+		t.Errorf("old key %q, new key %q: got sign error %v, verify errors %v and %v", oldTicket.KeyID, newTicket.KeyID, err, keys.Verify(oldTicket), keys.Verify(newTicket))
 	}
-	if err := os.WriteFile(p.west.path, []byte("hop = 3"), 0o600); err != nil {
+	if err := os.WriteFile(f.west.path, []byte("hop = 3"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.west.reload(); err == nil || p.west.generation().cfg.Site != "west" {
-		t.Errorf("a broken file was taken: %v", err)
+	if err := f.west.reload(); err == nil || f.west.generation().cfg.Site != "west" {
+		t.Errorf("reload of a broken file: got error %v, want one and the previous configuration", err)
 	}
 }
--- a/internal/federation/transport/transport_test.go
+++ b/internal/federation/transport/transport_test.go
@@ -22,15 +22,15 @@
 	"pepperlever/internal/federation"
 )
 
-// site writes a gateway's file for a site whose keys are in dir.
-func site(t *testing.T, dir, keys string, name, peer federation.Site) string {
+// writeConfig writes the configuration file of a site whose keys are in the directory keys.
+func writeConfig(t *testing.T, dir, keys string, name, peer federation.Site) string {
 	t.Helper()
-	c := federation.Default()
-	c.Site, c.Peers = name, []federation.Peer{{Site: peer}}
-	c.RetryS, c.RetryMaxS = 600, 600 // no test waits for a time-out
-	c.Authority, c.TicketKeys = filepath.Join(keys, authorityFile), filepath.Join(keys, ticketsFile)
-	c.Certificate, c.Key = filepath.Join(keys, string(name)+".pem"), filepath.Join(keys, string(name)+"-key.pem")
-	raw, err := toml.Marshal(c)
+	cfg := federation.Default()
+	cfg.Site, cfg.Peers = name, []federation.Peer{{Site: peer}}
+	cfg.RetryS, cfg.RetryMaxS = 600, 600 // no timeout may expire during a test
+	cfg.Authority, cfg.TicketKeys = filepath.Join(keys, authorityFile), filepath.Join(keys, ticketKeysFile)
+	cfg.Certificate, cfg.Key = filepath.Join(keys, string(name)+".pem"), filepath.Join(keys, string(name)+"-key.pem")
+	raw, err := toml.Marshal(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,8 @@
 	return path
 }
 
-func issued(t *testing.T, validity time.Duration) string {
+// issueKeys creates a directory with an authority, ticket keys and certificates of two sites.
+func issueKeys(t *testing.T, validity time.Duration) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := Issue(dir, []string{"east", "west"}, validity, false); err != nil {
@@ -50,85 +51,87 @@
 	return dir
 }
 
-// pair is west, which listens, and a client with east's certificate.
-type pair struct {
-	west *Links
-	came chan federation.Message
+// fixture holds the links of site west and the messages that they received. Tests connect as
+// clients.
+type fixture struct {
+	west     *Links
+	received chan federation.Message
 }
 
-func newPair(t *testing.T) *pair {
-	keys := issued(t, time.Hour)
-	p := &pair{came: make(chan federation.Message, 16)}
+func newFixture(t *testing.T) *fixture {
+	keys := issueKeys(t, time.Hour)
+	f := &fixture{received: make(chan federation.Message, 16)}
 	var err error
-	p.west, _, err = New(site(t, t.TempDir(), keys, "west", "east"), func(c core.Command) { p.came <- c.(core.SiteMessageReceived).Message })
+	f.west, _, err = New(writeConfig(t, t.TempDir(), keys, "west", "east"), func(c core.Command) { f.received <- c.(core.SiteMessageReceived).Message })
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return f
 }
 
-// post sends lines over one connection with a certificate, and returns what comes
-// back until the end of the stream.
-func (p *pair) post(t *testing.T, cert tls.Certificate, lines ...string) (status int, back []string, err error) {
+// post sends lines over one connection with the given certificate and returns the response
+// lines.
+func (f *fixture) post(t *testing.T, cert tls.Certificate, lines ...string) (status int, responses []string, err error) {
 	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return 0, nil, err
 	}
-	defer ln.Close()
-	ours, err := net.Dial("tcp4", ln.Addr().String())
+	defer listener.Close()
+	clientConn, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		return 0, nil, err
 	}
-	theirs, err := ln.Accept()
+	serverConn, err := listener.Accept()
 	if err != nil {
 		return 0, nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	served := make(chan struct{})
-	go func() { defer close(served); p.west.accept(ctx, theirs) }()
-	defer func() { ours.Close(); <-served }()
-	conf := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert},
-		RootCAs: p.west.generation().secrets.authority, ServerName: "west", NextProtos: []string{http2.NextProtoTLS}}
+	go func() { defer close(served); f.west.accept(ctx, serverConn) }()
+	defer func() { clientConn.Close(); <-served }()
+	tlsConfig := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert},
+		RootCAs: f.west.generation().secrets.authority, ServerName: "west", NextProtos: []string{http2.NextProtoTLS}}
 	transport := &http2.Transport{DialTLSContext: func(context.Context, string, string, *tls.Config) (net.Conn, error) {
-		return handshake(ours, conf, time.Minute)
+		return handshake(clientConn, tlsConfig, time.Minute)
 	}}
 	defer transport.CloseIdleConnections()
-	body, in := io.Pipe()
+	body, bodyWriter := io.Pipe()
 	go func() {
-		for _, l := range lines {
-			_, _ = io.WriteString(in, l+"\n") // what does not arrive is missed below
+		for _, line := range lines {
+			_, _ = io.WriteString(bodyWriter, line+"\n") // the tests detect lines that do not arrive
 		}
-		in.Close()
+		bodyWriter.Close()
 	}()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://west"+streamPath, body)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://west"+streamPath, body)
 	if err != nil {
 		return 0, nil, err
 	}
-	res, err := transport.RoundTrip(req)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer res.Body.Close()
-	s := bufio.NewScanner(res.Body)
-	for s.Scan() {
-		back = append(back, s.Text())
+	defer response.Body.Close()
+	scanner := bufio.NewScanner(response.Body)
+	for scanner.Scan() {
+		responses = append(responses, scanner.Text())
 	}
-	return res.StatusCode, back, s.Err()
+	return response.StatusCode, responses, scanner.Err()
 }
 
-func line(t *testing.T, m federation.Message) string {
+// messageLine encodes a message as it is sent, without the line break.
+func messageLine(t *testing.T, message federation.Message) string {
 	t.Helper()
-	raw, err := json.Marshal(m)
+	raw, err := json.Marshal(message)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(raw)
 }
 
-// reissued makes a site's certificate anew under the same authority.
-func reissued(t *testing.T, dir string, validity time.Duration, name string) string {
+// reissueCertificate replaces a site's certificate with one from the same authority.
+func reissueCertificate(t *testing.T, dir string, validity time.Duration, name string) string {
 	t.Helper()
 	if err := Issue(dir, []string{name}, validity, false); err != nil {
 		t.Fatal(err)
