--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -7,30 +7,30 @@
 	"pepperlever/internal/protocol"
 )
 
-// autoscaler is what scaling out and in keeps. One controller scales at a time: the leader of
-// the fleet.
+// autoscaler is the state of scaling out and in. Only the fleet leader scales.
 type autoscaler struct {
-	// cordoning is since when machines are being cordoned or returned.
+	// cordoning holds the time since which each machine is being cordoned or returned.
 	cordoning map[string]time.Duration
-	// releasing is since when machines are being released at the cloud.
+	// releasing holds the time of the latest release request to the cloud, by machine.
 	releasing map[string]time.Duration
-	// inventory is the cloud's newest list, inventoryAt when it came.
+	// inventory is the cloud's latest list of machines, received at inventoryAt.
 	inventory   map[string]protocol.ListedMachine
 	inventoryAt time.Duration
-	// firstSeen is when a machine was first listed or rented.
+	// firstSeen holds the time at which each machine was first listed or rented.
 	firstSeen map[string]time.Duration
-	// backoffs pause offers that the cloud has refused.
+	// backoffs holds the offers that are backed off because the cloud could not supply them.
 	backoffs map[offerKey]backoff
-	// returnReasons names the machines that are to be returned with all that is on them.
+	// returnReasons holds the machines that are to be returned to the cloud together with
+	// everything that runs on them, and the reason for each.
 	returnReasons map[string]string
 	provisioning  provisioningTimes
-	// zoneOutages holds the zones that were cut off when they were last judged.
+	// zoneOutages holds whether each zone was considered partitioned at the latest check.
 	zoneOutages map[string]bool
-	// leaderSince is when this node became the leader of the fleet.
+	// leaderSince is when this node became the fleet leader.
 	leaderSince time.Duration
 }
 
-// offerKey names a kind of machines in a zone, which the cloud may have or not.
+// offerKey identifies a kind of machine in a zone, which the cloud may or may not have available.
 type offerKey struct {
 	typ, zone string
 	spot      bool
@@ -48,13 +48,13 @@
 	}
 }
 
-// reset starts over on a node that has just become the leader of the fleet.
+// reset clears the state when this node becomes the fleet leader.
 func (a *autoscaler) reset(now time.Duration) {
 	*a = newAutoscaler()
 	a.leaderSince = now
 }
 
-// setInventory takes the cloud's newest list.
+// setInventory replaces the inventory with the cloud's latest list.
 func (a *autoscaler) setInventory(machines []protocol.ListedMachine, now time.Duration) {
 	a.inventoryAt = now
 	a.inventory = make(map[string]protocol.ListedMachine, len(machines))
@@ -66,7 +66,7 @@
 	}
 }
 
-// firstSeenAt is when a machine was first listed or rented, which is now for a new one.
+// firstSeenAt returns when a machine was first listed or rented, which is now for a new machine.
 func (a *autoscaler) firstSeenAt(machine string, now time.Duration) time.Duration {
 	if _, known := a.firstSeen[machine]; !known {
 		a.firstSeen[machine] = now
@@ -74,48 +74,50 @@
 	return a.firstSeen[machine]
 }
 
-// isListed tells whether the cloud's newest list has a machine.
+// isListed reports whether the cloud's latest list contains a machine.
 func (a *autoscaler) isListed(machine string) bool {
 	_, listed := a.inventory[machine]
 	return listed
 }
 
-// isCordoning tells whether a machine is being cordoned or returned.
+// isCordoning reports whether a machine is being cordoned or returned.
 func (a *autoscaler) isCordoning(machine string) bool {
 	_, cordoning := a.cordoning[machine]
 	return cordoning
 }
 
-// beginCordon notes that a machine is being cordoned.
+// beginCordon records that a machine is being cordoned.
 func (a *autoscaler) beginCordon(machine string, now time.Duration) { a.cordoning[machine] = now }
 
-// beginReturn notes that a machine is to be returned with all that is on it.
+// beginReturn records that a machine is to be returned together with everything that runs on it.
 func (a *autoscaler) beginReturn(machine, reason string, now time.Duration) {
 	a.returnReasons[machine] = reason
 	a.beginCordon(machine, now)
 }
 
-// isReturning tells whether a machine is to be returned with all that is on it.
+// isReturning reports whether a machine is to be returned together with everything that runs on
+// it.
 func (a *autoscaler) isReturning(machine string) bool { return a.returnReasons[machine] != "" }
 
-// forgetReturned forgets a machine that the cloud has taken back.
+// forgetReturned drops the state of a machine that has been returned to the cloud.
 func (a *autoscaler) forgetReturned(machine string) {
 	delete(a.cordoning, machine)
 	delete(a.returnReasons, machine)
 }
 
-// isBackedOff tells whether an offer is paused.
+// isBackedOff reports whether an offer is backed off, so that nothing is rented from it for now.
 func (a *autoscaler) isBackedOff(key offerKey, now time.Duration) bool {
 	return now < a.backoffs[key].until
 }
 
-// backOff pauses an offer, longer each time, and tells for how long.
+// backOff backs off an offer, each time for twice as long as before and within the given bounds,
+// and returns the duration.
 func (a *autoscaler) backOff(key offerKey, now, least, most time.Duration) time.Duration {
 	a.backoffs[key] = a.backoffs[key].grow(now, least, most)
 	return a.backoffs[key].last
 }
 
-// handleCatalog takes the cloud's machine types.
+// handleCatalog replaces the catalog of machine types.
 func (c *Core) handleCatalog(m CatalogReceived) {
 	if !c.catalog.Loaded() {
 		c.log(Info, "catalog loaded", "types", len(m.Types))
@@ -124,12 +126,12 @@
 	c.requestRound()
 }
 
-// handleInventory takes the cloud's list of machines.
+// handleInventory handles the cloud's reply with its list of machines.
 func (c *Core) handleInventory(m InventoryReceived) {
 	c.autoscaler.setInventory(m.Machines, c.now.Steady)
 }
 
-// runAutoscaler rents for what finds no room and returns what nobody needs.
+// runAutoscaler rents machines for unplaced demand and returns machines that are idle or lost.
 func (c *Core) runAutoscaler() {
 	if !c.catalog.Loaded() {
 		return
@@ -139,6 +141,6 @@
 	c.reconcileInventory()
 	c.cordonIdle()
 	c.releaseCordoned()
-	c.forgetTerminated()
+	c.deleteTerminatedCordons()
 	c.scaleOut()
 }
--- a/internal/core/besteffort.go
+++ b/internal/core/besteffort.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// bestEffortPatience is for how many leases best-effort work waits without any room
-	// before it counts as other work does.
-	bestEffortPatience = 10
-	// bestEffortBoots is within how many boots of a machine best-effort work should end.
-	bestEffortBoots = 6
+	// bestEffortWaitLeases is the number of worker leases for which a best-effort job may wait
+	// without getting any capacity before it is treated like any other job.
+	bestEffortWaitLeases = 10
+	// bestEffortTargetBoots is the target run time of a best-effort job, in machine boot times.
+	bestEffortTargetBoots = 6
 )
 
-// isBestEffort tells whether a job is of the lowest priority and has no deadline: it is done
-// in idle time, and what it asks for must not make the fleet expensive.
+// isBestEffort reports whether a job has the lowest priority and no deadline. Such a job uses
+// idle capacity, and its demand must not make the fleet expensive.
 func isBestEffort(j *job.Job) bool {
 	return j.Rank() == len(protocol.Priorities)-1 && !j.HasDeadline()
 }
 
-// bestEffortTasks is for how many tasks of a best-effort job room is worth renting, given the
-// nominal boot time of a machine: as many as end the job within a few boots, not a place for
-// each of thousands of short tasks.
+// bestEffortTasks is the number of tasks of a best-effort job worth renting capacity for, given a
+// machine's nominal boot time: enough to finish the job within a few boot times, rather than a
+// slot for each of thousands of short tasks.
 func bestEffortTasks(j *job.Job, tasks int, bootS float64) int {
 	workS := float64(j.PendingTasks()) * j.EstimateS
-	places := math.Ceil(workS / max(bestEffortBoots*bootS, 1))
-	return max(0, min(tasks, int(places)-len(j.Bound)))
+	slots := math.Ceil(workS / max(bestEffortTargetBoots*bootS, 1))
+	return max(0, min(tasks, int(slots)-len(j.Bound)))
 }
 
-// isSpotOnly tells whether a job is kept off machines that have cheaper spot ones.
+// isSpotOnly reports whether a job may not use on-demand machines of a type that has a spot
+// discount.
 func (r *round) isSpotOnly(queue *teamQueue, j *job.Job) bool {
 	return j.Spot && r.core.policy.Spot && r.entitlement(queue, j) == scaling.BestEffort
 }
 
-// hostsFor lists the hosts for a job. Best-effort work that may use spot machines is kept off
-// ordinary ones: it would keep them from emptying, at several times the price. Its short tasks
-// may fill the gaps beside other work.
+// hostsFor lists the hosts for a job. A best-effort job that may use spot machines is kept off
+// on-demand machines: it would keep them from becoming idle, at several times the price. Its
+// short tasks may still fill gaps next to other jobs.
 func (r *round) hostsFor(queue *teamQueue, j *job.Job) []*placement.Host {
 	if !r.isSpotOnly(queue, j) {
 		return r.openHosts
@@ -48,14 +49,15 @@
 	short := j.EstimateS <= r.core.catalog.ShortestBootS()
 	if r.bestEffortHosts[short] == nil {
 		r.bestEffortHosts[short] = slices.DeleteFunc(slices.Clone(r.openHosts), func(h *placement.Host) bool {
-			return !r.takesBestEffort(h, short)
+			return !r.acceptsBestEffort(h, short)
 		})
 	}
 	return r.bestEffortHosts[short]
 }
 
-// takesBestEffort tells whether a host may take best-effort tasks, short ones or others.
-func (r *round) takesBestEffort(h *placement.Host, short bool) bool {
+// acceptsBestEffort reports whether a host may take best-effort tasks, either short or longer
+// ones.
+func (r *round) acceptsBestEffort(h *placement.Host, short bool) bool {
 	if h.Spot || !r.core.catalog.HasSpotDiscount(h.Type) {
 		return true
 	}
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -11,24 +11,25 @@
 // maxClaimsPerMessage bounds the size of one message.
 const maxClaimsPerMessage = 256
 
-// claimLifetime is for how many report intervals a claim holds that its leader has not announced
-// again. It does so once an interval, and messages may be lost.
-const claimLifetime = 3
+// claimLifetimeIntervals is the number of report intervals after which a claim expires unless its
+// leader renews it. Leaders renew claims once per interval, and messages may be lost.
+const claimLifetimeIntervals = 3
 
-// heldClaims tells which jobs of other leaders have claims here. A claim is void once its leader
-// is another, and leased until then: the leader announces it again until it is stored, and one
-// whose binding the leader has dropped expires.
+// heldClaims tracks the jobs for which this node holds claims of other leaders. A claim is an
+// announced binding that is not stored yet. The leader renews it until it is stored; it expires
+// if the leader drops the binding, and is void once the job has another leader.
 type heldClaims struct {
 	jobs map[string]bool
-	// renewAt is when this node's own claims are announced again, and those of others judged.
-	renewAt time.Duration
+	// nextRenewal is when this node next renews its own claims and checks those of others for
+	// expiry.
+	nextRenewal time.Duration
 }
 
 func newHeldClaims() heldClaims { return heldClaims{jobs: map[string]bool{}} }
 
-// shareClaims tells the other controllers at once which room this step has taken. The store
-// shows it to them only after a write and a watch, and until then they would bind the same
-// room again and be refused.
+// shareClaims announces the capacity claimed in this step to the other controllers at once. The
+// store would show it to them only after a write and a watch event; until then they might bind
+// the same capacity and be refused.
 func (c *Core) shareClaims() {
 	for part := range slices.Chunk(c.scheduler.claims, maxClaimsPerMessage) {
 		c.broadcast(PeerMessage{Claims: part})
@@ -36,8 +37,8 @@
 	c.scheduler.claims = nil
 }
 
-// handleClaim notes room that another leader is about to bind. A controller that does not lead
-// the job's team, or no longer does, cannot bind anything.
+// handleClaim records capacity that another leader is about to bind. Claims from a controller
+// that does not lead the job's team are ignored, since it cannot store a binding.
 func (c *Core) handleClaim(from string, claim Claim) {
 	id, index, ok := job.ParseTaskID(claim.Task)
 	j := c.jobs[id]
@@ -50,11 +51,11 @@
 	}
 }
 
-// renewClaims announces the bindings again that wait to be stored, and forgets the claims of
-// others that were not.
+// renewClaims announces this node's unstored bindings again, and drops expired claims of other
+// leaders.
 func (c *Core) renewClaims() {
 	held := &c.scheduler.heldClaims
-	if !c.every(&held.renewAt, c.reportInterval()) {
+	if !c.every(&held.nextRenewal, c.reportInterval()) {
 		return
 	}
 	for _, t := range c.teams {
@@ -69,7 +70,7 @@
 	}
 }
 
-// announceUnstored announces the bindings of a led team that wait to be stored.
+// announceUnstored announces the unstored bindings of a team that this node leads.
 func (c *Core) announceUnstored(t *team) {
 	for _, j := range ordered(t.jobs) {
 		if !j.Dirty() && !j.InFlight {
@@ -83,12 +84,12 @@
 	}
 }
 
-// expireClaims forgets the claims on a job that have expired, and reports whether any is left.
+// expireClaims drops the expired claims on a job, and reports whether any claim is left.
 func (c *Core) expireClaims(j *job.Job) (left bool) {
 	if j == nil || c.leads(j) {
 		return false
 	}
-	expired, left := j.ExpireClaims(c.now.Steady - claimLifetime*c.reportInterval())
+	expired, left := j.ExpireClaims(c.now.Steady - claimLifetimeIntervals*c.reportInterval())
 	if expired {
 		c.log(Debug, "claims expired", "job", j.ID)
 		c.requestRound()
@@ -96,7 +97,7 @@
 	return left
 }
 
-// voidClaims forgets the claims of a shard's former leader: it can store nothing any more.
+// voidClaims drops the claims of a shard's former leader, which can no longer store them.
 func (c *Core) voidClaims(s *shard) {
 	for _, j := range ordered(c.jobsOf(s)) {
 		if c.scheduler.heldClaims.jobs[j.ID] {
@@ -106,13 +107,13 @@
 	}
 }
 
-// claimOf is what other controllers are told of a new binding.
+// claimOf returns the claim that announces a new binding to other controllers.
 func claimOf(j *job.Job, index int, b *job.Binding) Claim {
 	return Claim{Machine: b.Machine, Task: j.TaskID(index), Attempt: b.Attempt}
 }
 
-// unstoredClaims counts the bindings that other leaders have announced and the store does not
-// show.
+// unstoredClaims counts the bindings that other leaders have announced but that the store does
+// not show yet.
 func (c *Core) unstoredClaims() (claims int) {
 	for _, j := range c.jobs {
 		if !c.leads(j) {
@@ -122,16 +123,16 @@
 	return claims
 }
 
-// claimWindow is how long a new binding waits for the claims of other leaders that chose the
-// same room at the same moment.
+// claimWindow is how long a new binding waits for concurrent claims of other leaders on the same
+// capacity.
 func (c *Core) claimWindow() time.Duration { return c.reportInterval() / 60 }
 
-// resolveConflict drops the new bindings of a job whose room another leader has claimed with
-// precedence. Every leader sees the same claims and decides alike, so one of two keeps the
-// room, and the other finds a new place without a refusal.
+// resolveConflict drops the new bindings of a job whose capacity another leader has claimed with
+// precedence. Every leader sees the same claims and decides the same way, so one of two
+// conflicting claims is kept, and the other leader picks another host without a refusal.
 func (c *Core) resolveConflict(j *job.Job) {
 	if j.Kind == job.Gang {
-		return // placed whole or not at all
+		return // all or nothing: a gang must not lose single bindings
 	}
 	for index, b := range j.Bound {
 		if !b.Stored && !c.claimHolds(j, index, b) {
@@ -140,7 +141,8 @@
 	}
 }
 
-// claimHolds tells whether a new binding fits on its machine beside all that takes precedence.
+// claimHolds reports whether a new binding fits on its machine next to everything that takes
+// precedence over it.
 func (c *Core) claimHolds(j *job.Job, index int, b *job.Binding) bool {
 	m := c.machines.Get(b.Machine)
 	if m == nil {
@@ -159,11 +161,11 @@
 	return isWithinCapacity(free)
 }
 
-// isWithinCapacity tells whether no more is taken of a machine than it has, given what is
-// free on it.
+// isWithinCapacity reports whether a machine is not overcommitted, given its free resources,
+// which are negative where it is.
 func isWithinCapacity(free job.Resources) bool { return job.Resources{}.Fits(free) }
 
-// compareClaims orders claims on the same room, the one with precedence first.
+// compareClaims orders claims on the same capacity, the one with precedence first.
 func compareClaims(a, b job.TaskRef) int {
 	return cmp.Or(
 		cmp.Compare(a.Job.Rank(), b.Job.Rank()),
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -6,21 +6,21 @@
 	"pepperlever/internal/core/job"
 )
 
-// TestOneOfTwoConflictingClaimsHolds checks that two leaders that choose the same room at once
-// neither both keep it nor both give it up.
+// TestOneOfTwoConflictingClaimsHolds checks that of two leaders that claim the same capacity at
+// the same time exactly one keeps it.
 func TestOneOfTwoConflictingClaimsHolds(t *testing.T) {
 	w := newWorld(t).ready()
 	w.submit("a", "req-red-1", 1, "")
-	w.started("req-red-1", 1) // two of a machine's four CPUs are in use
+	w.started("req-red-1", 1) // uses two of the machine's four CPUs
 	c := w.cores["a"]
-	blue, free := claimant(c, "req-blue-9"), claimant(c, "req-free-9")
+	blue, free := jobWithClaim(c, "req-blue-9"), jobWithClaim(c, "req-free-9")
 	if !c.claimHolds(blue, 0, blue.Bound[0]) || c.claimHolds(free, 0, free.Bound[0]) {
-		t.Error("the claim with precedence and no other must hold")
+		t.Error("want the claim with precedence, and only that one, to hold")
 	}
 }
 
-// claimant is a job with a new binding of two CPUs on the machine in use.
-func claimant(c *Core, id string) *job.Job {
+// jobWithClaim returns a job with a new binding of two CPUs on the machine in use.
+func jobWithClaim(c *Core, id string) *job.Job {
 	j := job.New(job.Spec{ID: id, Tasks: 1, Need: job.Resources{CPUs: 2}}, 16, 0)
 	c.machines.TrackBindings(j)
 	for _, m := range c.machines.Names() {
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// cordonRecord is the stored value of a machine that takes no new bindings. Terminated is proof
-// that the machine and all that was on it are gone.
+// cordonRecord is the stored value of a machine that accepts no new bindings. Terminated proves
+// that the machine and everything on it are gone.
 type cordonRecord struct {
 	Terminated bool   `json:"g,omitempty"`
 	Reason     string `json:"w,omitempty"`
@@ -19,16 +19,16 @@
 // cordons holds the stored cordons by machine.
 type cordons map[string]cordonRecord
 
-// has tells whether a machine is cordoned.
+// has reports whether a machine is cordoned.
 func (c cordons) has(machine string) bool {
 	_, cordoned := c[machine]
 	return cordoned
 }
 
-// isTerminated tells whether a machine is proved to be gone.
+// isTerminated reports whether a machine is proven to be gone.
 func (c cordons) isTerminated(machine string) bool { return c[machine].Terminated }
 
-// put takes a cordon that is known since now, and reports whether it is newer than the known one.
+// put records a cordon, first seen now, and reports whether it is newer than the known one.
 func (c cordons) put(machine string, cordon cordonRecord, now time.Duration) bool {
 	if known, cordoned := c[machine]; cordoned && known.version >= cordon.version {
 		return false
@@ -38,8 +38,7 @@
 	return true
 }
 
-// onCordonPut notes that a machine takes no bindings. If it is gone for good, that ends every
-// binding on it.
+// onCordonPut handles a stored cordon. If the machine is terminated, every binding on it ends.
 func (c *Core) onCordonPut(machine string, record cordonRecord) {
 	if !c.cordons.put(machine, record, c.now.Steady) {
 		return
@@ -52,13 +51,13 @@
 	c.removeMachine(machine)
 	anyBinding := func(job.TaskRef, *job.Binding) bool { return true }
 	c.reconciler.eachLedBinding(machine, anyBinding, func(j *job.Job, i int, _ *job.Binding) {
-		c.log(Debug, "task is gone with its machine", "task", j.TaskID(i), "machine", machine)
+		c.log(Debug, "task lost with its machine", "task", j.TaskID(i), "machine", machine)
 		c.unbind(j, i)
 	})
 }
 
-// expediteExits has the ends of tasks on a cordoned machine stored without delay: it can be
-// returned only after that.
+// expediteExits marks the jobs with unstored exits on a cordoned machine as urgent, since the
+// machine can be returned only once these exits are stored.
 func (c *Core) expediteExits(machine string) {
 	isOnMachine := func(exit job.Exit) bool { return exit.Machine == machine }
 	for _, j := range c.jobs {
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -5,9 +5,9 @@
 	"pepperlever/internal/core/placement"
 )
 
-// evacuateGPUHosts moves the replicas of one host at a time off the hosts that are reserved
-// for accelerator work, while such work waits and there is room for them elsewhere. They may
-// have been placed there before anything that needs the accelerators was known.
+// evacuateGPUHosts moves service replicas off the hosts reserved for GPU jobs, one host at a
+// time, while GPU jobs are pending and the replicas fit elsewhere. The replicas may have been
+// placed there before any GPU job was known.
 func (r *round) evacuateGPUHosts() {
 	c := r.core
 	if !r.gpuStarved || !c.every(&c.timers.evacuation, c.reportInterval()) {
@@ -20,14 +20,14 @@
 	}
 }
 
-// evacuate moves what can be moved off a host, and tells whether that is anything.
+// evacuate moves the replicas that fit elsewhere off a host, and reports whether it moved any.
 func (r *round) evacuate(h *placement.Host) bool {
 	c := r.core
 	zonesByJob := map[string]placement.Zones{}
 	moved := false
 	c.reconciler.eachLedBinding(h.ID, r.isMovableReplica, func(j *job.Job, index int, b *job.Binding) {
 		if zonesByJob[j.ID] == nil {
-			zonesByJob[j.ID] = r.zonesOf(j)
+			zonesByJob[j.ID] = r.tasksByZone(j)
 		}
 		zones := zonesByJob[j.ID]
 		zones[h.Zone]--
@@ -37,15 +37,15 @@
 		}
 		target.Take(&j.Spec)
 		zones[target.Zone]++
-		c.log(Debug, "replica moved off accelerators", "task", j.TaskID(index), "machine", h.ID)
+		c.log(Debug, "replica moved off GPU host", "task", j.TaskID(index), "machine", h.ID)
 		c.reconciler.stopTask(j, index, b, 0)
 		moved = true
 	})
 	return moved
 }
 
-// isMovableReplica tells whether a task is a replica that needs no accelerators and has run
-// for a while.
+// isMovableReplica reports whether a task is a service replica that needs no GPUs and has run for
+// longer than the timeout.
 func (r *round) isMovableReplica(ref job.TaskRef, b *job.Binding) bool {
 	c := r.core
 	m := c.machines.Get(b.Machine)
--- a/internal/core/gangorder_test.go
+++ b/internal/core/gangorder_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Guards against gangs that wait for each other for good: their leaders learned at other times when
-// what the gangs awaited was done, and each left the hosts to the gang of the other.
-func TestGangsAreServedInOneOrderWhenEndsAreLearnedAtOtherTimes(t *testing.T) {
+// TestLeadersAgreeOnGangReservationOrder guards against gangs that wait for each other forever:
+// their leaders learned at different times that the gangs' dependencies were done, and each left
+// the hosts to the other leader's gang.
+func TestLeadersAgreeOnGangReservationOrder(t *testing.T) {
 	const hosts = 4
 	w := idleWorld(t, hosts)
 	w.allowRacingStarts, w.taskTime = true, time.Minute
@@ -20,26 +21,26 @@
 		accepted(t, w.submit("a", id, hosts, `,"shape":"group","vcpus":4.0,"dueS":null`+awaiting("req-red-1")))
 	}
 	if !w.run(time.Minute, w.finished("req-red-1")) {
-		t.Fatal("the dependency does not end")
+		t.Fatal("dependency did not finish")
 	}
 	w.run(time.Second, nil)
 	if n := w.onMachines("req-red-2"); n != hosts {
-		t.Fatalf("%d of %d hosts are in use", n, hosts)
+		t.Fatalf("%d of %d hosts are in use, want all", n, hosts)
 	}
 	first, second := w.leaderOf("blue"), w.leaderOf("free")
 	if first == second {
-		t.Fatal("one controller leads both teams")
+		t.Fatal("one controller leads both teams, want two leaders")
 	}
-	// Each leader learned later than the other that its own gang may begin.
+	// Each leader learns later than the other that its own gang may start.
 	for team, id := range gangs {
 		c := w.cores[w.leaderOf(team)]
 		c.jobs[id].Unblock(c.now.Steady, c.now.Wall+time.Second.Milliseconds())
 	}
 	if !w.run(2*time.Minute, func() bool { return w.onMachines("req-red-2") == 0 }) {
-		t.Fatal("the hosts do not become free")
+		t.Fatal("hosts did not become free")
 	}
-	begun := func() bool { return w.onMachines(gangs["blue"])+w.onMachines(gangs["free"]) == hosts }
-	if !w.run(reportIntervals(2), begun) {
-		t.Errorf("both gangs wait beside %d free hosts", len(w.workers))
+	oneGangRunning := func() bool { return w.onMachines(gangs["blue"])+w.onMachines(gangs["free"]) == hosts }
+	if !w.run(reportIntervals(2), oneGangRunning) {
+		t.Errorf("neither gang started on %d free hosts", len(w.workers))
 	}
 }
--- a/internal/core/gangreservations.go
+++ b/internal/core/gangreservations.go
@@ -8,42 +8,42 @@
 	"pepperlever/internal/core/placement"
 )
 
-// A gang of four waits for about one time-out before hosts are reserved for it, one of eight
-// or more for maxGangTimeouts.
+// A gang of four waits for about one timeout before hosts are reserved for it, a gang of eight or
+// more for maxGangTimeouts.
 const (
 	gangSizeDivisor = 16
 	maxGangTimeouts = 3
 )
 
-// reserveForGangs reserves hosts for gangs that have waited for long enough, the longest
-// first: what comes free in the zone where most hosts are free already is reserved until the
-// gang fits. Otherwise gangs of one task would take every host as it comes free, and a large
-// one would never find as many as it needs.
+// reserveForGangs reserves hosts for gangs that have waited long enough, by priority and then by
+// gangReservationOrder. Hosts that become free, in the zone with the most free hosts if the gang
+// must stay in one zone, are reserved until the gang fits. Otherwise single-task gangs would take
+// every host as it becomes free, and a large gang would never find enough of them.
 func (r *round) reserveForGangs() {
-	var waiting []*job.Job
+	var eligible []*job.Job
 	for _, queue := range r.queues {
 		for _, j := range queue.jobs {
 			if r.mayReserveForGang(queue, j) {
-				waiting = append(waiting, j)
+				eligible = append(eligible, j)
 			}
 		}
 	}
 	timeoutS := r.core.policy.TimeoutS
-	slices.SortFunc(waiting, func(a, b *job.Job) int {
+	slices.SortFunc(eligible, func(a, b *job.Job) int {
 		return cmp.Or(
 			cmp.Compare(a.Rank(), b.Rank()),
-			cmp.Compare(gangOrder(a, timeoutS), gangOrder(b, timeoutS)),
+			cmp.Compare(gangReservationOrder(a, timeoutS), gangReservationOrder(b, timeoutS)),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	for _, j := range waiting {
+	for _, j := range eligible {
 		placement.ReserveForGang(&j.Spec, j.PendingTasks(), r.hosts)
 	}
 }
 
-// mayReserveForGang tells whether hosts may be reserved for a job now. A gang that its team's
-// limit has no room for may not: it would hold all that comes free, and other teams would wait
-// beside empty machines.
+// mayReserveForGang reports whether hosts may be reserved for a job now. A gang that exceeds its
+// team's limit must not reserve any: it would hold all capacity that becomes free, while other
+// teams wait next to empty machines.
 func (r *round) mayReserveForGang(queue *teamQueue, j *job.Job) bool {
 	if j.Kind != job.Gang || len(j.Bound) > 0 || isBestEffort(j) {
 		return false
@@ -51,28 +51,29 @@
 	if r.core.now.Wall < gangReservationTime(j, r.core.policy.TimeoutS) {
 		return false
 	}
-	whole := job.Resources{}.Plus(j.Need, float64(j.PendingTasks()))
-	return withinLimit(queue.team, queue.usage.Plus(whole, 1))
+	total := job.Resources{}.Plus(j.Need, float64(j.PendingTasks()))
+	return withinLimit(queue.team, queue.usage.Plus(total, 1))
 }
 
-// gangReservationTime is the time of day, in milliseconds, from which hosts are reserved for a
-// gang.
+// gangReservationTime is the wall-clock time, in milliseconds, from which hosts are reserved for
+// a gang.
 func gangReservationTime(j *job.Job, timeoutS float64) int64 {
 	return j.EligibleSince() + gangReservationDelay(j, timeoutS)
 }
 
-// gangOrder orders the gangs that hosts are reserved for. It goes by the stored time of acceptance
-// alone: each controller learns at another moment when a gang's dependencies are done, and two
-// leaders that disagreed on the order would each leave the hosts to the gang of the other.
-func gangOrder(j *job.Job, timeoutS float64) int64 {
+// gangReservationOrder is the sort key of the gangs that hosts are reserved for. It depends only
+// on the stored acceptance time: controllers learn at different moments that a gang's
+// dependencies are done, and two leaders that disagreed on the order would each leave the hosts
+// to the other's gang.
+func gangReservationOrder(j *job.Job, timeoutS float64) int64 {
 	return j.Accepted + gangReservationDelay(j, timeoutS)
 }
 
-// gangReservationDelay is for how long, in milliseconds, nothing is reserved for a gang. While a
-// large one gathers hosts several small ones wait that could have run, so it waits for longer than
-// they do: as the square of its size, up to maxGangTimeouts.
+// gangReservationDelay is how long, in milliseconds, a gang waits before hosts are reserved for
+// it. While hosts are collected for a large gang, small ones that could have run are held up. The
+// delay therefore grows with the square of the gang's size, up to maxGangTimeouts.
 func gangReservationDelay(j *job.Job, timeoutS float64) int64 {
-	n := float64(j.Tasks)
-	timeouts := min((n*n-1)/gangSizeDivisor, maxGangTimeouts)
+	tasks := float64(j.Tasks)
+	timeouts := min((tasks*tasks-1)/gangSizeDivisor, maxGangTimeouts)
 	return int64(timeoutS * 1000 * timeouts)
 }
--- a/internal/core/gangreservations_test.go
+++ b/internal/core/gangreservations_test.go
@@ -8,9 +8,10 @@
 	"pepperlever/internal/core/job"
 )
 
-// TestLargeGangBeginsWithinFourMinutesBehindAStreamOfSmallOnes has gangs of one task come all the
-// time, each of which fits on a machine as it comes free.
-func TestLargeGangBeginsWithinFourMinutesBehindAStreamOfSmallOnes(t *testing.T) {
+// TestLargeGangStartsDespiteStreamOfSmallGangs checks that a large gang starts within four
+// minutes although single-task gangs keep arriving, each of which fits on a machine as soon as it
+// becomes free.
+func TestLargeGangStartsDespiteStreamOfSmallGangs(t *testing.T) {
 	w := gpuWorld(t, 4, 12)
 	w.taskTime = 40 * time.Second
 	for n := range 200 {
@@ -24,13 +25,13 @@
 		}
 	}
 	if n := w.startsOf("req-blue-large"); n != 5 {
-		t.Fatalf("%d of 5 tasks of the large gang were started in four minutes", n)
+		t.Fatalf("%d of 5 tasks of the large gang started within four minutes", n)
 	}
 	w.startedOnce()
 }
 
-// TestTwoLargeGangsDoNotDeadlock checks that gangs that want the same zone do not hold half of it
-// each.
+// TestTwoLargeGangsDoNotDeadlock checks that gangs that need the same zone do not each hold half
+// of its hosts.
 func TestTwoLargeGangsDoNotDeadlock(t *testing.T) {
 	w := gpuWorld(t, 2, 12)
 	w.taskTime = 30 * time.Second
@@ -39,19 +40,19 @@
 		accepted(t, w.submit("a", id, 6, gangFields))
 	}
 	if !w.run(4*time.Minute, w.finished(ids...)) {
-		t.Fatal("gangs do not end")
+		t.Fatal("gangs did not finish")
 	}
 	w.startedOnce()
 }
 
-// TestGangReservationTimeGrowsWithSize checks that hosts are reserved for gangs after a time that
-// grows with their size, and for the largest after three time-outs.
+// TestGangReservationTimeGrowsWithSize checks that hosts are reserved for a gang after a delay
+// that grows with its size, up to three timeouts.
 func TestGangReservationTimeGrowsWithSize(t *testing.T) {
 	c := newWorld(t).cores["a"]
 	for tasks, timeouts := range map[int]float64{1: 0, 2: 3.0 / 16, 4: 15.0 / 16, 8: 3, 100: 3} {
 		j := job.New(job.Spec{Tasks: tasks, Kind: job.Gang, Accepted: 1000}, 64, 0)
 		if got, want := gangReservationTime(j, c.policy.TimeoutS)-1000, int64(timeouts*c.policy.TimeoutS*1000); got != want {
-			t.Errorf("%d tasks: after %d ms, want %d", tasks, got, want)
+			t.Errorf("gang of %d tasks: got delay %d ms, want %d", tasks, got, want)
 		}
 	}
 }
--- a/internal/core/gangs_test.go
+++ b/internal/core/gangs_test.go
@@ -9,7 +9,7 @@
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 4, `,"shape":"group","samePlace":true`))
 	if !w.run(time.Minute, func() bool { return w.onMachines("req-blue-1") == 4 }) {
-		t.Fatal("gang does not start whole")
+		t.Fatal("gang did not start all 4 tasks")
 	}
 	zones, attempts := map[string]bool{}, map[uint64]bool{}
 	for _, f := range w.workers {
@@ -18,18 +18,18 @@
 		}
 	}
 	if len(zones) != 1 || len(attempts) != 1 {
-		t.Errorf("gang is in %d zones with %d attempts", len(zones), len(attempts))
+		t.Errorf("gang has tasks in %d zones with %d attempts, want one zone and one attempt", len(zones), len(attempts))
 	}
 	if !w.run(time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("gang does not end")
+		t.Fatal("gang did not finish")
 	}
 }
 
-func TestBrokenGangIsStoppedAndStartsAgainWhole(t *testing.T) {
+func TestGangRestartsAsAWholeAfterLosingATask(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-blue-1", 4, `,"shape":"group"`))
 	if !w.run(time.Minute, func() bool { return w.onMachines("req-blue-1") == 4 }) {
-		t.Fatal("gang does not start whole")
+		t.Fatal("gang did not start all 4 tasks")
 	}
 	for _, f := range w.workers {
 		if len(f.Tasks) > 0 {
@@ -43,6 +43,6 @@
 		}
 	}
 	if !w.run(3*time.Minute, w.finished("req-blue-1")) {
-		t.Fatal("gang does not end")
+		t.Fatal("gang did not finish")
 	}
 }
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/core/worker"
 )
 
-// listHosts lists the machines that can take tasks. Every controller makes the same
-// list from the same replica, so their plans differ little. The list is valid until the next
+// listHosts lists the machines that can take tasks. Every controller derives the same list from
+// its copy of the stored state, so their plans differ little. The list is valid until the next
 // call.
 func (r *round) listHosts() []*placement.Host {
 	c := r.core
@@ -24,15 +24,15 @@
 		if !known || !c.isSchedulable(m) {
 			continue
 		}
-		buffer = append(buffer, r.hostOf(name, m, traits))
+		buffer = append(buffer, r.newHost(name, m, traits))
 		hosts = append(hosts, &buffer[len(buffer)-1])
 	}
 	c.scheduler.hostBuffer = buffer
 	return hosts
 }
 
-// hostOf describes a machine for placing.
-func (r *round) hostOf(name string, m *worker.Machine, traits catalog.KindTraits) placement.Host {
+// newHost converts a machine to a placement host.
+func (r *round) newHost(name string, m *worker.Machine, traits catalog.KindTraits) placement.Host {
 	c := r.core
 	host := placement.Host{
 		ID:               name,
@@ -57,8 +57,9 @@
 	return host
 }
 
-// isSchedulable tells whether new tasks may go to a machine: it is in contact both ways, is
-// not cordoned, its controller can be reached, and it has not refused tasks lately.
+// isSchedulable reports whether new tasks may be placed on a machine: the machine and its
+// controller can be reached, its reports arrive in time, it is not cordoned, tasks do not fail on
+// it, and it has not refused a task recently.
 func (c *Core) isSchedulable(m *worker.Machine) bool {
 	if c.cordons.has(m.Machine) || m.GrantedToken == 0 {
 		return false
@@ -75,8 +76,8 @@
 	return m.FullAt == 0 || c.now.Steady-m.FullAt > c.reportInterval()/2
 }
 
-// zonesOf counts the bound tasks of a job by zone.
-func (r *round) zonesOf(j *job.Job) placement.Zones {
+// tasksByZone counts the bound tasks of a job by zone.
+func (r *round) tasksByZone(j *job.Job) placement.Zones {
 	zones := placement.Zones{}
 	for _, b := range j.Bound {
 		if m := r.core.machines.Get(b.Machine); m != nil {
@@ -88,31 +89,32 @@
 	return zones
 }
 
-// constrainedZones is zonesOf for a job whose next tasks depend on it, nil for others.
+// constrainedZones returns tasksByZone for a job with a zone constraint (one zone or spread), and
+// nil for other jobs.
 func (r *round) constrainedZones(j *job.Job) placement.Zones {
 	if !j.OneZone && !j.Spread {
 		return nil
 	}
-	return r.zonesOf(j)
+	return r.tasksByZone(j)
 }
 
-// withoutFailed leaves out the hosts that a job has failed on since it last succeeded, unless
-// there is no other.
-func withoutFailed(j *job.Job, hosts []*placement.Host) []*placement.Host {
+// excludeFailedHosts removes the hosts on which a job has failed since it last succeeded, unless
+// no other host could hold its tasks.
+func excludeFailedHosts(j *job.Job, hosts []*placement.Host) []*placement.Host {
 	if len(j.FailedOn) == 0 {
 		return hosts
 	}
 	others := slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
 		return slices.Contains(j.FailedOn, h.ID)
 	})
-	if !anyCanHold(&j.Spec, others) {
+	if !fitsAnyWhenEmpty(&j.Spec, others) {
 		return hosts
 	}
 	return others
 }
 
-// anyCanHold tells whether any host could hold a task, were it empty.
-func anyCanHold(s *job.Spec, hosts []*placement.Host) bool {
+// fitsAnyWhenEmpty reports whether any host could hold a task if the host were empty.
+func fitsAnyWhenEmpty(s *job.Spec, hosts []*placement.Host) bool {
 	return slices.ContainsFunc(hosts, func(h *placement.Host) bool {
 		return s.Allows(h.Type, h.Zone, h.Spot) && s.Need.Fits(h.Capacity)
 	})
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// Reasons for which machines are returned with all that is on them.
+// Reasons for returning a machine together with everything that runs on it.
 const (
 	reasonProvisioningFailed = "failed"
 	reasonNotProvisioned     = "does not come up"
@@ -16,22 +16,22 @@
 	reasonSilent             = "silent"
 	reasonUnlisted           = "no longer listed"
 	reasonTasksFail          = "tasks fail on it"
-	// reasonUnknownMachine is why another leader asks for the return of a machine of which it
-	// has only the bindings.
+	// reasonUnknownMachine is given by another leader that knows the machine only from its
+	// bindings.
 	reasonUnknownMachine = "unknown"
 )
 
 const (
-	// zoneOutageLeases is for how many leases machines in a zone outage are left alone.
+	// zoneOutageLeases is how long machines in a zone outage are kept, in worker leases.
 	zoneOutageLeases = 3
-	// unlistedLags is after how many lags of the cloud's list a machine that was never listed
-	// counts as gone.
-	unlistedLags = 3
+	// unlistedListLags is the number of list lags after which a machine that is missing from the
+	// cloud's list counts as gone.
+	unlistedListLags = 3
 )
 
-// reconcileInventory returns machines that failed, never come up, or fell silent. A new leader
-// of the fleet waits before it judges: workers may still be on their way to a node that answers
-// them, and after an end of all controllers every machine is new to it.
+// reconcileInventory returns machines that failed, never booted, or fell silent. A new fleet
+// leader first waits for the silence limit: workers may still be switching to a controller that
+// answers them, and after a restart of all controllers it has not heard from any machine yet.
 func (c *Core) reconcileInventory() {
 	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceLimit()
 	c.autoscaler.forgetUnlisted(c.cordons)
@@ -47,7 +47,7 @@
 	}
 }
 
-// forgetUnlisted forgets the times of machines that have been returned.
+// forgetUnlisted drops the recorded times of machines that have been terminated.
 func (a *autoscaler) forgetUnlisted(cordoned cordons) {
 	for name := range a.firstSeen {
 		if !a.isListed(name) && cordoned.isTerminated(name) {
@@ -57,14 +57,14 @@
 	}
 }
 
-// reconcileListed returns a machine that the cloud calls failed, or that has never reported
-// where silence can be judged.
-func (c *Core) reconcileListed(l protocol.ListedMachine, mayJudgeSilence bool) {
+// reconcileListed returns a listed machine that the cloud reports as failed, or that has never
+// reported although its silence is conclusive.
+func (c *Core) reconcileListed(l protocol.ListedMachine, silenceConclusive bool) {
 	if l.State == protocol.Failed {
 		c.returnMachine(l.ID, reasonProvisioningFailed)
 		return
 	}
-	if !mayJudgeSilence || c.machines.Get(l.ID) != nil {
+	if !silenceConclusive || c.machines.Get(l.ID) != nil {
 		return
 	}
 	timeout := c.provisioningTimeout(l.Type)
@@ -74,23 +74,24 @@
 	switch {
 	case l.State == protocol.Booting:
 		if c.returnMachine(l.ID, reasonNotProvisioned) {
-			c.noteProvisioningFailure(l)
+			c.recordProvisioningFailure(l)
 		}
 	case c.now.Steady-c.autoscaler.leaderSince > timeout:
 		c.returnMachine(l.ID, reasonNeverReported)
 	}
 }
 
-// reconcileKnown returns a machine that has reported before and is gone or of no use.
+// reconcileKnown returns a machine that has reported before but was reclaimed, fell silent, is no
+// longer listed, or fails its tasks.
 func (c *Core) reconcileKnown(name string, m *worker.Machine, zoneOutage bool) {
-	quiet := c.now.Steady - m.LastContact
-	leftAlone := zoneOutage && quiet < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)
+	silentFor := c.now.Steady - m.LastContact
+	toleratedInOutage := zoneOutage && silentFor < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
 	case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 		c.returnMachine(name, reasonReclaimed)
-	case quiet > c.silenceLimit() && !leftAlone && c.knowsAllMachines():
+	case silentFor > c.silenceLimit() && !toleratedInOutage && c.knowsAllMachines():
 		c.returnMachine(name, reasonSilent)
-	case quiet > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, c.listTolerance()):
+	case silentFor > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, c.listTolerance()):
 		c.returnMachine(name, reasonUnlisted)
 	}
 	if c.failureScore(m) >= cordonThreshold {
@@ -98,8 +99,8 @@
 	}
 }
 
-// knowsAllMachines tells whether this node knows of every live controller which machines
-// report to it; only then is a machine's silence the machine's own.
+// knowsAllMachines reports whether this node knows which machines report to each live controller.
+// Only then does a machine's silence mean that the machine itself has failed.
 func (c *Core) knowsAllMachines() bool {
 	for node := range c.members.live {
 		if !c.reach.knowsMachinesOf(node) {
@@ -109,16 +110,16 @@
 	return true
 }
 
-// updateZoneOutages lists the zones that are probably cut off, and logs each change.
+// updateZoneOutages determines which zones are probably partitioned, and logs each change.
 func (c *Core) updateZoneOutages() map[string]bool {
 	outages := map[string]bool{}
 	for _, zone := range c.cfg.Params.Zones {
 		outages[zone] = c.isZoneOutage(zone)
-		before := c.autoscaler.zoneOutages[zone]
+		wasOutage := c.autoscaler.zoneOutages[zone]
 		switch {
-		case outages[zone] && !before:
-			c.log(Info, "zone outage began", "zone", zone)
-		case before && !outages[zone]:
+		case outages[zone] && !wasOutage:
+			c.log(Info, "zone outage detected", "zone", zone)
+		case wasOutage && !outages[zone]:
 			c.log(Info, "zone outage ended", "zone", zone)
 		}
 	}
@@ -126,10 +127,10 @@
 	return outages
 }
 
-// isZoneOutage tells whether a zone is probably cut off with all that is in it: nothing is
-// heard from its machines, nor from any of its controllers. Work goes on in there, since those
-// controllers go on answering its workers, and comes back whole with the zone; returned after
-// the usual silence it would all run again.
+// isZoneOutage reports whether a zone is probably partitioned as a whole: neither its machines
+// nor its controllers are heard from. Tasks in the zone keep running, since its controllers still
+// answer its workers, and come back intact with the zone. If the machines were returned after the
+// usual silence limit, all of these tasks would run again.
 func (c *Core) isZoneOutage(zone string) bool {
 	if zone == c.cfg.Zone {
 		return false
@@ -147,7 +148,8 @@
 	return controllers > 0 && c.now.Steady-c.machines.LastZoneContact(zone) > 2*c.reportInterval()
 }
 
-// returnMachine has a machine released with all that is on it, and tells whether that is new.
+// returnMachine marks a machine to be returned together with everything that runs on it. It
+// reports false if the machine is already marked or terminated.
 func (c *Core) returnMachine(name, reason string) bool {
 	if c.cordons.isTerminated(name) || c.autoscaler.isReturning(name) {
 		return false
@@ -157,33 +159,33 @@
 	return true
 }
 
-// listTolerance is how late the cloud's list may be.
+// listTolerance is how far the cloud's list of machines may lag behind.
 func (c *Core) listTolerance() time.Duration {
-	return unlistedLags * seconds(c.cfg.Params.Cloud.ListLagS)
+	return unlistedListLags * seconds(c.cfg.Params.Cloud.ListLagS)
 }
 
-// isUnlisted tells whether the cloud has taken a machine back: a list may be late or older
-// than the one before, but what has been listed stays so until it is gone.
+// isUnlisted reports whether the cloud has probably taken a machine back. A list may be late or
+// older than the previous one, but a machine stays listed until it is terminated.
 func (a *autoscaler) isUnlisted(name string, now, tolerance time.Duration) bool {
 	return !a.isListed(name) && a.inventoryAt-a.firstSeenAt(name, now) > tolerance
 }
 
-// handleReturnRequest takes another controller's request to return a machine.
+// handleReturnRequest handles another controller's request to return a machine.
 func (c *Core) handleReturnRequest(m ReturnRequest) {
 	if !c.fleet.leading {
 		return
 	}
-	if m.Reason == reasonUnknownMachine && c.judgesMachine(m.Machine) {
+	if m.Reason == reasonUnknownMachine && c.evaluatesMachine(m.Machine) {
 		return
 	}
 	c.returnMachine(m.Machine, m.Reason)
 }
 
-// judgesMachine tells whether the leader of the fleet itself judges a machine that another
-// controller has never heard of: one that it knows, or that the cloud lists in a zone outage.
-// A controller that starts during an outage hears nothing of the machines in the zone, which
-// must not be returned for that with the work on them.
-func (c *Core) judgesMachine(name string) bool {
+// evaluatesMachine reports whether the fleet leader itself decides about a machine that another
+// controller does not know: one that has reported to the fleet leader, or that the cloud lists in
+// a zone outage. A controller that starts during an outage hears nothing from the zone's
+// machines, which is no reason to terminate them and their tasks.
+func (c *Core) evaluatesMachine(name string) bool {
 	listed, isListed := c.autoscaler.inventory[name]
 	return c.machines.Get(name) != nil || isListed && c.isZoneOutage(listed.Zone)
 }
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -12,9 +12,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// The cloud's lists lag, may be older than the one before or cut short. A machine that reports
-// is not returned for any of that.
-func TestOldShuffledAndShortListsCostNoMachineThatReports(t *testing.T) {
+// TestIncompleteInventoryKeepsReportingMachines checks that no machine that reports is returned
+// because the cloud's list lags, is older than the previous one, or is truncated.
+func TestIncompleteInventoryKeepsReportingMachines(t *testing.T) {
 	const fleet = 2000
 	rng := rand.New(rand.NewPCG(3, 4))
 	c := newFleetLeader(t, fleet, time.Minute)
@@ -29,25 +29,25 @@
 		c.handleInventory(InventoryReceived{Machines: all[:rng.IntN(fleet)]})
 		c.reconcileInventory()
 		if n := len(c.autoscaler.returnReasons); n > 0 {
-			t.Fatalf("round %d: %d machines are given up", round, n)
+			t.Fatalf("round %d: returning %d machines, want 0", round, n)
 		}
 		c.now.Steady += 2 * report
 	}
 }
 
-// The cloud's list lags: a machine may report while it is listed as booting, or
-// not listed at all.
-func TestMachineThatReportsWhileItIsListedAsBootingIsUsedAndKept(t *testing.T) {
+// TestReportingMachineIsSchedulableWhileListedAsBooting covers the lag of the cloud's list: a
+// machine may report while it is listed as booting or not listed at all.
+func TestReportingMachineIsSchedulableWhileListedAsBooting(t *testing.T) {
 	c := newFleetLeader(t, 1, 10*time.Minute)
-	comeUp(c, "vm-9000")
-	comeUp(c, "vm-unheard-of")
+	sendFirstReport(c, "vm-9000")
+	sendFirstReport(c, "vm-unheard-of")
 	c.reconcileInventory()
 	for _, id := range []string{"vm-9000", "vm-unheard-of"} {
-		if why := c.autoscaler.returnReasons[id]; why != "" {
-			t.Errorf("%s is given up: %s", id, why)
+		if reason := c.autoscaler.returnReasons[id]; reason != "" {
+			t.Errorf("%s is being returned: %s", id, reason)
 		}
 		if m := c.machines.Get(id); m == nil || !c.isSchedulable(m) {
-			t.Errorf("%s is not used", id)
+			t.Errorf("%s is not schedulable", id)
 		}
 	}
 }
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -10,44 +10,46 @@
 	"pepperlever/internal/core/scaling"
 )
 
-// jobPlacement is one job's part in a round.
+// jobPlacement is the state of one job in a round.
 type jobPlacement struct {
 	zones  placement.Zones
 	picker *placement.Picker
-	// unstored holds the machines of bindings that are not stored yet.
-	unstored map[string]bool
-	// elsewhere counts the tasks whose binding the round leaves to another leader.
-	elsewhere int
+	// unstoredMachines is the set of machines with bindings of this job that are not stored yet.
+	unstoredMachines map[string]bool
+	// leftToOtherLeaders counts the tasks that this round has placed but that another leader has
+	// to bind.
+	leftToOtherLeaders int
 }
 
-// placementOf starts a job's part in the round, or goes on with it.
-func (r *round) placementOf(queue *teamQueue, j *job.Job) *jobPlacement {
-	if p := queue.plans[j.ID]; p != nil {
+// placementFor returns the job's state in this round, creating it on first use.
+func (r *round) placementFor(queue *teamQueue, j *job.Job) *jobPlacement {
+	if p := queue.placements[j.ID]; p != nil {
 		return p
 	}
-	hosts := withoutFailed(j, r.hostsFor(queue, j))
+	hosts := excludeFailedHosts(j, r.hostsFor(queue, j))
 	p := &jobPlacement{
-		zones:    r.zonesOf(j),
-		picker:   placement.NewPicker(j.EffectiveSpec(), hosts),
-		unstored: map[string]bool{},
+		zones:            r.tasksByZone(j),
+		picker:           placement.NewPicker(j.EffectiveSpec(), hosts),
+		unstoredMachines: map[string]bool{},
 	}
 	for _, b := range j.Bound {
 		if !b.Stored {
-			p.unstored[b.Machine] = true
+			p.unstoredMachines[b.Machine] = true
 		}
 	}
-	queue.plans[j.ID] = p
+	queue.placements[j.ID] = p
 	return p
 }
 
-// placeNext places one allocation of a team: a task, or a whole gang. Jobs that find no room
-// make way for the team's next one of the same priority.
+// placeNext places one allocation of a team: a single task, or a whole gang. A job that cannot be
+// placed is skipped in favor of the team's next job of the same priority. It returns the
+// resources that were allocated, and false if no job could be placed.
 func (r *round) placeNext(queue *teamQueue) (job.Resources, bool) {
 	priority := queue.jobs[0].Rank()
 	for len(queue.jobs) > 0 && queue.jobs[0].Rank() == priority {
 		j := queue.jobs[0]
 		need, placed := r.tryPlace(queue, j)
-		if !placed || r.unplaced(j, queue.plans[j.ID]) == 0 {
+		if !placed || r.unplacedTasks(j, queue.placements[j.ID]) == 0 {
 			queue.jobs = queue.jobs[1:]
 		}
 		if placed {
@@ -57,17 +59,17 @@
 	return job.Resources{}, false
 }
 
-// tryPlace places one allocation of a job, and tells what it takes.
+// tryPlace places one allocation of a job, and returns the resources that it takes.
 func (r *round) tryPlace(queue *teamQueue, j *job.Job) (job.Resources, bool) {
 	if r.unschedulable.covers(j, r.isSpotOnly(queue, j), r.priorReservations) {
-		waiting := r.core.startAllowance(j)
+		pending := r.core.startAllowance(j)
 		if withinLimit(queue.team, queue.usage.Plus(j.Need, 1)) {
-			r.noteUnschedulable(j, waiting)
+			r.requestReservation(j, pending)
 		}
-		r.noteUnplaced(queue, j, waiting)
+		r.addUnplacedDemand(queue, j, pending)
 		return job.Resources{}, false
 	}
-	p := r.placementOf(queue, j)
+	p := r.placementFor(queue, j)
 	tasks := 1
 	if j.Kind == job.Gang {
 		tasks = j.PendingTasks()
@@ -76,9 +78,9 @@
 	if !r.mayPlace(queue, j, p, need) {
 		return job.Resources{}, false
 	}
-	chosen := p.choose(j, tasks, r.unplaced(j, p), r.openHosts)
+	chosen := p.choose(j, tasks, r.unplacedTasks(j, p), r.openHosts)
 	if chosen == nil {
-		r.noteNoRoom(queue, j, p)
+		r.handleUnplaceable(queue, j, p)
 		return job.Resources{}, false
 	}
 	queue.usage = queue.usage.Plus(need, 1)
@@ -86,27 +88,28 @@
 	return need, true
 }
 
-// freeConditions is how many conditions of a transaction are left for other checks than those
-// of the machines of new bindings.
-const freeConditions = 4
+// reservedConditions is the number of conditions of a transaction that are kept for checks other
+// than those on the machines of new bindings.
+const reservedConditions = 4
 
-// mayPlace checks the team's limit. Bindings that are not settled count. The machines of
-// bindings that are not stored yet stay within the conditions that one transaction may have.
+// mayPlace reports whether an allocation is within the team's limit, which counts every binding
+// until its task is proven gone. It also bounds the number of machines with unstored bindings by
+// the number of conditions that one transaction may have.
 func (r *round) mayPlace(queue *teamQueue, j *job.Job, p *jobPlacement, need job.Resources) bool {
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
-		return false // the old attempt has to be gone first
+		return false // every task of the previous attempt must be gone first
 	}
-	maxUnstored := r.core.limits.maxConditions() - freeConditions
-	return withinLimit(queue.team, queue.usage.Plus(need, 1)) && len(p.unstored) < maxUnstored
+	maxUnstored := r.core.limits.maxConditions() - reservedConditions
+	return withinLimit(queue.team, queue.usage.Plus(need, 1)) && len(p.unstoredMachines) < maxUnstored
 }
 
-// unplaced is the number of tasks of a job that the round has not placed yet.
-func (r *round) unplaced(j *job.Job, p *jobPlacement) int {
-	return r.core.startAllowance(j) - p.elsewhere
+// unplacedTasks is the number of startable tasks of a job that the round has not placed yet.
+func (r *round) unplacedTasks(j *job.Job, p *jobPlacement) int {
+	return r.core.startAllowance(j) - p.leftToOtherLeaders
 }
 
-// choose finds hosts for a number of tasks of a job and takes their room. unplaced is how
-// many tasks of the job are to be placed in all.
+// choose finds hosts for a number of tasks of a job and allocates their capacity. unplaced is the
+// total number of tasks of the job that are still to be placed.
 func (p *jobPlacement) choose(j *job.Job, tasks, unplaced int, hosts []*placement.Host) []*placement.Host {
 	if tasks > 1 || j.Kind == job.Gang {
 		return placement.PlaceGang(&j.Spec, tasks, hosts, p.zones)
@@ -120,11 +123,10 @@
 	return []*placement.Host{host}
 }
 
-// bindAll binds the next waiting tasks of a job to the chosen hosts, if this node leads the
-// team.
+// bindAll binds the next pending tasks of a job to the chosen hosts if this node leads the team.
 func (r *round) bindAll(queue *teamQueue, j *job.Job, p *jobPlacement, chosen []*placement.Host) {
 	if !queue.team.leading {
-		p.elsewhere += len(chosen)
+		p.leftToOtherLeaders += len(chosen)
 		return
 	}
 	c := r.core
@@ -143,31 +145,32 @@
 		}
 		j.Bind(index, binding)
 		c.scheduler.claims = append(c.scheduler.claims, claimOf(j, index, binding))
-		p.unstored[host.ID] = true
+		p.unstoredMachines[host.ID] = true
 		m.IdleSince = c.now.Steady
 	}
 	j.PendingSince, j.ClaimedAt = c.now.Steady, c.now.Steady
 }
 
-// noteNoRoom notes that no host has room for a job. The one task at a time of a suspected job
-// asks for no machines, unless none could hold it.
-func (r *round) noteNoRoom(queue *teamQueue, j *job.Job, p *jobPlacement) {
-	if j.Suspected && anyCanHold(&j.Spec, r.openHosts) {
+// handleUnplaceable records that no host has capacity for a job. A suspected job runs one canary
+// task at a time and causes no rentals or reservations, unless no existing host could hold the
+// task.
+func (r *round) handleUnplaceable(queue *teamQueue, j *job.Job, p *jobPlacement) {
+	if j.Suspected && fitsAnyWhenEmpty(&j.Spec, r.openHosts) {
 		return
 	}
-	r.noteUnplaced(queue, j, r.unplaced(j, p))
-	r.noteUnschedulable(j, r.unplaced(j, p))
+	r.addUnplacedDemand(queue, j, r.unplacedTasks(j, p))
+	r.requestReservation(j, r.unplacedTasks(j, p))
 	r.unschedulable.add(j, r.isSpotOnly(queue, j))
 }
 
-// noteUnschedulable notes that a job found no room. The first with tasks of a size has a host
-// reserved at once, and one that is older than the time-out as many as it has tasks for at the
-// end of the round, unless it is best-effort work. The age goes by the stored time of day, so
-// that all controllers agree. Each size has a reservation of its own: small tasks would take
-// every gap before it is wide enough for a large one.
-func (r *round) noteUnschedulable(j *job.Job, tasks int) {
+// requestReservation reserves a host for a job that could not be placed. A job whose tasks need
+// more than any reservation made so far in this round gets one host at once: otherwise small
+// tasks would fill every gap before it is large enough for a large task. A job older than the
+// timeout, unless it is best-effort, also gets as many hosts as it has unplaced tasks at the end
+// of the round. Its age is based on stored wall-clock times, so that all controllers agree on it.
+func (r *round) requestReservation(j *job.Job, tasks int) {
 	if j.Kind == job.Gang {
-		return // reserveForGangs reserves for them
+		return // reserveForGangs handles gangs
 	}
 	c := r.core
 	age := time.Duration(c.now.Wall-j.EligibleSince()) * time.Millisecond
@@ -183,8 +186,7 @@
 	}
 }
 
-// reserveForOverdue reserves hosts for what is older than the time-out, the largest tasks
-// first.
+// reserveForOverdue reserves hosts for demand older than the timeout, largest tasks first.
 func (r *round) reserveForOverdue() {
 	slices.SortStableFunc(r.overdueDemand, func(a, b scaling.Demand) int {
 		return cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs)
@@ -197,8 +199,8 @@
 	}
 }
 
-// reserveHosts reserves up to as many hosts as there are tasks without a place, and tells how
-// many.
+// reserveHosts reserves one host per unplaced task as far as possible, and returns the number of
+// reserved hosts.
 func (r *round) reserveHosts(d scaling.Demand) int {
 	hosts := placement.Reserve(d.Spec, d.Tasks, d.Zones, r.hosts)
 	for _, host := range hosts {
@@ -208,22 +210,22 @@
 	return len(hosts)
 }
 
-// noteUnplaced notes demand of a number of tasks for scaling out, up to the team's limit.
-func (r *round) noteUnplaced(queue *teamQueue, j *job.Job, tasks int) {
+// addUnplacedDemand adds unplaced tasks, up to the team's limit, to the demand for scaling out.
+func (r *round) addUnplacedDemand(queue *teamQueue, j *job.Job, tasks int) {
 	c := r.core
 	r.gpuStarved = r.gpuStarved || j.Need.GPUs > 0
 	entitlement := r.entitlement(queue, j)
 	if entitlement == scaling.BestEffort {
 		tasks = bestEffortTasks(j, tasks, c.catalog.LongestBootS())
 	}
-	fit := tasksWithinLimit(queue.team, queue.usage, j.Need, tasks)
-	if fit == 0 {
+	allowed := tasksWithinLimit(queue.team, queue.usage, j.Need, tasks)
+	if allowed == 0 {
 		return
 	}
-	queue.usage = queue.usage.Plus(j.Need, float64(fit))
+	queue.usage = queue.usage.Plus(j.Need, float64(allowed))
 	c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, scaling.Demand{
 		Spec:        &j.Spec,
-		Tasks:       fit,
+		Tasks:       allowed,
 		Entitlement: entitlement,
 		Zones:       r.constrainedZones(j),
 	})
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -12,14 +12,15 @@
 	"pepperlever/internal/protocol"
 )
 
-// hostsPerService is how many hosts of a zone are weighed for each replica that waits.
-const hostsPerService = 4
+// candidatesPerReplica is the number of hosts per zone that are evaluated for each pending
+// replica.
+const candidatesPerReplica = 4
 
-// minCPUs keeps the loss per CPU of tasks that ask for next to nothing finite.
-const minCPUs = 1e-3
+// minCPUsForLoss keeps the loss per CPU finite for tasks that request almost no CPU.
+const minCPUsForLoss = 1e-3
 
-// preemptionVictim is a running task that may be stopped, and the work that this loses, in
-// CPU seconds.
+// preemptionVictim is a running task that may be preempted. loss is the work that would be lost,
+// in CPU seconds.
 type preemptionVictim struct {
 	job     *job.Job
 	index   int
@@ -27,18 +28,20 @@
 	loss    float64
 }
 
-// preemptionOption is a host on which room can be made for one task, and what that takes.
+// preemptionOption is a host on which capacity for one task can be freed, with the victims to
+// stop and the total work lost.
 type preemptionOption struct {
 	host    *placement.Host
 	victims []preemptionVictim
 	loss    float64
 }
 
-// preempt makes room for jobs that found none, where the users' rules allow it. Best-effort
-// work always makes way: its long tasks would hold the large machines that others wait for. So
-// do arrays for services of higher priority, which wait for nothing else and stay. Any other
-// work is stopped only where the operator asks for it. No more work is lost than room is made
-// for.
+// preempt stops running tasks to free capacity for jobs that could not be placed, where the
+// preemption rules allow it. Best-effort jobs are always preemptible, since their long tasks
+// would occupy the large machines that other jobs need. Arrays are preempted for services of
+// higher priority, which are long-running and do not wait for arrays to finish. Any other job is
+// preempted only if the operator has enabled preemption. Except for services, no preemption loses
+// more work than the new task contains.
 func (r *round) preempt() {
 	hosts := r.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
 		return r.core.policy.Preemption || isBestEffort(victim)
@@ -53,18 +56,18 @@
 		if !r.mayPreemptNow(j) {
 			continue
 		}
-		usable := hosts
+		candidates := hosts
 		if j.Kind == job.Service {
-			usable = hostsForServices
+			candidates = hostsForServices
 		}
-		taken := r.preemptFor(j, usable)
-		isTaken := func(h *placement.Host) bool { return taken[h] }
-		hosts = slices.DeleteFunc(hosts, isTaken)
-		hostsForServices = slices.DeleteFunc(hostsForServices, isTaken)
+		preempted := r.preemptFor(j, candidates)
+		isPreempted := func(h *placement.Host) bool { return preempted[h] }
+		hosts = slices.DeleteFunc(hosts, isPreempted)
+		hostsForServices = slices.DeleteFunc(hostsForServices, isPreempted)
 	}
 }
 
-// mayPreemptNow tells whether a job has waited for long enough for room to be made for it.
+// mayPreemptNow reports whether a job has been pending for long enough to preempt others.
 func (r *round) mayPreemptNow(j *job.Job) bool {
 	if j.Kind == job.Gang {
 		return false
@@ -76,9 +79,9 @@
 	return j.PreemptedAt == 0 || now-j.PreemptedAt >= delay
 }
 
-// preemptionDelay is how long a job waits before room is made for it, or more of it: urgent
-// ones as long as it takes to hear what has ended meanwhile. For services the first is made at
-// once.
+// preemptionDelay is how long a job waits before its first preemption and between preemptions.
+// For jobs above normal priority it is just long enough to learn which tasks have ended in the
+// meantime. The first preemption for a service is immediate.
 func (r *round) preemptionDelay(j *job.Job) time.Duration {
 	if j.AboveNormal() {
 		return r.core.reportInterval() / 6
@@ -86,40 +89,41 @@
 	return r.core.reportInterval()
 }
 
-// preemptFor stops tasks on hosts to make room for a job, and returns the hosts concerned.
+// preemptFor stops tasks on the cheapest hosts to free capacity for a job, and returns these
+// hosts.
 func (r *round) preemptFor(j *job.Job, hosts []*placement.Host) map[*placement.Host]bool {
 	c := r.core
-	taken := map[*placement.Host]bool{}
+	preempted := map[*placement.Host]bool{}
 	for _, option := range r.cheapestOptions(j, hosts) {
-		taken[option.host] = true
+		preempted[option.host] = true
 		for _, v := range option.victims {
 			c.log(Debug, "task preempted", "task", v.job.TaskID(v.index), "machine", v.binding.Machine, "for", j.ID)
 			v.binding.StopSent = c.now.Steady
 			c.reconciler.sendStop(v.job, v.index, v.binding, v.job.SaveS)
 		}
 	}
-	if len(taken) > 0 || j.Kind == job.Service {
+	if len(preempted) > 0 || j.Kind == job.Service {
 		j.PreemptedAt = c.now.Steady
 	}
-	return taken
+	return preempted
 }
 
-// preemptibleHosts lists the hosts that stay and have work on them that may be stopped.
+// preemptibleHosts lists the hosts that are not about to be reclaimed and run a preemptible task.
 func (r *round) preemptibleHosts(hosts []*placement.Host, isVictim func(*job.Job) bool) []*placement.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
 		return h.RemainingS >= 0 || !r.core.machines.HasBindingsOf(h.ID, isVictim)
 	})
 }
 
-// cheapestOptions finds the hosts where room for the waiting tasks of a job costs the least
-// work, no more of them in a zone than may be there.
+// cheapestOptions selects the hosts where freeing capacity for the job's pending tasks loses the
+// least work, within the job's zone constraints.
 func (r *round) cheapestOptions(j *job.Job, hosts []*placement.Host) []preemptionOption {
 	options := r.preemptionOptions(j, hosts)
 	slices.SortStableFunc(options, func(a, b preemptionOption) int { return cmp.Compare(a.loss, b.loss) })
 	var chosen []preemptionOption
-	zones, tasks := r.zonesOf(j), r.core.startAllowance(j)
+	zones, pending := r.tasksByZone(j), r.core.startAllowance(j)
 	for _, option := range options {
-		if len(chosen) < tasks && placement.ZoneAllowed(&j.Spec, option.host.Zone, zones) {
+		if len(chosen) < pending && placement.ZoneAllowed(&j.Spec, option.host.Zone, zones) {
 			zones[option.host.Zone]++
 			chosen = append(chosen, option)
 		}
@@ -127,20 +131,21 @@
 	return chosen
 }
 
-// preemptionOptions lists the hosts where room for a task of a job can be made. No more work
-// may be lost than the task has, but for services, which run on. For these a few times as many
-// hosts of each zone are weighed as are needed, not all of a large fleet for each of many jobs.
+// preemptionOptions lists the hosts where capacity for a task of a job can be freed. The work
+// lost must be less than the work of the task itself, except for services, which run
+// indefinitely. For services only a few candidate hosts per zone and replica are evaluated, to
+// avoid scanning a large fleet for each of many jobs.
 func (r *round) preemptionOptions(j *job.Job, hosts []*placement.Host) []preemptionOption {
 	c := r.core
 	maxLoss, maxPerZone := j.Need.CPUs*j.EstimateS, math.MaxInt
 	if j.Kind == job.Service {
-		maxLoss, maxPerZone = math.Inf(1), hostsPerService*c.startAllowance(j)
+		maxLoss, maxPerZone = math.Inf(1), candidatesPerReplica*c.startAllowance(j)
 	}
 	var options []preemptionOption
 	perZone := map[string]int{}
 	for _, h := range hosts {
 		m := c.machines.Get(h.ID)
-		if m == nil || perZone[h.Zone] >= maxPerZone || !canEverHold(&j.Spec, h) {
+		if m == nil || perZone[h.Zone] >= maxPerZone || !fitsWhenEmpty(&j.Spec, h) {
 			continue
 		}
 		if victims, loss := r.victimsFor(j, h, m); victims != nil && loss < maxLoss {
@@ -151,14 +156,14 @@
 	return options
 }
 
-// canEverHold tells whether a host could hold a task, were it empty.
-func canEverHold(s *job.Spec, h *placement.Host) bool {
+// fitsWhenEmpty reports whether a host could hold a task if the host were empty.
+func fitsWhenEmpty(s *job.Spec, h *placement.Host) bool {
 	return s.Allows(h.Type, h.Zone, h.Spot) && s.Need.Fits(h.Capacity) && !h.Excludes(s)
 }
 
-// victimsFor lists the tasks on a machine that would have to be stopped for one task of a job,
-// those with the least loss first, with the loss of all of them, or nil when stopping all is
-// not enough.
+// victimsFor selects the tasks on a machine to stop for one task of a job, those with the least
+// loss first, and returns them with their total loss. It returns nil if stopping all candidates
+// does not free enough capacity.
 func (r *round) victimsFor(j *job.Job, h *placement.Host, m *worker.Machine) ([]preemptionVictim, float64) {
 	candidates := r.victimsOn(m, j)
 	slices.SortFunc(candidates, func(a, b preemptionVictim) int { return cmp.Compare(a.loss, b.loss) })
@@ -172,7 +177,7 @@
 	return nil, 0
 }
 
-// victimsOn lists the tasks on a machine that may be stopped for a job.
+// victimsOn lists the tasks on a machine that may be preempted for a job.
 func (r *round) victimsOn(m *worker.Machine, j *job.Job) []preemptionVictim {
 	c := r.core
 	var victims []preemptionVictim
@@ -195,7 +200,7 @@
 	return victims
 }
 
-// preemptionLoss is the work that is lost where a task is stopped, in CPU seconds.
+// preemptionLoss is the work lost by stopping a task, in CPU seconds.
 func preemptionLoss(j *job.Job, m *worker.Machine, task string, attempt uint64, now time.Duration) float64 {
 	if j.CheckpointS > 0 {
 		return j.Need.CPUs * j.SaveS
@@ -203,8 +208,8 @@
 	return j.Need.CPUs * m.RunningTime(task, attempt, now).Seconds()
 }
 
-// mayPreempt is the users' rule on stopping tasks of victim for those of j, within what the
-// operator allows.
+// mayPreempt reports whether tasks of victim may be stopped for tasks of j, under the preemption
+// rules and the operator's policy.
 func (r *round) mayPreempt(j, victim *job.Job) bool {
 	c := r.core
 	if victim.Rank() > j.Rank() {
@@ -219,10 +224,10 @@
 		preempted.usage().CPUs > preempted.CPUs
 }
 
-// bestEffortHosts lists the machines with best-effort work, with the room there would be
-// without it and what stopping it loses. Other work takes that room; machines rented for it
-// would stand idle when they come.
-func (c *Core) bestEffortHosts() []*placement.Host {
+// preemptibleBestEffortHosts lists the machines that run best-effort tasks, with the capacity
+// that is free once these are preempted and the work lost by preempting them. Other jobs get that
+// capacity through preemption, so machines rented for them would arrive to stand idle.
+func (c *Core) preemptibleBestEffortHosts() []*placement.Host {
 	var hosts []*placement.Host
 	for name, m := range c.machines.All() {
 		load := c.machines.Load(name)
@@ -249,8 +254,8 @@
 	return hosts
 }
 
-// bestEffortLoad is what best-effort tasks take on a machine, and the least work that is lost
-// where one of them is stopped, in all and for each CPU.
+// bestEffortLoad returns the resources that best-effort tasks take on a machine, and the least
+// work lost by stopping one of them, in total and per CPU.
 func bestEffortLoad(
 	m *worker.Machine,
 	load *job.Load,
@@ -264,7 +269,7 @@
 		preemptible = preemptible.Plus(ref.Job.Need, 1)
 		taskLoss := preemptionLoss(ref.Job, m, ref.Job.TaskID(ref.Index), b.Attempt, now)
 		loss = min(loss, taskLoss)
-		lossPerCPU = min(lossPerCPU, taskLoss/max(ref.Job.Need.CPUs, minCPUs))
+		lossPerCPU = min(lossPerCPU, taskLoss/max(ref.Job.Need.CPUs, minCPUsForLoss))
 	}
 	return preemptible, loss, lossPerCPU
 }
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -11,54 +11,56 @@
 )
 
 const (
-	// maxProvisioningSamples is how many of the newest rentals of a type are weighed.
+	// maxProvisioningSamples is the number of latest rentals of a type that are taken into
+	// account.
 	maxProvisioningSamples = 32
-	// maxProvisioningFactor is how many times the nominal boot time may become typical. Past
-	// it machines are taken not to come at all.
+	// maxProvisioningFactor bounds the typical provisioning time, in nominal boot times. Machines
+	// that take longer are assumed never to boot.
 	maxProvisioningFactor = 4
-	// maxProvisioningFailures is how many machines of an offer may fail to come up in a row
-	// before the offer is paused.
+	// maxProvisioningFailures is the number of consecutive machines of an offer that may fail to
+	// boot before the offer is backed off.
 	maxProvisioningFailures = 3
-	// maxBackoffBoots is the longest pause of an offer whose machines do not come up, in
-	// nominal boot times.
+	// maxBackoffBoots is the longest backoff of an offer whose machines fail to boot, in nominal
+	// boot times.
 	maxBackoffBoots = 8
 )
 
-// provisioningTimes is what the leader of the fleet has seen of how long machines take to come
-// up. The catalog tells what is nominal; there are days on which all take several times as
-// long, or a part of them never comes.
+// provisioningTimes holds the fleet leader's observations of how long machines take from rental
+// to first report. The catalog states nominal boot times, but at times all machines take several
+// times as long, or some never boot.
 type provisioningTimes struct {
-	// observed holds how long machines took, typical what follows for each type.
+	// observed holds the provisioning time of each machine, typical the derived estimate for each
+	// type.
 	observed map[string]time.Duration
 	typical  map[string]time.Duration
-	// failed counts the machines of an offer that did not come up since one did.
-	failed map[offerKey]int
+	// failures counts the machines of an offer that failed to boot since the last success.
+	failures map[offerKey]int
 }
 
 func newProvisioningTimes() provisioningTimes {
 	return provisioningTimes{
 		observed: map[string]time.Duration{},
 		typical:  map[string]time.Duration{},
-		failed:   map[offerKey]int{},
+		failures: map[offerKey]int{},
 	}
 }
 
-// noteFailure counts a machine of an offer that did not come up, and tells whether there have
-// been too many in a row, after which the count begins anew.
-func (p *provisioningTimes) noteFailure(key offerKey) bool {
-	p.failed[key]++
-	if p.failed[key] < maxProvisioningFailures {
+// recordFailure counts a machine of an offer that failed to boot. It reports whether there have
+// been too many in a row, and if so resets the count.
+func (p *provisioningTimes) recordFailure(key offerKey) bool {
+	p.failures[key]++
+	if p.failures[key] < maxProvisioningFailures {
 		return false
 	}
-	delete(p.failed, key)
+	delete(p.failures, key)
 	return true
 }
 
-// provisioningSample is one rented machine: when it was rented, and how long it took to
-// come up or has taken so far.
-type provisioningSample struct{ at, took time.Duration }
+// provisioningSample is a rented machine: when it was rented, and how long it took to boot or has
+// taken so far.
+type provisioningSample struct{ rentedAt, elapsed time.Duration }
 
-// noteProvisioned notes how long a machine took from its rental to its first report.
+// noteProvisioned records the time from a machine's rental to its first report.
 func (c *Core) noteProvisioned(r *protocol.Report) {
 	a := &c.autoscaler
 	rentedAt, rented := a.firstSeen[r.Machine]
@@ -66,10 +68,11 @@
 		return
 	}
 	a.provisioning.observed[r.Machine] = c.now.Steady - rentedAt
-	delete(a.provisioning.failed, offerKey{r.Type, r.Zone, r.Spot})
+	delete(a.provisioning.failures, offerKey{r.Type, r.Zone, r.Spot})
 }
 
-// updateProvisioningTimes takes the median over the newest rentals of each type as typical.
+// updateProvisioningTimes sets the typical provisioning time of each type to the median of its
+// latest rentals, within limits.
 func (a *autoscaler) updateProvisioningTimes(now time.Duration, machines *worker.Registry, types catalog.Catalog) {
 	samples := a.provisioningSamples(now, machines, types)
 	for name := range types.All() {
@@ -79,9 +82,9 @@
 	}
 }
 
-// provisioningSamples lists by type how long machines took to come up. Machines that are overdue
-// count with their age: when most are late, the rest will be too, and when a few are, the
-// others tell that they hardly come.
+// provisioningSamples collects provisioning times by type. Overdue machines count with their
+// current age: if most machines are late, the others are likely to be late too; if only a few
+// are, the samples of the others show that these few are unlikely to boot.
 func (a *autoscaler) provisioningSamples(
 	now time.Duration,
 	machines *worker.Registry,
@@ -92,10 +95,10 @@
 		age := now - rentedAt
 		m := machines.Get(name)
 		listed, isListed := a.inventory[name]
-		took, isUp := a.provisioning.observed[name]
+		elapsed, isUp := a.provisioning.observed[name]
 		switch {
 		case isUp && m != nil:
-			samples[m.Type] = append(samples[m.Type], provisioningSample{rentedAt, took})
+			samples[m.Type] = append(samples[m.Type], provisioningSample{rentedAt, elapsed})
 		case isUp || m != nil || !isListed || listed.State != protocol.Booting:
 		case age > types.BootTime(listed.Type):
 			samples[listed.Type] = append(samples[listed.Type], provisioningSample{rentedAt, age})
@@ -104,39 +107,39 @@
 	return samples
 }
 
-// median is the median time of the newest rentals, 0 without any.
+// median returns the median provisioning time of the latest rentals, or 0 if there are none.
 func median(all []provisioningSample) time.Duration {
 	if len(all) == 0 {
 		return 0
 	}
-	slices.SortFunc(all, func(a, b provisioningSample) int { return cmp.Compare(b.at, a.at) })
+	slices.SortFunc(all, func(a, b provisioningSample) int { return cmp.Compare(b.rentedAt, a.rentedAt) })
 	newest := all[:min(len(all), maxProvisioningSamples)]
-	slices.SortFunc(newest, func(a, b provisioningSample) int { return cmp.Compare(a.took, b.took) })
-	return newest[len(newest)/2].took
+	slices.SortFunc(newest, func(a, b provisioningSample) int { return cmp.Compare(a.elapsed, b.elapsed) })
+	return newest[len(newest)/2].elapsed
 }
 
-// deadline is for how long a machine is expected to come up: meanwhile no other is
-// rented in its place.
-func (p *provisioningTimes) deadline(typ string, types catalog.Catalog) time.Duration {
+// pendingTimeout is how long a rented machine counts as pending capacity, so that no other
+// machine is rented in its place.
+func (p *provisioningTimes) pendingTimeout(typ string, types catalog.Catalog) time.Duration {
 	return 2 * max(p.typical[typ], types.BootTime(typ))
 }
 
-// provisioningTimeout is the age at which a machine that is not up is returned.
+// provisioningTimeout is the age at which a machine that has not booted is returned.
 func (c *Core) provisioningTimeout(typ string) time.Duration {
-	deadline := c.autoscaler.provisioning.deadline(typ, c.catalog)
-	return deadline + deadline/2 + c.silenceLimit()
+	pendingTimeout := c.autoscaler.provisioning.pendingTimeout(typ, c.catalog)
+	return pendingTimeout + pendingTimeout/2 + c.silenceLimit()
 }
 
-// noteProvisioningFailure notes that a machine did not come up. After a few in a row the offer
-// is paused, so that the next rental turns to another zone, kind or type.
-func (c *Core) noteProvisioningFailure(l protocol.ListedMachine) {
+// recordProvisioningFailure records that a machine failed to boot. After several failures in a
+// row its offer is backed off, so that the next rental uses another zone, kind or type.
+func (c *Core) recordProvisioningFailure(l protocol.ListedMachine) {
 	key := offerKey{l.Type, l.Zone, l.Spot}
-	if !c.autoscaler.provisioning.noteFailure(key) {
+	if !c.autoscaler.provisioning.recordFailure(key) {
 		return
 	}
 	boot := c.catalog.BootTime(l.Type)
 	pause := c.autoscaler.backOff(key, c.now.Steady, boot, maxBackoffBoots*boot)
-	c.log(Info, "offer backed off after failed provisioning",
+	c.log(Info, "offer backed off after provisioning failures",
 		"type", l.Type,
 		"zone", l.Zone,
 		"spot", l.Spot,
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -11,32 +11,34 @@
 	"pepperlever/internal/settings"
 )
 
-func TestLimitCountsBindingsThatAreNotSettled(t *testing.T) {
+// TestTeamLimitCountsUnresolvedBindings checks that every binding counts towards the team's limit
+// until its task is known to be gone.
+func TestTeamLimitCountsUnresolvedBindings(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-red-1", 30, ""))
-	most := 0.0
+	peak := 0.0
 	for range 40 {
 		w.run(time.Second, nil)
-		most = max(most, w.inUse("red"))
+		peak = max(peak, w.inUse("red"))
 	}
-	if most != 16 {
-		t.Errorf("the most CPUs in use were %v, want the limit of 16", most)
+	if peak != 16 {
+		t.Errorf("got a peak of %v CPUs in use, want the limit of 16", peak)
 	}
 }
 
-func TestLimitOfZeroMeansNone(t *testing.T) {
+func TestZeroTeamLimitMeansUnlimited(t *testing.T) {
 	w := newWorld(t).ready()
 	accepted(t, w.submit("a", "req-free-1", 30, ""))
 	if !w.run(3*time.Minute, w.finished("req-free-1")) {
-		t.Fatal("a team without a limit does not run")
+		t.Fatal("job of a team without a limit did not finish")
 	}
 }
 
-func TestUrgentWorkMayStopNormalWorkButNotTheOtherWayRound(t *testing.T) {
+func TestMayPreempt(t *testing.T) {
 	policy := settings.DefaultPolicy()
 	policy.Preemption = true
 	c := New(testSettings("a"), policy, "x")
-	task := func(team string, priority, bound int) *job.Job {
+	newJob := func(team string, priority, bound int) *job.Job {
 		j := job.New(job.Spec{ID: fmt.Sprint("req-", team, priority), Team: team, Priority: priority, Tasks: 9,
 			Need: job.Resources{CPUs: 2}}, 64, 0)
 		for i := range bound {
@@ -46,20 +48,20 @@
 		return j
 	}
 	priorityNormal := slices.Index(protocol.Priorities, "normal")
-	urgent, normal := task("free", priorityNormal-1, 0), task("free", priorityNormal, 1)
-	within, above := task("red", priorityNormal, 3), task("blue", priorityNormal-1, 5)
-	for name, k := range map[string]struct {
+	urgent, normal := newJob("free", priorityNormal-1, 0), newJob("free", priorityNormal, 1)
+	within, above := newJob("red", priorityNormal, 3), newJob("blue", priorityNormal-1, 5)
+	for name, tc := range map[string]struct {
 		starved, victim *job.Job
 		want            bool
 	}{
-		"a higher priority":                      {urgent, normal, true},
-		"a lower priority":                       {normal, urgent, false},
-		"a guarantee against work above its own": {within, above, true},
-		"no guarantee":                           {normal, above, false},
-		"equal priority of the same team":        {normal, normal, false},
+		"higher priority": {urgent, normal, true},
+		"lower priority":  {normal, urgent, false},
+		"within guarantee against above guarantee": {within, above, true},
+		"without guarantee":                        {normal, above, false},
+		"equal priority in the same team":          {normal, normal, false},
 	} {
-		if got := newRound(c).mayPreempt(k.starved, k.victim); got != k.want {
-			t.Errorf("%s: got %v", name, got)
+		if got := newRound(c).mayPreempt(tc.starved, tc.victim); got != tc.want {
+			t.Errorf("%s: got mayPreempt %v", name, got)
 		}
 	}
 }
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -10,8 +10,8 @@
 // rentalIntents holds the rentals that are not complete, by name.
 type rentalIntents map[string]*rentalIntent
 
-// awaitAnswer tells whether the cloud has yet to answer a rental.
-func (r rentalIntents) awaitAnswer() bool {
+// hasUnanswered reports whether the cloud has yet to answer a rental.
+func (r rentalIntents) hasUnanswered() bool {
 	for _, intent := range r {
 		if intent.Machines == nil {
 			return true
@@ -20,8 +20,8 @@
 	return false
 }
 
-// put takes a rental from the store. The leader of the fleet knows its rentals before the store
-// does, so one that it does not know has been dropped.
+// put applies a rental read from the store. The fleet leader knows its rentals before the store
+// does, so a rental that is unknown to it has been deleted.
 func (r rentalIntents) put(name string, intent *rentalIntent, version uint64, leading bool) {
 	if known := r[name]; known != nil {
 		if known.version < version {
@@ -35,8 +35,8 @@
 	}
 }
 
-// startRental stores the rental before it asks the cloud, so that a later leader of the fleet
-// can repeat it under the same name.
+// startRental stores the rental before it is requested from the cloud, so that a later fleet
+// leader can retry it under the same name.
 func (c *Core) startRental(order scaling.Order) {
 	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.members.incarnation, c.ids.next())
 	intent := &rentalIntent{
@@ -63,58 +63,59 @@
 	})
 }
 
-// handleRental takes the cloud's answer to a rental.
-func (c *Core) handleRental(m RentalResult) {
-	intent := c.intents[m.Rental.Request]
+// handleRental handles the cloud's reply to a rental.
+func (c *Core) handleRental(result RentalResult) {
+	intent := c.intents[result.Rental.Request]
 	if intent == nil {
 		return
 	}
 	intent.pending = false
-	if m.Outcome != Unknown {
-		// What is still missing is asked for at once, but not of a cloud in trouble.
+	if result.Outcome != Unknown {
+		// Request what is still missing at once, unless the cloud has trouble answering.
 		c.timers.autoscaler = 0
 	}
-	switch m.Outcome {
+	switch result.Outcome {
 	case Applied:
-		intent.Machines = m.Machines
-		c.noteRented(m)
-		c.storeIntent(m.Rental.Request, intent)
+		intent.Machines = result.Machines
+		c.recordRental(result)
+		c.storeIntent(result.Rental.Request, intent)
 	case Refused:
-		c.backOffOffer(offerOf(m.Rental))
+		c.backOffOffer(offerOf(result.Rental))
 		intent.Machines, intent.pending = []string{}, true
-		c.dropIntent(m.Rental.Request, intent)
+		c.deleteIntent(result.Rental.Request, intent)
 	}
 }
 
-// offerOf names the offer that a rental is of.
+// offerOf returns the offer that a rental is for.
 func offerOf(r protocol.Rental) offerKey { return offerKey{r.Type, r.Zone, r.Spot} }
 
-// noteRented pauses an offer of which the cloud has no more.
-func (c *Core) noteRented(m RentalResult) {
-	key := offerOf(m.Rental)
+// recordRental logs a rental, and backs off the offer if the cloud supplied fewer machines than
+// requested.
+func (c *Core) recordRental(result RentalResult) {
+	key := offerOf(result.Rental)
 	c.log(Info, "machines rented",
 		"type", key.typ,
 		"zone", key.zone,
 		"spot", key.spot,
-		"requested", m.Rental.Count,
-		"received", len(m.Machines),
+		"requested", result.Rental.Count,
+		"received", len(result.Machines),
 	)
-	if len(m.Machines) < m.Rental.Count {
+	if len(result.Machines) < result.Rental.Count {
 		c.backOffOffer(key)
 	} else {
 		delete(c.autoscaler.backoffs, key)
 	}
 }
 
-// backOffOffer pauses an offer that the cloud cannot meet.
+// backOffOffer backs off an offer for which the cloud has no capacity.
 func (c *Core) backOffOffer(key offerKey) {
 	lag := seconds(c.cfg.Params.Cloud.ListLagS)
 	c.autoscaler.backOff(key, c.now.Steady, lag/2, 4*lag)
 	c.log(Info, "cloud has no capacity", "type", key.typ, "zone", key.zone, "spot", key.spot)
 }
 
-// checkIntents repeats rentals without an answer under the same name, and drops those whose
-// machines have all shown up.
+// checkIntents retries unanswered rentals under the same name, and deletes rentals whose machines
+// have all appeared.
 func (c *Core) checkIntents() {
 	for name, intent := range ordered(c.intents) {
 		switch {
@@ -122,15 +123,16 @@
 		case intent.Machines == nil:
 			intent.pending = true
 			c.emit(RequestRental{Rental: intent.Rental})
-		case c.haveAllShownUp(intent.Machines):
+		case c.allMachinesAppeared(intent.Machines):
 			intent.pending = true
-			c.dropIntent(name, intent)
+			c.deleteIntent(name, intent)
 		}
 	}
 }
 
-// haveAllShownUp tells whether rented machines are all listed, known or gone already.
-func (c *Core) haveAllShownUp(names []string) bool {
+// allMachinesAppeared reports whether each rented machine has been listed, has reported or is
+// already cordoned.
+func (c *Core) allMachinesAppeared(names []string) bool {
 	for _, name := range names {
 		cordoned := c.cordons.has(name)
 		if !cordoned && !c.autoscaler.isListed(name) && c.machines.Get(name) == nil {
@@ -140,7 +142,7 @@
 	return true
 }
 
-// storeIntent stores the machines that a rental has got.
+// storeIntent stores the machines that a rental received.
 func (c *Core) storeIntent(name string, intent *rentalIntent) {
 	intent.pending = true
 	c.compareAndSwap(protocol.Txn{
@@ -149,8 +151,8 @@
 	}, false, func(StoreReply) { intent.pending = false })
 }
 
-// dropIntent deletes a rental that is complete or refused.
-func (c *Core) dropIntent(name string, intent *rentalIntent) {
+// deleteIntent deletes a rental that is complete or was refused.
+func (c *Core) deleteIntent(name string, intent *rentalIntent) {
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{c.fleet.leaderCondition()},
 		Then: []protocol.Change{{Delete: keyIntent + name}},
--- a/internal/core/rentals_test.go
+++ b/internal/core/rentals_test.go
@@ -10,9 +10,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// TestLargeDemandIsRentedFromTheCheapestOfferWithoutPauses checks that expensive offers are left
-// alone while there are cheap machines, and that the next requests follow the answers at once.
-func TestLargeDemandIsRentedFromTheCheapestOfferWithoutPauses(t *testing.T) {
+// TestLargeDemandIsRentedFromCheapestOfferWithoutDelay checks that expensive offers are not used
+// while cheap machines are available, and that further requests follow each reply at once.
+func TestLargeDemandIsRentedFromCheapestOfferWithoutDelay(t *testing.T) {
 	c := newFleetLeader(t, 0, 0)
 	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{
 		{Name: "cheap", CPUs: 4, MemoryGB: 16, Price: 1, SpotPrice: 0.1, BootS: 5, Zones: []string{"z1"}},
@@ -28,47 +28,47 @@
 	for ; got < tasks && rounds < 10; rounds++ {
 		c.effects = nil
 		c.scaleOut()
-		asked := 0
+		requests := 0
 		for _, e := range c.effects {
-			put, ok := e.(StoreTxn)
+			txn, ok := e.(StoreTxn)
 			if !ok {
 				continue
 			}
-			c.handle(StoreReply{ID: put.ID, Outcome: Applied, Revision: 9})
-			rent := c.effects[len(c.effects)-1].(RequestRental)
-			if asked++; rent.Rental.Type != "cheap" || rent.Rental.Count > protocol.MaxRental {
-				t.Fatalf("asked for %+v", rent.Rental)
+			c.handle(StoreReply{ID: txn.ID, Outcome: Applied, Revision: 9})
+			request := c.effects[len(c.effects)-1].(RequestRental)
+			if requests++; request.Rental.Type != "cheap" || request.Rental.Count > protocol.MaxRental {
+				t.Fatalf("got rental %+v, want at most MaxRental machines of type cheap", request.Rental)
 			}
 			var names []string
-			for range rent.Rental.Count {
+			for range request.Rental.Count {
 				got++
 				names = append(names, fmt.Sprintf("vm-8%04d", got))
 			}
 			c.timers.autoscaler = time.Hour
-			c.handle(RentalResult{Rental: rent.Rental, Outcome: Applied, Machines: names})
+			c.handle(RentalResult{Rental: request.Rental, Outcome: Applied, Machines: names})
 			if c.timers.autoscaler > c.now.Steady {
-				t.Fatal("the next round waits")
+				t.Fatal("the next autoscaler run is delayed")
 			}
 		}
-		if asked > int(c.cfg.Params.Cloud.RPS) {
-			t.Fatalf("%d requests in a round", asked)
+		if requests > int(c.cfg.Params.Cloud.RPS) {
+			t.Fatalf("got %d requests in a round, want at most the cloud's rate limit", requests)
 		}
 	}
 	if got != tasks || rounds != tasks/protocol.MaxRental/int(c.cfg.Params.Cloud.RPS) {
-		t.Errorf("%d machines in %d rounds", got, rounds)
+		t.Errorf("got %d machines in %d rounds, want all in the fewest rounds that the rate limit allows", got, rounds)
 	}
 }
 
-// TestUnansweredRentalIsNotRepeatedAtOnce checks that a cloud that gives no answer is asked again
-// at the usual pace, not as fast as it allows.
-func TestUnansweredRentalIsNotRepeatedAtOnce(t *testing.T) {
-	for outcome, atOnce := range map[Outcome]bool{Applied: true, Refused: true, Unknown: false} {
+// TestUnansweredRentalIsNotRetriedImmediately checks that a rental without an answer is retried
+// at the usual interval, not as fast as the cloud allows.
+func TestUnansweredRentalIsNotRetriedImmediately(t *testing.T) {
+	for outcome, wantImmediate := range map[Outcome]bool{Applied: true, Refused: true, Unknown: false} {
 		c := newFleetLeader(t, 0, 0)
 		c.intents["r"] = &rentalIntent{}
 		c.timers.autoscaler = c.now.Steady + time.Second
 		c.handleRental(RentalResult{Rental: protocol.Rental{Request: "r", Type: "small", Zone: "z1", Count: 1}, Outcome: outcome, Machines: []string{"vm-1"}})
-		if (c.timers.autoscaler == 0) != atOnce {
-			t.Errorf("outcome %v: asked again at once: %v", outcome, !atOnce)
+		if (c.timers.autoscaler == 0) != wantImmediate {
+			t.Errorf("outcome %v: autoscaler runs again at once: %v", outcome, !wantImmediate)
 		}
 	}
 }
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -15,29 +15,28 @@
 	"pepperlever/internal/core/worker"
 )
 
-// peakLeases is the window of the peak of accelerator work, in leases of a worker.
-const peakLeases = 10
+// peakWindowLeases is the window over which peak GPU demand is tracked, in worker leases.
+const peakWindowLeases = 10
 
-// reservations is the room that is reserved: machines with accelerators for the work that
-// asks for them, and some room for the next services, which neither wait for a machine to boot
-// nor give their room back soon. All controllers reserve the same room, since they replicate
-// the same jobs and machines.
+// reservations tracks reserved capacity: GPU machines for jobs that need GPUs, and headroom for
+// new service replicas, which cannot wait for a machine to boot and hold their capacity for long.
+// All controllers compute the same reservations, since they replicate the same jobs and machines.
 type reservations struct {
-	// gpuMachines is how many machines of a type the work that asks for accelerators uses at
-	// its peak, gpuSpot whether it may use spot ones; gpuPeaks are by type.
-	gpuMachines map[string]int
-	gpuSpot     map[string]bool
-	gpuPeaks    map[string]*headroom.Peak
-	// services are the classes of services by name.
+	// gpuMachines is the peak number of machines of each type needed by GPU jobs. gpuSpotAllowed
+	// tells whether they may be spot machines. gpuPeaks tracks the peak of each type.
+	gpuMachines    map[string]int
+	gpuSpotAllowed map[string]bool
+	gpuPeaks       map[string]*headroom.Peak
+	// services holds the service classes by name.
 	services map[string]*serviceClass
-	// hosts are the machines that were reserved in the newest round.
+	// hosts is the set of machines reserved in the latest round.
 	hosts map[string]bool
 }
 
-// serviceClass sums up the services of one class.
+// serviceClass aggregates the services of one class.
 type serviceClass struct {
 	headroom.Class
-	// images are those that the services use.
+	// images are the container images that the services use.
 	images map[string]bool
 }
 
@@ -45,10 +44,10 @@
 	return reservations{gpuPeaks: map[string]*headroom.Peak{}}
 }
 
-// updateReservations sums up the jobs that room is reserved for, and tells whether there are
-// any.
+// updateReservations aggregates the jobs that capacity is reserved for, and reports whether there
+// are any.
 func (c *Core) updateReservations() bool {
-	window := peakLeases * seconds(c.cfg.Params.Workers.LeaseS)
+	window := peakWindowLeases * seconds(c.cfg.Params.Workers.LeaseS)
 	jobs := func(yield func(*job.Job) bool) {
 		for _, j := range c.jobs {
 			if needsReservation(j) && !c.isOutgoing(j.ID) && !yield(j) {
@@ -59,16 +58,16 @@
 	return c.scheduler.reservations.update(jobs, c.catalog, int64(c.now.Steady/window))
 }
 
-// needsReservation tells whether a job is of a kind that room is reserved for.
+// needsReservation reports whether a job is of a kind that capacity is reserved for.
 func needsReservation(j *job.Job) bool {
 	return (j.Need.GPUs > 0 || j.Kind == job.Service) && !j.Cancelled && !j.Suspected
 }
 
-// update sums up jobs in a numbered window of the peak, and tells whether there are any to
-// reserve room for.
+// update aggregates jobs for the peak window with the given number, and reports whether there are
+// any to reserve capacity for.
 func (r *reservations) update(jobs iter.Seq[*job.Job], types catalog.Catalog, window int64) bool {
 	gpuNeed := map[string]float64{}
-	r.gpuSpot, r.services = map[string]bool{}, map[string]*serviceClass{}
+	r.gpuSpotAllowed, r.services = map[string]bool{}, map[string]*serviceClass{}
 	for j := range jobs {
 		if j.Need.GPUs == 0 {
 			r.addService(j)
@@ -77,7 +76,7 @@
 		if name := types.CheapestFor(&j.Spec); name != "" {
 			perMachine := placement.FitCount(j.Need, types.Capacity(name))
 			gpuNeed[name] += float64(j.Tasks-j.Done.Len()) / float64(perMachine)
-			r.gpuSpot[name] = r.gpuSpot[name] || j.Spot
+			r.gpuSpotAllowed[name] = r.gpuSpotAllowed[name] || j.Spot
 		}
 	}
 	r.updatePeaks(gpuNeed, types, window)
@@ -95,10 +94,11 @@
 	class.images[j.Image] = true
 }
 
-// needTolerance keeps sums of whole numbers whole, whatever the order of the sum.
-const needTolerance = 1e-6
+// gpuNeedTolerance absorbs rounding errors, so that a whole number of machines is not rounded up,
+// whatever the order of summation.
+const gpuNeedTolerance = 1e-6
 
-// updatePeaks notes how many machines of each type accelerator work needs now.
+// updatePeaks records the number of machines of each type that GPU jobs currently need.
 func (r *reservations) updatePeaks(need map[string]float64, types catalog.Catalog, window int64) {
 	r.gpuMachines = map[string]int{}
 	for name := range types.All() {
@@ -107,18 +107,18 @@
 			peak = &headroom.Peak{}
 			r.gpuPeaks[name] = peak
 		}
-		peak.Observe(window, int(math.Ceil(need[name]-needTolerance)))
+		peak.Observe(window, int(math.Ceil(need[name]-gpuNeedTolerance)))
 		if peak.Max() > 0 {
 			r.gpuMachines[name] = peak.Max()
 		}
 	}
 }
 
-// includes tells whether a machine was reserved in the newest round.
+// includes reports whether a machine was reserved in the latest round.
 func (r *reservations) includes(machine string) bool { return r.hosts[machine] }
 
-// apply marks the hosts that are reserved in this round, and returns the demand of services
-// that room could not be reserved for.
+// apply marks the hosts that are reserved in this round, and returns the service demand for which
+// no capacity could be reserved.
 func (r *reservations) apply(hosts []*placement.Host, machines *worker.Registry) []scaling.Demand {
 	r.hosts = map[string]bool{}
 	for name, machines := range ordered(r.gpuMachines) {
@@ -128,24 +128,24 @@
 	for _, class := range ordered(r.services) {
 		if missing := r.reserveForServices(class, hosts, machines); missing > 0 {
 			spec := *class.Spec
-			spec.Spread = false // the tasks are of more than one job
+			spec.Spread = false // the tasks belong to several jobs
 			demand = append(demand, scaling.Demand{Spec: &spec, Tasks: missing, Entitlement: scaling.Guaranteed})
 		}
 	}
 	return demand
 }
 
-// reserveForGPUs keeps the hosts of a type that other work uses least free of it. Tasks that
-// need no accelerators but run for long would hold the only machines that gangs fit on.
+// reserveForGPUs reserves for GPU jobs the hosts of a type that other jobs use least. Otherwise
+// long-running tasks that need no GPUs would occupy the only machines on which gangs fit.
 func (r *reservations) reserveForGPUs(typ string, machines int, hosts []*placement.Host) {
 	var usable []*placement.Host
 	for _, h := range hosts {
-		if h.Type == typ && (!h.Spot || r.gpuSpot[typ]) {
+		if h.Type == typ && (!h.Spot || r.gpuSpotAllowed[typ]) {
 			usable = append(usable, h)
 		}
 	}
 	slices.SortStableFunc(usable, func(a, b *placement.Host) int {
-		return cmp.Compare(otherWork(a), otherWork(b))
+		return cmp.Compare(nonGPUCPUs(a), nonGPUCPUs(b))
 	})
 	for _, h := range usable[:min(machines, len(usable))] {
 		h.GPUOnly = true
@@ -153,21 +153,22 @@
 	}
 }
 
-// otherWork is how many CPUs of a host are in use by work without accelerators, less than
-// nothing where accelerators are in use.
-func otherWork(h *placement.Host) float64 {
+// nonGPUCPUs is the number of CPUs of a host used by tasks without GPUs, or -1 if any of its GPUs
+// are in use.
+func nonGPUCPUs(h *placement.Host) float64 {
 	if h.Free.GPUs < h.Capacity.GPUs {
 		return -1
 	}
 	return h.Capacity.CPUs - h.Free.CPUs
 }
 
-// reserveForServices reserves room for the next replicas of a class: for two of its largest
-// jobs, and for one of each image where that image is, since a replica has no time to fetch
-// one. Only where there is too little are arrays left to end for it. It tells for how many
-// replicas there is no room now.
+// reserveForServices reserves capacity for the next replicas of a class: for two of its largest
+// jobs, and for its largest job on hosts that cache each of its images, since a replica has no
+// time to fetch one. Hosts occupied by arrays are used, and drained of them, only if there is too
+// little free capacity. It returns the number of replicas for which there is no free capacity
+// now.
 func (r *reservations) reserveForServices(class *serviceClass, hosts []*placement.Host, machines *worker.Registry) int {
-	wanted := class.Headroom() + misplacedReplicas(class.Spec.Class, hosts, machines)
+	wanted := class.Headroom() + replicasOnGPUHosts(class.Spec.Class, hosts, machines)
 	usable := serviceHosts(class.Spec, hosts, machines)
 	freeNow := slices.DeleteFunc(slices.Clone(usable), func(h serviceHost) bool { return h.arrayMilliCPUs > 0 })
 	r.reserveByImage(class, wanted, freeNow)
@@ -179,7 +180,8 @@
 	return missing
 }
 
-// reserveByImage reserves room for the largest job of a class with each of its images.
+// reserveByImage reserves capacity for the largest job of a class on hosts that have each of its
+// images.
 func (r *reservations) reserveByImage(class *serviceClass, wanted int, hosts []serviceHost) {
 	for _, image := range slices.Sorted(maps.Keys(class.images)) {
 		withImage := slices.DeleteFunc(slices.Clone(hosts), func(h serviceHost) bool {
@@ -189,9 +191,9 @@
 	}
 }
 
-// misplacedReplicas counts the replicas of a class on hosts that are reserved for accelerator
-// work: they need room elsewhere before they can be moved.
-func misplacedReplicas(class string, hosts []*placement.Host, machines *worker.Registry) int {
+// replicasOnGPUHosts counts the replicas of a class on hosts reserved for GPU jobs. They need
+// capacity elsewhere before they can be moved.
+func replicasOnGPUHosts(class string, hosts []*placement.Host, machines *worker.Registry) int {
 	replicas := 0
 	for _, h := range hosts {
 		load := machines.Load(h.ID)
@@ -207,17 +209,18 @@
 	return replicas
 }
 
-// serviceHost is a host with room for some replicas, now or once the arrays on it have ended.
+// serviceHost is a host with capacity for replicas, either now or once the arrays on it have
+// ended.
 type serviceHost struct {
 	*placement.Host
 	slots int
-	// arrayMilliCPUs is what the arrays that have to end take, in thousandths of CPUs: whole
-	// numbers add up alike in any order.
+	// arrayMilliCPUs is the CPU used by the arrays that have to end first, in thousandths of a
+	// CPU: unlike floating-point sums, integer sums do not depend on the order of addition.
 	arrayMilliCPUs int
 }
 
-// serviceHosts lists the hosts that room for services may be reserved on, those that have it
-// now first.
+// serviceHosts lists the hosts on which capacity for services may be reserved, those with free
+// capacity first.
 func serviceHosts(s *job.Spec, hosts []*placement.Host, machines *worker.Registry) []serviceHost {
 	var out []serviceHost
 	for _, h := range hosts {
@@ -234,7 +237,7 @@
 	return out
 }
 
-// serviceHostOf works out the room for services on a host.
+// serviceHostOf computes the capacity for replicas on a host.
 func serviceHostOf(s *job.Spec, h *placement.Host, load *job.Load) serviceHost {
 	out := serviceHost{Host: h, slots: placement.FitCount(s.Need, h.Free)}
 	if out.slots > 0 || load == nil {
@@ -251,9 +254,10 @@
 	return out
 }
 
-// reserveSlots reserves hosts for a number of replicas, from every zone in turn, and tells for
-// how many there are none. Hosts that are reserved already count. Arrays on a host are left to
-// end, and none comes in their place: each gap that they leave is too narrow for a replica.
+// reserveSlots reserves hosts for a number of replicas, round-robin across zones, and returns how
+// many replicas remain without capacity. Hosts that are already reserved count. Arrays on a
+// reserved host run to completion but are not replaced: each gap that a finished task leaves is
+// too small for a replica.
 func (r *reservations) reserveSlots(wanted int, hosts []serviceHost) int {
 	byZone := map[string][]serviceHost{}
 	for _, h := range hosts {
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// gpuWorld makes a cluster that has five controllers, and machines of two types: small ones, and large ones
-// that have accelerators and hold one task of a gang each.
+// gpuWorld has five controllers and machines of two types: small ones, and large ones with GPUs
+// that each hold one task of a gang.
 func gpuWorld(t *testing.T, small, large int) *world {
 	t.Helper()
 	w := newWorldOf(t, fiveNodes)
@@ -33,8 +33,8 @@
 	serviceFields = `,"shape":"service","urgency":"critical","memoryGb":7.0,"loaners":false,"spread":true,"guessS":0.0,"dueS":null`
 )
 
-// onType counts the tasks of a job that are on machines of a type.
-func (w *world) onType(id, typ string) int {
+// onMachineType counts the running tasks of a job on machines of a type.
+func (w *world) onMachineType(id, typ string) int {
 	n := 0
 	for _, f := range w.workers {
 		if f.Type != typ {
@@ -49,8 +49,8 @@
 	return n
 }
 
-// TestServicesAvoidMachinesReservedForGangs checks that replicas, which stay for long, keep off
-// the only machines that gangs fit on.
+// TestServicesAvoidMachinesReservedForGangs checks that service replicas, which are long-running,
+// stay off the only machines on which gangs fit.
 func TestServicesAvoidMachinesReservedForGangs(t *testing.T) {
 	w := gpuWorld(t, 12, 6)
 	w.taskTime = 20 * time.Second
@@ -58,16 +58,16 @@
 	w.started("req-blue-gang", 2)
 	accepted(t, w.submit("b", "req-free-watch", 24, serviceFields))
 	w.run(20*time.Second, nil)
-	if n := w.onType("req-free-watch", "large"); n != 0 {
-		t.Errorf("%d replicas are on machines with accelerators", n)
+	if n := w.onMachineType("req-free-watch", "large"); n != 0 {
+		t.Errorf("%d replicas are on machines with GPUs, want 0", n)
 	}
-	if n := w.onType("req-free-watch", "small"); n < 20 {
-		t.Errorf("%d of 24 replicas are up", n)
+	if n := w.onMachineType("req-free-watch", "small"); n < 20 {
+		t.Errorf("%d of 24 replicas are running, want at least 20", n)
 	}
 }
 
-// TestReplicasAreEvacuatedFromGPUHostsForAGang checks that replicas that were placed before the
-// first gang was known are moved, all but what has no room elsewhere.
+// TestReplicasAreEvacuatedFromGPUHostsForAGang checks that replicas placed on GPU hosts before
+// the first gang was known are moved, except those that do not fit elsewhere.
 func TestReplicasAreEvacuatedFromGPUHostsForAGang(t *testing.T) {
 	w := gpuWorld(t, 8, 2)
 	w.taskTime = time.Hour
@@ -75,24 +75,24 @@
 	w.started("req-free-batch", 16)
 	accepted(t, w.submit("b", "req-free-watch", 8, serviceFields))
 	w.run(time.Minute, nil)
-	if n := w.onType("req-free-watch", "large"); n != 8 {
-		t.Fatalf("%d of 8 replicas are where they should be moved from", n)
+	if n := w.onMachineType("req-free-watch", "large"); n != 8 {
+		t.Fatalf("%d of 8 replicas are on GPU hosts before the gang is submitted", n)
 	}
-	w.maxMachines = 0 // the cloud has no more
+	w.maxMachines = 0 // the cloud has no more machines
 	w.cancelJob("a", "req-free-batch")
 	accepted(t, w.submit("b", "req-blue-gang", 1, gangFields))
 	if !w.run(time.Minute, func() bool { return w.startsOf("req-blue-gang") == 1 }) {
-		t.Fatal("the gang does not begin")
+		t.Fatal("gang did not start")
 	}
 	w.run(10*time.Second, nil)
 	if n := w.onMachines("req-free-watch"); n != 8 {
-		t.Errorf("%d of 8 replicas are up", n)
+		t.Errorf("%d of 8 replicas are running", n)
 	}
 }
 
-// TestReplicasStartAtOnceInAFloodOfArrays checks that room is reserved for replicas where their
-// image is while arrays of lower priority fill the rest.
-func TestReplicasStartAtOnceInAFloodOfArrays(t *testing.T) {
+// TestReplicasStartImmediatelyUnderArrayLoad checks that capacity for replicas is reserved on
+// hosts that have their image, while arrays of lower priority fill the remaining capacity.
+func TestReplicasStartImmediatelyUnderArrayLoad(t *testing.T) {
 	w := gpuWorld(t, 32, 0)
 	w.taskTime = time.Hour
 	accepted(t, w.submit("a", "req-free-first", 32, serviceFields))
@@ -108,17 +108,17 @@
 		accepted(t, w.submit("c", id, 6, serviceFields))
 		w.run(600*time.Millisecond, nil)
 		if got := w.onMachines(id); got != 6 {
-			t.Errorf("%s: %d of 6 replicas are up after 0.6 s", id, got)
+			t.Errorf("%s: %d of 6 replicas are running after 0.6 s", id, got)
 		}
 	}
 	if w.startsOf("req-free-00") == 0 {
-		t.Error("arrays do not run beside services")
+		t.Error("no task of an array started")
 	}
 }
 
-// TestServicesStaySpreadWhileLeadersRestart ends the only leader while replicas are to start, and
-// all controllers right after. A leader that has just started knows the replicas but not yet the
-// zones of their machines, and must not put more than half of a service into one.
+// TestServicesStaySpreadWhileLeadersRestart crashes the leader while replicas are starting, and
+// all controllers right after. A restarted leader knows the replicas but not yet the zones of
+// their machines, and must not place more than half of a service in one zone.
 func TestServicesStaySpreadWhileLeadersRestart(t *testing.T) {
 	w := gpuWorld(t, 30, 0)
 	w.taskTime = time.Hour
@@ -143,7 +143,7 @@
 	w.run(time.Minute, nil)
 	for n := range 4 {
 		if got := w.onMachines(fmt.Sprintf("req-free-%d", n)); got != 9 {
-			t.Errorf("%d of 9 replicas of service %d are up", got, n)
+			t.Errorf("%d of 9 replicas of service %d are running", got, n)
 		}
 	}
 }
--- a/internal/core/reservedhosts_test.go
+++ b/internal/core/reservedhosts_test.go
@@ -9,16 +9,17 @@
 	"pepperlever/internal/core/job"
 )
 
-// Guards against controllers that reserve different hosts for good, each leaving room to jobs of the
-// other: what one remembers from the round before gives way to what the stored jobs ask for.
-func TestControllersAgreeOnReservedHostsWhateverTheyRemember(t *testing.T) {
+// TestControllersConvergeOnReservedHosts guards against controllers that keep reserving different
+// hosts, each leaving capacity to jobs of the other: the stored jobs must override the
+// reservations remembered from the previous round.
+func TestControllersConvergeOnReservedHosts(t *testing.T) {
 	w := idleWorld(t, 8)
 	w.allowRacingStarts, w.taskTime = true, 5*time.Minute
 	accepted(t, w.submit("a", "req-free-1", 8, `,"vcpus":3.0`))
 	w.started("req-free-1", 8)
 	accepted(t, w.submit("b", "req-blue-1", 6, `,"vcpus":4.0`))
 	accepted(t, w.submit("c", "req-free-2", 3, `,"vcpus":2.0`))
-	w.run(time.Minute, nil) // older than the time-out
+	w.run(time.Minute, nil) // longer than the timeout
 	if n := len(w.cores["a"].scheduler.reservedFor); n == 0 {
 		t.Fatal("no host is reserved")
 	}
@@ -49,7 +50,7 @@
 		want := fmt.Sprint(w.cores["a"].scheduler.reservedFor)
 		for _, node := range w.names {
 			if got := fmt.Sprint(w.cores[node].scheduler.reservedFor); got != want {
-				t.Errorf("after it remembered %s, %s reserves %s, a %s", name, node, got, want)
+				t.Errorf("remembered %s: controller %s reserves %s, controller a %s", name, node, got, want)
 			}
 		}
 	}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -11,32 +11,35 @@
 	"pepperlever/internal/protocol"
 )
 
-// round is one round of scheduling: what is to be placed, the hosts, and what has been found
-// out on the way. It reads the cluster from core and changes bindings there.
+// round is a single scheduling round: the pending jobs, the hosts, and intermediate results. It
+// reads the cluster state from core and changes bindings there.
 type round struct {
 	core *Core
-	// queues are the waiting jobs by team.
+	// queues holds the pending jobs of each team.
 	queues []*teamQueue
-	// ranking holds the teams of the queues as the ranking sees them.
+	// ranking holds the fairness record of each queue's team, in the order of queues.
 	ranking []fairness.Team
-	// hosts are all schedulable machines, openHosts those with free CPUs.
+	// hosts are all schedulable machines; openHosts are those with free CPUs.
 	hosts, openHosts []*placement.Host
-	// priorReservations are the needs that any host was reserved for in the round before.
+	// priorReservations is the set of resource needs that hosts were reserved for in the previous
+	// round.
 	priorReservations map[job.Resources]bool
-	// reservedNeeds are the needs that a host is reserved for in this round.
+	// reservedNeeds lists the resource needs that hosts are reserved for in this round.
 	reservedNeeds []job.Resources
-	// overdueDemand is what has waited for the time-out and found no room.
+	// overdueDemand is the demand that has waited longer than the timeout and could not be
+	// placed.
 	overdueDemand []scaling.Demand
-	// starved are the jobs of led teams that found no room.
+	// starved lists the jobs of teams led by this node that could not be placed.
 	starved []*job.Job
-	// gpuStarved is set while work that asks for accelerators finds no room.
+	// gpuStarved is set when a job that needs GPUs could not be placed.
 	gpuStarved    bool
 	unschedulable unschedulableSet
-	// bestEffortHosts are the hosts for best-effort work, by whether its tasks are short.
+	// bestEffortHosts caches the hosts for best-effort jobs, keyed by whether the job's tasks are
+	// short.
 	bestEffortHosts map[bool][]*placement.Host
 }
 
-// newRound makes a round with nothing to place yet.
+// newRound returns a round with empty queues.
 func newRound(c *Core) *round {
 	return &round{
 		core:              c,
@@ -45,18 +48,19 @@
 	}
 }
 
-// teamQueue is one team's part in a round of scheduling.
+// teamQueue is the state of one team in a scheduling round.
 type teamQueue struct {
 	team *team
-	// jobs wait for room, in the order in which they are served.
+	// jobs are the pending jobs, in the order in which they are served.
 	jobs []*job.Job
-	// usage is what the team uses with what the round has placed, and with the demand that
-	// machines are rented for.
-	usage job.Resources
-	plans map[string]*jobPlacement
+	// usage is what the team uses, including the tasks placed in this round and the demand for
+	// which machines are to be rented.
+	usage      job.Resources
+	placements map[string]*jobPlacement
 }
 
-// run reserves room, places what waits, and makes room for what found none.
+// run applies reservations, places pending tasks, and preempts running tasks for jobs that could
+// not be placed.
 func (r *round) run() {
 	r.prepareHosts()
 	c := r.core
@@ -64,7 +68,7 @@
 	c.scheduler.pendingDemand = append(c.scheduler.pendingDemand, demand...)
 	r.reserveForGangs()
 	r.openHosts = placement.WithFreeCPUs(r.hosts)
-	r.place()
+	r.placeAll()
 	r.reserveForOverdue()
 	r.evacuateGPUHosts()
 	if len(r.starved) > 0 {
@@ -72,7 +76,8 @@
 	}
 }
 
-// prepareHosts lists the hosts, with the reservations of the round before.
+// prepareHosts lists the hosts and carries over the reservations of the previous round, unless
+// urgent jobs may use reserved hosts.
 func (r *round) prepareHosts() {
 	s := &r.core.scheduler
 	if r.hasUrgentWork() {
@@ -86,26 +91,27 @@
 	placement.DeprioritizeSurplus(r.hosts, r.core.policy.Spare)
 }
 
-// hasUrgentWork tells whether work above normal priority has found no room for a report
-// interval. Then it may use reserved hosts. Until then it takes the gaps beside them, before
-// all others, so that large tasks keep what is reserved for them.
+// hasUrgentWork reports whether a job above normal priority has been pending for longer than a
+// report interval. Such a job may use reserved hosts. Before that it is limited to unreserved
+// capacity, which it gets ahead of all other jobs, so that large tasks keep their reservations.
 func (r *round) hasUrgentWork() bool {
 	return slices.ContainsFunc(r.queues, func(queue *teamQueue) bool {
 		return slices.ContainsFunc(queue.jobs, r.isUrgent)
 	})
 }
 
-// isUrgent tells whether a job above normal priority has waited for longer than a report interval.
+// isUrgent reports whether a job above normal priority has been pending for longer than a report
+// interval.
 func (r *round) isUrgent(j *job.Job) bool {
 	waited := r.core.now.Steady - j.PendingSince
 	return j.AboveNormal() && !j.Suspected && waited > r.core.reportInterval()
 }
 
-// collectQueues lists the teams that wait, with their jobs in order.
+// collectQueues lists the teams that have pending jobs, with their jobs in serving order.
 func (r *round) collectQueues() {
 	weights := teamWeights(r.core.teams)
 	for i, t := range r.core.teams {
-		queue := &teamQueue{team: t, usage: t.usage(), plans: map[string]*jobPlacement{}}
+		queue := &teamQueue{team: t, usage: t.usage(), placements: map[string]*jobPlacement{}}
 		for _, j := range t.jobs {
 			if r.mayStartNow(j) {
 				queue.jobs = append(queue.jobs, j)
@@ -124,17 +130,17 @@
 	}
 }
 
-// mayStartNow tells whether any task of a job may be placed in this round.
+// mayStartNow reports whether any task of a job may be placed in this round.
 func (r *round) mayStartNow(j *job.Job) bool {
 	return r.core.startAllowance(j) > 0 && r.core.now.Steady >= j.NotBefore && j.Version > 0
 }
 
-// isOverdue tells whether a job has waited for the time-out of its team.
+// isOverdue reports whether a job has been pending for longer than the policy's timeout.
 func (r *round) isOverdue(j *job.Job) bool {
 	return !j.Suspected && r.core.now.Steady-j.PendingSince > seconds(r.core.policy.TimeoutS)
 }
 
-// sortJobs puts jobs in the order in which they are served.
+// sortJobs sorts jobs into the order in which they are served.
 func (r *round) sortJobs(jobs []*job.Job) {
 	slices.SortFunc(jobs, func(a, b *job.Job) int {
 		return cmp.Or(
@@ -145,13 +151,13 @@
 	})
 }
 
-// starvationTimeouts is after how many time-outs a job that has got nothing is served first,
-// so that wide arrays do not hold up small ones.
+// starvationTimeouts is the number of timeouts after which a job that has not started any task is
+// served first, so that wide arrays cannot starve small ones.
 const starvationTimeouts = 4
 
-// schedulingKey orders jobs of a priority: by when they would have to start, and gangs
-// without a deadline by when they begin to reserve hosts. A job that has got nothing for
-// starvationTimeouts comes first until it gets something.
+// schedulingKey is the sort key among jobs of equal priority: the latest start time, or for gangs
+// without a deadline the time at which hosts are first reserved for them. A job that has waited
+// for starvationTimeouts without any bound or completed task comes first until it gets one.
 func (r *round) schedulingKey(j *job.Job) int64 {
 	timeoutS := r.core.policy.TimeoutS
 	gotNothing := len(j.Bound)+j.Done.Len() == 0
@@ -165,13 +171,13 @@
 	return j.LatestStart()
 }
 
-// entitlement is the right of a job that found no room to expensive machines: the strongest
-// once half of its slack has gone by.
+// entitlement is the right of an unplaced job to expensive machines. It is strongest once half of
+// the job's slack has passed.
 func (r *round) entitlement(queue *teamQueue, j *job.Job) scaling.Entitlement {
 	c := r.core
-	patience := bestEffortPatience * seconds(c.cfg.Params.Workers.LeaseS)
+	maxWait := bestEffortWaitLeases * seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
-	case isBestEffort(j) && c.now.Steady-j.PendingSince < patience:
+	case isBestEffort(j) && c.now.Steady-j.PendingSince < maxWait:
 		return scaling.BestEffort
 	case c.now.Wall-j.EligibleSince() > (j.LatestStart()-j.EligibleSince())/2:
 		return scaling.AtRisk
@@ -181,9 +187,9 @@
 	return scaling.Standard
 }
 
-// place lets the ranking pick a team, gives the team's first job that fits a place, and goes
-// on until no team has anything that fits.
-func (r *round) place() {
+// placeAll repeatedly lets the ranking pick a team and places that team's first job that fits,
+// until no job of any team fits.
+func (r *round) placeAll() {
 	total := totalCapacity(r.core.machines, r.core.catalog)
 	finished := make([]bool, len(r.queues))
 	for {
@@ -196,13 +202,13 @@
 		if placed {
 			ranked := &r.ranking[i]
 			ranked.Overdue = false
-			ranked.Record.Use = ranked.Record.Use.Add(vector(need), usageRecordInterval.Seconds())
+			ranked.Record.Use = ranked.Record.Use.Add(resourceVector(need), usageRecordInterval.Seconds())
 		}
 	}
 }
 
-// skipLowerPriorities lets only the teams take part whose next job has the highest priority
-// that waits anywhere: a job of a lower one would be stopped for it.
+// skipLowerPriorities skips every team whose next job is below the highest pending priority: such
+// a job would only be preempted by the higher one.
 func (r *round) skipLowerPriorities(finished []bool) []bool {
 	highest := len(protocol.Priorities)
 	for i, queue := range r.queues {
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -11,14 +11,15 @@
 	"pepperlever/internal/protocol"
 )
 
-// reasonIdle is why a machine is cordoned that has had nothing to do. It is released once
-// nothing is bound to it.
+// reasonIdle is the cordon reason of a machine that has been idle. Such a machine is released
+// once nothing is bound to it.
 const reasonIdle = "idle"
 
-// terminatedLeases is for how many leases the cordon of a machine that is gone is kept.
-const terminatedLeases = 100
+// terminatedRetentionLeases is how long the cordon of a terminated machine is kept, in worker
+// leases.
+const terminatedRetentionLeases = 100
 
-// cordonIdle cordons machines that have had nothing to do for a while.
+// cordonIdle cordons machines that have been idle for longer than their idle timeout.
 func (c *Core) cordonIdle() {
 	for name, m := range c.machines.All() {
 		if !c.machines.UsedResources(m).Fits(job.Resources{}) {
@@ -32,14 +33,14 @@
 	}
 }
 
-// idleTimeout is how long a machine is kept without work: a part of what a new one would take
-// to come.
+// idleTimeout is how long a machine is kept idle: a fraction of the time that a replacement would
+// take to boot.
 func (c *Core) idleTimeout(m *worker.Machine) time.Duration {
 	return max(c.catalog.BootTime(m.Type)/4, 2*c.reportInterval())
 }
 
-// cordonMachine stores a cordon that no binding can pass. Once the replica shows it, the
-// replica also shows every binding that came before it.
+// cordonMachine stores a cordon, after which no new binding to the machine can be stored. Once
+// the local copy of the state shows the cordon, it also shows every earlier binding.
 func (c *Core) cordonMachine(name, reason string) {
 	if c.cordons.has(name) {
 		return
@@ -58,17 +59,17 @@
 	})
 }
 
-// releaseCordoned releases cordoned machines that nothing is bound to, and returning ones
-// whatever is bound to them. Returning ones need no cordon first: what is bound to them
-// meanwhile is bound to a machine that is gone. So a cancelled task is ended in time even while
-// the store is down.
+// releaseCordoned releases cordoned machines that have no bindings, and machines that are being
+// returned regardless of their bindings. The latter need no cordon first: a binding made in the
+// meantime refers to a terminated machine and ends with it. A cancelled task is therefore stopped
+// in time even while the store is down.
 func (c *Core) releaseCordoned() {
-	due := maps.Clone(c.cordons)
+	candidates := maps.Clone(c.cordons)
 	for name := range c.autoscaler.returnReasons {
-		due[name] = c.cordons[name]
+		candidates[name] = c.cordons[name]
 	}
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(due)) {
+	for _, name := range slices.Sorted(maps.Keys(candidates)) {
 		if len(names) < protocol.MaxRelease && c.mayRelease(name) {
 			c.autoscaler.releasing[name] = c.now.Steady
 			names = append(names, name)
@@ -79,7 +80,7 @@
 	}
 }
 
-// mayRelease tells whether a cordoned or returning machine may be released now.
+// mayRelease reports whether a machine that is cordoned or being returned may be released now.
 func (c *Core) mayRelease(name string) bool {
 	cordon := c.cordons[name]
 	if cordon.Terminated {
@@ -93,19 +94,19 @@
 	return !releasing || c.now.Steady-since >= c.silenceLimit()
 }
 
-// handleRelease notes the cloud's word that machines are gone, which ends all that was bound
-// to them.
-func (c *Core) handleRelease(m ReleaseResult) {
-	for _, id := range m.Machines {
-		if m.OK {
+// handleRelease handles the cloud's reply to a release. A confirmed release ends everything that
+// was bound to the machines.
+func (c *Core) handleRelease(result ReleaseResult) {
+	for _, id := range result.Machines {
+		if result.OK {
 			c.returns.confirm(id)
 		}
 	}
 	if !c.fleet.leading {
 		return
 	}
-	for batch := range slices.Chunk(m.Machines, c.limits.maxChanges()) {
-		if m.OK {
+	for batch := range slices.Chunk(result.Machines, c.limits.maxChanges()) {
+		if result.OK {
 			c.storeTerminated(batch)
 		} else {
 			c.autoscaler.retryRelease(batch)
@@ -113,14 +114,14 @@
 	}
 }
 
-// retryRelease has machines released again that the cloud or the store did not take.
+// retryRelease makes machines eligible for release again after the cloud or the store has failed.
 func (a *autoscaler) retryRelease(names []string) {
 	for _, name := range names {
 		delete(a.releasing, name)
 	}
 }
 
-// storeTerminated stores that machines are gone.
+// storeTerminated records in the store that machines are terminated.
 func (c *Core) storeTerminated(names []string) {
 	txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
 	for _, name := range names {
@@ -140,14 +141,14 @@
 	})
 }
 
-// forgetTerminated drops the cordons of machines that have long been gone, so that the state
-// does not grow. A binding that still came to one would be ended by another release, which the
-// cloud answers for names that it does not know too.
-func (c *Core) forgetTerminated() {
-	kept := terminatedLeases * seconds(c.cfg.Params.Workers.LeaseS)
+// deleteTerminatedCordons deletes the cordons of machines that were terminated long ago, so that
+// the stored state does not grow without bound. A binding still made to such a machine would be
+// ended by another release, which the cloud also confirms for unknown machines.
+func (c *Core) deleteTerminatedCordons() {
+	retention := terminatedRetentionLeases * seconds(c.cfg.Params.Workers.LeaseS)
 	txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
 	for name, cordon := range ordered(c.cordons) {
-		if !cordon.Terminated || c.machines.HasBindings(name) || c.now.Steady-cordon.since < kept {
+		if !cordon.Terminated || c.machines.HasBindings(name) || c.now.Steady-cordon.since < retention {
 			continue
 		}
 		txn.Then = append(txn.Then, protocol.Change{Delete: keyCordon + name})
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// standardBacklogBoots is the backlog, in boots of an ordinary machine, from which such
-	// machines are rented for any work but best-effort work.
+	// standardBacklogBoots is the backlog, in boot times of an on-demand machine, from which such
+	// machines are rented for any job that is not best-effort.
 	standardBacklogBoots = 5
-	// guaranteedBacklogBoots is the same for work within the guarantee of its team.
+	// guaranteedBacklogBoots is the same for jobs within their team's guarantee.
 	guaranteedBacklogBoots = 2
-	// endlessBacklog is the backlog of a fleet without machines.
-	endlessBacklog = time.Duration(1 << 62)
+	// unboundedBacklog is the backlog of a fleet without machines.
+	unboundedBacklog = time.Duration(1 << 62)
 )
 
-// scaleOut rents machines for the demand that the newest round left over. It waits for the
-// answer to rentals that are under way, and makes as many requests as the cloud takes in a
-// second, the cheapest machines first.
+// scaleOut rents machines for the demand that the latest round could not place. It does nothing
+// while a rental is unanswered, and makes at most as many requests as the cloud accepts per
+// second, cheapest machines first.
 func (c *Core) scaleOut() {
 	demand := c.scheduler.pendingDemand
-	if c.intents.awaitAnswer() || len(demand) == 0 {
+	if c.intents.hasUnanswered() || len(demand) == 0 {
 		return
 	}
 	pending := c.pendingCapacity()
 	offers := c.offers(c.backlog(demand, pending))
 	requests := int(max(1, c.cfg.Params.Cloud.RPS))
-	for _, order := range scaling.Plan(demand, pending, c.bestEffortHosts(), offers, requests*protocol.MaxRental) {
+	for _, order := range scaling.Plan(demand, pending, c.preemptibleBestEffortHosts(), offers, requests*protocol.MaxRental) {
 		for ; order.Count > 0 && requests > 0; requests-- {
-			part := order
-			part.Count = min(order.Count, protocol.MaxRental)
-			order.Count -= part.Count
-			c.startRental(part)
+			batch := order
+			batch.Count = min(order.Count, protocol.MaxRental)
+			order.Count -= batch.Count
+			c.startRental(batch)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	pending := pendingMachines{core: c, seen: map[string]bool{}}
 	for _, l := range ordered(c.autoscaler.inventory) {
 		age := c.now.Steady - c.autoscaler.firstSeen[l.ID]
-		if l.State == protocol.Booting && age < c.autoscaler.provisioning.deadline(l.Type, c.catalog) {
+		if l.State == protocol.Booting && age < c.autoscaler.provisioning.pendingTimeout(l.Type, c.catalog) {
 			pending.add(l.ID, l.Type, l.Zone, l.Spot)
 		}
 	}
@@ -59,7 +59,7 @@
 		}
 		for _, id := range intent.Machines {
 			age := c.now.Steady - c.autoscaler.firstSeenAt(id, c.now.Steady)
-			if age < c.autoscaler.provisioning.deadline(rental.Type, c.catalog) {
+			if age < c.autoscaler.provisioning.pendingTimeout(rental.Type, c.catalog) {
 				pending.add(id, rental.Type, rental.Zone, rental.Spot)
 			}
 		}
@@ -67,14 +67,15 @@
 	return pending.hosts
 }
 
-// pendingMachines gathers machines that do not report yet, each once.
+// pendingMachines collects machines that do not report yet, without duplicates.
 type pendingMachines struct {
 	core  *Core
 	hosts []*placement.Host
 	seen  map[string]bool
 }
 
-// add enters a machine, unless it is known already, cordoned, or of an unknown type.
+// add appends a machine unless it already reports, is cordoned, was added before or has an
+// unknown type.
 func (p *pendingMachines) add(id, typ, zone string, spot bool) {
 	t, known := p.core.catalog.Lookup(typ)
 	cordoned := p.core.cordons.has(id)
@@ -94,8 +95,8 @@
 	})
 }
 
-// backlog is the time that the fleet, with what is pending, would take for the work without a
-// place.
+// backlog estimates how long the fleet, including pending machines, would need for the unplaced
+// demand that is not best-effort.
 func (c *Core) backlog(demand []scaling.Demand, pending []*placement.Host) time.Duration {
 	work := 0.0
 	for _, d := range demand {
@@ -108,16 +109,16 @@
 		cpus += h.Capacity.CPUs
 	}
 	switch {
-	case cpus == 0 && c.policy.Spot && c.autoscaler.mayHaveSpot(c.catalog, c.now.Steady):
-		return 0 // spot machines first: the next round knows how many come
+	case cpus == 0 && c.policy.Spot && c.autoscaler.mayOfferSpot(c.catalog, c.now.Steady):
+		return 0 // try spot machines first; the next round knows how many were supplied
 	case cpus == 0:
-		return endlessBacklog
+		return unboundedBacklog
 	}
 	return seconds(work / cpus)
 }
 
-// mayHaveSpot tells whether the cloud may have any spot machine.
-func (a *autoscaler) mayHaveSpot(types catalog.Catalog, now time.Duration) bool {
+// mayOfferSpot reports whether any spot offer is not backed off.
+func (a *autoscaler) mayOfferSpot(types catalog.Catalog, now time.Duration) bool {
 	for name, t := range types.All() {
 		for _, zone := range t.Zones {
 			if !a.isBackedOff(offerKey{name, zone, true}, now) {
@@ -128,9 +129,9 @@
 	return false
 }
 
-// offers lists what the cloud has not refused lately. Ordinary machines cost several times as
-// much as spot ones, so they are for work that would be late without them, and for a backlog of
-// several times as long as they take to boot. Guaranteed work need not wait for as long.
+// offers lists the offers that are not backed off. On-demand machines cost several times as much
+// as spot machines, so they are rented only for jobs that would be late without them, or once the
+// backlog is several times their boot time. The threshold is lower for guaranteed jobs.
 func (c *Core) offers(backlog time.Duration) []scaling.Offer {
 	var offers []scaling.Offer
 	for name, t := range c.catalog.All() {
@@ -150,8 +151,8 @@
 	return offers
 }
 
-// minEntitlement is what work needs to have ordinary machines rented, by the backlog in boots
-// of such a machine.
+// minEntitlement is the entitlement that a job needs to have on-demand machines rented, given the
+// backlog and the machine's boot time.
 func minEntitlement(backlog, boot time.Duration) scaling.Entitlement {
 	switch {
 	case backlog >= standardBacklogBoots*boot:
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -8,22 +8,24 @@
 	"pepperlever/internal/core/scaling"
 )
 
-// scheduler is what scheduling keeps between rounds.
+// scheduler is the scheduling state that is kept between rounds.
 type scheduler struct {
-	// dirty is set when something has changed that a round may act on, next is the earliest
-	// time of one.
+	// dirty is set when something has changed that a round may act on. next is the earliest time
+	// of the next round.
 	dirty bool
 	next  time.Duration
-	// claims are the bindings made in this step, which other controllers are to be told of.
+	// claims are the bindings made in this step that are still to be announced to other
+	// controllers.
 	claims []Claim
-	// heldClaims are those of other leaders.
+	// heldClaims tracks the claims announced by other leaders.
 	heldClaims heldClaims
-	// pendingDemand is the demand that found no room in the newest round.
+	// pendingDemand is the demand that could not be placed in the latest round.
 	pendingDemand []scaling.Demand
-	// reservedFor tells what hosts were reserved for in the newest round.
+	// reservedFor maps each reserved host to the resource need it was reserved for in the latest
+	// round.
 	reservedFor  map[string]job.Resources
 	reservations reservations
-	// hostBuffer is used again by the list of hosts of each round.
+	// hostBuffer backs the host list of each round, to avoid reallocating it.
 	hostBuffer []placement.Host
 }
 
@@ -34,28 +36,28 @@
 	}
 }
 
-// quietIntervals is after how many intervals between rounds one is run though nothing has
-// changed.
-const quietIntervals = 10
+// periodicRoundIntervals is the number of round intervals after which a round runs even if
+// nothing has changed.
+const periodicRoundIntervals = 10
 
-// startRound tells whether a round is due now, and if so sets the time of the next.
+// startRound reports whether a round is due, and if so sets the earliest time of the next one.
 func (s *scheduler) startRound(now, interval time.Duration) bool {
 	if now < s.next {
 		return false
 	}
-	if !s.dirty && now < s.next+quietIntervals*interval {
+	if !s.dirty && now < s.next+periodicRoundIntervals*interval {
 		return false
 	}
 	s.next, s.dirty = now+interval, false
 	return true
 }
 
-// requestRound asks for a round of scheduling: something has changed that it may act on.
+// requestRound requests a scheduling round because something has changed that it may act on.
 func (c *Core) requestRound() { c.scheduler.dirty = true }
 
-// schedule runs a round of scheduling when one is due. The plan covers the teams of all
-// controllers in the order of the ranking; this node binds the tasks of the teams that it
-// leads and leaves the room of the others to their leaders.
+// schedule runs a scheduling round if one is due. The round plans for the teams of all
+// controllers, in ranking order. This node binds only the tasks of teams that it leads, and
+// leaves the capacity planned for other teams to their leaders.
 func (c *Core) schedule() {
 	defer c.agents.deliverAll()
 	if !c.replica.loaded || !c.catalog.Loaded() || !c.scheduler.startRound(c.now.Steady, c.reportInterval()/30) {
--- a/internal/core/spot_test.go
+++ b/internal/core/spot_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// restartDelay starts a long task and lets lose act on its machine; it tells how long the
-// task's second start took.
-func restartDelay(t *testing.T, lose func(w *world, f *fakeWorker)) time.Duration {
+// restartDelay starts a long task, lets loseMachine act on its machine, and returns how long it
+// took until the task was started again.
+func restartDelay(t *testing.T, loseMachine func(w *world, f *fakeWorker)) time.Duration {
 	t.Helper()
 	w := newWorld(t).ready()
 	w.submit("a", "req-blue-1", 1, `,"guessS":400.0`)
 	w.started("req-blue-1", 1)
-	w.run(15*time.Second, nil) // the machine is known and listed for long
+	w.run(15*time.Second, nil) // longer than the cloud's list lag
 	w.submit("a", "req-blue-2", 1, `,"guessS":400.0`)
 	w.started("req-blue-2", 1)
 	for _, c := range w.cores {
 		for id := range c.autoscaler.firstSeen {
-			c.autoscaler.firstSeen[id] -= time.Minute // all were rented long ago
+			c.autoscaler.firstSeen[id] -= time.Minute // as if rented a minute earlier
 		}
 	}
 	for _, f := range w.workers {
 		for _, task := range f.Tasks {
 			if task.Task == "req-blue-2/0" {
-				lose(w, f)
+				loseMachine(w, f)
 			}
 		}
 	}
@@ -32,35 +32,35 @@
 	return w.now - from
 }
 
-// TestTasksOfAReclaimedMachineRestartElsewhereAtOnce checks that the notice of a machine's end is
-// enough: its silence is not waited for.
-func TestTasksOfAReclaimedMachineRestartElsewhereAtOnce(t *testing.T) {
-	late := restartDelay(t, func(w *world, f *fakeWorker) {
+// TestTasksOfReclaimedMachineRestartImmediately checks that after a reclaim notice tasks restart
+// without waiting for the machine's silence limit.
+func TestTasksOfReclaimedMachineRestartImmediately(t *testing.T) {
+	delay := restartDelay(t, func(w *world, f *fakeWorker) {
 		notice := 1.0
 		f.NoticeS = &notice
 		w.report(f)
 		f.dead = true
 	})
-	if limit := 4 * time.Second; late > limit {
-		t.Errorf("took %v", late)
+	if limit := 4 * time.Second; delay > limit {
+		t.Errorf("restart took %v, want at most 4s", delay)
 	}
 }
 
-// TestTaskThatCannotEndBeforeReclaimMovesAtOnce checks that a task that would be cut short is
-// moved while its machine still runs.
-func TestTaskThatCannotEndBeforeReclaimMovesAtOnce(t *testing.T) {
-	late := restartDelay(t, func(w *world, f *fakeWorker) {
+// TestTaskThatCannotFinishBeforeReclaimMovesImmediately checks that a task that cannot finish
+// before its machine is reclaimed is moved while the machine still runs.
+func TestTaskThatCannotFinishBeforeReclaimMovesImmediately(t *testing.T) {
+	delay := restartDelay(t, func(w *world, f *fakeWorker) {
 		notice := 30.0
 		f.NoticeS = &notice
 		w.report(f)
 	})
-	if limit := 4 * time.Second; late > limit {
-		t.Errorf("took %v", late)
+	if limit := 4 * time.Second; delay > limit {
+		t.Errorf("restart took %v, want at most 4s", delay)
 	}
 }
 
-// TestUnlistedSilentMachineIsReturnedSooner checks that without a notice the cloud's list tells
-// sooner than the machine's silence.
+// TestUnlistedSilentMachineIsReturnedSooner checks that without a reclaim notice a silent machine
+// that is missing from the cloud's list is returned sooner than one that is still listed.
 func TestUnlistedSilentMachineIsReturnedSooner(t *testing.T) {
 	hung := restartDelay(t, func(_ *world, f *fakeWorker) { f.dead = true })
 	taken := restartDelay(t, func(w *world, f *fakeWorker) {
@@ -68,6 +68,6 @@
 		w.unlisted = f.Machine
 	})
 	if taken >= hung {
-		t.Errorf("a machine that is gone took %v, one that hangs %v", taken, hung)
+		t.Errorf("restart took %v for a reclaimed machine, want less than the %v for a hanging one", taken, hung)
 	}
 }
--- a/internal/core/team.go
+++ b/internal/core/team.go
@@ -11,16 +11,17 @@
 	"pepperlever/internal/settings"
 )
 
-// team is what is known of a team, whichever controller leads it.
+// team is the state of a team, whichever controller leads it.
 type team struct {
 	settings.Team
 	shard
-	// record is the newest known record of use; ranked is the one last exchanged, by which all
-	// controllers rank alike.
+	// record is the latest known usage record. ranked is the one last exchanged, which all
+	// controllers use so that their rankings agree.
 	record, ranked fairness.Record
 	jobs           map[string]*job.Job
 }
 
+// newTeam returns a team without jobs or a leader.
 func newTeam(t settings.Team) *team {
 	return &team{
 		Team:  t,
@@ -29,18 +30,19 @@
 	}
 }
 
+// addTeam registers a team from the settings.
 func (c *Core) addTeam(t *team) {
 	c.teams = append(c.teams, t)
 	c.teamBy[t.Name] = t
 }
 
-// leads tells whether this node leads the job's team.
+// leads reports whether this node leads the job's team.
 func (c *Core) leads(j *job.Job) bool {
 	t := c.teamBy[j.Team]
 	return t != nil && t.leading
 }
 
-// usageTxn stores a team's record of use while this node leads it.
+// usageTxn is the transaction that stores a team's usage record while this node leads the team.
 func (t *team) usageTxn() protocol.Txn {
 	return protocol.Txn{
 		If:   []protocol.Condition{t.leaderCondition()},
@@ -48,7 +50,7 @@
 	}
 }
 
-// onUsageRecordPut takes the record of use that a team's leader has stored.
+// onUsageRecordPut applies a usage record that a team's leader has stored.
 func (c *Core) onUsageRecordPut(item protocol.KeyValue) error {
 	name, err := parseTeamPart(strings.TrimPrefix(item.Key, keyRecord))
 	if err != nil {
--- a/internal/core/unschedulable.go
+++ b/internal/core/unschedulable.go
@@ -6,37 +6,38 @@
 	"pepperlever/internal/core/job"
 )
 
-// maxUnschedulable bounds an unschedulableSet.
+// maxUnschedulable bounds the size of an unschedulableSet.
 const maxUnschedulable = 32
 
-// unschedulableSet lists the needs that found no room in a round. Room only gets less while
-// a round goes on, so a job that asks for as much or more under the same conditions need not
-// be weighed against every machine again, which matters when very many jobs wait.
+// unschedulableSet lists the resource needs that could not be placed in a round. Free capacity
+// only shrinks during a round, so a job that needs at least as much under the same constraints
+// can be skipped without evaluating every machine, which matters when many jobs are pending.
 type unschedulableSet []unschedulableNeed
 
-// unschedulableNeed is what found no room, on spot machines only or on any.
+// unschedulableNeed is a need that could not be placed, either on spot machines only or on any
+// machine.
 type unschedulableNeed struct {
 	spec     *job.Spec
 	spotOnly bool
 }
 
-// isPlainArray tells whether all that matters for a place is in the job itself, and not where
-// its other tasks are or have failed.
-func isPlainArray(j *job.Job) bool {
+// isUnconstrainedArray reports whether placement of a job depends only on its own spec, and not
+// on where its other tasks run or have failed.
+func isUnconstrainedArray(j *job.Job) bool {
 	return j.Kind == job.Array && !j.OneZone && !j.Spread && len(j.FailedOn) == 0
 }
 
-// add notes that a job found no room.
+// add records that a job could not be placed.
 func (s *unschedulableSet) add(j *job.Job, spotOnly bool) {
-	if isPlainArray(j) && len(*s) < maxUnschedulable {
+	if isUnconstrainedArray(j) && len(*s) < maxUnschedulable {
 		*s = append(*s, unschedulableNeed{&j.Spec, spotOnly})
 	}
 }
 
-// covers tells whether a job cannot find room either, given the needs that hosts were reserved
-// for before the round.
+// covers reports whether a job cannot be placed either. reserved holds the needs that hosts were
+// reserved for in the previous round.
 func (s unschedulableSet) covers(j *job.Job, spotOnly bool, reserved map[job.Resources]bool) bool {
-	if !isPlainArray(j) {
+	if !isUnconstrainedArray(j) {
 		return false
 	}
 	return slices.ContainsFunc(s, func(n unschedulableNeed) bool {
@@ -44,9 +45,10 @@
 	})
 }
 
-// covers tells whether a job asks for as much or more under the same conditions. The room on
-// hosts that are reserved for tasks of the job's size, and not for those of the other, says
-// nothing of it, nor does room with accelerators that is reserved for what asks for them.
+// covers reports whether a job needs at least as much under the same constraints. Hosts reserved
+// for tasks of the job's size but not of the recorded size may still have capacity for the job,
+// and so may hosts reserved for GPU jobs if only the job needs GPUs; in both cases it is not
+// covered.
 func (n unschedulableNeed) covers(j *job.Job, spotOnly bool, reserved map[job.Resources]bool) bool {
 	for need := range reserved {
 		if need.Fits(j.Need) && !need.Fits(n.spec.Need) {
--- a/internal/core/usagerecords.go
+++ b/internal/core/usagerecords.go
@@ -9,11 +9,11 @@
 	"pepperlever/internal/core/worker"
 )
 
-// usageRecordInterval is how often usage records are exchanged, as the design says.
+// usageRecordInterval is how often controllers exchange usage records.
 const usageRecordInterval = 2 * time.Second
 
-// updateUsageRecords adds the time since the last step to the records of the teams that this
-// node leads.
+// updateUsageRecords integrates usage and demand since the last update into the records of the
+// teams that this node leads.
 func (c *Core) updateUsageRecords() {
 	elapsed := c.now.Steady - c.timers.usageUpdated
 	if elapsed < usageRecordInterval/8 {
@@ -28,12 +28,13 @@
 		}
 		usage := t.usage()
 		demand := usage.Plus(c.waitingResources(t), 1)
-		counted := min(elapsed, usageRecordInterval).Seconds()
-		t.record.Advance(window, counted, vector(usage), vector(demand), shares[i])
+		integrated := min(elapsed, usageRecordInterval).Seconds()
+		t.record.Advance(window, integrated, resourceVector(usage), resourceVector(demand), shares[i])
 	}
 }
 
-// storeUsageRecords stores the records of led teams, so that a crash does not lose them.
+// storeUsageRecords stores the records of the teams that this node leads, so that they survive a
+// crash.
 func (c *Core) storeUsageRecords() {
 	for _, t := range c.teams {
 		if t.leading && c.storeOK {
@@ -42,12 +43,12 @@
 	}
 }
 
-// vector is an amount of resources as the ranking of the teams counts it.
-func vector(r job.Resources) fairness.Vector {
+// resourceVector converts resources to the vector used for ranking teams.
+func resourceVector(r job.Resources) fairness.Vector {
 	return fairness.Vector{r.CPUs, r.GPUs, r.MemoryGB}
 }
 
-// teamWeights are the guarantees of the teams, in CPUs.
+// teamWeights returns the guarantees of the teams, in CPUs.
 func teamWeights(teams []*team) []float64 {
 	weights := make([]float64, len(teams))
 	for i, t := range teams {
@@ -56,16 +57,16 @@
 	return weights
 }
 
-// totalCapacity is what all known machines have together.
+// totalCapacity is the combined capacity of all known machines.
 func totalCapacity(machines *worker.Registry, types catalog.Catalog) fairness.Vector {
 	var sum job.Resources
 	for _, name := range machines.Names() {
 		sum = sum.Plus(types.Capacity(machines.Get(name).Type), 1)
 	}
-	return vector(sum)
+	return resourceVector(sum)
 }
 
-// usage is what the bound tasks of a team take.
+// usage is the sum of the resources that the team's bound tasks take.
 func (t *team) usage() job.Resources {
 	var sum job.Resources
 	for _, j := range t.jobs {
@@ -74,7 +75,8 @@
 	return sum
 }
 
-// waitingResources is what the tasks of a team that may be placed now ask for.
+// waitingResources is the sum of the resources requested by the team's tasks that may be placed
+// now.
 func (c *Core) waitingResources(t *team) job.Resources {
 	var sum job.Resources
 	for _, j := range t.jobs {
