--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,8 @@
-// Package client submits jobs to pepperlever, follows and cancels them.
+// Package client submits, monitors and cancels pepperlever jobs.
 //
-// It keeps to the protocol's rules for users: a request without a clear answer is
-// repeated under the same id for up to a minute, after a second or as long as the
-// controller asks for. Repeating is safe, since a job's id makes it one job.
+// It follows the protocol's retry rules for users: a request without a definite response is
+// retried with the same id for up to a minute, after a second or the delay that the controller
+// asks for. Retrying is safe because a job's id makes its submission idempotent.
 package client
 
 import (
@@ -30,105 +30,106 @@
 	Cancelled = protocol.Cancelled
 )
 
-// State is a job as a controller last told. DoneTasks and RunningTasks count
-// tasks, for display.
+// State is a job's state as last reported by a controller. DoneTasks and RunningTasks are
+// meant for display only.
 type State struct {
 	ID           string `json:"id"`
 	State        string `json:"state"`
 	DoneTasks    int    `json:"done"`
 	RunningTasks int    `json:"running"`
-	// Awaits names the jobs that have to be done before this one begins.
+	// Awaits lists the jobs that have to be done before this one starts.
 	Awaits []string `json:"awaits,omitempty"`
 }
 
-// Final tells whether the job has ended; a final state never changes.
+// Final reports whether the job has ended. A final state never changes.
 func (s State) Final() bool { return s.State == Done || s.State == Cancelled }
 
-// RefusedError is a request that is not worth repeating: malformed (400), or for a
-// job that can never run (422).
+// RefusedError reports a request that must not be retried, because it is malformed (400) or
+// the job can never run (422).
 type RefusedError struct {
 	Status int
 	Reason string
 }
 
-// Error tells the status and the site's reason.
+// Error returns the status and the site's reason.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused (%d): %s", e.Status, e.Reason) }
 
-// UnreachableError is a request without a clear answer after all tries. Whether a
-// submission or cancellation was carried out is not known; repeating it tells.
+// UnreachableError reports a request that got no definite response in all attempts. A
+// submission or cancellation may have been executed or not; it is safe to repeat it.
 type UnreachableError struct {
 	Tries int
 	Last  error
 }
 
-// Error tells how many tries were made, and the last one's error.
+// Error returns the number of attempts and the error of the last one.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("no clear answer in %d tries: %v", e.Tries, e.Last)
+	return fmt.Sprintf("no definite response after %d attempts: %v", e.Tries, e.Last)
 }
 
-// Unwrap gives the error of the last try.
+// Unwrap returns the error of the last attempt.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// ErrNotFound means that no such job was ever accepted.
+// ErrNotFound reports that no job with the given id was ever accepted.
 var ErrNotFound = errors.New("no such job")
 
-// Client speaks to one site. It may be used by several goroutines.
+// Client sends requests to one site. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 
 	mu      sync.Mutex
 	targets *retry.Targets
 
-	// now and sleep are the clock; tests bring their own.
+	// now and sleep are the clock, which tests replace.
 	now   func() time.Duration
 	sleep func(ctx context.Context, d time.Duration) error
 }
 
-// New makes a client for a site's addresses (host:port), which are tried in turn.
+// New returns a client for a site's addresses (host:port). A request that fails at one is
+// retried at the next.
 func New(addresses ...string) (*Client, error) {
 	if len(addresses) == 0 {
-		return nil, errors.New("client: no address")
+		return nil, errors.New("client: no addresses given")
 	}
 	start := time.Now()
 	return &Client{http: &http.Client{}, targets: retry.NewTargets(addresses),
 		now: func() time.Duration { return time.Since(start) }, sleep: sleep}, nil
 }
 
+// sleep waits for d, or returns the error of ctx if it ends before.
 func sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Submit hands a job in and returns its state: pending when it is new, or the
-// current one when the site knows it already. Errors are *RefusedError,
-// *UnreachableError or that of ctx.
+// Submit submits a job and returns its state: pending if it is new, otherwise the current one.
+// It returns a *RefusedError, an *UnreachableError or the error of ctx.
 func (c *Client) Submit(ctx context.Context, j Job) (State, error) {
 	body, err := json.Marshal(j.submission())
 	if err != nil {
 		return State{}, err
 	}
-	return c.requestJob(ctx, retry.Change, http.MethodPost, protocol.PathJobs, body)
+	return c.requestJob(ctx, retry.ChangePolicy, http.MethodPost, protocol.PathJobs, body)
 }
 
-// Status asks for a job's state. Errors are ErrNotFound, *UnreachableError or that
-// of ctx.
+// Status returns a job's state. It returns ErrNotFound, an *UnreachableError or the error of
+// ctx.
 func (c *Client) Status(ctx context.Context, id string) (State, error) {
-	return c.requestJob(ctx, retry.Poll, http.MethodGet, protocol.PathJobs+"/"+url.PathEscape(id), nil)
+	return c.requestJob(ctx, retry.PollPolicy, http.MethodGet, protocol.PathJobs+"/"+url.PathEscape(id), nil)
 }
 
-// Cancel withdraws a job. The state that it returns is cancelled, or done when the
-// job was done before. Errors are those of Status.
+// Cancel cancels a job. The returned state is cancelled, or done if the job had completed
+// before. It returns the same errors as Status.
 func (c *Client) Cancel(ctx context.Context, id string) (State, error) {
-	return c.requestJob(ctx, retry.Change, http.MethodPost, protocol.PathJobs+"/"+url.PathEscape(id)+"/"+protocol.PathCancel, nil)
+	return c.requestJob(ctx, retry.ChangePolicy, http.MethodPost, protocol.PathJobs+"/"+url.PathEscape(id)+"/"+protocol.PathCancel, nil)
 }
 
-// Row is a job in a list.
+// Row is an entry of the list that Jobs returns.
 type Row struct {
 	ID       string `json:"id"`
 	State    string `json:"state"`
@@ -138,22 +139,22 @@
 	Tasks    int    `json:"tasks"`
 	Done     int    `json:"done"`
 	Running  int    `json:"running"`
-	// Awaits names the jobs that have to be done before this one begins.
+	// Awaits lists the jobs that have to be done before this one starts.
 	Awaits []string `json:"awaits,omitempty"`
 }
 
-// Jobs lists the jobs that have not ended, by id, as one controller last heard of
-// them: jobs may come and go between the pages. Errors are those of Status.
+// Jobs returns the jobs that have not ended, ordered by id. The pages it reads are no
+// consistent snapshot: jobs may start and end in between. It returns the same errors as Status.
 func (c *Client) Jobs(ctx context.Context) ([]Row, error) {
 	out := []Row{}
 	for after := ""; ; {
-		answer, err := c.request(ctx, retry.Poll, http.MethodGet, protocol.PathList+"?"+url.Values{protocol.ArgAfter: {after}}.Encode(), nil)
+		response, err := c.request(ctx, retry.PollPolicy, http.MethodGet, protocol.PathList+"?"+url.Values{protocol.ArgAfter: {after}}.Encode(), nil)
 		if err != nil {
 			return nil, err
 		}
 		var page protocol.JobList
-		if err := json.Unmarshal(answer, &page); err != nil {
-			return nil, fmt.Errorf("answer is not understood: %w", err)
+		if err := json.Unmarshal(response, &page); err != nil {
+			return nil, fmt.Errorf("invalid response: %w", err)
 		}
 		for _, r := range page.Jobs {
 			out = append(out, Row{r.ID, r.State, r.Team, r.Class, r.Priority, r.Tasks, r.Done, r.Running, r.Awaits})
@@ -165,22 +166,22 @@
 	}
 }
 
-// pollInterval is how often Wait asks for a job's state.
+// pollInterval is how often Wait polls a job's state.
 const pollInterval = 2 * time.Second
 
-// Wait follows a job to its end. told, if not nil, takes each state on the way.
-// While no controller answers it goes on asking until ctx ends.
-func (c *Client) Wait(ctx context.Context, id string, told func(State)) (State, error) {
+// Wait polls a job until it has ended and returns its final state. onState, if not nil, is
+// called with each state. While no controller responds it keeps polling until ctx ends.
+func (c *Client) Wait(ctx context.Context, id string, onState func(State)) (State, error) {
 	for {
 		s, err := c.Status(ctx, id)
-		var out *UnreachableError
+		var unreachable *UnreachableError
 		switch {
-		case errors.As(err, &out): // the job goes on without an answer
+		case errors.As(err, &unreachable): // the job may still be running, so keep polling
 		case err != nil:
 			return s, err
 		default:
-			if told != nil {
-				told(s)
+			if onState != nil {
+				onState(s)
 			}
 			if s.Final() {
 				return s, nil
@@ -192,65 +193,66 @@
 	}
 }
 
-// request repeats a request until its answer is clear.
-func (c *Client) request(ctx context.Context, rules retry.Rules, method, path string, body []byte) ([]byte, error) {
+// request sends a request until it gets a definite response or the retry policy gives up.
+func (c *Client) request(ctx context.Context, policy retry.Policy, method, path string, body []byte) ([]byte, error) {
 	started := c.now()
 	for tries := 1; ; tries++ {
 		c.mu.Lock()
 		target := c.targets.Pick(c.now())
 		c.mu.Unlock()
-		out, answer, err := c.try(ctx, rules.AnswerTimeout, method, "http://"+target+path, body)
+		outcome, response, err := c.attempt(ctx, policy.AttemptTimeout, method, "http://"+target+path, body)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		now := c.now()
 		c.mu.Lock()
-		c.targets.Record(now, target, out)
+		c.targets.Record(now, target, outcome)
 		c.mu.Unlock()
-		verdict, pause := rules.Next(started, now, out)
-		switch verdict {
+		decision, delay := policy.Next(started, now, outcome)
+		switch decision {
 		case retry.Answered:
-			return answer, answerError(out.Status, answer)
+			return response, responseError(outcome.Status, response)
 		case retry.GiveUp:
 			return nil, &UnreachableError{Tries: tries, Last: err}
 		}
-		if err := c.sleep(ctx, pause); err != nil {
+		if err := c.sleep(ctx, delay); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// answerError is the error of an answer that settles the request for ill, or nil.
-func answerError(status int, answer []byte) error {
+// responseError returns the error for a definite response, or nil if it reports success.
+func responseError(status int, response []byte) error {
 	switch {
 	case status == http.StatusNotFound:
 		return ErrNotFound
 	case status >= http.StatusBadRequest:
 		var p protocol.Problem
-		if json.Unmarshal(answer, &p) != nil {
-			p.Error = "without a reason"
+		if json.Unmarshal(response, &p) != nil {
+			p.Error = "no reason given"
 		}
 		return &RefusedError{Status: status, Reason: p.Error}
 	}
 	return nil
 }
 
-// requestJob asks for something whose answer is the state of a job.
-func (c *Client) requestJob(ctx context.Context, rules retry.Rules, method, path string, body []byte) (State, error) {
-	answer, err := c.request(ctx, rules, method, path, body)
+// requestJob sends a request whose response is the state of a job.
+func (c *Client) requestJob(ctx context.Context, policy retry.Policy, method, path string, body []byte) (State, error) {
+	response, err := c.request(ctx, policy, method, path, body)
 	if err != nil {
 		return State{}, err
 	}
 	var s protocol.JobState
-	if err := json.Unmarshal(answer, &s); err != nil {
-		return State{}, fmt.Errorf("answer is not understood: %w", err)
+	if err := json.Unmarshal(response, &s); err != nil {
+		return State{}, fmt.Errorf("invalid response: %w", err)
 	}
 	return State{ID: s.ID, State: s.State, DoneTasks: s.Done, RunningTasks: s.Running, Awaits: s.Awaits}, nil
 }
 
-// try sends a request once. err tells why there is no good answer.
-func (c *Client) try(ctx context.Context, wait time.Duration, method, address string, body []byte) (retry.Outcome, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// attempt sends a request once. The error describes the failure or the response's status,
+// for use if the policy gives up; it is not nil even if the response is a success.
+func (c *Client) attempt(ctx context.Context, timeout time.Duration, method, address string, body []byte) (retry.Outcome, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
@@ -261,13 +263,13 @@
 		return retry.Outcome{}, nil, err
 	}
 	defer res.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(res.Body, protocol.MaxBody))
+	response, err := io.ReadAll(io.LimitReader(res.Body, protocol.MaxBody))
 	if err != nil {
 		return retry.Outcome{}, nil, err
 	}
-	out := retry.Outcome{Status: res.StatusCode}
-	if s, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil && s > 0 {
-		out.RetryAfter = time.Duration(s) * time.Second
+	outcome := retry.Outcome{Status: res.StatusCode}
+	if secs, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil && secs > 0 {
+		outcome.RetryAfter = time.Duration(secs) * time.Second
 	}
-	return out, answer, fmt.Errorf("%s answers %d", req.URL.Host, res.StatusCode)
+	return outcome, response, fmt.Errorf("%s responded with status %d", req.URL.Host, res.StatusCode)
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -14,21 +14,23 @@
 	"time"
 )
 
-// site is a scripted site against a fake clock: each try takes the next answer,
-// "cut" for none, or a status with an optional Retry-After as in "503:7".
-type site struct {
-	answers []string
-	body    string
-	now     time.Duration
-	asked   []string
-	paused  []time.Duration
+// fakeSite is a transport with scripted responses and a fake clock. Each attempt takes the
+// next response: "cut" for a connection error, or a status with an optional Retry-After, as
+// in "503:7".
+type fakeSite struct {
+	responses []string
+	body      string
+	now       time.Duration
+	requests  []string
+	delays    []time.Duration
 }
 
-func (s *site) RoundTrip(r *http.Request) (*http.Response, error) {
-	s.asked = append(s.asked, r.Method+" "+r.URL.Host+r.URL.Path)
+// RoundTrip records the request and returns the next scripted response.
+func (s *fakeSite) RoundTrip(r *http.Request) (*http.Response, error) {
+	s.requests = append(s.requests, r.Method+" "+r.URL.Host+r.URL.Path)
 	next := "cut"
-	if len(s.answers) > 0 {
-		next, s.answers = s.answers[0], s.answers[1:]
+	if len(s.responses) > 0 {
+		next, s.responses = s.responses[0], s.responses[1:]
 	}
 	if next == "cut" {
 		return nil, errors.New("connection refused")
@@ -44,7 +46,8 @@
 	return res, nil
 }
 
-func (s *site) client(t *testing.T, addresses ...string) *Client {
+// client returns a Client that uses s as its transport and clock.
+func (s *fakeSite) client(t *testing.T, addresses ...string) *Client {
 	t.Helper()
 	c, err := New(addresses...)
 	if err != nil {
@@ -54,13 +57,13 @@
 	c.now = func() time.Duration { return s.now }
 	c.sleep = func(ctx context.Context, d time.Duration) error {
 		s.now += d
-		s.paused = append(s.paused, d)
+		s.delays = append(s.delays, d)
 		return ctx.Err()
 	}
 	return c
 }
 
-func TestSubmissionIsRepeatedByTheProtocolsRules(t *testing.T) {
+func TestSubmitRetriesUntilDefiniteResponse(t *testing.T) {
 	seconds := func(n ...time.Duration) (out []time.Duration) {
 		for _, s := range n {
 			out = append(out, s*time.Second)
@@ -68,72 +71,72 @@
 		return out
 	}
 	for name, c := range map[string]struct {
-		answers []string
-		paused  []time.Duration
-		status  int // of the refusal; 0 for none
-		lost    bool
+		responses   []string
+		delays      []time.Duration
+		status      int // of the refusal, or 0 if the submission is not refused
+		unreachable bool
 	}{
-		"accepted at once":                {answers: []string{"201"}},
-		"known already":                   {answers: []string{"200"}},
-		"malformed is not repeated":       {answers: []string{"400"}, status: 400},
-		"never runs is not repeated":      {answers: []string{"422"}, status: 422},
-		"busy, then accepted":             {answers: []string{"503", "429", "504", "500", "201"}, paused: seconds(1, 1, 1, 1)},
-		"no answer, then accepted":        {answers: []string{"cut", "201"}, paused: seconds(1)},
-		"asked to come back later":        {answers: []string{"503:7", "201"}, paused: seconds(7)},
-		"asked for too much":              {answers: []string{"503:900", "201"}, paused: seconds(30)},
-		"asked to come back sooner":       {answers: []string{"503:0", "201"}, paused: seconds(1)},
-		"the minute is over":              {answers: []string{"503:25", "503:25", "503:25"}, paused: seconds(25, 25), lost: true},
-		"a pause that would end too late": {answers: []string{"503:30", "503:29", "503:2"}, paused: seconds(30, 29), lost: true},
+		"accepted at once":                      {responses: []string{"201"}},
+		"already known":                         {responses: []string{"200"}},
+		"malformed is not retried":              {responses: []string{"400"}, status: 400},
+		"job that can never run is not retried": {responses: []string{"422"}, status: 422},
+		"busy, then accepted":                   {responses: []string{"503", "429", "504", "500", "201"}, delays: seconds(1, 1, 1, 1)},
+		"no response, then accepted":            {responses: []string{"cut", "201"}, delays: seconds(1)},
+		"Retry-After longer than the minimum":   {responses: []string{"503:7", "201"}, delays: seconds(7)},
+		"Retry-After longer than the maximum":   {responses: []string{"503:900", "201"}, delays: seconds(30)},
+		"Retry-After shorter than the minimum":  {responses: []string{"503:0", "201"}, delays: seconds(1)},
+		"retry time elapsed":                    {responses: []string{"503:25", "503:25", "503:25"}, delays: seconds(25, 25), unreachable: true},
+		"delay would end too late":              {responses: []string{"503:30", "503:29", "503:2"}, delays: seconds(30, 29), unreachable: true},
 	} {
-		s := &site{answers: c.answers, body: `{"uid":"req-1","stance":"pending","error":"why"}`}
+		s := &fakeSite{responses: c.responses, body: `{"uid":"req-1","stance":"pending","error":"why"}`}
 		got, err := s.client(t, "a").Submit(t.Context(), Job{ID: "req-1"})
 		var refused *RefusedError
-		var lost *UnreachableError
+		var unreachable *UnreachableError
 		switch {
 		case c.status != 0 && (!errors.As(err, &refused) || refused.Status != c.status || refused.Reason != "why"):
-			t.Errorf("%s: got %v", name, err)
-		case c.lost && (!errors.As(err, &lost) || lost.Tries != len(c.answers)):
-			t.Errorf("%s: got %v", name, err)
-		case c.status == 0 && !c.lost && (err != nil || got.State != Pending):
-			t.Errorf("%s: got %v, %v", name, got, err)
+			t.Errorf("%s: got %v, want a refusal with the expected status", name, err)
+		case c.unreachable && (!errors.As(err, &unreachable) || unreachable.Tries != len(c.responses)):
+			t.Errorf("%s: got %v, want an UnreachableError after all attempts", name, err)
+		case c.status == 0 && !c.unreachable && (err != nil || got.State != Pending):
+			t.Errorf("%s: got %v, %v, want a pending job", name, got, err)
 		}
-		if fmt.Sprint(s.paused) != fmt.Sprint(c.paused) {
-			t.Errorf("%s: paused %v, want %v", name, s.paused, c.paused)
+		if fmt.Sprint(s.delays) != fmt.Sprint(c.delays) {
+			t.Errorf("%s: got delays %v, want %v", name, s.delays, c.delays)
 		}
 	}
 }
 
-func TestWaitGoesOnWhileNobodyAnswers(t *testing.T) {
-	s := &site{answers: []string{"200"}, body: `{"uid":"req-1","stance":"running","running":2}`}
+func TestWaitContinuesWhileSiteIsUnreachable(t *testing.T) {
+	s := &fakeSite{responses: []string{"200"}, body: `{"uid":"req-1","stance":"running","running":2}`}
 	c := s.client(t, "a")
-	told := 0
+	states := 0
 	got, err := c.Wait(t.Context(), "req-1", func(State) {
-		if told++; told == 1 {
-			for range 70 { // more than a minute
-				s.answers = append(s.answers, "cut")
+		if states++; states == 1 {
+			for range 70 { // longer than one request is retried
+				s.responses = append(s.responses, "cut")
 			}
-			s.answers = append(s.answers, "200")
+			s.responses = append(s.responses, "200")
 			s.body = `{"uid":"req-1","stance":"cancelled"}`
 		}
 	})
-	if err != nil || got.State != Cancelled || told != 2 {
-		t.Errorf("got %v, %v after %d states", got, err, told)
+	if err != nil || got.State != Cancelled || states != 2 {
+		t.Errorf("got %v, %v after %d states, want cancelled after 2", got, err, states)
 	}
 }
 
-func TestCallersEndAndUnknownJobsAreToldApart(t *testing.T) {
-	s := &site{answers: []string{"404"}}
+func TestNotFoundAndContextErrors(t *testing.T) {
+	s := &fakeSite{responses: []string{"404"}}
 	if _, err := s.client(t, "a").Cancel(t.Context(), "req-1"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrNotFound", err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if _, err := (&site{}).client(t, "a").Status(ctx, "req-1"); !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+	if _, err := (&fakeSite{}).client(t, "a").Status(ctx, "req-1"); !errors.Is(err, context.Canceled) {
+		t.Errorf("got %v, want context.Canceled", err)
 	}
 }
 
-func TestJobFilesAreChecked(t *testing.T) {
+func TestLoadJobRejectsUnknownKeys(t *testing.T) {
 	for text, want := range map[string]string{
 		"x.toml\nteam = \"red\"\ntasks = 3\nawaits = [\"req-1\"]\n": "",
 		"x.toml\nteem = \"red\"\n":                                  "line 1: unknown key",
@@ -148,9 +151,9 @@
 		j, err := LoadJob(path)
 		switch {
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
-			t.Errorf("%s: got %v", body, err)
+			t.Errorf("%s: got %v, want an error that contains the expected text", body, err)
 		case want == "" && (err != nil || j.Fill() != nil || j.Tasks != 3 || j.Kind != Array || !strings.HasPrefix(j.ID, "req-")):
-			t.Errorf("%s: got %+v, %v", body, j, err)
+			t.Errorf("%s: got %+v, %v, want a job with 3 tasks and defaults", body, j, err)
 		}
 	}
 }
--- a/client/job.go
+++ b/client/job.go
@@ -15,17 +15,18 @@
 
 // Kinds of jobs.
 const (
-	// Array is independent tasks, each of which runs to its end.
+	// Array is a job of independent tasks, each of which runs to completion.
 	Array = "array"
-	// Gang is tasks that all run at the same time or not at all.
+	// Gang is a job whose tasks run all at the same time or not at all.
 	Gang = "gang"
-	// Service is tasks that run until the job is cancelled.
+	// Service is a job whose tasks run until the job is cancelled.
 	Service = "service"
 )
 
-// Job describes a job. Zero values of what has a default are replaced by Fill.
+// Job describes a job. Fill replaces the zero values of fields that have a default.
 type Job struct {
-	// ID makes the job one job however often it is submitted; empty: Fill draws one.
+	// ID identifies the job, so that submitting it repeatedly has no further effect. If it is
+	// empty, Fill generates one.
 	ID    string `toml:"id" json:"id"`
 	Class string `toml:"class" json:"class"`
 	Team  string `toml:"team" json:"team"`
@@ -33,40 +34,40 @@
 	Kind string `toml:"kind" json:"kind"`
 	// Priority is critical, urgent, normal (default) or low.
 	Priority string `toml:"priority" json:"priority"`
-	// Tasks is how many tasks there are, 1 by default.
+	// Tasks is the number of tasks, 1 by default.
 	Tasks int `toml:"tasks" json:"tasks"`
-	// CPUs, GPUs and MemoryGB are what each task takes of its machine; 1 CPU and
-	// 1 GB by default.
+	// CPUs, GPUs and MemoryGB are the resources that each task reserves. The default is 1 CPU,
+	// unless GPUs is set, and 1 GB.
 	CPUs     float64 `toml:"cpus" json:"cpus"`
 	GPUs     float64 `toml:"gpus" json:"gpus"`
 	MemoryGB float64 `toml:"memory_gb" json:"memory_gb"`
-	// Image is what a machine must have before a task can start, of ImageGB.
+	// Image is the image that a machine must fetch before a task can start, ImageGB its size.
 	Image   string  `toml:"image" json:"image"`
 	ImageGB float64 `toml:"image_gb" json:"image_gb"`
-	// Types are the allowed machine types, empty for any; Zone the only allowed
-	// zone, empty for any.
+	// Types lists the allowed machine types and Zone names the only allowed zone; empty allows
+	// any.
 	Types []string `toml:"types" json:"types"`
 	Zone  string   `toml:"zone" json:"zone"`
-	// OneZone puts all tasks into one zone, Spread at most half of them.
+	// OneZone places all tasks in one zone; Spread places at most half of them in any zone.
 	OneZone bool `toml:"one_zone" json:"one_zone"`
 	Spread  bool `toml:"spread" json:"spread"`
-	// Spot allows machines that may be taken back at any moment.
+	// Spot allows spot machines, which the cloud can reclaim at any time.
 	Spot bool `toml:"spot" json:"spot"`
-	// EstimateS is the guessed run time of a task in seconds, DeadlineS when the
-	// job should be complete, from its submission; 0: no deadline.
+	// EstimateS is the estimated run time of a task in seconds. DeadlineS is the number of
+	// seconds after submission by which the job should be complete, or 0 for no deadline.
 	EstimateS float64 `toml:"estimate_s" json:"estimate_s"`
 	DeadlineS float64 `toml:"deadline_s" json:"deadline_s"`
-	// Awaits names jobs that have to be done before any task of this one starts. Where one
-	// of them is cancelled, so is this one.
+	// Awaits lists jobs that have to be done before any task of this one starts. If one of
+	// them is cancelled, so is this one.
 	Awaits []string `toml:"awaits" json:"awaits"`
-	// CheckpointS is after how much progress a task saves by itself, 0: never;
-	// SaveS how long it takes to save when it is stopped.
+	// CheckpointS is the seconds of progress between a task's checkpoints, or 0 for none.
+	// SaveS is the time that a task needs to save when it is stopped.
 	CheckpointS float64 `toml:"checkpoint_s" json:"checkpoint_s"`
 	SaveS       float64 `toml:"save_s" json:"save_s"`
 }
 
-// LoadJob reads a job from a TOML file, or a JSON one when its name ends in .json.
-// Unknown keys are errors.
+// LoadJob reads a job from a TOML file, or from a JSON file if its name ends in .json. An
+// unknown key is an error.
 func LoadJob(path string) (Job, error) {
 	var j Job
 	if !strings.HasSuffix(path, ".json") {
@@ -85,17 +86,17 @@
 	return j, nil
 }
 
-// Fill replaces zero values by defaults, and draws an id where there is none.
+// Fill replaces zero values with defaults and generates an id if there is none.
 func (j *Job) Fill() error {
-	setText := func(v *string, to string) {
-		if *v == "" {
-			*v = to
+	setDefault := func(field *string, value string) {
+		if *field == "" {
+			*field = value
 		}
 	}
-	setText(&j.Kind, Array)
-	setText(&j.Priority, "normal")
-	setText(&j.Class, "default")
-	setText(&j.Image, "none")
+	setDefault(&j.Kind, Array)
+	setDefault(&j.Priority, "normal")
+	setDefault(&j.Class, "default")
+	setDefault(&j.Image, "none")
 	if j.Tasks == 0 {
 		j.Tasks = 1
 	}
@@ -115,12 +116,13 @@
 	return nil
 }
 
-// kinds are the names of kinds on the wire.
-var kinds = map[string]string{Array: protocol.KindArray, Gang: protocol.KindGang, Service: protocol.KindService}
+// wireKinds maps kinds to their names on the wire.
+var wireKinds = map[string]string{Array: protocol.KindArray, Gang: protocol.KindGang, Service: protocol.KindService}
 
-// submission is the submission. A kind that is unknown goes as it is, and is refused.
+// submission returns the request that submits the job. An unknown kind is sent unchanged, so
+// that the controller refuses it.
 func (j *Job) submission() protocol.Submission {
-	kind, known := kinds[j.Kind]
+	kind, known := wireKinds[j.Kind]
 	if !known {
 		kind = j.Kind
 	}
--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -23,13 +23,13 @@
 )
 
 func gatewayCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "gateway", Short: "Hand-offs between sites: how they stand, and an operator's word on them"}
+	cmd := &cobra.Command{Use: "gateway", Short: "Inspect and control hand-offs between sites"}
 	cmd.AddCommand(keysCommand(),
-		operatorQuery("status", "Tell how hand-offs with each site stand", printGatewayStatus),
+		operatorQuery("status", "Show the state of hand-offs with each site", printGatewayStatus),
 		operatorQuery("handoffs", "List the open hand-offs", printHandOffs),
-		operatorAction(core.ActionGiveUp, "give-up JOB", "Take a job back without the far site's word: it may have run there"),
-		operatorAction(core.ActionDrain, "drain SITE", "Have no new hand-offs with a site, or have them again (--off)"),
-		operatorAction(core.ActionRenew, "renew SITE", "Go on with a site after this site's state was restored from an old copy"))
+		operatorAction(core.ActionGiveUp, "give-up JOB", "Take a job back without confirmation by the other site, where it may have run"),
+		operatorAction(core.ActionDrain, "drain SITE", "Stop new hand-offs with a site, or resume them (--off)"),
+		operatorAction(core.ActionRenew, "renew SITE", "Resume with a site after this site's state was restored from a backup"))
 	return cmd
 }
 
@@ -39,29 +39,29 @@
 	var days int
 	var roll bool
 	cmd := &cobra.Command{
-		Use: "keys", Short: "Make a test authority, certificates and a ticket key", Args: cobra.NoArgs,
-		Long: "Writes authority.pem, a certificate and key for each site, and tickets.toml. What is there of the authority and\n" +
-			"of ticket keys is kept. Every site needs authority.pem, tickets.toml and its own two files; authority-key.pem\n" +
-			"stays where it is.",
+		Use: "keys", Short: "Create a test authority, certificates and a ticket key", Args: cobra.NoArgs,
+		Long: "Writes authority.pem, a certificate and key for each site, and tickets.toml. An existing authority and existing\n" +
+			"ticket keys are kept. Every site needs authority.pem, tickets.toml and its own two files; do not distribute\n" +
+			"authority-key.pem.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := transport.Issue(dir, sites, time.Duration(days)*24*time.Hour, roll); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "keys for %s are in %s\n", strings.Join(sites, ", "), dir)
+			fmt.Fprintf(cmd.OutOrStdout(), "wrote keys for %s to %s\n", strings.Join(sites, ", "), dir)
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&dir, "dir", "keys", "folder for the files")
+	cmd.Flags().StringVar(&dir, "dir", "keys", "directory for the files")
 	cmd.Flags().StringSliceVar(&sites, "sites", nil, "names of the sites")
-	cmd.Flags().IntVar(&days, "days", 90, "for how many days certificates are good")
-	cmd.Flags().BoolVar(&roll, "roll", false, "add a ticket key that signs from now on; the earlier ones are still taken")
+	cmd.Flags().IntVar(&days, "days", 90, "days that certificates are valid")
+	cmd.Flags().BoolVar(&roll, "roll", false, "add a ticket key that signs from now on; earlier keys are still accepted")
 	return cmd
 }
 
-// operatorQuery makes a command that asks a controller something.
-func operatorQuery(name, short string, show func(w io.Writer, raw []byte) error) *cobra.Command {
+// operatorQuery returns a command that queries a controller and prints the response.
+func operatorQuery(name, short string, render func(w io.Writer, raw []byte) error) *cobra.Command {
 	var f jobFlags
-	return f.add(&cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
+	return f.addFlags(&cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
 		raw, err := f.callGateway(cmd, http.MethodGet, core.OperatorAction(name), nil)
 		if err != nil {
 			return err
@@ -70,21 +70,21 @@
 			_, err = cmd.OutOrStdout().Write(append(raw, '\n'))
 			return err
 		}
-		return show(cmd.OutOrStdout(), raw)
+		return render(cmd.OutOrStdout(), raw)
 	}})
 }
 
-// operatorAction makes a command that is an operator's word on a job or a site.
+// operatorAction returns a command that applies an operator's action to a job or a site.
 func operatorAction(op core.OperatorAction, use, short string) *cobra.Command {
 	var f jobFlags
 	var off bool
-	m := core.OperatorRequest{}
+	request := core.OperatorRequest{}
 	if u, err := user.Current(); err == nil {
-		m.Operator = u.Username
+		request.Operator = u.Username
 	}
-	cmd := f.add(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		m.Name, m.On = args[0], !off
-		body, err := json.Marshal(m)
+	cmd := f.addFlags(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
+		request.Name, request.On = args[0], !off
+		body, err := json.Marshal(request)
 		if err != nil {
 			return err
 		}
@@ -92,101 +92,105 @@
 		if err != nil {
 			return err
 		}
-		var said core.OperatorResult
-		if err := json.Unmarshal(raw, &said); err != nil {
+		var result core.OperatorResult
+		if err := json.Unmarshal(raw, &result); err != nil {
 			return err
 		}
-		fmt.Fprintln(cmd.OutOrStdout(), args[0], said.Message)
+		fmt.Fprintln(cmd.OutOrStdout(), args[0], result.Message)
 		return nil
 	}})
 	if op == core.ActionDrain {
-		cmd.Flags().BoolVar(&off, "off", false, "end the drain")
+		cmd.Flags().BoolVar(&off, "off", false, "resume hand-offs")
 		return cmd
 	}
-	cmd.Flags().StringVar(&m.Operator, "operator", m.Operator, "who says so")
-	cmd.Flags().StringVar(&m.Reason, "why", "", "why, for the log")
+	cmd.Flags().StringVar(&request.Operator, "operator", request.Operator, "name of the operator, for the log")
+	cmd.Flags().StringVar(&request.Reason, "why", "", "reason, for the log")
 	return cmd
 }
 
-// callGateway asks one controller after the other until one answers.
+// callGateway sends a request to one controller after the other until one accepts it.
 func (f *jobFlags) callGateway(cmd *cobra.Command, method string, op core.OperatorAction, body []byte) ([]byte, error) {
-	var last error
+	var lastErr error
 	for _, to := range f.to {
-		req, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+to+protocol.PathGateway+"/"+string(op), bytes.NewReader(body))
+		request, err := http.NewRequestWithContext(cmd.Context(), method, "http://"+to+protocol.PathGateway+"/"+string(op), bytes.NewReader(body))
 		if err != nil {
 			return nil, err
 		}
-		res, err := (&http.Client{Timeout: 5 * time.Second}).Do(req)
+		response, err := (&http.Client{Timeout: 5 * time.Second}).Do(request)
 		if err != nil {
-			last = &client.UnreachableError{Tries: len(f.to), Last: err}
+			lastErr = &client.UnreachableError{Tries: len(f.to), Last: err}
 			continue
 		}
-		raw, err := io.ReadAll(res.Body)
-		res.Body.Close()
-		if err == nil && res.StatusCode == http.StatusOK {
+		raw, err := io.ReadAll(response.Body)
+		response.Body.Close()
+		if err == nil && response.StatusCode == http.StatusOK {
 			return raw, nil
 		}
-		var p protocol.Problem
-		if json.Unmarshal(raw, &p) != nil || p.Error == "" {
-			p.Error = res.Status
+		var problem protocol.Problem
+		if json.Unmarshal(raw, &problem) != nil || problem.Error == "" {
+			problem.Error = response.Status
 		}
-		last = &client.RefusedError{Status: res.StatusCode, Reason: p.Error}
+		lastErr = &client.RefusedError{Status: response.StatusCode, Reason: problem.Error}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
+// printGatewayStatus prints a table of the peers and the hand-offs with them.
 func printGatewayStatus(w io.Writer, raw []byte) error {
-	var s core.SiteStatus
-	if err := json.Unmarshal(raw, &s); err != nil {
+	var status core.SiteStatus
+	if err := json.Unmarshal(raw, &status); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "site %s, gateway on %s\n", s.Site, s.Node)
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "PEER\tSTATE\tBREAKER\tRETRIES\tWAIT THERE\tAWAY\tTAKEN\tOLDEST")
-	for _, p := range s.Peers {
+	fmt.Fprintf(w, "site %s, gateway on %s\n", status.Site, status.Node)
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "PEER\tSTATE\tBREAKER\tRETRIES\tWAIT THERE\tAWAY\tTAKEN\tOLDEST")
+	for _, peer := range status.Peers {
 		state := "waits for its records"
 		switch {
-		case p.SuspendedReason != "":
-			state = "STOPPED: " + p.SuspendedReason
-		case p.Drained:
+		case peer.SuspendedReason != "":
+			state = "STOPPED: " + peer.SuspendedReason
+		case peer.Drained:
 			state = "drained"
-		case p.Busy:
+		case peer.Busy:
 			state = "asks for a pause"
-		case p.RecordsCompared:
+		case peer.RecordsCompared:
 			state = "open"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.0f s\t%s\t%s\t%s\n", p.Site, state, p.Breaker, p.Retries, p.LongestWaitS, formatCounts(p.Outgoing), formatCounts(p.Incoming), formatAge(p.OldestHandOffAt))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.0f s\t%s\t%s\t%s\n", peer.Site, state, peer.Breaker, peer.Retries, peer.LongestWaitS, formatCounts(peer.Outgoing), formatCounts(peer.Incoming), formatAge(peer.OldestHandOffAt))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-func formatCounts(m map[string]int) string {
-	var out []string
-	for _, k := range slices.Sorted(maps.Keys(m)) {
-		out = append(out, fmt.Sprintf("%d %s", m[k], k))
+// formatCounts formats counts as "3 offered, 1 running", sorted by name.
+func formatCounts(counts map[string]int) string {
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%d %s", counts[name], name))
 	}
-	if out == nil {
+	if parts == nil {
 		return "-"
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(parts, ", ")
 }
 
-func formatAge(at int64) string {
-	if at == 0 {
+// formatAge formats the time since a Unix time in milliseconds; 0 means that there is none.
+func formatAge(unixMillis int64) string {
+	if unixMillis == 0 {
 		return "-"
 	}
-	return time.Since(time.UnixMilli(at)).Round(time.Second).String()
+	return time.Since(time.UnixMilli(unixMillis)).Round(time.Second).String()
 }
 
+// printHandOffs prints a table of hand-offs.
 func printHandOffs(w io.Writer, raw []byte) error {
-	var list []federation.HandOff
-	if err := json.Unmarshal(raw, &list); err != nil {
+	var handOffs []federation.HandOff
+	if err := json.Unmarshal(raw, &handOffs); err != nil {
 		return err
 	}
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "JOB\tCLASS\tPEER\tEPOCH\tSTAGE\tAGE")
-	for _, h := range list {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\n", h.JobID, h.Class, h.Peer, h.Epoch, h.Stage, formatAge(h.Time))
+	table := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "JOB\tCLASS\tPEER\tEPOCH\tSTAGE\tAGE")
+	for _, handOff := range handOffs {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\n", handOff.JobID, handOff.Class, handOff.Peer, handOff.Epoch, handOff.Stage, formatAge(handOff.Time))
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/cmd/pepperlever/jobs.go
+++ b/cmd/pepperlever/jobs.go
@@ -16,8 +16,7 @@
 	"pepperlever/client"
 )
 
-// Exit statuses of the commands on jobs. 2 is for what cannot be used, as
-// everywhere.
+// Exit statuses of the job commands, besides exitInvalidInput.
 const (
 	exitCancelled   = 1
 	exitRefused     = 3
@@ -25,10 +24,10 @@
 	exitNotFound    = 5
 )
 
-// errCancelled tells that a job that was waited for has been cancelled.
+// errCancelled reports that a job was cancelled while the command waited for its end.
 var errCancelled = errors.New("job is cancelled")
 
-// exitStatus tells the ends of a command apart.
+// exitStatus returns the exit status for a command's error.
 func exitStatus(err error) int {
 	var refused *client.RefusedError
 	var unreachable *client.UnreachableError
@@ -42,26 +41,27 @@
 	case errors.Is(err, client.ErrNotFound):
 		return exitNotFound
 	}
-	return exitSettings
+	return exitInvalidInput
 }
 
-// jobFlags are what the commands on jobs share.
+// jobFlags holds the flags that the job commands share.
 type jobFlags struct {
 	to   []string
 	json bool
 }
 
-func (f *jobFlags) add(cmd *cobra.Command) *cobra.Command {
+// addFlags adds the shared flags to a command and returns it.
+func (f *jobFlags) addFlags(cmd *cobra.Command) *cobra.Command {
 	to := "127.0.0.1:8700"
 	if env := os.Getenv("PEPPERLEVER_TO"); env != "" {
 		to = env
 	}
-	cmd.Flags().StringSliceVar(&f.to, "to", []string{to}, "addresses of the site, tried in turn; PEPPERLEVER_TO names one too")
-	cmd.Flags().BoolVar(&f.json, "json", false, "print JSON for programs")
+	cmd.Flags().StringSliceVar(&f.to, "to", []string{to}, "addresses of the site, tried in turn; PEPPERLEVER_TO sets the default")
+	cmd.Flags().BoolVar(&f.json, "json", false, "print JSON")
 	return cmd
 }
 
-// printState prints a state, for people or for programs.
+// printState prints a job's state as text or JSON.
 func (f *jobFlags) printState(w io.Writer, s client.State) error {
 	if f.json {
 		return json.NewEncoder(w).Encode(s)
@@ -70,6 +70,7 @@
 	return err
 }
 
+// stateLine formats a job's state as one line of text.
 func stateLine(s client.State) string {
 	if s.State == client.Running {
 		return fmt.Sprintf("%s %s: %d done, %d running", s.ID, s.State, s.DoneTasks, s.RunningTasks)
@@ -101,23 +102,23 @@
 	return nil
 }
 
-// jobCommand makes a command that does something with one job.
-func jobCommand(use, short string, do func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error) *cobra.Command {
+// jobCommand returns a command that calls run with the id of one job.
+func jobCommand(use, short string, run func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error) *cobra.Command {
 	var f jobFlags
-	return f.add(&cobra.Command{
+	return f.addFlags(&cobra.Command{
 		Use: use + " JOB", Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := client.New(f.to...)
 			if err != nil {
 				return err
 			}
-			return do(&f, cmd, c, args[0])
+			return run(&f, cmd, c, args[0])
 		},
 	})
 }
 
-// showStateOf prints the state that a call gives.
-func showStateOf(call func(*client.Client, context.Context, string) (client.State, error)) func(*jobFlags, *cobra.Command, *client.Client, string) error {
+// printStateOf returns a command function that prints the state returned by call.
+func printStateOf(call func(*client.Client, context.Context, string) (client.State, error)) func(*jobFlags, *cobra.Command, *client.Client, string) error {
 	return func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error {
 		s, err := call(c, cmd.Context(), id)
 		if err != nil {
@@ -130,25 +131,25 @@
 func jobCommands() []*cobra.Command {
 	return []*cobra.Command{
 		submitCommand(),
-		jobCommand("status", "Tell the state of a job", showStateOf((*client.Client).Status)),
-		jobCommand("cancel", "Withdraw a job", showStateOf((*client.Client).Cancel)),
-		jobCommand("wait", "Follow a job to its end", (*jobFlags).waitForEnd),
+		jobCommand("status", "Show the state of a job", printStateOf((*client.Client).Status)),
+		jobCommand("cancel", "Cancel a job", printStateOf((*client.Client).Cancel)),
+		jobCommand("wait", "Wait for a job to end", (*jobFlags).waitForEnd),
 		listCommand(),
 	}
 }
 
-// submitCommand hands a job in that a file or flags describe.
+// submitCommand returns the command that submits a job described by a file or by flags.
 func submitCommand() *cobra.Command {
 	var f jobFlags
 	var flags client.Job
 	var wait bool
-	cmd := f.add(&cobra.Command{
-		Use: "submit [FILE]", Short: "Hand in a job, described by a file (TOML, or JSON) or by flags", Args: cobra.MaximumNArgs(1),
-		Long: "Hands in a job and prints its state. The file's keys are the flags' names with _ for -; flags go before the file.\n" +
-			"The exit status is 0 when the job is accepted (with --wait: done), 1 when it was cancelled, 2 when something\n" +
-			"cannot be used, 3 when the job is refused, 4 when no controller gives a clear answer.",
+	cmd := f.addFlags(&cobra.Command{
+		Use: "submit [FILE]", Short: "Submit a job described by a file (TOML or JSON) or by flags", Args: cobra.MaximumNArgs(1),
+		Long: "Submits a job and prints its state. The file's keys are the flags' names with _ for -; flags override the file.\n" +
+			"The exit status is 0 when the job is accepted (with --wait: done), 1 when it was cancelled, 2 when the input is\n" +
+			"invalid, 3 when the job is refused, 4 when no controller gives a definite response.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			j, err := describedJob(cmd, flags, args)
+			j, err := jobFromArgs(cmd, flags, args)
 			if err != nil {
 				return err
 			}
@@ -166,64 +167,65 @@
 			return f.printState(cmd.OutOrStdout(), s)
 		},
 	})
-	jobFields(cmd.Flags(), &flags)
-	cmd.Flags().BoolVar(&wait, "wait", false, "follow the job to its end")
+	addJobFlags(cmd.Flags(), &flags)
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait for the job to end")
 	return cmd
 }
 
-// jobFields makes a flag for each field of a job.
-func jobFields(fl *pflag.FlagSet, j *client.Job) {
-	fl.StringVar(&j.ID, "id", "", "the job's id, req-...; drawn when empty")
-	fl.StringVar(&j.Team, "team", "", "the team whose guarantee and limit apply")
-	fl.StringVar(&j.Class, "class", "", "the class that aims are stated for")
-	fl.StringVar(&j.Kind, "kind", "", "array, gang or service")
-	fl.StringVar(&j.Priority, "priority", "", "critical, urgent, normal or low")
-	fl.IntVar(&j.Tasks, "tasks", 0, "how many tasks")
-	fl.Float64Var(&j.CPUs, "cpus", 0, "CPUs of a task")
-	fl.Float64Var(&j.GPUs, "gpus", 0, "GPUs of a task")
-	fl.Float64Var(&j.MemoryGB, "memory-gb", 0, "memory of a task")
-	fl.StringVar(&j.Image, "image", "", "the image that tasks need")
-	fl.Float64Var(&j.ImageGB, "image-gb", 0, "its size")
-	fl.StringSliceVar(&j.Types, "types", nil, "allowed machine types")
-	fl.StringVar(&j.Zone, "zone", "", "the only allowed zone")
-	fl.BoolVar(&j.OneZone, "one-zone", false, "all tasks in one zone")
-	fl.BoolVar(&j.Spread, "spread", false, "at most half of the tasks in one zone")
-	fl.BoolVar(&j.Spot, "spot", false, "may run on machines that can be taken back")
-	fl.Float64Var(&j.EstimateS, "estimate-s", 0, "guessed seconds that a task runs")
-	fl.Float64Var(&j.DeadlineS, "deadline-s", 0, "seconds until the job should be done")
-	fl.StringSliceVar(&j.Awaits, "awaits", nil, "jobs that have to be done before this one begins")
-	fl.Float64Var(&j.CheckpointS, "checkpoint-s", 0, "seconds of progress after which a task saves")
-	fl.Float64Var(&j.SaveS, "save-s", 0, "seconds that saving takes")
+// addJobFlags adds a flag for each field of a job.
+func addJobFlags(flags *pflag.FlagSet, job *client.Job) {
+	flags.StringVar(&job.ID, "id", "", "the job's id, req-...; generated when empty")
+	flags.StringVar(&job.Team, "team", "", "the team whose guarantee and limit apply")
+	flags.StringVar(&job.Class, "class", "", "the class to which objectives apply")
+	flags.StringVar(&job.Kind, "kind", "", "array, gang or service")
+	flags.StringVar(&job.Priority, "priority", "", "critical, urgent, normal or low")
+	flags.IntVar(&job.Tasks, "tasks", 0, "number of tasks")
+	flags.Float64Var(&job.CPUs, "cpus", 0, "CPUs per task")
+	flags.Float64Var(&job.GPUs, "gpus", 0, "GPUs per task")
+	flags.Float64Var(&job.MemoryGB, "memory-gb", 0, "memory per task in GB")
+	flags.StringVar(&job.Image, "image", "", "the image that tasks need")
+	flags.Float64Var(&job.ImageGB, "image-gb", 0, "size of the image in GB")
+	flags.StringSliceVar(&job.Types, "types", nil, "allowed machine types")
+	flags.StringVar(&job.Zone, "zone", "", "the only allowed zone")
+	flags.BoolVar(&job.OneZone, "one-zone", false, "run all tasks in one zone")
+	flags.BoolVar(&job.Spread, "spread", false, "run at most half of the tasks in one zone")
+	flags.BoolVar(&job.Spot, "spot", false, "allow spot machines, which the cloud can reclaim")
+	flags.Float64Var(&job.EstimateS, "estimate-s", 0, "estimated run time of a task in seconds")
+	flags.Float64Var(&job.DeadlineS, "deadline-s", 0, "seconds until the job should be done")
+	flags.StringSliceVar(&job.Awaits, "awaits", nil, "jobs that have to be done before this one starts")
+	flags.Float64Var(&job.CheckpointS, "checkpoint-s", 0, "seconds of progress between a task's checkpoints; 0 for none")
+	flags.Float64Var(&job.SaveS, "save-s", 0, "seconds that a task needs to save when it is stopped")
 }
 
-// describedJob is the job of the file, with the flags that were given in its place.
-func describedJob(cmd *cobra.Command, flags client.Job, args []string) (client.Job, error) {
+// jobFromArgs returns the job described by the flags, or by the file with the given flags
+// overriding it.
+func jobFromArgs(cmd *cobra.Command, flags client.Job, args []string) (client.Job, error) {
 	if len(args) == 0 {
 		return flags, flags.Fill()
 	}
-	j, err := client.LoadJob(args[0])
+	job, err := client.LoadJob(args[0])
 	if err != nil {
-		return j, err
+		return job, err
 	}
-	given := pflag.NewFlagSet("", pflag.ContinueOnError)
+	overrides := pflag.NewFlagSet("", pflag.ContinueOnError)
 	merged := client.Job{}
-	jobFields(given, &merged)
-	merged = j
-	cmd.Flags().Visit(func(set *pflag.Flag) {
-		if to := given.Lookup(set.Name); to != nil && err == nil {
-			err = to.Value.Set(strings.Trim(set.Value.String(), "[]"))
+	addJobFlags(overrides, &merged)
+	merged = job
+	cmd.Flags().Visit(func(changed *pflag.Flag) {
+		if target := overrides.Lookup(changed.Name); target != nil && err == nil {
+			err = target.Value.Set(strings.Trim(changed.Value.String(), "[]"))
 		}
 	})
 	if err != nil {
-		return j, err
+		return job, err
 	}
 	return merged, merged.Fill()
 }
 
-// listCommand lists the jobs that have not ended.
+// listCommand returns the command that lists the jobs that have not ended.
 func listCommand() *cobra.Command {
 	var f jobFlags
-	return f.add(&cobra.Command{
+	return f.addFlags(&cobra.Command{
 		Use: "jobs", Short: "List the jobs that have not ended", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := client.New(f.to...)
@@ -237,12 +239,12 @@
 			if f.json {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(jobs)
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "JOB\tTEAM\tCLASS\tPRIORITY\tSTATE\tTASKS\tDONE\tRUNNING\tAWAITS")
-			for _, j := range jobs {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", j.ID, j.Team, j.Class, j.Priority, j.State, j.Tasks, j.Done, j.Running, strings.Join(j.Awaits, " "))
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
+			fmt.Fprintln(table, "JOB\tTEAM\tCLASS\tPRIORITY\tSTATE\tTASKS\tDONE\tRUNNING\tAWAITS")
+			for _, job := range jobs {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", job.ID, job.Team, job.Class, job.Priority, job.State, job.Tasks, job.Done, job.Running, strings.Join(job.Awaits, " "))
 			}
-			return w.Flush()
+			return table.Flush()
 		},
 	})
 }
--- a/cmd/pepperlever/jobs_test.go
+++ b/cmd/pepperlever/jobs_test.go
@@ -14,8 +14,9 @@
 	"pepperlever/client"
 )
 
-// site answers every request with one status and body, and notes the last one.
-func site(t *testing.T, status int, body string) (address string, last *string) {
+// fakeSite starts a server that responds to every request with the given status and body. It
+// returns the server's address and the last request that it received.
+func fakeSite(t *testing.T, status int, body string) (address string, last *string) {
 	t.Helper()
 	last = new(string)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -31,7 +32,8 @@
 	return s.Listener.Addr().String(), last
 }
 
-func execute(t *testing.T, args ...string) (string, error) {
+// runCommand executes the command line args and returns what it prints to standard output.
+func runCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	cmd := rootCommand()
@@ -42,7 +44,7 @@
 	return out.String(), err
 }
 
-func TestCommandsTellOutcomesApart(t *testing.T) {
+func TestExitStatusAndOutputOfCommands(t *testing.T) {
 	running := `{"uid":"req-1","stance":"running","done":3,"running":2}`
 	for name, c := range map[string]struct {
 		status int
@@ -51,32 +53,32 @@
 		out    string
 		exit   int
 	}{
-		"status":            {200, running, []string{"status", "req-1"}, "req-1 running: 3 done, 2 running\n", 0},
-		"status as JSON":    {200, running, []string{"status", "req-1", "--json"}, `{"id":"req-1","state":"running","done":3,"running":2}` + "\n", 0},
-		"awaits others":     {200, `{"uid":"req-1","stance":"pending","awaits":["req-2","req-3"]}`, []string{"status", "req-1"}, "req-1 pending: awaits req-2 req-3\n", 0},
-		"no such job":       {404, `{"error":"no such job"}`, []string{"status", "req-1"}, "", exitNotFound},
-		"refused":           {422, `{"error":"team is unknown"}`, []string{"submit", "--team", "x"}, "", exitRefused},
-		"cancelled, waited": {200, `{"uid":"req-1","stance":"cancelled"}`, []string{"wait", "req-1"}, "req-1 cancelled\n", exitCancelled},
-		"cancelled, asked":  {200, `{"uid":"req-1","stance":"cancelled"}`, []string{"cancel", "req-1"}, "req-1 cancelled\n", 0},
-		"no jobs":           {200, `{"rows":[],"truncated":false}`, []string{"jobs", "--json"}, "[]\n", 0},
-		"unknown flag":      {200, running, []string{"status", "req-1", "--soon"}, "", exitSettings},
+		"status":                   {200, running, []string{"status", "req-1"}, "req-1 running: 3 done, 2 running\n", 0},
+		"status as JSON":           {200, running, []string{"status", "req-1", "--json"}, `{"id":"req-1","state":"running","done":3,"running":2}` + "\n", 0},
+		"awaits other jobs":        {200, `{"uid":"req-1","stance":"pending","awaits":["req-2","req-3"]}`, []string{"status", "req-1"}, "req-1 pending: awaits req-2 req-3\n", 0},
+		"no such job":              {404, `{"error":"no such job"}`, []string{"status", "req-1"}, "", exitNotFound},
+		"refused":                  {422, `{"error":"team is unknown"}`, []string{"submit", "--team", "x"}, "", exitRefused},
+		"wait for a cancelled job": {200, `{"uid":"req-1","stance":"cancelled"}`, []string{"wait", "req-1"}, "req-1 cancelled\n", exitCancelled},
+		"cancel":                   {200, `{"uid":"req-1","stance":"cancelled"}`, []string{"cancel", "req-1"}, "req-1 cancelled\n", 0},
+		"no jobs":                  {200, `{"rows":[],"truncated":false}`, []string{"jobs", "--json"}, "[]\n", 0},
+		"unknown flag":             {200, running, []string{"status", "req-1", "--soon"}, "", exitInvalidInput},
 	} {
-		address, _ := site(t, c.status, c.body)
-		out, err := execute(t, append(c.args, "--to", address)...)
+		address, _ := fakeSite(t, c.status, c.body)
+		out, err := runCommand(t, append(c.args, "--to", address)...)
 		exit := 0
 		if err != nil {
 			exit = exitStatus(err)
 		}
 		if out != c.out || exit != c.exit {
-			t.Errorf("%s: printed %q with status %d (%v)", name, out, exit, err)
+			t.Errorf("%s: got output %q and exit status %d (%v)", name, out, exit, err)
 		}
 	}
 	if got := exitStatus(fmt.Errorf("req-1: %w", &client.UnreachableError{Last: errors.New("cut")})); got != exitUnreachable {
-		t.Errorf("no clear answer: status %d", got)
+		t.Errorf("no definite response: got exit status %d", got)
 	}
 }
 
-func TestFlagsGoBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideJobFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "job.toml")
 	if err := os.WriteFile(file, []byte("team = \"red\"\ntasks = 3\ncpus = 2.0\ntypes = [\"a\", \"b\"]\nspot = true\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -89,13 +91,13 @@
 		"--priority urgent":   `"urgency":"urgent" "crew":"red"`,
 		"--id req-7 --cpus 1": `"uid":"req-7" "vcpus":1`,
 	} {
-		address, last := site(t, 201, `{"uid":"req-1","stance":"pending"}`)
-		if _, err := execute(t, append([]string{"submit", file, "--to", address}, strings.Fields(args)...)...); err != nil {
+		address, last := fakeSite(t, 201, `{"uid":"req-1","stance":"pending"}`)
+		if _, err := runCommand(t, append([]string{"submit", file, "--to", address}, strings.Fields(args)...)...); err != nil {
 			t.Fatal(err)
 		}
 		for _, part := range strings.Fields(want) {
 			if !strings.Contains(*last, part) {
-				t.Errorf("%q: sent %s, without %s", args, *last, part)
+				t.Errorf("%q: sent %s, want it to contain %s", args, *last, part)
 			}
 		}
 	}
--- a/cmd/pepperlever/main.go
+++ b/cmd/pepperlever/main.go
@@ -15,14 +15,15 @@
 	"pepperlever/internal/settings"
 )
 
-// version is the release that this source belongs to.
+// version is the release version.
 const version = "0.1.0"
 
-// exitSettings is the status after settings that cannot be used.
-const exitSettings = 2
+// exitInvalidInput is the exit status for invalid settings, flags or files, and for every
+// error that has no status of its own.
+const exitInvalidInput = 2
 
 func main() {
-	setLogger()
+	configureLogging()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := rootCommand().ExecuteContext(ctx); err != nil {
@@ -31,8 +32,8 @@
 	}
 }
 
-// setLogger sends log lines to standard error as far as LOG_LEVEL says.
-func setLogger() {
+// configureLogging makes the default logger write to standard error at the level in LOG_LEVEL.
+func configureLogging() {
 	level := slog.LevelInfo
 	switch os.Getenv("LOG_LEVEL") {
 	case "error":
@@ -43,15 +44,15 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 }
 
-// files names what the operator hands over.
-type files struct{ config, policy, gateway string }
+// filePaths holds the paths of the operator's files.
+type filePaths struct{ config, policy, gateway string }
 
 func rootCommand() *cobra.Command {
-	var f files
+	var f filePaths
 	root := &cobra.Command{
 		Use:           "pepperlever --config FILE",
 		Short:         "A cluster scheduler with long-term fairness between teams",
-		Long:          "Serves as one controller of a cluster scheduler until it is told to stop.\nLogs go to standard error; LOG_LEVEL is error, info (default) or debug.",
+		Long:          "Runs one controller of a cluster scheduler until it is stopped.\nLogs go to standard error; LOG_LEVEL is error, info (default) or debug.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -64,9 +65,9 @@
 	}
 	root.PersistentFlags().StringVar(&f.config, "config", "", "the platform's settings file (TOML)")
 	root.PersistentFlags().StringVar(&f.policy, "policy", os.Getenv("PEPPERLEVER_POLICY"),
-		"the operator's script (Starlark); PEPPERLEVER_POLICY names it too")
+		"the operator's script (Starlark); PEPPERLEVER_POLICY sets the default")
 	root.PersistentFlags().StringVar(&f.gateway, "gateway", os.Getenv("PEPPERLEVER_GATEWAY"),
-		"the gateway's file (TOML), which switches hand-offs between sites on; PEPPERLEVER_GATEWAY names it too")
+		"the gateway's file (TOML), which enables hand-offs between sites; PEPPERLEVER_GATEWAY sets the default")
 	root.AddCommand(
 		versionCommand(),
 		checkCommand(&f),
@@ -84,8 +85,8 @@
 	}
 }
 
-// checkCommand reads the files as a controller would, and does nothing else.
-func checkCommand(f *files) *cobra.Command {
+// checkCommand returns the command that validates the files as a controller would on startup.
+func checkCommand(f *filePaths) *cobra.Command {
 	return &cobra.Command{
 		Use: "check [FILE]", Short: "Check a settings file and the operator's script", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -95,14 +96,14 @@
 			if _, _, err := f.load(); err != nil {
 				return err
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), "settings are good")
+			fmt.Fprintln(cmd.OutOrStdout(), "settings are valid")
 			return nil
 		},
 	}
 }
 
-// load reads the settings and the operator's script.
-func (f files) load() (*settings.Settings, settings.Policy, error) {
+// load loads the settings and the operator's script.
+func (f filePaths) load() (*settings.Settings, settings.Policy, error) {
 	cfg, err := settings.Load(f.config)
 	if err != nil {
 		return nil, settings.Policy{}, err
@@ -111,9 +112,8 @@
 	return cfg, policy, err
 }
 
-// serve runs the daemon until it is told to stop. An end that is not asked for
-// is an error.
-func (f files) serve(ctx context.Context) error {
+// serve runs the daemon until ctx ends. It returns an error if the daemon exits before that.
+func (f filePaths) serve(ctx context.Context) error {
 	cfg, policy, err := f.load()
 	if err != nil {
 		return err
--- a/internal/client/retry/retry.go
+++ b/internal/client/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides what a user's client does after each try, by the
-// protocol's rules. It holds no clock: callers pass the time.
+// Package retry implements the protocol's retry rules for clients. It does not read the
+// clock; callers pass the current time.
 package retry
 
 import (
@@ -7,65 +7,67 @@
 	"time"
 )
 
-// Rules bound the tries of one request.
-type Rules struct {
-	// AnswerTimeout is for how long one try waits for its answer.
-	AnswerTimeout time.Duration
-	// MinPause is the least pause between two tries, Most the longest that a
-	// controller may ask for; past it, it is cut to Most.
-	MinPause, MaxPause time.Duration
-	// Deadline is for how long tries go on.
-	Deadline time.Duration
+// Policy bounds the attempts of one request.
+type Policy struct {
+	// AttemptTimeout is how long one attempt waits for its response.
+	AttemptTimeout time.Duration
+	// MinDelay is the minimum delay between two attempts. MaxDelay is the maximum; a longer
+	// one requested by a controller is reduced to it.
+	MinDelay, MaxDelay time.Duration
+	// MaxElapsed is the time after the start of the first attempt until which another one may
+	// begin.
+	MaxElapsed time.Duration
 }
 
-// Change are the rules for requests that change something, Poll those for
-// questions, as the protocol gives them.
+// ChangePolicy applies to requests that change something and PollPolicy to queries. The
+// protocol prescribes the values.
 var (
-	Change = Rules{AnswerTimeout: 5 * time.Second, MinPause: time.Second, MaxPause: 30 * time.Second, Deadline: time.Minute}
-	Poll   = Rules{AnswerTimeout: 2 * time.Second, MinPause: time.Second, MaxPause: 30 * time.Second, Deadline: time.Minute}
+	ChangePolicy = Policy{AttemptTimeout: 5 * time.Second, MinDelay: time.Second, MaxDelay: 30 * time.Second, MaxElapsed: time.Minute}
+	PollPolicy   = Policy{AttemptTimeout: 2 * time.Second, MinDelay: time.Second, MaxDelay: 30 * time.Second, MaxElapsed: time.Minute}
 )
 
-// Outcome is what came of a try. Status is 0 when no answer came.
+// Outcome is the result of one attempt. Status is 0 if there was no response.
 type Outcome struct {
 	Status     int
 	RetryAfter time.Duration
 }
 
-// Verdict is what to do next.
-type Verdict uint8
+// Decision is what to do after an attempt.
+type Decision uint8
 
-// Verdicts.
+// Decisions of Policy.Next.
 const (
-	// Again means to try again after a pause.
-	Again Verdict = iota
-	// Answered means that the answer settles the request, for good or ill.
+	// Retry means to make another attempt after a delay.
+	Retry Decision = iota
+	// Answered means that the response is definite, whether it reports success or an error.
 	Answered
-	// GiveUp means that the time is over without such an answer.
+	// GiveUp means that the time for retries has elapsed without a definite response.
 	GiveUp
 )
 
-// Next decides after a try that ended at now; started is when the first one began.
-func (r Rules) Next(started, now time.Duration, o Outcome) (Verdict, time.Duration) {
-	switch o.Status {
+// Next decides what to do after an attempt that ended at now, and returns the delay before a
+// retry. started is when the first attempt began.
+func (p Policy) Next(started, now time.Duration, outcome Outcome) (Decision, time.Duration) {
+	switch outcome.Status {
 	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity:
 		return Answered, 0
 	}
-	pause := min(max(r.MinPause, o.RetryAfter), r.MaxPause)
-	if now+pause-started > r.Deadline {
+	delay := min(max(p.MinDelay, outcome.RetryAfter), p.MaxDelay)
+	if now+delay-started > p.MaxElapsed {
 		return GiveUp, 0
 	}
-	return Again, pause
+	return Retry, delay
 }
 
-// maxConsecutiveFailures is how many tries in a row a target may fail before it is skipped for
+// An address that has failed maxConsecutiveFailures times in a row is skipped for
 // skipDuration.
 const (
 	maxConsecutiveFailures = 3
 	skipDuration           = 3 * time.Second
 )
 
-// Targets chooses between several addresses. One that fails is left for the next;
-// one that failed often in a row is skipped for a while, unless all are.
+// Targets selects among several addresses. After a failure it moves on to the next one. An
+// address that fails repeatedly is skipped for a while, unless all are.
 type Targets struct {
 	addresses    []string
 	failures     []int
@@ -73,12 +75,12 @@
 	current      int
 }
 
-// NewTargets makes Targets of at least one address.
+// NewTargets returns Targets for the given addresses, of which there must be at least one.
 func NewTargets(addresses []string) *Targets {
 	return &Targets{addresses: addresses, failures: make([]int, len(addresses)), skippedUntil: make([]time.Duration, len(addresses))}
 }
 
-// Pick is the address for the next try.
+// Pick returns the address for the next attempt.
 func (t *Targets) Pick(now time.Duration) string {
 	for range t.addresses {
 		if t.skippedUntil[t.current] <= now {
@@ -89,14 +91,14 @@
 	return t.addresses[t.current]
 }
 
-// Record takes what came of a try at an address. Any answer shows that it is there;
-// after one that asks to come back the next address is tried.
-func (t *Targets) Record(now time.Duration, address string, o Outcome) {
+// Record records the outcome of an attempt at an address. Any response resets its count of
+// failures, but after a status that asks to retry, the next address is selected.
+func (t *Targets) Record(now time.Duration, address string, outcome Outcome) {
 	for i, a := range t.addresses {
 		if a != address {
 			continue
 		}
-		if o.Status == 0 {
+		if outcome.Status == 0 {
 			t.failures[i]++
 		} else {
 			t.failures[i] = 0
@@ -104,7 +106,7 @@
 		if t.failures[i] >= maxConsecutiveFailures {
 			t.failures[i], t.skippedUntil[i] = 0, now+skipDuration
 		}
-		if i == t.current && (o.Status == 0 || o.Status >= http.StatusTooManyRequests) {
+		if i == t.current && (outcome.Status == 0 || outcome.Status >= http.StatusTooManyRequests) {
 			t.current = (t.current + 1) % len(t.addresses)
 		}
 	}
--- a/internal/client/retry/retry_test.go
+++ b/internal/client/retry/retry_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// An address that does not answer must not cost every request its time, and must
-// be tried again once it may be back.
-func TestTargetsLeaveWhatFails(t *testing.T) {
+// An address that does not respond must not delay every request, and must be tried again
+// after a while because it may have recovered.
+func TestTargetsSkipFailingAddresses(t *testing.T) {
 	for name, c := range map[string]struct {
-		statuses string // what a and b answer each time they are asked: . ok, x nothing, 5 busy
-		asked    string
+		statuses string // responses in order: . is success, x no response, 5 unavailable
+		picked   string
 	}{
-		"one that answers is kept":    {"....", "aaaa"},
-		"busy: the next":              {"5.5.", "abba"},
-		"silent: the next":            {"x...", "abbb"},
-		"silent three times: skipped": {"xxxxxx..", "abababaa"},
-		"all skipped: still somebody": {"xxxxxxxx", "abababab"},
+		"responding address is kept":       {"....", "aaaa"},
+		"unavailable: next address":        {"5.5.", "abba"},
+		"no response: next address":        {"x...", "abbb"},
+		"no response three times: skipped": {"xxxxxx..", "abababaa"},
+		"all skipped: still picks one":     {"xxxxxxxx", "abababab"},
 	} {
 		targets := NewTargets([]string{"a", "b"})
-		asked := ""
+		picked := ""
 		for i, s := range strings.Split(c.statuses, "") {
 			now := time.Duration(i) * 100 * time.Millisecond
 			target := targets.Pick(now)
-			asked += target
+			picked += target
 			targets.Record(now, target, Outcome{Status: map[string]int{".": 200, "x": 0, "5": 503}[s]})
 		}
-		if asked != c.asked {
-			t.Errorf("%s: asked %s, want %s", name, asked, c.asked)
+		if picked != c.picked {
+			t.Errorf("%s: picked %s, want %s", name, picked, c.picked)
 		}
 	}
 	targets := NewTargets([]string{"a", "b"})
@@ -37,11 +37,11 @@
 		targets.Record(0, "a", Outcome{})
 	}
 	targets.current = 0
-	if early := targets.Pick(skipDuration - 1); early != "b" {
-		t.Errorf("in the pause %s is asked", early)
+	if during := targets.Pick(skipDuration - 1); during != "b" {
+		t.Errorf("before the skip ends: got %s, want b", during)
 	}
 	targets.current = 0
-	if back := targets.Pick(skipDuration); back != "a" {
-		t.Errorf("after the pause %s is asked", back)
+	if after := targets.Pick(skipDuration); after != "a" {
+		t.Errorf("after the skip has ended: got %s, want a", after)
 	}
 }
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -10,157 +10,164 @@
 	"pepperlever/internal/protocol"
 )
 
-// Cloud rents machines, without input or output: callers pass the time.
+// Cloud simulates a cloud provider that rents machines. It does no I/O; callers pass the
+// current time.
 type Cloud struct {
 	cfg       *Config
 	rng       *rand.Rand
 	rentals   map[string]protocol.MachineNames
 	instances []*instance
-	// namesIssued is how many machines were ever named.
+	// namesIssued counts the machine names ever issued, including by earlier runs, so that
+	// no name is reused.
 	namesIssued int
 	requests    tokenBucket
 }
 
-// instance is one machine from its rental to its end.
+// instance is one rented machine, from the request until it has ended.
 type instance struct {
 	protocol.ListedMachine
 	machineType                *MachineType
-	requestedAt, upAt, endedAt time.Duration // never: no such time yet
-	reclaimedAt                time.Duration // when a spot machine is taken back
-	noticeSent, removed        bool          // whether its notice and its end were passed on
+	requestedAt, upAt, endedAt time.Duration // never if it has not happened or will not
+	reclaimedAt                time.Duration // when the cloud reclaims a spot machine, or never
+	noticeSent, endReported    bool          // whether Advance has returned its reclaim notice and its end
 }
 
+// never is the time of an event that is not going to happen.
 const never = time.Duration(1<<63 - 1)
 
-// NewCloud makes a cloud from which nothing is rented, and that has named some
-// machines before.
-func NewCloud(cfg *Config, named int) *Cloud {
-	return &Cloud{cfg: cfg, namesIssued: named, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), rentals: map[string]protocol.MachineNames{},
+// NewCloud returns a cloud with no rented machines. alreadyIssued is the number of machine
+// names that earlier runs have issued.
+func NewCloud(cfg *Config, alreadyIssued int) *Cloud {
+	return &Cloud{cfg: cfg, namesIssued: alreadyIssued, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), rentals: map[string]protocol.MachineNames{},
 		requests: newTokenBucket(cfg.Cloud.RPS, 2*cfg.Cloud.RPS)}
 }
 
-// Catalogue lists the machine types.
+// Catalogue returns the available machine types.
 func (c *Cloud) Catalogue() protocol.Catalogue {
-	var out protocol.Catalogue
+	var catalogue protocol.Catalogue
 	for _, t := range c.cfg.Types {
-		out.Types = append(out.Types, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB,
+		catalogue.Types = append(catalogue.Types, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB,
 			CacheGB: t.CacheGB, FetchGBPS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS / c.cfg.Speed, Zones: c.cfg.Zones})
 	}
-	return out
+	return catalogue
 }
 
-// Rent rents up to as many machines as asked for. The same request gets the same
-// answer and rents nothing. ok is false when there is none.
-func (c *Cloud) Rent(now time.Duration, r protocol.Rental) (names protocol.MachineNames, ok bool) {
-	if names, again := c.rentals[r.Request]; again {
+// Rent rents up to the requested number of machines. It is idempotent: a repeated request
+// id returns the same names and rents nothing more. ok is false if no machine is available.
+func (c *Cloud) Rent(now time.Duration, request protocol.Rental) (names protocol.MachineNames, ok bool) {
+	if names, found := c.rentals[request.Request]; found {
 		return names, true
 	}
-	i := slices.IndexFunc(c.cfg.Types, func(t MachineType) bool { return t.Name == r.Type })
-	if i < 0 || !slices.Contains(c.cfg.Zones, r.Zone) {
+	i := slices.IndexFunc(c.cfg.Types, func(machineType MachineType) bool { return machineType.Name == request.Type })
+	if i < 0 || !slices.Contains(c.cfg.Zones, request.Zone) {
 		return names, false
 	}
-	t := &c.cfg.Types[i]
-	left := t.Count
-	if r.Spot {
-		left = t.Spot
+	machineType := &c.cfg.Types[i]
+	available := machineType.Count
+	if request.Spot {
+		available = machineType.Spot
 	}
-	for _, h := range c.instances {
-		if h.Type == r.Type && h.Zone == r.Zone && h.Spot == r.Spot && h.endedAt == never {
-			left--
+	for _, inst := range c.instances {
+		if inst.Type == request.Type && inst.Zone == request.Zone && inst.Spot == request.Spot && inst.endedAt == never {
+			available--
 		}
 	}
-	if left <= 0 {
+	if available <= 0 {
 		return names, false
 	}
-	for range min(left, r.Count) {
-		names.Machines = append(names.Machines, c.provision(now, t, r.Zone, r.Spot))
+	for range min(available, request.Count) {
+		names.Machines = append(names.Machines, c.provision(now, machineType, request.Zone, request.Spot))
 	}
-	c.rentals[r.Request] = names
+	c.rentals[request.Request] = names
 	return names, true
 }
 
+// provision creates an instance and draws whether and when it boots and, for a spot
+// machine, when it is reclaimed.
 func (c *Cloud) provision(now time.Duration, t *MachineType, zone string, spot bool) string {
 	c.namesIssued++
-	h := &instance{machineType: t, requestedAt: now, endedAt: never, reclaimedAt: never, upAt: never}
-	h.ListedMachine = protocol.ListedMachine{ID: fmt.Sprintf("vm-%06d", c.namesIssued), Type: t.Name, Zone: zone, Spot: spot, State: protocol.Booting}
-	if c.rng.Float64() >= c.cfg.Cloud.BootFail {
-		h.upAt = now + c.cfg.scaled(t.BootS*(0.6+0.9*c.rng.Float64()))
+	inst := &instance{machineType: t, requestedAt: now, endedAt: never, reclaimedAt: never, upAt: never}
+	inst.ListedMachine = protocol.ListedMachine{ID: fmt.Sprintf("vm-%06d", c.namesIssued), Type: t.Name, Zone: zone, Spot: spot, State: protocol.Booting}
+	if c.rng.Float64() >= c.cfg.Cloud.BootFailureProbability {
+		inst.upAt = now + c.cfg.scaled(t.BootS*(0.6+0.9*c.rng.Float64()))
 	}
-	if rate := c.cfg.Cloud.SpotPerHour; spot && rate > 0 {
-		h.reclaimedAt = now + seconds(c.rng.ExpFloat64()/rate*3600)
+	if rate := c.cfg.Cloud.SpotReclaimsPerHour; spot && rate > 0 {
+		inst.reclaimedAt = now + seconds(c.rng.ExpFloat64()/rate*3600)
 	}
-	c.instances = append(c.instances, h)
-	return h.ID
+	c.instances = append(c.instances, inst)
+	return inst.ID
 }
 
-// Release ends machines at once.
-func (c *Cloud) Release(now time.Duration, names []string) {
-	for _, h := range c.instances {
-		if h.endedAt == never && slices.Contains(names, h.ID) {
-			h.endedAt = now
+// Release ends the named machines immediately.
+func (c *Cloud) Release(now time.Duration, machineIDs []string) {
+	for _, inst := range c.instances {
+		if inst.endedAt == never && slices.Contains(machineIDs, inst.ID) {
+			inst.endedAt = now
 		}
 	}
 }
 
-// MachineChange is what a step of time does to a machine.
+// MachineChange is a change of a machine that Advance has observed.
 type MachineChange struct {
 	Machine string
 	Type    *MachineType
 	Zone    string
 	Spot    bool
-	// Up tells that it came up, Gone that it is no more; NoticeS is set when it
-	// will be taken back.
-	Up, Gone bool
-	Notice   time.Duration
+	// Booted and Ended report that the machine has booted or ended. ReclaimNotice, if not 0,
+	// is the time until the cloud reclaims it.
+	Booted, Ended bool
+	ReclaimNotice time.Duration
 }
 
-// Advance lets the time pass and lists what happened since the last call.
+// Advance moves the simulation to now and returns the changes since the last call, at most
+// one for each machine.
 func (c *Cloud) Advance(now time.Duration) []MachineChange {
-	var out []MachineChange
-	for _, h := range c.instances {
-		ch := MachineChange{Machine: h.ID, Type: h.machineType, Zone: h.Zone, Spot: h.Spot}
+	var changes []MachineChange
+	for _, inst := range c.instances {
+		change := MachineChange{Machine: inst.ID, Type: inst.machineType, Zone: inst.Zone, Spot: inst.Spot}
 		notice := c.cfg.scaled(c.cfg.Cloud.NoticeS)
 		switch {
-		case h.removed:
-		case h.endedAt <= now || h.reclaimedAt <= now:
-			h.endedAt = min(h.endedAt, now)
-			h.removed, ch.Gone = true, true
-			out = append(out, ch)
-		case h.upAt <= now && h.State == protocol.Booting:
-			h.State, ch.Up = protocol.Running, true
-			out = append(out, ch)
-		case h.reclaimedAt != never && h.reclaimedAt-notice <= now && !h.noticeSent:
-			h.noticeSent, ch.Notice = true, h.reclaimedAt-now
-			out = append(out, ch)
+		case inst.endReported:
+		case inst.endedAt <= now || inst.reclaimedAt <= now:
+			inst.endedAt = min(inst.endedAt, now)
+			inst.endReported, change.Ended = true, true
+			changes = append(changes, change)
+		case inst.upAt <= now && inst.State == protocol.Booting:
+			inst.State, change.Booted = protocol.Running, true
+			changes = append(changes, change)
+		case inst.reclaimedAt != never && inst.reclaimedAt-notice <= now && !inst.noticeSent:
+			inst.noticeSent, change.ReclaimNotice = true, inst.reclaimedAt-now
+			changes = append(changes, change)
 		}
 	}
-	return out
+	return changes
 }
 
-// List is a page of the machines as they were some time ago: the list lags, and
-// now and then it is older than the one before.
+// List returns a page of the machines whose ids follow after. The list is eventually
+// consistent: it lags by the configured time and sometimes by twice that, so that a page
+// can be older than the one before it.
 func (c *Cloud) List(now time.Duration, after string, limit int) protocol.MachineList {
 	lag := seconds(c.cfg.Cloud.ListLagS)
 	if c.rng.IntN(8) == 0 {
 		lag *= 2
 	}
-	then := max(0, now-lag)
-	out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-	for _, h := range c.instances {
-		if h.ID <= after || h.requestedAt > then || h.endedAt <= then {
+	asOf := max(0, now-lag)
+	page := protocol.MachineList{Machines: []protocol.ListedMachine{}}
+	for _, inst := range c.instances {
+		if inst.ID <= after || inst.requestedAt > asOf || inst.endedAt <= asOf {
 			continue
 		}
-		if len(out.Machines) == limit {
-			out.More = true
+		if len(page.Machines) == limit {
+			page.More = true
 			break
 		}
-		l := h.ListedMachine
-		l.AgeS = (then - h.requestedAt).Seconds()
-		if h.upAt > then {
-			l.State = protocol.Booting
+		listed := inst.ListedMachine
+		listed.AgeS = (asOf - inst.requestedAt).Seconds()
+		if inst.upAt > asOf {
+			listed.State = protocol.Booting
 		}
-		out.Machines = append(out.Machines, l)
+		page.Machines = append(page.Machines, listed)
 	}
-	slices.SortFunc(out.Machines, func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
-	return out
+	slices.SortFunc(page.Machines, func(a, b protocol.ListedMachine) int { return cmp.Compare(a.ID, b.ID) })
+	return page
 }
--- a/internal/emulator/cloudapi.go
+++ b/internal/emulator/cloudapi.go
@@ -11,7 +11,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// handleCloud answers as the cloud.
+// handleCloud serves the cloud's API.
 func (s *Site) handleCloud(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,13 +36,14 @@
 	}
 }
 
+// rent handles a rental request. The caller holds s.mu.
 func (s *Site) rent(ctx *fasthttp.RequestCtx, now time.Duration) {
-	var r protocol.Rental
-	if json.Unmarshal(ctx.PostBody(), &r) != nil || r.Request == "" || r.Count < 1 || r.Count > protocol.MaxRental {
+	var rental protocol.Rental
+	if json.Unmarshal(ctx.PostBody(), &rental) != nil || rental.Request == "" || rental.Count < 1 || rental.Count > protocol.MaxRental {
 		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed rental")
 		return
 	}
-	names, ok := s.cloud.Rent(now, r)
+	names, ok := s.cloud.Rent(now, rental)
 	if s.State.file.saveMachineCount(s.cloud.namesIssued); ok {
 		httpserver.WriteJSON(ctx, fasthttp.StatusOK, names)
 		return
@@ -50,6 +51,8 @@
 	httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "no capacity")
 }
 
+// release handles a release request: it ends the machines and removes their workers
+// from the fleet. The caller holds s.mu.
 func (s *Site) release(ctx *fasthttp.RequestCtx, now time.Duration) {
 	var names protocol.MachineNames
 	if json.Unmarshal(ctx.PostBody(), &names) != nil || len(names.Machines) > protocol.MaxRelease {
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -12,15 +12,14 @@
 	"pepperlever/internal/strictconfig"
 )
 
-// Config is what a lab site is made of. Times are in seconds, sizes in GB, prices
-// an hour.
+// Config configures an emulated site. Times are in seconds, sizes in GB and prices per hour.
 type Config struct {
-	// Front is the users' address.
-	Front string `toml:"front" comment:"the users' address; 0 as the port takes any that is free"`
-	// Controllers is how many run, each as a process of its own.
+	// FrontendAddress is the address that users connect to.
+	FrontendAddress string `toml:"front" comment:"the users' address; 0 as the port takes any that is free"`
+	// Controllers is the number of controllers, each of which runs as its own process.
 	Controllers int      `toml:"controllers" comment:"how many controllers run, each as a process of its own"`
 	Zones       []string `toml:"zones" comment:"controllers and machines are spread over these"`
-	// Speed divides the times that tasks, image fetches and boots take.
+	// Speed divides the durations of tasks, image fetches and boots.
 	Speed   float64         `toml:"speed" comment:"divides the times that tasks, image fetches and boots take"`
 	Seed    uint64          `toml:"seed" comment:"of the boots, of the spot machines that are taken back, and of stale lists"`
 	Teams   []settings.Team `toml:"teams" comment:"cpus and gpus are guaranteed; a limit (max) of 0 means none"`
@@ -30,7 +29,8 @@
 	Cloud   CloudLimits     `toml:"cloud" comment:"calls a second; list_lag_s is how old a list is, sometimes twice that"`
 }
 
-// MachineType is a machine type, with how many machines of it the cloud has in each zone.
+// MachineType describes a machine type. Count and Spot are the numbers of on-demand and spot
+// machines that the cloud has in each zone.
 type MachineType struct {
 	Name      string  `toml:"name"`
 	CPUs      float64 `toml:"cpus"`
@@ -45,7 +45,7 @@
 	Spot      int     `toml:"spot"`
 }
 
-// WorkerConfig is how workers behave.
+// WorkerConfig holds the timing parameters of the workers.
 type WorkerConfig struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -54,21 +54,22 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// CloudLimits is how the cloud behaves.
+// CloudLimits holds the cloud's rate limit, list lag and failure rates.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
-	// BootFail is the part of machines that never come up, SpotPerHour how often
-	// an hour a spot machine is taken back, NoticeS how long before it is told.
-	BootFail    float64 `toml:"boot_fail"`
-	SpotPerHour float64 `toml:"spot_per_hour"`
-	NoticeS     float64 `toml:"notice_s"`
+	// BootFailureProbability is the fraction of machines that never boot,
+	// SpotReclaimsPerHour the mean reclaim rate of a spot machine, and NoticeS how long in
+	// advance a reclaim is announced.
+	BootFailureProbability float64 `toml:"boot_fail"`
+	SpotReclaimsPerHour    float64 `toml:"spot_per_hour"`
+	NoticeS                float64 `toml:"notice_s"`
 }
 
-// Default is a small site that gets work done within seconds.
+// Default returns the configuration of a small site that runs jobs within seconds.
 func Default() Config {
 	return Config{
-		Front: "127.0.0.1:8700", Controllers: 3, Zones: []string{"north", "south"}, Speed: 1, Seed: 1,
+		FrontendAddress: "127.0.0.1:8700", Controllers: 3, Zones: []string{"north", "south"}, Speed: 1, Seed: 1,
 		Teams: []settings.Team{{Name: "builders", CPUs: 16, CPUsMax: 64}, {Name: "guests", CPUs: 8, CPUsMax: 32}},
 		Types: []MachineType{
 			{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 2, Price: 0.2, SpotPrice: 0.07, BootS: 1, Count: 8, Spot: 8},
@@ -80,40 +81,39 @@
 	}
 }
 
-// Load reads a site's file over the defaults. A key that it does not know is an
-// error, told in one line.
+// Load reads a site's configuration file on top of the defaults. An unknown key is an error.
 func Load(path string) (*Config, error) {
 	c := Default()
 	return &c, strictconfig.Load(path, &c)
 }
 
-// Check tells what is wrong with the file.
+// Check returns an error if the configuration is invalid.
 func (c *Config) Check() error {
-	for name, v := range map[string]float64{"controllers": float64(c.Controllers), "zones": float64(len(c.Zones)),
+	for key, value := range map[string]float64{"controllers": float64(c.Controllers), "zones": float64(len(c.Zones)),
 		"speed": c.Speed, "machine_types": float64(len(c.Types)), "cloud.rps": c.Cloud.RPS} {
-		if v <= 0 {
-			return fmt.Errorf("%s is missing or not positive", name)
+		if value <= 0 {
+			return fmt.Errorf("%s is missing or not positive", key)
 		}
 	}
 	for i, t := range c.Types {
 		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB <= 0 || t.FetchGBPS <= 0 || t.Count < 0 || t.Spot < 0 {
-			return fmt.Errorf("machine type %d (%q): name, cpus, memory_gb and fetch_gb_per_s must be given, counts not negative", i+1, t.Name)
+			return fmt.Errorf("machine type %d (%q): name, cpus, memory_gb and fetch_gb_per_s must be given and counts must not be negative", i+1, t.Name)
 		}
-		if slices.ContainsFunc(c.Types[:i], func(o MachineType) bool { return o.Name == t.Name }) {
-			return fmt.Errorf("machine type %q is named twice", t.Name)
+		if slices.ContainsFunc(c.Types[:i], func(other MachineType) bool { return other.Name == t.Name }) {
+			return fmt.Errorf("duplicate machine type %q", t.Name)
 		}
 	}
 	return nil
 }
 
-// Print is the site as a file.
-func (c *Config) Print() (string, error) {
+// EncodeTOML returns the configuration in the format that Load reads.
+func (c *Config) EncodeTOML() (string, error) {
 	var out bytes.Buffer
-	e := toml.NewEncoder(&out)
-	e.SetArraysMultiline(false)
-	err := e.Encode(c)
+	encoder := toml.NewEncoder(&out)
+	encoder.SetArraysMultiline(false)
+	err := encoder.Encode(c)
 	return out.String(), err
 }
 
-// scaled is how long something that takes s seconds takes here.
-func (c *Config) scaled(s float64) time.Duration { return seconds(s / c.Speed) }
+// scaled returns the duration of secs emulated seconds at the configured speed.
+func (c *Config) scaled(secs float64) time.Duration { return seconds(secs / c.Speed) }
--- a/internal/emulator/config_test.go
+++ b/internal/emulator/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestShippedFileHoldsTheDefaults(t *testing.T) {
+func TestShippedConfigEqualsDefaults(t *testing.T) {
 	got, err := Load("../../deploy/lab.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestSiteFilesAreChecked(t *testing.T) {
+func TestLoadRejectsInvalidConfig(t *testing.T) {
 	for text, want := range map[string]string{
 		"controlers = 2":                           "line 1: unknown key [controlers]",
 		"controllers = 0":                          "controllers is missing or not positive",
@@ -36,9 +36,9 @@
 		c, err := Load(path)
 		switch {
 		case want == "" && (err != nil || c.Controllers != 5 || c.State.RPS != 1000 || c.State.TxnOps == 0):
-			t.Errorf("%q: got %+v, %v", text, c, err)
+			t.Errorf("%q: got %+v, %v, want the values in the file over the defaults", text, c, err)
 		case want != "" && (err == nil || !strings.Contains(err.Error(), want)):
-			t.Errorf("%q: got %v", text, err)
+			t.Errorf("%q: got error %v, want one that contains the expected text", text, err)
 		}
 	}
 }
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -15,19 +15,20 @@
 	"pepperlever/internal/settings"
 )
 
-// controller is one controller of the site.
+// controller is one controller process of the site.
 type controller struct {
-	node, zone, listen, peer, settingsFile string
-	// federationFile is the file that joins it to other sites, federationAddress where it
-	// accepts their streams; both are empty without.
+	node, zone, listenAddress, peerAddress, settingsFile string
+	// federationFile configures hand-offs to other sites, and federationAddress is where the
+	// controller accepts their streams; both are empty without federation.
 	federationFile, federationAddress string
 	healthy                           atomic.Bool
-	// kill ends the running process.
+	// kill terminates the running process.
 	kill atomic.Pointer[context.CancelFunc]
 }
 
-// placeControllers picks the controllers' addresses and writes their settings files.
-func (s *Site) placeControllers() error {
+// configureControllers assigns zones and addresses to the controllers and writes their
+// settings files.
+func (s *Site) configureControllers() error {
 	dir, err := os.MkdirTemp("", "pepperlever-lab-")
 	if err != nil {
 		return err
@@ -35,7 +36,7 @@
 	for i := range s.cfg.Controllers {
 		c := &controller{node: fmt.Sprintf("hand-%d", i), zone: s.cfg.Zones[i%len(s.cfg.Zones)]}
 		c.settingsFile = filepath.Join(dir, c.node+".toml")
-		for _, addr := range []*string{&c.listen, &c.peer} {
+		for _, addr := range []*string{&c.listenAddress, &c.peerAddress} {
 			if *addr, err = freeAddress(); err != nil {
 				return err
 			}
@@ -54,42 +55,42 @@
 	return nil
 }
 
-// freeAddress is an address that nobody listens on now.
+// freeAddress returns a loopback address whose port is currently free.
 func freeAddress() (string, error) {
-	ln, err := net.Listen("tcp4", loopback)
+	ln, err := net.Listen("tcp4", loopbackAddress)
 	if err != nil {
 		return "", err
 	}
 	return ln.Addr().String(), ln.Close()
 }
 
-// settings is what the platform hands to a controller.
+// settings returns the settings that the platform gives to a controller.
 func (s *Site) settings(c *controller) *settings.Settings {
-	out := &settings.Settings{Node: c.node, Zone: c.zone, Listen: c.listen, PeerListen: c.peer}
-	for _, o := range s.controllers {
-		if o != c {
-			out.Peers = append(out.Peers, settings.Peer{Node: o.node, Zone: o.zone, Address: o.peer})
+	out := &settings.Settings{Node: c.node, Zone: c.zone, Listen: c.listenAddress, PeerListen: c.peerAddress}
+	for _, other := range s.controllers {
+		if other != c {
+			out.Peers = append(out.Peers, settings.Peer{Node: other.node, Zone: other.zone, Address: other.peerAddress})
 		}
 	}
 	out.Services.Cloud, out.Services.State = s.cloudListener.Addr().String(), s.stateListener.Addr().String()
-	p := &out.Params
-	p.Nodes, p.Zones, p.Teams = s.cfg.Controllers, s.cfg.Zones, s.cfg.Teams
-	w := s.cfg.Workers
-	p.Workers.ReportS, p.Workers.LeaseS, p.Workers.CancelS = w.ReportS, w.LeaseS, w.CancelS
-	p.Workers.GangWaitS, p.Workers.GangPeerS = w.GangWaitS, w.GangPeerS
-	l := s.cfg.State
-	p.State.RPS, p.State.WriteRPS, p.State.ValueKB, p.State.TxnOps = l.RPS, l.WriteRPS, l.ValueKB, l.TxnOps
-	p.Cloud.RPS, p.Cloud.ListLagS = s.cfg.Cloud.RPS, s.cfg.Cloud.ListLagS
-	p.Limits.CPU, p.Limits.MemoryMB, p.Limits.MaxConnections = 1, 256, 1024
+	params := &out.Params
+	params.Nodes, params.Zones, params.Teams = s.cfg.Controllers, s.cfg.Zones, s.cfg.Teams
+	workers := s.cfg.Workers
+	params.Workers.ReportS, params.Workers.LeaseS, params.Workers.CancelS = workers.ReportS, workers.LeaseS, workers.CancelS
+	params.Workers.GangWaitS, params.Workers.GangPeerS = workers.GangWaitS, workers.GangPeerS
+	limits := s.cfg.State
+	params.State.RPS, params.State.WriteRPS, params.State.ValueKB, params.State.TxnOps = limits.RPS, limits.WriteRPS, limits.ValueKB, limits.TxnOps
+	params.Cloud.RPS, params.Cloud.ListLagS = s.cfg.Cloud.RPS, s.cfg.Cloud.ListLagS
+	params.Limits.CPU, params.Limits.MemoryMB, params.Limits.MaxConnections = 1, 256, 1024
 	return out
 }
 
-// Launch starts a controller with its settings and, if not empty, its gateway's
-// file, and returns when it has ended.
-type Launch func(ctx context.Context, settings, gateway string) error
+// LaunchFunc runs a controller with its settings file and, if not empty, its federation
+// file, and returns when the controller has exited.
+type LaunchFunc func(ctx context.Context, settingsFile, federationFile string) error
 
-// Kill ends a controller at once; it is started again.
-func (s *Site) Kill(node string) {
+// KillController terminates a controller immediately; it is restarted after a second.
+func (s *Site) KillController(node string) {
 	for _, c := range s.controllers {
 		if kill := c.kill.Load(); c.node == node && kill != nil {
 			(*kill)()
@@ -97,18 +98,18 @@
 	}
 }
 
-// superviseController starts a controller again whenever it ends.
-func (s *Site) superviseController(ctx context.Context, c *controller, launch Launch) error {
+// superviseController runs a controller and restarts it whenever it exits, until ctx ends.
+func (s *Site) superviseController(ctx context.Context, c *controller, launch LaunchFunc) error {
 	defer os.Remove(c.settingsFile)
 	for ctx.Err() == nil {
-		run, kill := context.WithCancel(ctx)
+		runCtx, kill := context.WithCancel(ctx)
 		c.kill.Store(&kill)
-		err := launch(run, c.settingsFile, c.federationFile)
+		err := launch(runCtx, c.settingsFile, c.federationFile)
 		kill()
 		if ctx.Err() != nil {
 			return nil
 		}
-		slog.Error("controller ended and is restarted", "node", c.node, "error", err)
+		slog.Error("controller exited, restarting", "node", c.node, "error", err)
 		sleep(ctx, time.Second)
 	}
 	return nil
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,5 +1,6 @@
-// Package emulator runs a whole site on loopback: the state service, the cloud, the
-// workers and the users' front door, as docs/lab.md describes them. Each follows the
-// published protocol, not any product. The parts that decide (KeyValueStore, Cloud,
-// Fleet) do no I/O and are passed the time; Site connects them to the network.
+// Package emulator runs a complete site on loopback: the state service, the cloud, the
+// workers and the users' frontend, as described in docs/lab.md. Each implements the
+// published protocol rather than imitating a particular product. The state machines
+// (KeyValueStore, Cloud and Fleet) do no I/O and take the current time as a parameter;
+// Site connects them to the network.
 package emulator
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -9,81 +9,86 @@
 	"pepperlever/internal/protocol"
 )
 
-// Fleet is all workers without input or output: callers pass the time. Tasks of a
-// gang find one another in it, and what tasks have saved is kept in it.
+// Fleet simulates all workers of a site. It does no I/O; callers pass the current time. It
+// also coordinates the tasks of a gang and stores the progress that tasks have saved.
 type Fleet struct {
 	cfg      *Config
 	machines map[string]*machine
 	jobs     map[string]*protocol.Submission
-	// progressS holds the progress of tasks in seconds; results the tasks that
-	// completed.
-	progressS map[string]float64
-	results   map[string]bool
-	runner    Runner
-	// lookUpJob finds the description of a job that no user has submitted here.
+	// progressS holds the saved progress of each task in seconds, and completedTasks the
+	// tasks that have completed.
+	progressS      map[string]float64
+	completedTasks map[string]bool
+	runner         Runner
+	// lookUpJob, if not nil, returns the description of a job that was submitted at another
+	// site.
 	lookUpJob func(id string) *protocol.Submission
-	// completed counts the runs that came to their end.
-	completed int
+	// completedRuns counts the attempts that ran to completion.
+	completedRuns int
 }
 
-// Runner runs a task as a real program. It is told when the task has to end, and
-// calls done with whether the program succeeded.
+// Runner runs tasks as real programs. HasProgram reports whether an image has a program.
+// Start calls done with whether the program succeeded, and returns a function that stops it.
 type Runner interface {
-	Has(image string) bool
+	HasProgram(image string) bool
 	Start(machine string, job *protocol.Submission, task string, attempt uint64, done func(ok bool)) (stop func())
 }
 
-// machine is one worker.
+// machine is a machine with its worker.
 type machine struct {
 	protocol.Report
 	machineType   *MachineType
 	tasks         []*task
-	imagesReadyAt map[string]time.Duration // when each is there
-	// epochStartedAt is when the session did, sent when the last answered report was sent.
-	epochStartedAt, leaseRenewedAt time.Duration
-	changed                        bool
+	imagesReadyAt map[string]time.Duration // when the fetch of each image completes
+	// sessionStartedAt is when the worker's current session began, and leaseRenewedAt when the
+	// latest report was sent that a controller has responded to.
+	sessionStartedAt, leaseRenewedAt time.Duration
+	changed                          bool // since the last report
 }
 
-// task is one attempt on a worker.
+// task is one attempt of a task on a worker.
 type task struct {
 	protocol.TaskReport
 	job *protocol.Submission
-	// stateSince is when the present state began, ends when it will end; 0 for never.
+	// stateSince is when the current state began, and stateEndsAt when it ends by itself, or
+	// 0 if it does not.
 	stateSince, stateEndsAt time.Duration
-	// peerLossNoticedAt is when a gang's task was told to stop.
+	// peerLossNoticedAt is when a gang's task noticed that another task of its gang was
+	// missing, or when the task began to save.
 	peerLossNoticedAt time.Duration
-	stop              func()
+	stop              func() // kills the task's program; nil if none is running
 }
 
-// States of a task on the wire that only workers tell apart.
+// Task states and exit reasons on the wire that only workers distinguish.
 const (
-	pulling           = "pulling"
-	waiting           = "waiting"
-	saving            = "saving"
+	statePulling      = "pulling"
+	stateWaiting      = "waiting"
+	stateSaving       = "saving"
 	whyGangIncomplete = "alone"
 	whyGangPeerLost   = "mates_gone"
 )
 
-// NewFleet makes a fleet without machines. runner may be nil.
+// NewFleet returns a fleet without machines. If runner is nil, all tasks are simulated.
 func NewFleet(cfg *Config, runner Runner) *Fleet {
 	return &Fleet{cfg: cfg, machines: map[string]*machine{}, jobs: map[string]*protocol.Submission{},
-		progressS: map[string]float64{}, results: map[string]bool{}, runner: runner}
+		progressS: map[string]float64{}, completedTasks: map[string]bool{}, runner: runner}
 }
 
-// AddJob notes the description of a job, which workers fetch when they start it.
-func (f *Fleet) AddJob(s *protocol.Submission) {
-	if s != nil && s.ID != nil && f.jobs[*s.ID] == nil {
-		f.jobs[*s.ID] = s
+// AddJob stores the description of a job unless there is one already. Workers read it when
+// they start a task.
+func (f *Fleet) AddJob(submission *protocol.Submission) {
+	if submission != nil && submission.ID != nil && f.jobs[*submission.ID] == nil {
+		f.jobs[*submission.ID] = submission
 	}
 }
 
-// Add lets a machine come up.
+// Add registers a machine that has booted and starts its first session.
 func (f *Fleet) Add(now time.Duration, id, address string, typ *MachineType, zone string, spot bool) {
-	f.machines[id] = &machine{machineType: typ, imagesReadyAt: map[string]time.Duration{}, epochStartedAt: now,
+	f.machines[id] = &machine{machineType: typ, imagesReadyAt: map[string]time.Duration{}, sessionStartedAt: now,
 		Report: protocol.Report{Machine: id, Address: address, Type: typ.Name, Zone: zone, Spot: spot, Session: 1}}
 }
 
-// Remove ends a machine with all that is on it.
+// Remove removes a machine and kills its tasks.
 func (f *Fleet) Remove(id string) {
 	if m := f.machines[id]; m != nil {
 		m.killAll()
@@ -91,14 +96,15 @@
 	}
 }
 
-// Notice tells a machine that the cloud takes it away.
-func (f *Fleet) Notice(id string, in time.Duration) {
+// ReclaimNotice tells a machine how long it has until the cloud reclaims it.
+func (f *Fleet) ReclaimNotice(id string, remaining time.Duration) {
 	if m := f.machines[id]; m != nil {
-		s := in.Seconds()
-		m.NoticeS, m.changed = &s, true
+		secs := remaining.Seconds()
+		m.NoticeS, m.changed = &secs, true
 	}
 }
 
+// killAll kills and forgets all tasks of a machine.
 func (m *machine) killAll() {
 	for _, t := range m.tasks {
 		t.kill()
@@ -106,6 +112,7 @@
 	m.tasks = nil
 }
 
+// kill kills the task's program if it has one.
 func (t *task) kill() {
 	if t.stop != nil {
 		t.stop()
@@ -113,8 +120,8 @@
 	}
 }
 
-// Snapshot is a machine's next report.
-func (f *Fleet) Snapshot(now time.Duration, id string) (protocol.Report, bool) {
+// NextReport returns the next report of a machine, and false if there is no such machine.
+func (f *Fleet) NextReport(now time.Duration, id string) (protocol.Report, bool) {
 	m := f.machines[id]
 	if m == nil {
 		return protocol.Report{}, false
@@ -122,125 +129,133 @@
 	f.Advance(now)
 	m.Seq++
 	m.changed = false
-	r := m.Report
-	r.Tasks = []protocol.TaskReport{}
+	report := m.Report
+	report.Tasks = []protocol.TaskReport{}
 	for _, t := range m.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		report.Tasks = append(report.Tasks, t.TaskReport)
 	}
-	return r, true
+	return report, true
 }
 
-// Changed tells whether a machine has something new to report.
-func (f *Fleet) Changed(id string) bool {
+// HasChanges reports whether a machine has changed since its last report.
+func (f *Fleet) HasChanges(id string) bool {
 	m := f.machines[id]
 	return m != nil && m.changed
 }
 
-// HandleReply takes the answer to a report that was sent at some time.
-func (f *Fleet) HandleReply(now, sent time.Duration, id string, session uint64, o protocol.Orders) {
+// HandleReply renews a worker's lease and executes the commands in the response to a report
+// that was sent at the given time. It ignores a response to an earlier session or with a
+// lower fencing token.
+func (f *Fleet) HandleReply(now, sent time.Duration, id string, session uint64, orders protocol.Orders) {
 	m := f.machines[id]
-	if m == nil || m.Session != session || o.Token < m.Token || o.Token == 0 {
+	if m == nil || m.Session != session || orders.Token < m.Token || orders.Token == 0 {
 		return
 	}
 	m.leaseRenewedAt = max(m.leaseRenewedAt, sent)
-	f.executeCommands(now, m, o)
+	f.executeCommands(now, m, orders)
 }
 
-// Execute takes a direct call; executed tells whether its commands were carried out.
-func (f *Fleet) Execute(now time.Duration, id string, o protocol.Orders) (executed bool) {
+// Execute executes the commands of a direct call and reports whether it accepted them. It
+// rejects those for another session or with a lower fencing token.
+func (f *Fleet) Execute(now time.Duration, id string, orders protocol.Orders) (executed bool) {
 	m := f.machines[id]
-	if m == nil || o.Token < m.Token || o.Session != m.Session {
+	if m == nil || orders.Token < m.Token || orders.Session != m.Session {
 		return false
 	}
-	f.executeCommands(now, m, o)
+	f.executeCommands(now, m, orders)
 	return true
 }
 
-func (f *Fleet) executeCommands(now time.Duration, m *machine, o protocol.Orders) {
-	if o.Token > m.Token {
-		m.Token, m.changed = o.Token, true
+// executeCommands executes commands whose session and token have been checked. Repeated
+// commands have no effect.
+func (f *Fleet) executeCommands(now time.Duration, m *machine, orders protocol.Orders) {
+	if orders.Token > m.Token {
+		m.Token, m.changed = orders.Token, true
 	}
-	for _, c := range o.Commands {
-		at := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+	for _, command := range orders.Commands {
+		index := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == command.Task && t.Attempt == command.Attempt })
 		switch {
-		case c.Op == protocol.OpStart && at < 0:
-			f.startTask(now, m, c)
-		case c.Op == protocol.OpStop && at >= 0:
-			grace := 0.0
-			if c.GraceS != nil {
-				grace = *c.GraceS
+		case command.Op == protocol.OpStart && index < 0:
+			f.startTask(now, m, command)
+		case command.Op == protocol.OpStop && index >= 0:
+			graceS := 0.0
+			if command.GraceS != nil {
+				graceS = *command.GraceS
 			}
-			f.stopTask(now, m, m.tasks[at], grace)
-		case c.Op == protocol.OpForget && at >= 0 && m.tasks[at].State == protocol.Exited:
-			m.tasks = slices.Delete(m.tasks, at, at+1)
+			f.stopTask(now, m, m.tasks[index], graceS)
+		case command.Op == protocol.OpForget && index >= 0 && m.tasks[index].State == protocol.Exited:
+			m.tasks = slices.Delete(m.tasks, index, index+1)
 		}
 	}
 }
 
-// startTask takes a task on, or notes why not.
-func (f *Fleet) startTask(now time.Duration, m *machine, c protocol.Command) {
-	id, index, _ := strings.Cut(c.Task, "/")
-	if f.jobs[id] == nil && f.lookUpJob != nil {
-		f.AddJob(f.lookUpJob(id))
+// startTask adds a task to a machine. A task that cannot start is added as exited, with the
+// reason.
+func (f *Fleet) startTask(now time.Duration, m *machine, command protocol.Command) {
+	jobID, index, _ := strings.Cut(command.Task, "/")
+	if f.jobs[jobID] == nil && f.lookUpJob != nil {
+		f.AddJob(f.lookUpJob(jobID))
 	}
-	j := f.jobs[id]
-	t := &task{TaskReport: protocol.TaskReport{Task: c.Task, Attempt: c.Attempt, State: pulling}, job: j, stateSince: now}
+	j := f.jobs[jobID]
+	t := &task{TaskReport: protocol.TaskReport{Task: command.Task, Attempt: command.Attempt, State: statePulling}, job: j, stateSince: now}
 	m.tasks = append(m.tasks, t)
 	m.changed = true
-	n, err := strconv.ParseInt(index, 10, 64)
+	taskIndex, err := strconv.ParseInt(index, 10, 64)
 	switch {
-	case j == nil || err != nil || n >= *j.Tasks:
+	case j == nil || err != nil || taskIndex >= *j.Tasks:
 		f.exitTask(t, protocol.WhyUnknown)
-	case slices.ContainsFunc(m.tasks, func(o *task) bool { return o != t && o.Task == t.Task && o.State != protocol.Exited }):
+	case slices.ContainsFunc(m.tasks, func(other *task) bool { return other != t && other.Task == t.Task && other.State != protocol.Exited }):
 		f.exitTask(t, protocol.WhyBusy)
-	case !m.fits():
+	case !m.fitsCapacity():
 		f.exitTask(t, protocol.WhyNoRoom)
 	default:
-		if _, there := m.imagesReadyAt[*j.Image]; !there {
+		if _, requested := m.imagesReadyAt[*j.Image]; !requested {
 			m.imagesReadyAt[*j.Image] = now + f.cfg.scaled(*j.ImageGB/m.machineType.FetchGBPS)
 		}
-		t.stateEndsAt = max(1, now, m.imagesReadyAt[*j.Image]) // 0 is never
+		t.stateEndsAt = max(1, now, m.imagesReadyAt[*j.Image]) // at least 1, because 0 means that the state does not end
 	}
 }
 
-// fits tells whether all that is on a machine has room.
-func (m *machine) fits() bool {
+// fitsCapacity reports whether a machine has enough capacity for all its tasks.
+func (m *machine) fitsCapacity() bool {
 	cpus, gpus, memory := m.machineType.CPUs, m.machineType.GPUs, m.machineType.MemoryGB
 	for _, t := range m.tasks {
 		if t.State != protocol.Exited && t.job != nil {
 			cpus, gpus, memory = cpus-*t.job.CPUs, gpus-*t.job.GPUs, memory-*t.job.MemoryGB
 		}
 	}
-	const slack = 1e-6
+	const slack = 1e-6 // absorbs floating-point rounding
 	return cpus >= -slack && gpus >= -slack && memory >= -slack
 }
 
-func (f *Fleet) exitTask(t *task, why string) {
+// exitTask moves a task to the exited state.
+func (f *Fleet) exitTask(t *task, reason string) {
 	t.kill()
-	t.State, t.Why, t.stateEndsAt = protocol.Exited, why, 0
-	if why == protocol.WhyDone {
-		f.results[t.Task] = true
+	t.State, t.Why, t.stateEndsAt = protocol.Exited, reason, 0
+	if reason == protocol.WhyDone {
+		f.completedTasks[t.Task] = true
 	}
 }
 
-// stopTask stops a task, which saves when it can and has the time to.
-func (f *Fleet) stopTask(now time.Duration, m *machine, t *task, grace float64) {
+// stopTask stops a task. A running task saves its progress first if it supports checkpoints
+// and the grace period is long enough.
+func (f *Fleet) stopTask(now time.Duration, m *machine, t *task, graceS float64) {
 	if t.State == protocol.Exited {
 		return
 	}
 	m.changed = true
-	saves := *t.job.CheckpointS > 0 && grace >= *t.job.SaveS
+	canSave := *t.job.CheckpointS > 0 && graceS >= *t.job.SaveS
 	switch {
-	case t.State == saving && grace > 0:
-	case t.State == protocol.Running && saves:
+	case t.State == stateSaving && graceS > 0:
+	case t.State == protocol.Running && canSave:
 		f.saveProgress(t, now)
-		t.State, t.stateSince, t.peerLossNoticedAt, t.stateEndsAt = saving, now, now, now+f.cfg.scaled(*t.job.SaveS)
+		t.State, t.stateSince, t.peerLossNoticedAt, t.stateEndsAt = stateSaving, now, now, now+f.cfg.scaled(*t.job.SaveS)
 	default:
 		f.exitTask(t, protocol.WhyStopped)
 	}
 }
 
-// saveProgress notes how far a running task has come.
+// saveProgress adds the progress of a running task's current attempt to its saved progress.
 func (f *Fleet) saveProgress(t *task, now time.Duration) {
 	f.progressS[t.Task] += (now - t.stateSince).Seconds() * f.cfg.Speed
 }
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -8,47 +8,50 @@
 	"pepperlever/internal/protocol"
 )
 
-// rig is two workers of 4 CPUs without a network.
-type rig struct {
+// fleetHarness runs a fleet of two workers with 4 CPUs each, without a network and with a
+// simulated clock.
+type fleetHarness struct {
 	t   *testing.T
 	f   *Fleet
 	now time.Duration
 }
 
-func newRig(t *testing.T, runner Runner) *rig {
+func newFleetHarness(t *testing.T, runner Runner) *fleetHarness {
 	cfg := Default()
-	r := &rig{t: t, f: NewFleet(&cfg, runner), now: time.Second}
+	h := &fleetHarness{t: t, f: NewFleet(&cfg, runner), now: time.Second}
 	for _, id := range []string{"vm-1", "vm-2"} {
-		r.f.Add(r.now, id, id, &cfg.Types[0], "north", true)
+		h.f.Add(h.now, id, id, &cfg.Types[0], "north", true)
 	}
-	return r
+	return h
 }
 
-func (r *rig) upload(id, kind string, tasks int64, cpus, checkpoint float64) {
+// addJob adds the description of a job whose tasks run for ten seconds.
+func (h *fleetHarness) addJob(id, kind string, tasks int64, cpus, checkpoint float64) {
 	zero, one, ten, image := 0.0, 1.0, 10.0, "i"
-	r.f.AddJob(&protocol.Submission{ID: &id, Kind: &kind, Tasks: &tasks, CPUs: &cpus, GPUs: &zero, MemoryGB: &one, Image: &image,
+	h.f.AddJob(&protocol.Submission{ID: &id, Kind: &kind, Tasks: &tasks, CPUs: &cpus, GPUs: &zero, MemoryGB: &one, Image: &image,
 		ImageGB: &zero, EstimateS: &ten, CheckpointS: &checkpoint, SaveS: &one})
 }
 
-func (r *rig) do(machine string, token uint64, op, task string, attempt uint64, grace float64) bool {
-	return r.f.Execute(r.now, machine, protocol.Orders{Token: token, Session: 1,
+// execute sends one command to a machine and reports whether it was accepted.
+func (h *fleetHarness) execute(machine string, token uint64, op, task string, attempt uint64, grace float64) bool {
+	return h.f.Execute(h.now, machine, protocol.Orders{Token: token, Session: 1,
 		Commands: []protocol.Command{{Op: op, Task: task, Attempt: attempt, GraceS: &grace}}})
 }
 
-// pass lets time pass with the workers' leases kept.
-func (r *rig) pass(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now += 100 * time.Millisecond
-		for id, m := range r.f.machines {
-			r.f.HandleReply(r.now, r.now, id, m.Session, protocol.Orders{Token: max(m.Token, 1)})
+// advance moves the clock forward while renewing the workers' leases.
+func (h *fleetHarness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 100 * time.Millisecond
+		for id, m := range h.f.machines {
+			h.f.HandleReply(h.now, h.now, id, m.Session, protocol.Orders{Token: max(m.Token, 1)})
 		}
-		r.f.Advance(r.now)
+		h.f.Advance(h.now)
 	}
 }
 
-// tasks is what a machine reports.
-func (r *rig) tasks(machine string) string {
-	report, _ := r.f.Snapshot(r.now, machine)
+// tasks formats the tasks that a machine reports.
+func (h *fleetHarness) tasks(machine string) string {
+	report, _ := h.f.NextReport(h.now, machine)
 	out := ""
 	for _, t := range report.Tasks {
 		out += fmt.Sprintf("%s#%d %s", t.Task, t.Attempt, t.State)
@@ -63,166 +66,187 @@
 	return out
 }
 
-func (r *rig) want(machine, tasks string) {
-	r.t.Helper()
-	if got := r.tasks(machine); got != tasks {
-		r.t.Errorf("%s reports %q, want %q", machine, got, tasks)
+// want checks the tasks that a machine reports.
+func (h *fleetHarness) want(machine, tasks string) {
+	h.t.Helper()
+	if got := h.tasks(machine); got != tasks {
+		h.t.Errorf("%s: got report %q, want %q", machine, got, tasks)
 	}
 }
 
-const run, halt, reap = protocol.OpStart, protocol.OpStop, protocol.OpForget
+// Short names of the command operations.
+const opStart, opStop, opForget = protocol.OpStart, protocol.OpStop, protocol.OpForget
 
-func TestWorkerFollowsItsOrders(t *testing.T) {
+func TestWorkerExecutesCommands(t *testing.T) {
 	for name, c := range map[string]struct {
-		play func(r *rig)
-		want string
+		steps func(h *fleetHarness)
+		want  string
 	}{
-		"task runs to its end": {func(r *rig) { r.do("vm-1", 1, run, "req-a/0", 1, 0); r.pass(11 * time.Second) }, "req-a/0#1 exited done;"},
-		"start repeated":       {func(r *rig) { r.do("vm-1", 1, run, "req-a/0", 1, 0); r.do("vm-1", 1, run, "req-a/0", 1, 0) }, "req-a/0#1 running;"},
-		"forgotten and started again": {func(r *rig) {
-			r.do("vm-1", 1, run, "req-a/0", 1, 0)
-			r.do("vm-1", 1, halt, "req-a/0", 1, 0)
-			r.do("vm-1", 1, reap, "req-a/0", 1, 0)
-			r.do("vm-1", 1, run, "req-a/0", 1, 0)
+		"task completes": {func(h *fleetHarness) { h.execute("vm-1", 1, opStart, "req-a/0", 1, 0); h.advance(11 * time.Second) }, "req-a/0#1 exited done;"},
+		"start repeated": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
 		}, "req-a/0#1 running;"},
-		"not forgotten while it runs": {func(r *rig) { r.do("vm-1", 1, run, "req-a/0", 1, 0); r.do("vm-1", 1, reap, "req-a/0", 1, 0) }, "req-a/0#1 running;"},
-		"another attempt is there":    {func(r *rig) { r.do("vm-1", 1, run, "req-a/0", 1, 0); r.do("vm-1", 1, run, "req-a/0", 2, 0) }, "req-a/0#1 running;req-a/0#2 exited busy;"},
-		"no room":                     {func(r *rig) { r.do("vm-1", 1, run, "req-a/0", 1, 0); r.do("vm-1", 1, run, "req-big/0", 1, 0) }, "req-a/0#1 running;req-big/0#1 exited full;"},
-		"no such job":                 {func(r *rig) { r.do("vm-1", 1, run, "req-none/0", 1, 0) }, "req-none/0#1 exited no_such;"},
-		"no such task":                {func(r *rig) { r.do("vm-1", 1, run, "req-a/7", 1, 0) }, "req-a/7#1 exited no_such;"},
-		"lower token":                 {func(r *rig) { r.do("vm-1", 5, run, "req-a/0", 1, 0); r.do("vm-1", 4, halt, "req-a/0", 1, 0) }, "req-a/0#1 running;"},
-		"lease runs out":              {func(r *rig) { r.do("vm-1", 1, run, "req-a/0", 1, 0); r.now += 9 * time.Second; r.f.Advance(r.now) }, ""},
-		"stopped without saving": {func(r *rig) {
-			r.do("vm-1", 1, run, "req-s/0", 1, 0)
-			r.pass(time.Second)
-			r.do("vm-1", 1, halt, "req-s/0", 1, 0.5)
+		"forgotten and started again": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opStop, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opForget, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+		}, "req-a/0#1 running;"},
+		"not forgotten while it runs": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opForget, "req-a/0", 1, 0)
+		}, "req-a/0#1 running;"},
+		"another attempt is running": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opStart, "req-a/0", 2, 0)
+		}, "req-a/0#1 running;req-a/0#2 exited busy;"},
+		"no room": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+			h.execute("vm-1", 1, opStart, "req-big/0", 1, 0)
+		}, "req-a/0#1 running;req-big/0#1 exited full;"},
+		"no such job":  {func(h *fleetHarness) { h.execute("vm-1", 1, opStart, "req-none/0", 1, 0) }, "req-none/0#1 exited no_such;"},
+		"no such task": {func(h *fleetHarness) { h.execute("vm-1", 1, opStart, "req-a/7", 1, 0) }, "req-a/7#1 exited no_such;"},
+		"lower token": {func(h *fleetHarness) {
+			h.execute("vm-1", 5, opStart, "req-a/0", 1, 0)
+			h.execute("vm-1", 4, opStop, "req-a/0", 1, 0)
+		}, "req-a/0#1 running;"},
+		"lease expires": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+			h.now += 9 * time.Second
+			h.f.Advance(h.now)
+		}, ""},
+		"stopped without saving": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-s/0", 1, 0)
+			h.advance(time.Second)
+			h.execute("vm-1", 1, opStop, "req-s/0", 1, 0.5)
 		}, "req-s/0#1 exited stopped;"},
-		"stopped and saved": {func(r *rig) {
-			r.do("vm-1", 1, run, "req-s/0", 1, 0)
-			r.pass(5 * time.Second)
-			r.do("vm-1", 1, halt, "req-s/0", 1, 2)
-			r.pass(2 * time.Second)
-			r.do("vm-1", 1, run, "req-s/0", 2, 0)
-			r.pass(6 * time.Second)
+		"stopped and saved": {func(h *fleetHarness) {
+			h.execute("vm-1", 1, opStart, "req-s/0", 1, 0)
+			h.advance(5 * time.Second)
+			h.execute("vm-1", 1, opStop, "req-s/0", 1, 2)
+			h.advance(2 * time.Second)
+			h.execute("vm-1", 1, opStart, "req-s/0", 2, 0)
+			h.advance(6 * time.Second)
 		}, "req-s/0#1 exited stopped saved;req-s/0#2 exited done;"},
 	} {
-		r := newRig(t, nil)
-		r.upload("req-a", protocol.KindArray, 2, 1, 0)
-		r.upload("req-s", protocol.KindArray, 1, 1, 1)
-		r.upload("req-big", protocol.KindArray, 1, 4, 0)
-		c.play(r)
-		if got := r.tasks("vm-1"); got != c.want {
-			t.Errorf("%s: reports %q, want %q", name, got, c.want)
+		h := newFleetHarness(t, nil)
+		h.addJob("req-a", protocol.KindArray, 2, 1, 0)
+		h.addJob("req-s", protocol.KindArray, 1, 1, 1)
+		h.addJob("req-big", protocol.KindArray, 1, 4, 0)
+		c.steps(h)
+		if got := h.tasks("vm-1"); got != c.want {
+			t.Errorf("%s: got report %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-func TestGangBeginsTogetherAndEndsTogether(t *testing.T) {
-	r := newRig(t, nil)
-	r.upload("req-g", protocol.KindGang, 2, 2, 0)
-	r.do("vm-1", 1, run, "req-g/0", 1, 0)
-	r.pass(time.Second)
-	r.want("vm-1", "req-g/0#1 waiting;")
-	r.do("vm-2", 1, run, "req-g/1", 1, 0)
-	r.pass(time.Second)
-	r.want("vm-1", "req-g/0#1 running;")
-	r.want("vm-2", "req-g/1#1 running;")
-	r.pass(11 * time.Second)
-	r.want("vm-1", "req-g/0#1 exited done;")
-	r.want("vm-2", "req-g/1#1 exited done;")
+func TestGangStartsAndEndsTogether(t *testing.T) {
+	h := newFleetHarness(t, nil)
+	h.addJob("req-g", protocol.KindGang, 2, 2, 0)
+	h.execute("vm-1", 1, opStart, "req-g/0", 1, 0)
+	h.advance(time.Second)
+	h.want("vm-1", "req-g/0#1 waiting;")
+	h.execute("vm-2", 1, opStart, "req-g/1", 1, 0)
+	h.advance(time.Second)
+	h.want("vm-1", "req-g/0#1 running;")
+	h.want("vm-2", "req-g/1#1 running;")
+	h.advance(11 * time.Second)
+	h.want("vm-1", "req-g/0#1 exited done;")
+	h.want("vm-2", "req-g/1#1 exited done;")
 }
 
-func TestGangThatIsNotWholeEnds(t *testing.T) {
-	r := newRig(t, nil)
-	r.upload("req-g", protocol.KindGang, 2, 2, 0)
-	r.do("vm-1", 1, run, "req-g/0", 1, 0)
-	r.pass(16 * time.Second)
-	r.want("vm-1", "req-g/0#1 exited alone;")
-	r.do("vm-1", 1, run, "req-g/0", 2, 0)
-	r.do("vm-2", 1, run, "req-g/1", 2, 0)
-	r.pass(time.Second)
-	r.f.Remove("vm-2")
-	r.pass(time.Second)
-	r.want("vm-1", "req-g/0#1 exited alone;req-g/0#2 running;")
-	r.pass(2 * time.Second)
-	r.want("vm-1", "req-g/0#1 exited alone;req-g/0#2 exited mates_gone;")
+func TestIncompleteGangExits(t *testing.T) {
+	h := newFleetHarness(t, nil)
+	h.addJob("req-g", protocol.KindGang, 2, 2, 0)
+	h.execute("vm-1", 1, opStart, "req-g/0", 1, 0)
+	h.advance(16 * time.Second)
+	h.want("vm-1", "req-g/0#1 exited alone;")
+	h.execute("vm-1", 1, opStart, "req-g/0", 2, 0)
+	h.execute("vm-2", 1, opStart, "req-g/1", 2, 0)
+	h.advance(time.Second)
+	h.f.Remove("vm-2")
+	h.advance(time.Second)
+	h.want("vm-1", "req-g/0#1 exited alone;req-g/0#2 running;")
+	h.advance(2 * time.Second)
+	h.want("vm-1", "req-g/0#1 exited alone;req-g/0#2 exited mates_gone;")
 }
 
-// scripted runs programs that end when the test says so.
-type scripted struct {
+// scriptedRunner is a Runner whose program ends when the test calls done.
+type scriptedRunner struct {
 	done    func(bool)
 	stopped bool
 }
 
-func (s *scripted) Has(string) bool { return true }
-func (s *scripted) Start(_ string, _ *protocol.Submission, _ string, _ uint64, done func(bool)) func() {
+func (s *scriptedRunner) HasProgram(string) bool { return true }
+func (s *scriptedRunner) Start(_ string, _ *protocol.Submission, _ string, _ uint64, done func(bool)) func() {
 	s.done = done
 	return func() { s.stopped = true }
 }
 
-func TestProgramsEndDecidesAndStoppedOnesAreKilled(t *testing.T) {
+func TestProgramExitDecidesResultAndStopKillsProgram(t *testing.T) {
 	for ok, want := range map[bool]string{true: "req-a/0#1 exited done;", false: "req-a/0#1 exited error;"} {
-		var p scripted
-		r := newRig(t, &p)
-		r.upload("req-a", protocol.KindArray, 2, 1, 0)
-		r.do("vm-1", 1, run, "req-a/0", 1, 0)
-		r.pass(30 * time.Second)
-		r.want("vm-1", "req-a/0#1 running;")
+		var p scriptedRunner
+		h := newFleetHarness(t, &p)
+		h.addJob("req-a", protocol.KindArray, 2, 1, 0)
+		h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+		h.advance(30 * time.Second)
+		h.want("vm-1", "req-a/0#1 running;")
 		p.done(ok)
-		r.want("vm-1", want)
+		h.want("vm-1", want)
 	}
-	var p scripted
-	r := newRig(t, &p)
-	r.upload("req-a", protocol.KindArray, 2, 1, 0)
-	r.do("vm-1", 1, run, "req-a/0", 1, 0)
-	r.pass(time.Second)
-	r.do("vm-1", 1, halt, "req-a/0", 1, 0)
-	p.done(true) // its end comes late
-	if r.want("vm-1", "req-a/0#1 exited stopped;"); !p.stopped {
-		t.Error("the program is not killed")
+	var p scriptedRunner
+	h := newFleetHarness(t, &p)
+	h.addJob("req-a", protocol.KindArray, 2, 1, 0)
+	h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
+	h.advance(time.Second)
+	h.execute("vm-1", 1, opStop, "req-a/0", 1, 0)
+	p.done(true) // the program's exit is reported after the stop
+	if h.want("vm-1", "req-a/0#1 exited stopped;"); !p.stopped {
+		t.Error("program was not killed when its task was stopped")
 	}
 }
 
-func TestCloudRentsARequestOnceAndNoMoreThanItHas(t *testing.T) {
+func TestRentIsIdempotentAndLimitedByCapacity(t *testing.T) {
 	cfg := Default()
 	c := NewCloud(&cfg, 0)
-	r := protocol.Rental{Request: "r-1", Type: "small", Zone: "north", Spot: true, Count: 5}
-	first, ok := c.Rent(0, r)
-	again, _ := c.Rent(time.Hour, r)
+	request := protocol.Rental{Request: "r-1", Type: "small", Zone: "north", Spot: true, Count: 5}
+	first, ok := c.Rent(0, request)
+	again, _ := c.Rent(time.Hour, request)
 	if !ok || len(first.Machines) != 5 || fmt.Sprint(first) != fmt.Sprint(again) {
-		t.Errorf("rented %v, then %v", first, again)
+		t.Errorf("got %v, then %v for the same request, want the same 5 machines", first, again)
 	}
-	r.Request = "r-2"
-	if rest, ok := c.Rent(0, r); !ok || len(rest.Machines) != cfg.Types[0].Spot-5 {
-		t.Errorf("of the rest got %v", rest)
+	request.Request = "r-2"
+	if rest, ok := c.Rent(0, request); !ok || len(rest.Machines) != cfg.Types[0].Spot-5 {
+		t.Errorf("got %v, want the remaining capacity", rest)
 	}
-	r.Request = "r-3"
-	if more, ok := c.Rent(0, r); ok {
-		t.Errorf("got %v beyond what there is", more)
+	request.Request = "r-3"
+	if more, ok := c.Rent(0, request); ok {
+		t.Errorf("got %v, want nothing beyond the capacity", more)
 	}
 	c.Release(time.Second, first.Machines)
-	if _, ok := c.Rent(time.Second, r); !ok {
-		t.Error("what was returned is not rented again")
+	if _, ok := c.Rent(time.Second, request); !ok {
+		t.Error("released machines cannot be rented again")
 	}
 }
 
-func TestListLagsAndHoldsNoMachineThatIsGoneForLong(t *testing.T) {
+func TestListLagsAndOmitsReleasedMachines(t *testing.T) {
 	cfg := Default()
 	c := NewCloud(&cfg, 0)
 	names, _ := c.Rent(time.Second, protocol.Rental{Request: "r", Type: "small", Zone: "north", Count: 3})
 	if n := len(c.List(2*time.Second, "", 500).Machines); n != 0 {
-		t.Errorf("%d machines are listed without a lag", n)
+		t.Errorf("got %d machines before the lag has passed, want 0", n)
 	}
 	c.Advance(20 * time.Second)
-	l := c.List(20*time.Second, "", 2)
-	if len(l.Machines) != 2 || !l.More || l.Machines[0].State != protocol.Running {
-		t.Errorf("first page %+v", l)
+	page := c.List(20*time.Second, "", 2)
+	if len(page.Machines) != 2 || !page.More || page.Machines[0].State != protocol.Running {
+		t.Errorf("got first page %+v, want 2 running machines and more", page)
 	}
-	if l = c.List(20*time.Second, l.Machines[1].ID, 2); len(l.Machines) != 1 || l.More {
-		t.Errorf("second page %+v", l)
+	if page = c.List(20*time.Second, page.Machines[1].ID, 2); len(page.Machines) != 1 || page.More {
+		t.Errorf("got second page %+v, want 1 machine and no more", page)
 	}
 	c.Release(30*time.Second, names.Machines)
 	if n := len(c.List(60*time.Second, "", 500).Machines); n != 0 {
-		t.Errorf("%d machines are listed long after they are gone", n)
+		t.Errorf("got %d machines long after their release, want 0", n)
 	}
 }
--- a/internal/emulator/frontdoor.go
+++ b/internal/emulator/frontdoor.go
@@ -14,42 +14,45 @@
 )
 
 const (
-	// probeInterval is how often controllers are asked for their health.
+	// probeInterval is how often the controllers' health is checked.
 	probeInterval = time.Second
-	// maxAttempts is how many controllers a request is offered to.
+	// maxAttempts is the maximum number of controllers that a request is sent to.
 	maxAttempts = 3
 )
 
-var proxy = &fasthttp.Client{MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second,
+// proxyClient never retries by itself: handleFrontend retries only if the connection failed,
+// since the controller may have executed the request otherwise.
+var proxyClient = &fasthttp.Client{MaxIdemponentCallAttempts: 1, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second,
 	RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
 
-// probe asks each controller for its health.
-func (s *Site) probe() {
+// probeControllers checks the health of each controller.
+func (s *Site) probeControllers() {
 	for _, c := range s.controllers {
-		status, _, err := fasthttp.GetTimeout(nil, "http://"+c.listen+protocol.PathHealth, probeInterval)
+		status, _, err := fasthttp.GetTimeout(nil, "http://"+c.listenAddress+protocol.PathHealth, probeInterval)
 		c.healthy.Store(err == nil && status == http.StatusOK)
 	}
 }
 
+// nextController selects the controller that gets the next request first (round robin).
 var nextController atomic.Uint64
 
-// handleFront passes a user's request to a healthy controller. It notes the
-// descriptions of jobs, which users hand to the workers too.
-func (s *Site) handleFront(ctx *fasthttp.RequestCtx) {
+// handleFrontend proxies a user's request to a healthy controller. It also records the
+// descriptions of submitted jobs for the workers, to which users send them as well.
+func (s *Site) handleFrontend(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == protocol.PathJobs && ctx.IsPost() {
-		s.upload(ctx.PostBody())
+		s.recordJob(ctx.PostBody())
 	}
-	first := int(nextController.Add(1))
+	offset := int(nextController.Add(1))
 	tried := 0
 	for i := range s.controllers {
-		c := s.controllers[(first+i)%len(s.controllers)]
+		c := s.controllers[(offset+i)%len(s.controllers)]
 		if !c.healthy.Load() || tried == maxAttempts {
 			continue
 		}
 		tried++
 		req, res := &ctx.Request, &ctx.Response
-		req.SetHost(c.listen)
-		if err := proxy.Do(req, res); err == nil {
+		req.SetHost(c.listenAddress)
+		if err := proxyClient.Do(req, res); err == nil {
 			return
 		} else if !strings.Contains(err.Error(), "dial") {
 			ctx.Error("no answer", fasthttp.StatusGatewayTimeout)
@@ -60,10 +63,11 @@
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 }
 
-func (s *Site) upload(body []byte) {
+// recordJob stores the description in the body of a submission for the workers.
+func (s *Site) recordJob(body []byte) {
 	var j protocol.Submission
-	if json.Unmarshal(body, &j) != nil || !complete(&j) {
-		return // the controller says what is wrong with it
+	if json.Unmarshal(body, &j) != nil || !hasRequiredFields(&j) {
+		return // the controller reports the error to the user
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +77,8 @@
 	s.fleet.AddJob(&j)
 }
 
-// complete tells whether a description holds all that a worker needs.
-func complete(j *protocol.Submission) bool {
+// hasRequiredFields reports whether a job's description has all fields that a worker needs.
+func hasRequiredFields(j *protocol.Submission) bool {
 	return j.ID != nil && j.Kind != nil && j.Tasks != nil && j.CPUs != nil && j.GPUs != nil && j.MemoryGB != nil &&
 		j.Image != nil && j.ImageGB != nil && j.EstimateS != nil && j.CheckpointS != nil && j.SaveS != nil
 }
--- a/internal/emulator/handoffbench.go
+++ b/internal/emulator/handoffbench.go
@@ -13,11 +13,11 @@
 	"pepperlever/client"
 )
 
-// Measure prints how long jobs take that go to the other site and that stay, how
-// many go over a second, what that costs the state services, and how long results
-// take once a cut link is back, with so many jobs in flight.
+// Measure prints the latency of local and of handed-off jobs with the state changes per job,
+// and for each number of jobs in inFlight how fast they are handed off and how long the last
+// result takes once a cut link is restored.
 func (p *Pair) Measure(ctx context.Context, out io.Writer, inFlight []int) error {
-	c, err := client.New(p.Sites[0].Front())
+	c, err := client.New(p.Sites[0].FrontendAddress())
 	if err != nil {
 		return err
 	}
@@ -25,139 +25,150 @@
 		return err
 	}
 	for _, class := range []string{"stays", RemoteClass} {
-		if err := p.latency(ctx, out, c, class, 60); err != nil {
+		if err := p.measureLatency(ctx, out, c, class, 60); err != nil {
 			return err
 		}
 	}
-	for _, n := range inFlight {
-		if err := p.recovery(ctx, out, c, n); err != nil {
+	for _, jobs := range inFlight {
+		if err := p.measureRecovery(ctx, out, c, jobs); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// latency runs n jobs one after the other.
-func (p *Pair) latency(ctx context.Context, out io.Writer, c *client.Client, class string, n int) error {
-	h := hdrhistogram.New(1, 60_000, 3) // milliseconds
+// measureLatency runs jobs of a class one after the other and prints their latency and the
+// state changes per job.
+func (p *Pair) measureLatency(ctx context.Context, out io.Writer, c *client.Client, class string, jobs int) error {
+	histogram := hdrhistogram.New(1, 60_000, 3) // milliseconds
 	before := p.changeCounts()
-	for range n {
+	for range jobs {
 		start := time.Now()
-		id, err := p.submit(ctx, c, class, 0.01)
+		id, err := p.submitJob(ctx, c, class, 0.01)
 		if err != nil {
 			return err
 		}
 		if err := p.waitForEnd(ctx, c, id); err != nil {
 			return err
 		}
-		if err := h.RecordValue(time.Since(start).Milliseconds()); err != nil {
+		if err := histogram.RecordValue(time.Since(start).Milliseconds()); err != nil {
 			return err
 		}
 	}
 	after := p.changeCounts()
-	fmt.Fprintf(out, "class %-6s %d jobs one by one: p50 %d ms, p99 %d ms; changes of the state a job: %.1f at %s, %.1f at %s\n", class, n,
-		h.ValueAtQuantile(50), h.ValueAtQuantile(99),
-		float64(after[0]-before[0])/float64(n), pairNames[0], float64(after[1]-before[1])/float64(n), pairNames[1])
+	fmt.Fprintf(out, "class %-6s %d sequential jobs: p50 %d ms, p99 %d ms; state changes per job: %.1f at %s, %.1f at %s\n", class, jobs,
+		histogram.ValueAtQuantile(50), histogram.ValueAtQuantile(99),
+		float64(after[0]-before[0])/float64(jobs), pairNames[0], float64(after[1]-before[1])/float64(jobs), pairNames[1])
 	return nil
 }
 
-// recovery has n jobs away behind a cut link that end there, and tells how long the
-// last result takes once the link is back.
-func (p *Pair) recovery(ctx context.Context, out io.Writer, c *client.Client, n int) error {
+// measureRecovery hands jobs off, cuts the links until the jobs have completed at the other
+// site, and prints how long the last result takes once the links are restored.
+func (p *Pair) measureRecovery(ctx context.Context, out io.Writer, c *client.Client, jobs int) error {
 	start := time.Now()
-	runs := 3 + float64(n)/100 // none comes back before all are away
-	before := p.Sites[1].Completed()
-	ids, err := p.submitAll(ctx, c, n, runs)
+	runSeconds := 3 + float64(jobs)/100 // long enough that no job completes before all are handed off
+	before := p.Sites[1].CompletedRuns()
+	ids, err := p.submitJobs(ctx, c, jobs, runSeconds)
 	if err != nil {
 		return err
 	}
-	if err := p.poll(ctx, func() bool { return p.Sites[0].State.countKeys("j/ga/") >= n || time.Since(start).Seconds() > runs }); err != nil {
+	if err := p.poll(ctx, func() bool {
+		return p.Sites[0].State.countKeys("j/ga/") >= jobs || time.Since(start).Seconds() > runSeconds
+	}); err != nil {
 		return err
 	}
-	away := p.Sites[0].State.countKeys("j/ga/")
-	fmt.Fprintf(out, "%5d jobs handed in at once: %d away after %.1f s\n", n, away, time.Since(start).Seconds())
-	if err := p.poll(ctx, func() bool { return p.Sites[1].State.countKeys("j/gt/") >= away || time.Since(start).Seconds() > runs }); err != nil {
+	handedOff := p.Sites[0].State.countKeys("j/ga/")
+	fmt.Fprintf(out, "%5d jobs submitted at once: %d handed off after %.1f s\n", jobs, handedOff, time.Since(start).Seconds())
+	if err := p.poll(ctx, func() bool {
+		return p.Sites[1].State.countKeys("j/gt/") >= handedOff || time.Since(start).Seconds() > runSeconds
+	}); err != nil {
 		return err
 	}
-	for _, l := range p.Links {
-		l.Set(Hang)
+	for _, link := range p.Links {
+		link.SetMode(Hang)
 	}
-	cut := time.Now()
-	if err := p.poll(ctx, func() bool { return p.Sites[1].Completed() >= before+away || time.Since(cut) > 2*caseTimeout }); err != nil {
+	cutAt := time.Now()
+	if err := p.poll(ctx, func() bool {
+		return p.Sites[1].CompletedRuns() >= before+handedOff || time.Since(cutAt) > 2*caseTimeout
+	}); err != nil {
 		return err
 	}
 	sleep(ctx, 5*time.Second)
-	for _, l := range p.Links {
-		l.Set(Pass)
+	for _, link := range p.Links {
+		link.SetMode(Pass)
 	}
-	back := time.Now()
+	restoredAt := time.Now()
 	for _, id := range ids {
 		if err := p.waitForEnd(ctx, c, id); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(out, "%5d in flight behind a link cut for %.0f s, all ended there: last result %.1f s after its return\n", away, back.Sub(cut).Seconds(), time.Since(back).Seconds())
+	fmt.Fprintf(out, "%5d in flight behind a link cut for %.0f s, all completed at the peer: last result %.1f s after the link was restored\n", handedOff, restoredAt.Sub(cutAt).Seconds(), time.Since(restoredAt).Seconds())
 	return nil
 }
 
-func (p *Pair) submit(ctx context.Context, c *client.Client, class string, runs float64) (string, error) {
-	j := client.Job{Team: p.Sites[0].cfg.Teams[0].Name, Class: class, EstimateS: runs, CPUs: 0.01, MemoryGB: 0.01}
+// submitJob submits a small job to the first site and returns its id. A job of RemoteClass
+// is restricted to RemoteZone.
+func (p *Pair) submitJob(ctx context.Context, c *client.Client, class string, runSeconds float64) (string, error) {
+	spec := client.Job{Team: p.Sites[0].cfg.Teams[0].Name, Class: class, EstimateS: runSeconds, CPUs: 0.01, MemoryGB: 0.01}
 	if class == RemoteClass {
-		j.Zone = RemoteZone
+		spec.Zone = RemoteZone
 	}
-	if err := j.Fill(); err != nil {
+	if err := spec.Fill(); err != nil {
 		return "", err
 	}
-	_, err := c.Submit(ctx, j)
-	return j.ID, err
+	_, err := c.Submit(ctx, spec)
+	return spec.ID, err
 }
 
-func (p *Pair) submitAll(ctx context.Context, c *client.Client, n int, runs float64) ([]string, error) {
+// submitJobs concurrently submits jobs of RemoteClass and returns their ids.
+func (p *Pair) submitJobs(ctx context.Context, c *client.Client, count int, runSeconds float64) ([]string, error) {
 	var mu sync.Mutex
 	var ids []string
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(32)
-	for range n {
-		g.Go(func() error {
-			id, err := p.submit(ctx, c, RemoteClass, runs)
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(32)
+	for range count {
+		group.Go(func() error {
+			id, err := p.submitJob(ctx, c, RemoteClass, runSeconds)
 			mu.Lock()
 			defer mu.Unlock()
 			ids = append(ids, id)
 			return err
 		})
 	}
-	return ids, g.Wait()
+	return ids, group.Wait()
 }
 
-// waitForEnd asks for a job's end often: the figure is to be the site's, not the asker's.
+// waitForEnd polls a job until it has ended. It polls more often than Client.Wait, whose
+// interval would dominate the measured latency.
 func (p *Pair) waitForEnd(ctx context.Context, c *client.Client, id string) error {
 	var err error
-	waited := p.poll(ctx, func() bool {
+	pollErr := p.poll(ctx, func() bool {
 		var s client.State
 		s, err = c.Status(ctx, id)
 		return err != nil || s.Final()
 	})
-	if waited != nil {
-		return waited
+	if pollErr != nil {
+		return pollErr
 	}
 	return err
 }
 
-// poll looks every so often whether something holds.
-func (p *Pair) poll(ctx context.Context, holds func() bool) error {
-	for !holds() {
+// poll waits until condition returns true, which it checks at each tick.
+func (p *Pair) poll(ctx context.Context, condition func() bool) error {
+	for !condition() {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		sleep(ctx, tick)
+		sleep(ctx, tickInterval)
 	}
 	return nil
 }
 
-// changeCounts are how many changes each state service has made.
-func (p *Pair) changeCounts() (out [2]int) {
+// changeCounts returns the number of changes that each state service has made.
+func (p *Pair) changeCounts() (counts [2]int) {
 	for i, s := range p.Sites {
-		out[i] = s.State.changeCount()
+		counts[i] = s.State.changeCount()
 	}
-	return out
+	return counts
 }
--- a/internal/emulator/handofffaults.go
+++ b/internal/emulator/handofffaults.go
@@ -10,51 +10,53 @@
 	"pepperlever/client"
 )
 
-// fault is one failure between two sites: it begins when the n-th message after the
-// submission of a job is about to pass a link, and ends by itself.
+// fault is a failure injected into a hand-off between two sites. It begins when a given
+// message after a job's submission is about to pass a link, and ends after its duration.
 type fault struct {
-	name  string
-	begin func(p *Pair)
-	end   func(p *Pair)
-	lasts time.Duration
+	name     string
+	begin    func(p *Pair)
+	end      func(p *Pair)
+	duration time.Duration
 }
 
-// faults lists all failures that are injected. Short ones end before a try is
-// repeated, long ones after several.
+// faults returns all faults. Short ones end before an attempt is retried, long ones after
+// several retries.
 func faults() []fault {
 	short, long := 400*time.Millisecond, 5*time.Second
 	var out []fault
 	for _, side := range []int{0, 1} {
-		for _, m := range []LinkMode{Refuse, Hang, Hold} {
-			for _, lasts := range []time.Duration{short, long} {
-				out = append(out, fault{fmt.Sprintf("link from %s is %s for %v", pairNames[side], m, lasts),
-					func(p *Pair) { p.Links[side].Set(m) }, func(p *Pair) { p.Links[side].Set(Pass) }, lasts})
+		for _, mode := range []LinkMode{Refuse, Hang, Hold} {
+			for _, duration := range []time.Duration{short, long} {
+				out = append(out, fault{fmt.Sprintf("link from %s is %s for %v", pairNames[side], mode, duration),
+					func(p *Pair) { p.Links[side].SetMode(mode) }, func(p *Pair) { p.Links[side].SetMode(Pass) }, duration})
 			}
 		}
 		out = append(out,
-			fault{fmt.Sprintf("all controllers of %s are killed", pairNames[side]), func(p *Pair) { p.killAll(side) }, func(*Pair) {}, 0},
+			fault{fmt.Sprintf("all controllers of %s are killed", pairNames[side]), func(p *Pair) { p.killControllers(side) }, func(*Pair) {}, 0},
 			fault{fmt.Sprintf("state service of %s is out for %v", pairNames[side], long),
 				func(p *Pair) { p.Sites[side].State.SetDown(true) }, func(p *Pair) { p.Sites[side].State.SetDown(false) }, long})
 	}
-	both := func(do func(p *Pair, side int)) func(p *Pair) { return func(p *Pair) { do(p, 0); do(p, 1) } }
+	both := func(apply func(p *Pair, side int)) func(p *Pair) { return func(p *Pair) { apply(p, 0); apply(p, 1) } }
 	return append(out,
-		fault{"all controllers of both are killed", both((*Pair).killAll), func(*Pair) {}, 0},
-		fault{fmt.Sprintf("both directions hang for %v", long), both(func(p *Pair, i int) { p.Links[i].Set(Hang) }),
-			both(func(p *Pair, i int) { p.Links[i].Set(Pass) }), long})
+		fault{"all controllers of both are killed", both((*Pair).killControllers), func(*Pair) {}, 0},
+		fault{fmt.Sprintf("both directions hang for %v", long), both(func(p *Pair, i int) { p.Links[i].SetMode(Hang) }),
+			both(func(p *Pair, i int) { p.Links[i].SetMode(Pass) }), long})
 }
 
-func (p *Pair) killAll(side int) {
+// killControllers terminates all controllers of one site; they are restarted.
+func (p *Pair) killControllers(side int) {
 	for _, c := range p.Sites[side].controllers {
-		p.Sites[side].Kill(c.node)
+		p.Sites[side].KillController(c.node)
 	}
 }
 
-// messagesPerHandoff is how many messages may pass a link before the fault begins: the offer
-// and the question for the end from the origin, the decision and the result back.
+// messagesPerHandoff is the number of messages that a hand-off sends in each direction, at
+// each of which a fault can begin: the offer and the query for the result from the origin, the
+// decision and the result from the peer.
 const messagesPerHandoff = 2
 
-// faultCase is one case of the table: a fault at a message from one side, perhaps
-// together with a cancellation.
+// faultCase is a fault that begins at a message from one side, with or without a concurrent
+// cancellation of the job.
 type faultCase struct {
 	fault   fault
 	side    int
@@ -66,8 +68,8 @@
 	return fmt.Sprintf("%-45s at message %d from %s, cancel %-5v", c.fault.name, c.message, pairNames[c.side], c.cancel)
 }
 
-// faultCases lists every fault at every message in either direction, with and without a
-// cancellation. only, if not empty, picks the faults whose names contain it.
+// faultCases returns every fault at every message in either direction, with and without a
+// cancellation. If only is not empty, it returns just the faults whose names contain it.
 func faultCases(only string) []faultCase {
 	var cases []faultCase
 	for _, f := range faults() {
@@ -85,16 +87,16 @@
 	return cases
 }
 
-// faultTotals sums up the cases.
+// faultTotals counts the cases, the final answers, the completed runs and the failed cases.
 type faultTotals struct {
-	cases, answers, runs, wrong int
+	cases, answers, runs, failures int
 }
 
-// CutEveryStage hands jobs over and injects every fault at every message, in either
-// direction, with and without a cancellation. It prints a line for each case, and counts
-// runs and final answers. only, if not empty, picks the faults whose names contain it.
-func (p *Pair) CutEveryStage(ctx context.Context, out io.Writer, only string) error {
-	c, err := client.New(p.Sites[0].Front())
+// RunFaultCases hands off a job for each fault case, prints a line for each, and returns an
+// error if a job ran more than once or did not reach the expected final state. If only is not
+// empty, it runs just the faults whose names contain it.
+func (p *Pair) RunFaultCases(ctx context.Context, out io.Writer, only string) error {
+	c, err := client.New(p.Sites[0].FrontendAddress())
 	if err != nil {
 		return err
 	}
@@ -107,18 +109,18 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "%d cases: %d final answers, %d runs, %d wrong\n", totals.cases, totals.answers, totals.runs, totals.wrong)
-	if totals.wrong > 0 {
-		return fmt.Errorf("%d cases went wrong", totals.wrong)
+	fmt.Fprintf(out, "%d cases: %d final answers, %d runs, %d wrong\n", totals.cases, totals.answers, totals.runs, totals.failures)
+	if totals.failures > 0 {
+		return fmt.Errorf("%d cases failed", totals.failures)
 	}
 	return nil
 }
 
-// checkCase runs one case, prints its outcome and adds it to the totals. A job may run
-// once at most, and exactly once if it ends done.
+// checkCase runs one case, prints its outcome and adds it to the totals. A job must run at
+// most once, and exactly once if its final state is done.
 func (p *Pair) checkCase(ctx context.Context, out io.Writer, c *client.Client, faultCase faultCase, totals *faultTotals) error {
 	before := p.completedTasks()
-	final, took, err := p.runCase(ctx, c, faultCase)
+	final, elapsed, err := p.runCase(ctx, c, faultCase)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -130,19 +132,20 @@
 	}
 	verdict := ""
 	if err != nil || runs > 1 || final == client.Done && runs != 1 || !faultCase.cancel && final != client.Done {
-		totals.wrong++
+		totals.failures++
 		verdict = fmt.Sprintf("  WRONG: %v", err)
 	}
-	fmt.Fprintf(out, "%v: %-9s %d runs, %4.1f s%s\n", faultCase, final, runs, took.Seconds(), verdict)
+	fmt.Fprintf(out, "%v: %-9s %d runs, %4.1f s%s\n", faultCase, final, runs, elapsed.Seconds(), verdict)
 	return nil
 }
 
-func (p *Pair) completedTasks() int { return p.Sites[0].Completed() + p.Sites[1].Completed() }
+// completedTasks returns the number of attempts that ran to completion at both sites.
+func (p *Pair) completedTasks() int { return p.Sites[0].CompletedRuns() + p.Sites[1].CompletedRuns() }
 
-// caseTimeout is for how long a case may take.
+// caseTimeout bounds the duration of one case.
 const caseTimeout = 90 * time.Second
 
-// waitForHandoff waits until a job has come back from the other site.
+// waitForHandoff waits until the sites can hand off jobs: it runs one at the other site.
 func (p *Pair) waitForHandoff(ctx context.Context, c *client.Client) error {
 	ctx, cancel := context.WithTimeout(ctx, caseTimeout)
 	defer cancel()
@@ -150,56 +153,57 @@
 	return err
 }
 
-// runRemoteJob submits a job that goes to the other site, and waits for its end.
-func (p *Pair) runRemoteJob(ctx context.Context, c *client.Client, accepted func(id string)) (client.State, error) {
-	id, err := p.submit(ctx, c, RemoteClass, 0.5)
+// runRemoteJob submits a job that is handed off to the other site and waits for its final
+// state. onAccepted, if not nil, is called once the job is accepted.
+func (p *Pair) runRemoteJob(ctx context.Context, c *client.Client, onAccepted func(id string)) (client.State, error) {
+	id, err := p.submitJob(ctx, c, RemoteClass, 0.5)
 	if err != nil {
 		return client.State{}, err
 	}
-	if accepted != nil {
-		accepted(id)
+	if onAccepted != nil {
+		onAccepted(id)
 	}
 	return c.Wait(ctx, id, nil)
 }
 
-// runCase plays one case and returns the job's final state. A cancellation comes with the
-// fault.
+// runCase runs one case and returns the job's final state and its duration. The job is
+// cancelled, if at all, when the fault begins.
 func (p *Pair) runCase(ctx context.Context, c *client.Client, faultCase faultCase) (string, time.Duration, error) {
 	ctx, stop := context.WithTimeout(ctx, caseTimeout)
 	defer stop()
-	began := make(chan struct{})
+	faultStarted := make(chan struct{})
 	p.Links[faultCase.side].OnMessage(faultCase.message, func() {
 		faultCase.fault.begin(p)
-		close(began)
+		close(faultStarted)
 	})
 	start := time.Now()
-	ended := make(chan struct{})
-	s, err := p.runRemoteJob(ctx, c, func(id string) {
+	faultEnded := make(chan struct{})
+	final, err := p.runRemoteJob(ctx, c, func(id string) {
 		go func() {
-			defer close(ended)
+			defer close(faultEnded)
 			select {
-			case <-began:
-			case <-time.After(caseTimeout / 6): // so many messages do not pass
+			case <-faultStarted:
+			case <-time.After(caseTimeout / 6): // the hand-off does not send that many messages
 				return
 			case <-ctx.Done():
 				return
 			}
 			if faultCase.cancel {
-				go func() { _, _ = c.Cancel(ctx, id) }() // the end of the job tells
+				go func() { _, _ = c.Cancel(ctx, id) }() // checkCase judges the final state, not this response
 			}
-			sleep(ctx, faultCase.fault.lasts)
+			sleep(ctx, faultCase.fault.duration)
 			faultCase.fault.end(p)
 		}()
 	})
-	took := time.Since(start)
+	elapsed := time.Since(start)
 	if err != nil {
-		return "", took, err
+		return "", elapsed, err
 	}
-	<-ended
+	<-faultEnded
 	p.Links[faultCase.side].OnMessage(0, nil)
-	again, err := c.Status(ctx, s.ID)
-	if err == nil && again.State != s.State {
-		err = fmt.Errorf("it was %s and is %s", s.State, again.State)
+	current, err := c.Status(ctx, final.ID)
+	if err == nil && current.State != final.State {
+		err = fmt.Errorf("final state changed from %s to %s", final.State, current.State)
 	}
-	return s.State, took, err
+	return final.State, elapsed, err
 }
--- a/internal/emulator/http.go
+++ b/internal/emulator/http.go
@@ -11,24 +11,24 @@
 	"pepperlever/internal/protocol"
 )
 
-// serve answers on ln until ctx ends.
-func serve(ctx context.Context, ln net.Listener, h fasthttp.RequestHandler) error {
+// serve handles HTTP requests on ln until ctx ends.
+func serve(ctx context.Context, ln net.Listener, handler fasthttp.RequestHandler) error {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
-	s := &fasthttp.Server{Handler: h, MaxRequestBodySize: protocol.MaxBody, NoDefaultServerHeader: true, Logger: httpserver.DiscardLogger{}}
-	if err := s.Serve(ln); ctx.Err() == nil {
+	server := &fasthttp.Server{Handler: handler, MaxRequestBodySize: protocol.MaxBody, NoDefaultServerHeader: true, Logger: httpserver.DiscardLogger{}}
+	if err := server.Serve(ln); ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-// every calls f every d until ctx ends.
-func every(ctx context.Context, d time.Duration, f func()) error {
-	t := time.NewTicker(d)
-	defer t.Stop()
+// runEvery calls fn at each interval until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, fn func()) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			f()
+		case <-ticker.C:
+			fn()
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/emulator/keyvaluestore.go
+++ b/internal/emulator/keyvaluestore.go
@@ -10,174 +10,177 @@
 	"pepperlever/internal/protocol"
 )
 
-// retainedEvents is how many changes the state service remembers for watches.
+// retainedEvents is the minimum number of latest events that are kept for watches once
+// older ones are discarded.
 const retainedEvents = 10_000
 
-// KeyValueStore is the state service without input or output: callers pass the time.
+// KeyValueStore implements the state service's semantics. It does no I/O; callers pass the
+// current time.
 type KeyValueStore struct {
 	items    map[string]protocol.KeyValue
 	revision uint64
 	events   []protocol.Event
-	// compactedRevision is the newest revision whose changes are forgotten.
+	// compactedRevision is the newest revision whose events have been discarded.
 	compactedRevision uint64
 	leases            map[uint64]*lease
-	lastLease         uint64
-	// changeCount counts changes.
+	lastLeaseID       uint64
+	// changeCount counts all writes and deletions of keys.
 	changeCount int
-	// unsavedKeys names the keys that have changed since they were last saved.
+	// unsavedKeys holds the keys that have changed since the last save.
 	unsavedKeys map[string]bool
 }
 
+// lease is a lease that keys can be bound to.
 type lease struct {
-	ttl, ends time.Duration
+	ttl, expiresAt time.Duration
 }
 
-// NewKeyValueStore makes an empty store.
+// NewKeyValueStore returns an empty store.
 func NewKeyValueStore() *KeyValueStore {
 	return &KeyValueStore{items: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, unsavedKeys: map[string]bool{}}
 }
 
-// Get reads one key.
+// Get returns a key's value and whether the key exists.
 func (s *KeyValueStore) Get(key string) (protocol.KeyValue, bool) {
 	kv, ok := s.items[key]
 	return kv, ok
 }
 
-// maxPage and maxPageBytes bound one page of a list.
+// maxPageKeys and maxPageBytes bound one page of a list.
 const (
-	maxPage      = 1000
+	maxPageKeys  = 1000
 	maxPageBytes = 512 << 10
 )
 
-// List reads a page of the keys with a prefix, beginning after a key.
+// List returns a page of the keys that begin with prefix and follow after.
 func (s *KeyValueStore) List(prefix, after string, limit int) protocol.KeyList {
-	out := protocol.KeyList{Items: []protocol.KeyValue{}, Revision: s.revision}
-	size := 0
+	page := protocol.KeyList{Items: []protocol.KeyValue{}, Revision: s.revision}
+	sizeBytes := 0
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
 		if !strings.HasPrefix(key, prefix) || key <= after {
 			continue
 		}
 		kv := s.items[key]
-		size += len(key) + len(kv.Value) + 64
-		if len(out.Items) == min(limit, maxPage) || size > maxPageBytes {
-			out.More = true
+		sizeBytes += len(key) + len(kv.Value) + 64
+		if len(page.Items) == min(limit, maxPageKeys) || sizeBytes > maxPageBytes {
+			page.More = true
 			break
 		}
-		out.Items = append(out.Items, kv)
+		page.Items = append(page.Items, kv)
 	}
-	return out
+	return page
 }
 
-// Apply carries out a transaction, whole or not at all. ok is false when a
-// condition failed; noLease tells of a write under a lease that has ended.
-func (s *KeyValueStore) Apply(t protocol.Txn) (out protocol.TxnResult, ok, noLease bool) {
-	for _, ch := range t.Then {
-		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
-			return out, false, true
+// Apply applies a transaction atomically. ok is false if a condition failed, and
+// leaseNotFound is true if the transaction writes under a lease that does not exist.
+func (s *KeyValueStore) Apply(txn protocol.Txn) (result protocol.TxnResult, ok, leaseNotFound bool) {
+	for _, change := range txn.Then {
+		if change.Lease != 0 && s.leases[change.Lease] == nil {
+			return result, false, true
 		}
 	}
-	for _, c := range t.If {
-		if s.items[c.Key].Version != c.Version {
-			out.Failed = append(out.Failed, c.Key)
+	for _, condition := range txn.If {
+		if s.items[condition.Key].Version != condition.Version {
+			result.Failed = append(result.Failed, condition.Key)
 		}
 	}
-	if len(out.Failed) == 0 && len(t.Then) > 0 {
+	if len(result.Failed) == 0 && len(txn.Then) > 0 {
 		s.revision++
-		for _, ch := range t.Then {
-			s.applyChange(ch)
+		for _, change := range txn.Then {
+			s.applyChange(change)
 		}
 	}
-	out.Revision = s.revision
-	return out, len(out.Failed) == 0, false
+	result.Revision = s.revision
+	return result, len(result.Failed) == 0, false
 }
 
-// applyChange applies one change at the current revision.
-func (s *KeyValueStore) applyChange(ch protocol.Change) {
-	e := protocol.Event{Version: s.revision}
-	if ch.Delete != "" {
-		if _, there := s.items[ch.Delete]; !there {
+// applyChange applies one change at the current revision and records its event. Deleting a
+// key that does not exist has no effect.
+func (s *KeyValueStore) applyChange(change protocol.Change) {
+	event := protocol.Event{Version: s.revision}
+	if change.Delete != "" {
+		if _, exists := s.items[change.Delete]; !exists {
 			return
 		}
-		delete(s.items, ch.Delete)
-		e.Delete = ch.Delete
+		delete(s.items, change.Delete)
+		event.Delete = change.Delete
 	} else {
-		s.items[ch.Put] = protocol.KeyValue{Key: ch.Put, Value: ch.Value, Version: s.revision, Lease: ch.Lease}
-		e.Put, e.Value = ch.Put, ch.Value
+		s.items[change.Put] = protocol.KeyValue{Key: change.Put, Value: change.Value, Version: s.revision, Lease: change.Lease}
+		event.Put, event.Value = change.Put, change.Value
 	}
 	s.changeCount++
-	s.unsavedKeys[e.Put+e.Delete] = true
-	if s.events = append(s.events, e); len(s.events) > 2*retainedEvents {
-		old := s.events[:len(s.events)-retainedEvents]
-		s.compactedRevision = old[len(old)-1].Version
-		s.events = slices.Clone(s.events[len(old):])
+	s.unsavedKeys[event.Put+event.Delete] = true
+	if s.events = append(s.events, event); len(s.events) > 2*retainedEvents {
+		discarded := s.events[:len(s.events)-retainedEvents]
+		s.compactedRevision = discarded[len(discarded)-1].Version
+		s.events = slices.Clone(s.events[len(discarded):])
 	}
 }
 
-// Changes lists what has changed below a prefix after a revision; gone tells that
-// so old a revision is no longer remembered.
-func (s *KeyValueStore) Changes(prefix string, since uint64) (out protocol.Changes, gone bool) {
+// Changes returns the events under prefix after the revision since. compacted reports
+// whether events after that revision have been discarded.
+func (s *KeyValueStore) Changes(prefix string, since uint64) (out protocol.Changes, compacted bool) {
 	if since < s.compactedRevision {
 		return out, true
 	}
 	out.Revision, out.Events = s.revision, []protocol.Event{}
-	from, _ := slices.BinarySearchFunc(s.events, since+1, func(e protocol.Event, v uint64) int { return cmp.Compare(e.Version, v) })
-	for _, e := range s.events[from:] {
-		if strings.HasPrefix(e.Put+e.Delete, prefix) {
-			out.Events = append(out.Events, e)
+	first, _ := slices.BinarySearchFunc(s.events, since+1, func(event protocol.Event, firstRevision uint64) int { return cmp.Compare(event.Version, firstRevision) })
+	for _, event := range s.events[first:] {
+		if strings.HasPrefix(event.Put+event.Delete, prefix) {
+			out.Events = append(out.Events, event)
 		}
 	}
 	return out, false
 }
 
-// Grant gives a lease, Renew extends it and Revoke ends it. Renew and Revoke tell
-// whether there was one.
+// Grant creates a lease and returns its id.
 func (s *KeyValueStore) Grant(now, ttl time.Duration) uint64 {
-	s.lastLease++
-	s.leases[s.lastLease] = &lease{ttl, now + ttl}
-	return s.lastLease
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{ttl, now + ttl}
+	return s.lastLeaseID
 }
 
-// Renew extends a lease.
+// Renew extends a lease by its full TTL and reports whether it exists.
 func (s *KeyValueStore) Renew(now time.Duration, id uint64) bool {
 	l := s.leases[id]
 	if l != nil {
-		l.ends = now + l.ttl
+		l.expiresAt = now + l.ttl
 	}
 	return l != nil
 }
 
-// Revoke ends a lease and deletes its keys.
+// Revoke deletes a lease and the keys bound to it, and reports whether it existed.
 func (s *KeyValueStore) Revoke(id uint64) bool {
 	if s.leases[id] == nil {
 		return false
 	}
 	delete(s.leases, id)
-	var bound []string
+	var leasedKeys []string
 	for key, kv := range s.items {
 		if kv.Lease == id {
-			bound = append(bound, key)
+			leasedKeys = append(leasedKeys, key)
 		}
 	}
-	if len(bound) > 0 {
+	if len(leasedKeys) > 0 {
 		s.revision++
 	}
-	slices.Sort(bound)
-	for _, key := range bound {
+	slices.Sort(leasedKeys)
+	for _, key := range leasedKeys {
 		s.applyChange(protocol.Change{Delete: key})
 	}
 	return true
 }
 
-// Expire ends the leases whose time is over.
+// Expire revokes the leases that have expired.
 func (s *KeyValueStore) Expire(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if s.leases[id].ends <= now {
+		if s.leases[id].expiresAt <= now {
 			s.Revoke(id)
 		}
 	}
 }
 
-// ExtendLeases gives every lease its full time again, as after an outage.
+// ExtendLeases renews all leases, since their holders could not renew them during an outage.
 func (s *KeyValueStore) ExtendLeases(now time.Duration) {
 	for id := range s.leases {
 		s.Renew(now, id)
--- a/internal/emulator/keyvaluestore_test.go
+++ b/internal/emulator/keyvaluestore_test.go
@@ -14,20 +14,23 @@
 	"pepperlever/internal/testseed"
 )
 
-// TestMain fixes the seed of the property tests; -rapid.seed and -rapid.checks search further.
+// TestMain fixes the seed of the property tests. -rapid.seed and -rapid.checks override it to
+// search further.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// replay is what a watcher knows that began with a list and followed the changes.
-type replay struct {
-	items map[string]protocol.KeyValue
-	at    uint64
+// watcherView is the state as seen by a watcher that has listed the store and then followed
+// its changes.
+type watcherView struct {
+	items    map[string]protocol.KeyValue
+	revision uint64
 }
 
-func (r *replay) list(s *KeyValueStore) {
-	*r = replay{items: map[string]protocol.KeyValue{}}
+// list reads the whole store page by page.
+func (r *watcherView) list(s *KeyValueStore) {
+	*r = watcherView{items: map[string]protocol.KeyValue{}}
 	for after := ""; ; {
 		page := s.List("", after, 3)
-		r.at = page.Revision
+		r.revision = page.Revision
 		for _, kv := range page.Items {
 			r.items[kv.Key] = kv
 			after = kv.Key
@@ -38,8 +41,9 @@
 	}
 }
 
-func (r *replay) follow(s *KeyValueStore) bool {
-	ch, gone := s.Changes("", r.at)
+// follow applies the changes since the last call. It returns false if they were discarded.
+func (r *watcherView) follow(s *KeyValueStore) bool {
+	ch, gone := s.Changes("", r.revision)
 	if gone {
 		return false
 	}
@@ -50,54 +54,54 @@
 			r.items[e.Put] = protocol.KeyValue{Key: e.Put, Value: e.Value, Version: e.Version, Lease: s.items[e.Put].Lease}
 		}
 	}
-	r.at = ch.Revision
+	r.revision = ch.Revision
 	return true
 }
 
-// A random life of the store: what a watcher gathers is what is stored, a
-// transaction is applied whole or not at all, and a key goes with its lease.
-func TestStoreKeepsItsPromises(t *testing.T) {
+// Random operations on the store keep its invariants: a watcher sees what is stored, a
+// transaction is atomic, and a key is deleted with its lease.
+func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewKeyValueStore()
 		var leases []uint64
 		now := time.Duration(0)
-		var w replay
-		w.list(s)
+		var watcher watcherView
+		watcher.list(s)
 		key := rapid.SampledFrom([]string{"a", "b/1", "b/2", "c"})
 		t.Repeat(map[string]func(*rapid.T){
 			"txn": func(t *rapid.T) {
 				var txn protocol.Txn
-				hold := true
+				conditionsHold := true
 				for range rapid.IntRange(0, 2).Draw(t, "conditions") {
 					k := key.Draw(t, "key")
 					v := s.items[k].Version
 					if rapid.IntRange(0, 3).Draw(t, "wrong") == 0 {
 						v++
-						hold = false
+						conditionsHold = false
 					}
 					txn.If = append(txn.If, protocol.Condition{Key: k, Version: v})
 				}
-				ended := false
+				leaseEnded := false
 				for i := range rapid.IntRange(0, 3).Draw(t, "changes") {
 					ch := protocol.Change{Put: key.Draw(t, "key"), Value: json.RawMessage(fmt.Sprint(i))}
 					if rapid.Bool().Draw(t, "delete") {
 						ch = protocol.Change{Delete: ch.Put}
 					} else if len(leases) > 0 && rapid.Bool().Draw(t, "leased") {
 						ch.Lease = rapid.SampledFrom(leases).Draw(t, "lease")
-						ended = ended || s.leases[ch.Lease] == nil
+						leaseEnded = leaseEnded || s.leases[ch.Lease] == nil
 					}
 					txn.Then = append(txn.Then, ch)
 				}
 				before := s.revision
 				_, ok, noLease := s.Apply(txn)
-				if noLease != ended {
-					t.Fatalf("refused for its lease %v, lease has ended %v", noLease, ended)
+				if noLease != leaseEnded {
+					t.Fatalf("got lease not found %v, want %v", noLease, leaseEnded)
 				}
-				if !noLease && ok != hold {
-					t.Fatalf("applied %v, conditions hold %v", ok, hold)
+				if !noLease && ok != conditionsHold {
+					t.Fatalf("got applied %v, want %v", ok, conditionsHold)
 				}
 				if !ok && s.revision != before {
-					t.Fatalf("a failed transaction changed something")
+					t.Fatalf("a failed transaction changed the revision")
 				}
 			},
 			"grant": func(t *rapid.T) { leases = append(leases, s.Grant(now, time.Second)) },
@@ -108,21 +112,21 @@
 			"renew": func(t *rapid.T) {
 				if len(leases) > 0 {
 					id := rapid.SampledFrom(leases).Draw(t, "lease")
-					if lives := s.leases[id] != nil; s.Renew(now, id) != lives {
-						t.Fatalf("renewal of lease %d does not tell whether it lives", id)
+					if live := s.leases[id] != nil; s.Renew(now, id) != live {
+						t.Fatalf("renewal of lease %d does not report whether the lease exists", id)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				if !w.follow(s) {
-					t.Fatalf("changes are forgotten")
+				if !watcher.follow(s) {
+					t.Fatalf("changes since the last call were discarded")
 				}
-				if d := cmp.Diff(s.items, w.items); d != "" {
-					t.Fatalf("a watcher knows something else: %s", d)
+				if diff := cmp.Diff(s.items, watcher.items); diff != "" {
+					t.Fatalf("watcher's view differs from the store (-store +watcher): %s", diff)
 				}
 				for k, kv := range s.items {
 					if kv.Lease != 0 && s.leases[kv.Lease] == nil {
-						t.Fatalf("%s outlives its lease", k)
+						t.Fatalf("key %s still exists after its lease has ended", k)
 					}
 				}
 			},
@@ -130,24 +134,24 @@
 	})
 }
 
-func TestWatcherThatIsTooFarBehindIsTold(t *testing.T) {
+func TestWatchBehindCompactionIsReported(t *testing.T) {
 	s := NewKeyValueStore()
-	var w replay
-	w.list(s)
+	var watcher watcherView
+	watcher.list(s)
 	for range 3 * retainedEvents {
 		s.Apply(protocol.Txn{Then: []protocol.Change{{Put: "a", Value: json.RawMessage("1")}}})
 	}
-	if w.follow(s) {
-		t.Error("changes that are forgotten are passed over")
+	if watcher.follow(s) {
+		t.Error("discarded changes were skipped without an error")
 	}
-	w.list(s)
-	if !w.follow(s) {
-		t.Error("a watcher that has just read is told to read again")
+	watcher.list(s)
+	if !watcher.follow(s) {
+		t.Error("a watcher that has just listed the store was told to list it again")
 	}
 }
 
-// The file holds what memory held, and no revision or lease is given twice.
-func TestStateOutlivesTheStandIn(t *testing.T) {
+// After a restart the state is the same, and no revision or lease id is issued twice.
+func TestStatePersistsAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *StateService {
 		s, err := NewStateService(Default().State, dir)
@@ -168,7 +172,7 @@
 	id := "req-1"
 	s.file.saveJob(id, &protocol.Submission{ID: &id})
 	s.file.saveMachineCount(7)
-	items, revision, last := s.kv.items, s.kv.revision, s.kv.lastLease
+	items, revision, last := s.kv.items, s.kv.revision, s.kv.lastLeaseID
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -177,18 +181,18 @@
 	if d := cmp.Diff(items, s.kv.items); d != "" {
 		t.Error(d)
 	}
-	if s.kv.revision != revision || s.kv.lastLease != last {
-		t.Errorf("revision %d, newest lease %d; were %d, %d", s.kv.revision, s.kv.lastLease, revision, last)
+	if s.kv.revision != revision || s.kv.lastLeaseID != last {
+		t.Errorf("got revision %d and newest lease %d, want %d and %d", s.kv.revision, s.kv.lastLeaseID, revision, last)
 	}
 	if _, gone := s.kv.Changes("", revision-1); !gone {
-		t.Error("changes from before are passed over")
+		t.Error("changes from before the restart were skipped without an error")
 	}
-	// Machines' names and jobs' descriptions were once lost, and accepted jobs
-	// never ran again.
+	// Without the stored job descriptions, accepted jobs would never run again after a
+	// restart; without the machine count, names would be reused.
 	if jobs, machines, err := s.file.load(); err != nil || machines != 7 || len(jobs) != 1 || *jobs[0].ID != id {
-		t.Errorf("kept %d machines and jobs %v, %v", machines, jobs, err)
+		t.Errorf("got %d machines and jobs %v, %v, want 7 and the stored job", machines, jobs, err)
 	}
-	if s.kv.leases[1] == nil || s.kv.leases[1].ends < time.Minute {
-		t.Error("a lease does not have its full time again")
+	if s.kv.leases[1] == nil || s.kv.leases[1].expiresAt < time.Minute {
+		t.Error("lease was not extended by its full TTL after the restart")
 	}
 }
--- a/internal/emulator/leaseapi.go
+++ b/internal/emulator/leaseapi.go
@@ -12,30 +12,30 @@
 	"pepperlever/internal/protocol"
 )
 
-// lease grants, renews and revokes.
-func (s *StateService) lease(ctx *fasthttp.RequestCtx, method, rest string, now time.Duration) {
-	id, action, _ := strings.Cut(strings.TrimPrefix(rest, "/"), "/")
-	n, err := strconv.ParseUint(id, 10, 64)
-	there := false
+// handleLease handles requests to grant, renew and revoke leases. The caller holds s.mu.
+func (s *StateService) handleLease(ctx *fasthttp.RequestCtx, method, suffix string, now time.Duration) {
+	id, action, _ := strings.Cut(strings.TrimPrefix(suffix, "/"), "/")
+	leaseID, err := strconv.ParseUint(id, 10, 64)
+	found := false
 	switch {
-	case rest == "" && method == fasthttp.MethodPost:
-		var g protocol.LeaseGrant
-		if json.Unmarshal(ctx.PostBody(), &g) != nil || g.TTLMillis < 100 || g.TTLMillis > 600_000 {
+	case suffix == "" && method == fasthttp.MethodPost:
+		var grant protocol.LeaseGrant
+		if json.Unmarshal(ctx.PostBody(), &grant) != nil || grant.TTLMillis < 100 || grant.TTLMillis > 600_000 {
 			httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "bad time to live")
 			return
 		}
-		ttl := time.Duration(g.TTLMillis) * time.Millisecond
+		ttl := time.Duration(grant.TTLMillis) * time.Millisecond
 		httpserver.WriteJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: s.kv.Grant(now, ttl)})
 		return
 	case err != nil:
 	case action == protocol.PathRenew && method == fasthttp.MethodPost:
-		there = s.kv.Renew(now, n)
+		found = s.kv.Renew(now, leaseID)
 	case action == "" && method == fasthttp.MethodDelete:
-		there = s.kv.Revoke(n)
+		found = s.kv.Revoke(leaseID)
 	}
-	if !there {
+	if !found {
 		httpserver.WriteProblem(ctx, fasthttp.StatusNotFound, "no such lease")
 		return
 	}
-	httpserver.WriteJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: n})
+	httpserver.WriteJSON(ctx, fasthttp.StatusOK, protocol.LeaseGranted{Lease: leaseID})
 }
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -10,42 +10,44 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// LinkMode is what a link does with what comes.
+// LinkMode determines how a link treats connections and data.
 type LinkMode string
 
 // Modes of a link.
 const (
+	// Pass forwards all data.
 	Pass LinkMode = "passing"
-	// Refuse ends connections and takes no new ones.
+	// Refuse closes all connections and rejects new ones.
 	Refuse LinkMode = "refusing"
-	// Hang takes everything and passes nothing on; it is lost.
+	// Hang accepts connections and silently drops all data.
 	Hang LinkMode = "hanging"
-	// Hold keeps what comes, and passes it on later.
+	// Hold buffers data and forwards it when the mode changes to Pass.
 	Hold LinkMode = "holding"
 )
 
-// Link carries the streams that one site opens to the controllers of another. It
-// can be cut, and it is as slow as it is told to be.
+// Link proxies the streams that one site opens to the controllers of another, with a
+// configurable delay and failure mode.
 type Link struct {
 	delay time.Duration
 
 	mu   sync.Mutex
 	mode LinkMode
-	// changed is closed at each change of the mode.
+	// changed is closed and replaced when the mode changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
-	// count is how many messages have passed; at is called at the after-th next.
+	// messagesUntilTrigger is how many more messages pass before trigger is called once.
 	messagesUntilTrigger int
 	trigger              func()
 }
 
-// NewLink makes a link on which every byte takes delay.
+// NewLink returns a link that delivers all data after delay.
 func NewLink(delay time.Duration) *Link {
 	return &Link{delay: delay, mode: Pass, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
-// Set changes the mode. What hung is lost with its connection.
-func (l *Link) Set(m LinkMode) {
+// SetMode changes the mode. Leaving Hang closes the connections, because data on them has
+// been lost.
+func (l *Link) SetMode(m LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m == Refuse || l.mode == Hang && m != Hang {
@@ -58,20 +60,22 @@
 	l.changed = make(chan struct{})
 }
 
-// OnMessage has f called when the n-th message from now is about to pass.
+// OnMessage arranges for f to be called once, when n more messages have passed and the next
+// one is about to.
 func (l *Link) OnMessage(n int, f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.messagesUntilTrigger, l.trigger = n, f
 }
 
-// minMessageBytes tells messages from what keeps a stream alive.
+// minMessageBytes is the size from which a chunk counts as a message; keep-alives are smaller.
 const minMessageBytes = 100
 
-// admit waits until a piece may go on; it is lost if not.
-func (l *Link) admit(ctx context.Context, n int, forth bool) bool {
+// admit blocks while the link holds data, and reports whether a chunk of the given size may
+// be forwarded. Otherwise the chunk is dropped.
+func (l *Link) admit(ctx context.Context, size int, outbound bool) bool {
 	l.mu.Lock()
-	if forth && n >= minMessageBytes && l.trigger != nil {
+	if outbound && size >= minMessageBytes && l.trigger != nil {
 		if l.messagesUntilTrigger--; l.messagesUntilTrigger < 0 {
 			f := l.trigger
 			l.trigger = nil
@@ -94,11 +98,11 @@
 	return l.mode == Pass
 }
 
-// serve carries connections from ln to target until ctx ends.
+// serve proxies connections from ln to target until ctx ends.
 func (l *Link) serve(ctx context.Context, ln net.Listener, target string) error {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	for {
-		in, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return nil
 		}
@@ -106,62 +110,65 @@
 		refuse := l.mode == Refuse
 		l.mu.Unlock()
 		if refuse {
-			in.Close()
+			conn.Close()
 			continue
 		}
-		go l.proxy(ctx, in, target)
+		go l.proxy(ctx, conn, target)
 	}
 }
 
-func (l *Link) proxy(ctx context.Context, in net.Conn, target string) {
-	defer in.Close()
-	out, err := net.Dial("tcp4", target)
+// proxy copies data in both directions between a client's connection and target.
+func (l *Link) proxy(ctx context.Context, client net.Conn, target string) {
+	defer client.Close()
+	server, err := net.Dial("tcp4", target)
 	if err != nil {
 		return
 	}
-	defer out.Close()
-	defer context.AfterFunc(ctx, func() { in.Close(); out.Close() })()
+	defer server.Close()
+	defer context.AfterFunc(ctx, func() { client.Close(); server.Close() })()
 	l.mu.Lock()
-	l.conns[in], l.conns[out] = true, true
+	l.conns[client], l.conns[server] = true, true
 	l.mu.Unlock()
-	var g errgroup.Group
-	g.Go(func() error { defer out.Close(); return l.copy(ctx, out, in, true) })
-	g.Go(func() error { defer in.Close(); return l.copy(ctx, in, out, false) })
-	_ = g.Wait() // a cut is no failure
+	var group errgroup.Group
+	group.Go(func() error { defer server.Close(); return l.copy(ctx, server, client, true) })
+	group.Go(func() error { defer client.Close(); return l.copy(ctx, client, server, false) })
+	_ = group.Wait() // errors are expected when the link is cut
 	l.mu.Lock()
-	delete(l.conns, in)
-	delete(l.conns, out)
+	delete(l.conns, client)
+	delete(l.conns, server)
 	l.mu.Unlock()
 }
 
-// delayedChunk is what was read, and when it arrives.
+// delayedChunk is data that was read, with the time at which to deliver it.
 type delayedChunk struct {
 	data []byte
 	due  time.Time
 }
 
-func (l *Link) copy(ctx context.Context, to io.Writer, from io.Reader, forth bool) error {
-	pieces := make(chan delayedChunk, 4096)
-	var g errgroup.Group
-	g.Go(func() error {
-		defer close(pieces)
+// copy copies data from src to dst after the link's delay. After a failed write it goes on
+// reading, so that the reading goroutine does not block.
+func (l *Link) copy(ctx context.Context, dst io.Writer, src io.Reader, outbound bool) error {
+	chunks := make(chan delayedChunk, 4096)
+	var group errgroup.Group
+	group.Go(func() error {
+		defer close(chunks)
 		for {
 			buf := make([]byte, 32<<10)
-			n, err := from.Read(buf)
+			n, err := src.Read(buf)
 			if n > 0 {
-				pieces <- delayedChunk{buf[:n], time.Now().Add(l.delay)}
+				chunks <- delayedChunk{buf[:n], time.Now().Add(l.delay)}
 			}
 			if err != nil {
 				return err
 			}
 		}
 	})
-	var failed error
-	for p := range pieces {
-		time.Sleep(time.Until(p.due))
-		if failed == nil && l.admit(ctx, len(p.data), forth) {
-			_, failed = to.Write(p.data)
+	var writeErr error
+	for chunk := range chunks {
+		time.Sleep(time.Until(chunk.due))
+		if writeErr == nil && l.admit(ctx, len(chunk.data), outbound) {
+			_, writeErr = dst.Write(chunk.data)
 		}
 	}
-	return g.Wait()
+	return group.Wait()
 }
--- a/internal/emulator/pair.go
+++ b/internal/emulator/pair.go
@@ -17,28 +17,29 @@
 	"pepperlever/internal/protocol"
 )
 
-// Goes is the class whose jobs may be handed to the second site. Those that can run
-// at the first one at once do; Abroad is a zone that only the second has.
+// RemoteClass is the class whose jobs may be handed off to the second site, unless the first
+// one can run them at once. RemoteZone is a zone that only the second site has.
 const (
 	RemoteClass = "goes"
 	RemoteZone  = "abroad"
 )
 
-// Pair is two sites, with a link for what each sends to the other.
+// Pair is two sites that hand off jobs to each other over a link in each direction.
 type Pair struct {
 	Sites [2]*Site
-	// Links carry what a site sends.
+	// Links holds for each site the link that carries its outgoing streams.
 	Links       [2]*Link
 	dir         string
 	linkServers []func(ctx context.Context) error
 }
 
-// pairNames are what the two sites are called.
+// pairNames holds the names of the two sites.
 var pairNames = [2]federation.Site{"east", "west"}
 
-// OpenPair makes two sites of one description, the second on the next port. delay is
-// how long a message takes between them.
-func OpenPair(cfg *Config, dir, images string, delay time.Duration) (*Pair, error) {
+// OpenPair opens two sites with the same configuration, except that the second also has
+// RemoteZone, a seed of its own and, unless dir is set, a free port as its frontend. delay is
+// the latency of messages between them.
+func OpenPair(cfg *Config, dir, imagesDir string, delay time.Duration) (*Pair, error) {
 	p := &Pair{}
 	var err error
 	if p.dir, err = os.MkdirTemp("", "pepperlever-lab-gateways-"); err != nil {
@@ -48,25 +49,25 @@
 		return nil, err
 	}
 	for i := range p.Sites {
-		c := *cfg
-		c.Seed += uint64(i)
+		siteCfg := *cfg
+		siteCfg.Seed += uint64(i)
 		if i > 0 {
-			c.Front = loopback
-			c.Zones = append(slices.Clone(cfg.Zones), RemoteZone)
+			siteCfg.FrontendAddress = loopbackAddress
+			siteCfg.Zones = append(slices.Clone(cfg.Zones), RemoteZone)
 		}
 		if dir != "" {
-			c.Front, dir = cfg.Front, filepath.Join(dir, string(pairNames[i]))
+			siteCfg.FrontendAddress, dir = cfg.FrontendAddress, filepath.Join(dir, string(pairNames[i]))
 		}
-		if p.Sites[i], err = Open(&c, dir, images); err != nil {
+		if p.Sites[i], err = Open(&siteCfg, dir, imagesDir); err != nil {
 			return nil, err
 		}
 		p.Sites[i].fleet.lookUpJob = p.Sites[i].storedJob
-		if err := p.Sites[i].placeControllers(); err != nil {
+		if err := p.Sites[i].configureControllers(); err != nil {
 			return nil, err
 		}
 		p.Links[i] = NewLink(delay)
-		for _, k := range p.Sites[i].controllers {
-			if k.federationAddress, err = freeAddress(); err != nil {
+		for _, ctrl := range p.Sites[i].controllers {
+			if ctrl.federationAddress, err = freeAddress(); err != nil {
 				return nil, err
 			}
 		}
@@ -79,36 +80,37 @@
 	return p, nil
 }
 
-// storedJob reads a job's description where its controllers keep it: nobody has handed
-// one that came from another site in here.
+// storedJob reads a job's description from the controllers' state. The frontend has not
+// recorded the description of a job that was handed off from another site.
 func (s *Site) storedJob(id string) *protocol.Submission {
 	s.State.mu.Lock()
-	kv, there := s.State.kv.Get("j/a/" + id)
+	kv, found := s.State.kv.Get("j/a/" + id)
 	s.State.mu.Unlock()
-	if !there {
+	if !found {
 		return nil
 	}
 	j := job.New(job.Spec{ID: id}, 1, 0)
 	if j.LoadHead(kv.Value) != nil {
 		return nil
 	}
-	out := j.Submission()
-	return &out
+	submission := j.Submission()
+	return &submission
 }
 
-// writeFederationFiles writes the gateway's files of site i, whose streams go through its link.
+// writeFederationFiles writes the federation files of site i's controllers. The peer's
+// addresses in them are those of site i's link.
 func (p *Pair) writeFederationFiles(i int) error {
 	other := p.Sites[1-i]
 	peer := federation.Peer{Site: pairNames[1-i], MaxOutgoing: federation.MaxJobsPerPeer, MaxIncoming: federation.MaxJobsPerPeer, Zones: other.cfg.Zones}
-	for _, k := range other.controllers {
-		ln, err := net.Listen("tcp4", loopback)
+	for _, ctrl := range other.controllers {
+		ln, err := net.Listen("tcp4", loopbackAddress)
 		if err != nil {
 			return err
 		}
 		peer.Addresses = append(peer.Addresses, ln.Addr().String())
-		p.linkServers = append(p.linkServers, func(ctx context.Context) error { return p.Links[i].serve(ctx, ln, k.federationAddress) })
+		p.linkServers = append(p.linkServers, func(ctx context.Context) error { return p.Links[i].serve(ctx, ln, ctrl.federationAddress) })
 	}
-	in := func(name string) string { return filepath.Join(p.dir, name) }
+	path := func(name string) string { return filepath.Join(p.dir, name) }
 	cfg := federation.Default()
 	cfg.Site, cfg.Peers = pairNames[i], []federation.Peer{peer}
 	cfg.RetryS, cfg.RetryMaxS = 1, 4
@@ -116,36 +118,36 @@
 	if i == 0 {
 		cfg.Classes[0].To = []federation.Site{peer.Site}
 	}
-	cfg.Authority, cfg.TicketKeys = in("authority.pem"), in("tickets.toml")
-	cfg.Certificate, cfg.Key = in(string(cfg.Site)+".pem"), in(string(cfg.Site)+"-key.pem")
-	for _, k := range p.Sites[i].controllers {
-		cfg.Listen = k.federationAddress
+	cfg.Authority, cfg.TicketKeys = path("authority.pem"), path("tickets.toml")
+	cfg.Certificate, cfg.Key = path(string(cfg.Site)+".pem"), path(string(cfg.Site)+"-key.pem")
+	for _, ctrl := range p.Sites[i].controllers {
+		cfg.Listen = ctrl.federationAddress
 		raw, err := toml.Marshal(cfg)
 		if err != nil {
 			return err
 		}
-		k.federationFile = in(string(cfg.Site) + "-" + k.node + ".toml")
-		if err := os.WriteFile(k.federationFile, raw, 0o600); err != nil {
+		ctrl.federationFile = path(string(cfg.Site) + "-" + ctrl.node + ".toml")
+		if err := os.WriteFile(ctrl.federationFile, raw, 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Run serves until ctx ends or a part fails.
-func (p *Pair) Run(ctx context.Context, launch Launch) error {
+// Run runs both sites and their links until ctx ends or one of them fails.
+func (p *Pair) Run(ctx context.Context, launch LaunchFunc) error {
 	defer os.RemoveAll(p.dir)
-	g, ctx := errgroup.WithContext(ctx)
-	for _, f := range p.linkServers {
-		g.Go(func() error { return f(ctx) })
+	group, ctx := errgroup.WithContext(ctx)
+	for _, serveLink := range p.linkServers {
+		group.Go(func() error { return serveLink(ctx) })
 	}
 	for _, s := range p.Sites {
-		g.Go(func() error { return s.Run(ctx, launch) })
+		group.Go(func() error { return s.Run(ctx, launch) })
 	}
-	return g.Wait()
+	return group.Wait()
 }
 
-// Close ends the files that the state is kept in.
+// Close closes the state files of both sites.
 func (p *Pair) Close() error {
 	for _, s := range p.Sites {
 		if err := s.State.Close(); err != nil {
--- a/internal/emulator/programs.go
+++ b/internal/emulator/programs.go
@@ -11,91 +11,95 @@
 	"pepperlever/internal/protocol"
 )
 
-// programRunner runs tasks as programs: an image is a folder with an executable "run".
+// programRunner runs tasks as programs. An image is a directory that contains an executable
+// named "run".
 type programRunner struct {
-	site   *Site
-	images string
+	site      *Site
+	imagesDir string
 }
 
-// outputs is where the output of tasks is kept.
-func outputs(dir string) string {
+// outputRootOf returns the directory for the output of all tasks of a site whose data
+// directory is dir.
+func outputRootOf(dir string) string {
 	if dir == "" {
 		dir = filepath.Join(os.TempDir(), "pepperlever-lab")
 	}
 	return filepath.Join(dir, "outputs")
 }
 
-// Outputs is where the output of a job's tasks is kept.
-func (s *Site) Outputs(job string) string { return filepath.Join(s.outputDir, job) }
+// OutputDir returns the directory that holds the output of a job's tasks.
+func (s *Site) OutputDir(job string) string { return filepath.Join(s.outputRoot, job) }
 
-func (p *programRunner) path(image string) string {
-	return filepath.Join(p.images, filepath.Base(image), "run")
+// programPath returns the path of an image's executable. It ignores directories in the
+// image's name.
+func (p *programRunner) programPath(image string) string {
+	return filepath.Join(p.imagesDir, filepath.Base(image), "run")
 }
 
-// Has tells whether an image is a program.
-func (p *programRunner) Has(image string) bool {
-	info, err := os.Stat(p.path(image))
+// HasProgram reports whether an image has an executable program.
+func (p *programRunner) HasProgram(image string) bool {
+	info, err := os.Stat(p.programPath(image))
 	return err == nil && info.Mode()&0o111 != 0
 }
 
-// Start runs a task's program with its output in a file, and kills it when the
-// task is stopped.
+// Start runs a task's program with its output written to a file, and returns a function that
+// kills the program.
 func (p *programRunner) Start(machine string, job *protocol.Submission, task string, attempt uint64, done func(ok bool)) func() {
-	end := func(ok bool) {
-		go func() { // the caller holds the site
+	reportEnd := func(ok bool) {
+		go func() { // asynchronously, because the caller holds the site's lock
 			p.site.mu.Lock()
 			defer p.site.mu.Unlock()
 			done(ok)
 		}()
 	}
-	out, err := p.createOutput(task, attempt)
+	output, err := p.createOutputFile(task, attempt)
 	if err != nil {
 		slog.Error("task output cannot be stored", "task", task, "error", err)
-		end(false)
+		reportEnd(false)
 		return func() {}
 	}
-	cmd := p.command(machine, job, task, attempt, out)
+	cmd := p.newCommand(machine, job, task, attempt, output)
 	if err := cmd.Start(); err != nil {
 		slog.Error("task program cannot be started", "task", task, "error", err)
-		out.Close()
-		end(false)
+		output.Close()
+		reportEnd(false)
 		return func() {}
 	}
 	go func() {
 		err := cmd.Wait()
-		out.Close()
-		end(err == nil)
+		output.Close()
+		reportEnd(err == nil)
 	}()
 	return func() {
 		if err := cmd.Process.Kill(); err != nil {
-			slog.Debug("task program had already ended", "task", task, "error", err)
+			slog.Debug("task program had already exited", "task", task, "error", err)
 		}
 	}
 }
 
-// createOutput makes the file that an attempt of a task writes its output to.
-func (p *programRunner) createOutput(task string, attempt uint64) (*os.File, error) {
-	id, index, _ := strings.Cut(task, "/")
-	dir := p.site.Outputs(id)
+// createOutputFile creates the output file of an attempt of a task.
+func (p *programRunner) createOutputFile(task string, attempt uint64) (*os.File, error) {
+	jobID, index, _ := strings.Cut(task, "/")
+	dir := p.site.OutputDir(jobID)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
 	return os.Create(filepath.Join(dir, fmt.Sprintf("%s-%d.log", index, attempt)))
 }
 
-// command is the program of a task, which runs in the folder of its output and finds its
-// task in the environment.
-func (p *programRunner) command(machine string, job *protocol.Submission, task string, attempt uint64, out *os.File) *exec.Cmd {
-	id, index, _ := strings.Cut(task, "/")
-	run, err := filepath.Abs(p.path(*job.Image))
+// newCommand returns the command that runs a task's program. It runs in the job's output
+// directory, and environment variables identify the task.
+func (p *programRunner) newCommand(machine string, job *protocol.Submission, task string, attempt uint64, output *os.File) *exec.Cmd {
+	jobID, index, _ := strings.Cut(task, "/")
+	program, err := filepath.Abs(p.programPath(*job.Image))
 	if err != nil {
-		run = p.path(*job.Image)
+		program = p.programPath(*job.Image)
 	}
-	cmd := exec.Command(run)
-	cmd.Dir = p.site.Outputs(id)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd := exec.Command(program)
+	cmd.Dir = p.site.OutputDir(jobID)
+	cmd.Stdout, cmd.Stderr = output, output
 	cmd.Env = append(os.Environ(),
-		"PEPPERLEVER_JOB="+id,
+		"PEPPERLEVER_JOB="+jobID,
 		"PEPPERLEVER_TASK="+index,
 		"PEPPERLEVER_MACHINE="+machine,
 		fmt.Sprintf("PEPPERLEVER_ATTEMPT=%d", attempt),
--- a/internal/emulator/site.go
+++ b/internal/emulator/site.go
@@ -9,79 +9,80 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Site is a whole site but for its controllers: state service, cloud, workers and
-// the users' front door, all on loopback.
+// Site emulates a site on loopback: the state service, the cloud, the workers and the users'
+// frontend. It runs the controllers through a LaunchFunc.
 type Site struct {
 	cfg   *Config
 	State *StateService
 	start time.Time
-	// outputDir is the folder of the tasks' output.
-	outputDir string
+	// outputRoot is the directory for the output of all tasks.
+	outputRoot string
 
 	mu    sync.Mutex
 	cloud *Cloud
 	fleet *Fleet
 
-	frontListener, cloudListener, stateListener net.Listener
-	controllers                                 []*controller
-	// workers ends each worker's loop when its machine is gone.
-	workers map[string]context.CancelFunc
-	group   *errgroup.Group
+	frontendListener, cloudListener, stateListener net.Listener
+	controllers                                    []*controller
+	// workerCancels holds for each machine the function that stops its worker.
+	workerCancels map[string]context.CancelFunc
+	group         *errgroup.Group
 }
 
-// tick is how often time passes for machines and tasks.
-const tick = 20 * time.Millisecond
+// tickInterval is how often the state of machines and tasks is advanced.
+const tickInterval = 20 * time.Millisecond
 
-// Open makes a site and its listeners. dir keeps its state between runs, images
-// holds programs that tasks run; either may be empty.
-func Open(cfg *Config, dir, images string) (*Site, error) {
-	s := &Site{cfg: cfg, start: time.Now(), workers: map[string]context.CancelFunc{}, outputDir: outputs(dir)}
+// Open returns a site whose listeners are open. dir is the directory that keeps its state
+// between runs, imagesDir the one with the programs that tasks run; either may be empty.
+func Open(cfg *Config, dir, imagesDir string) (*Site, error) {
+	s := &Site{cfg: cfg, start: time.Now(), workerCancels: map[string]context.CancelFunc{}, outputRoot: outputRootOf(dir)}
 	var runner Runner
-	if images != "" {
-		runner = &programRunner{site: s, images: images}
+	if imagesDir != "" {
+		runner = &programRunner{site: s, imagesDir: imagesDir}
 	}
 	s.fleet = NewFleet(cfg, runner)
 	var err error
 	if s.State, err = NewStateService(cfg.State, dir); err != nil {
 		return nil, err
 	}
-	jobs, machines, err := s.State.file.load()
+	jobs, machineCount, err := s.State.file.load()
 	if err != nil {
 		return nil, err
 	}
-	s.cloud = NewCloud(cfg, machines)
+	s.cloud = NewCloud(cfg, machineCount)
 	for _, j := range jobs {
 		s.fleet.AddJob(j)
 	}
-	for _, l := range []struct {
+	for _, listener := range []struct {
 		ln   *net.Listener
 		addr string
-	}{{&s.frontListener, cfg.Front}, {&s.cloudListener, loopback}, {&s.stateListener, loopback}} {
-		if *l.ln, err = net.Listen("tcp4", l.addr); err != nil {
+	}{{&s.frontendListener, cfg.FrontendAddress}, {&s.cloudListener, loopbackAddress}, {&s.stateListener, loopbackAddress}} {
+		if *listener.ln, err = net.Listen("tcp4", listener.addr); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-const loopback = "127.0.0.1:0"
+// loopbackAddress lets the system choose a free port.
+const loopbackAddress = "127.0.0.1:0"
 
-// Front is the users' address.
-func (s *Site) Front() string { return s.frontListener.Addr().String() }
+// FrontendAddress returns the address that users connect to.
+func (s *Site) FrontendAddress() string { return s.frontendListener.Addr().String() }
 
-// Run serves until ctx ends or a part of the site fails.
-func (s *Site) Run(ctx context.Context, launch Launch) error {
+// Run runs the site and its controllers until ctx ends or a component fails.
+func (s *Site) Run(ctx context.Context, launch LaunchFunc) error {
 	if s.controllers == nil {
-		if err := s.placeControllers(); err != nil {
+		if err := s.configureControllers(); err != nil {
 			return err
 		}
 	}
 	s.group, ctx = errgroup.WithContext(ctx)
 	s.group.Go(func() error { return s.State.Run(ctx, s.stateListener) })
 	s.group.Go(func() error { return serve(ctx, s.cloudListener, s.handleCloud) })
-	s.group.Go(func() error { return serve(ctx, s.frontListener, s.handleFront) })
-	s.group.Go(func() error { return every(ctx, tick, func() { s.advance(ctx) }) })
-	s.group.Go(func() error { return every(ctx, probeInterval, s.probe) })
+	s.group.Go(func() error { return serve(ctx, s.frontendListener, s.handleFrontend) })
+	s.group.Go(func() error { return runEvery(ctx, tickInterval, func() { s.advance(ctx) }) })
+	s.group.Go(func() error { return runEvery(ctx, probeInterval, s.probeControllers) })
 	for _, c := range s.controllers {
 		s.group.Go(func() error { return s.superviseController(ctx, c, launch) })
 	}
@@ -96,34 +97,35 @@
 	return err
 }
 
-// Completed is how many tasks have run to their end here.
-func (s *Site) Completed() int {
+// CompletedRuns returns the number of attempts that have run to completion.
+func (s *Site) CompletedRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.completed
+	return s.fleet.completedRuns
 }
 
+// now returns the time since the site was opened, the clock of the fleet and the cloud.
 func (s *Site) now() time.Duration { return time.Since(s.start) }
 
-// advance lets the time pass, and starts and ends the workers of machines that
-// come and go.
+// advance moves the fleet and the cloud to the current time, and starts and stops the workers
+// of machines that have booted or ended.
 func (s *Site) advance(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	s.fleet.Advance(now)
-	for _, ch := range s.cloud.Advance(now) {
+	for _, change := range s.cloud.Advance(now) {
 		switch {
-		case ch.Gone:
-			s.fleet.Remove(ch.Machine)
-			if stop := s.workers[ch.Machine]; stop != nil {
-				stop()
-				delete(s.workers, ch.Machine)
+		case change.Ended:
+			s.fleet.Remove(change.Machine)
+			if cancel := s.workerCancels[change.Machine]; cancel != nil {
+				cancel()
+				delete(s.workerCancels, change.Machine)
 			}
-		case ch.Up:
-			s.startWorker(ctx, now, ch)
-		case ch.Notice > 0:
-			s.fleet.Notice(ch.Machine, ch.Notice)
+		case change.Booted:
+			s.startWorker(ctx, now, change)
+		case change.ReclaimNotice > 0:
+			s.fleet.ReclaimNotice(change.Machine, change.ReclaimNotice)
 		}
 	}
 }
