--- a/internal/emulator/statefile.go
+++ b/internal/emulator/statefile.go
@@ -13,34 +13,36 @@
 	"pepperlever/internal/protocol"
 )
 
-// stateFile keeps the state in a file, so that it outlives the stand-in. A save may be
-// lost when the machine fails, not when the process does: it is a stand-in.
+// stateFile persists the emulated state across restarts. Writes are not synced: a crash of the
+// process loses nothing, a crash of the machine may lose the latest writes, which is
+// acceptable for an emulator. A nil stateFile keeps nothing.
 type stateFile struct{ db *bbolt.DB }
 
+// Names of the buckets in the state file and of the keys in the meta bucket.
 var (
 	bucketKeys  = []byte("keys")
 	bucketMeta  = []byte("meta")
 	keyCounters = []byte("counters")
 	keyLeases   = []byte("leases")
 	keyMachines = []byte("machines")
-	// bucketJobs holds the descriptions that users have handed to the workers.
+	// bucketJobs holds the job descriptions that the frontend has recorded for the workers.
 	bucketJobs = []byte("jobs")
 )
 
-// counters are the figures that must never go back.
+// counters holds the numbers that must never decrease.
 type counters struct {
 	Revision uint64 `json:"revision"`
 	LastID   uint64 `json:"last_id"`
 }
 
-// openStateFile opens the file in dir and reads it into kv.
+// openStateFile opens the state file in dir, creating it if needed, and reads it into kv.
 func openStateFile(dir string, kv *KeyValueStore) (*stateFile, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
 	db, err := bbolt.Open(filepath.Join(dir, "state.db"), 0o600, &bbolt.Options{Timeout: time.Second, NoSync: true})
 	if err != nil {
-		return nil, fmt.Errorf("state file in %s, perhaps in use: %w", dir, err)
+		return nil, fmt.Errorf("open state file in %s, perhaps in use by another process: %w", dir, err)
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error { return readStateFile(tx, kv) }); err != nil {
 		db.Close()
@@ -49,6 +51,8 @@
 	return &stateFile{db}, nil
 }
 
+// readStateFile creates the buckets that are missing and reads the keys, counters and leases
+// into kv.
 func readStateFile(tx *bbolt.Tx, kv *KeyValueStore) error {
 	keys, err := tx.CreateBucketIfNotExists(bucketKeys)
 	if err != nil {
@@ -61,16 +65,16 @@
 	if _, err := tx.CreateBucketIfNotExists(bucketJobs); err != nil {
 		return err
 	}
-	var n counters
+	var saved counters
 	ttls := map[uint64]time.Duration{}
-	for key, into := range map[string]any{string(keyCounters): &n, string(keyLeases): &ttls} {
+	for key, target := range map[string]any{string(keyCounters): &saved, string(keyLeases): &ttls} {
 		if raw := meta.Get([]byte(key)); raw != nil {
-			if err := json.Unmarshal(raw, into); err != nil {
+			if err := json.Unmarshal(raw, target); err != nil {
 				return err
 			}
 		}
 	}
-	kv.revision, kv.compactedRevision, kv.lastLease = n.Revision, n.Revision, n.LastID
+	kv.revision, kv.compactedRevision, kv.lastLeaseID = saved.Revision, saved.Revision, saved.LastID
 	for id, ttl := range ttls {
 		kv.leases[id] = &lease{ttl: ttl}
 	}
@@ -82,13 +86,13 @@
 	})
 }
 
-// save writes the touched keys, the counters and the leases.
+// save writes the changed keys, the counters and the leases in one transaction.
 func (d *stateFile) save(kv *KeyValueStore) {
 	err := d.db.Update(func(tx *bbolt.Tx) error {
 		keys, meta := tx.Bucket(bucketKeys), tx.Bucket(bucketMeta)
 		for key := range kv.unsavedKeys {
-			item, there := kv.items[key]
-			if !there {
+			item, exists := kv.items[key]
+			if !exists {
 				if err := keys.Delete([]byte(key)); err != nil {
 					return err
 				}
@@ -99,24 +103,27 @@
 			}
 		}
 		ttls := map[uint64]time.Duration{}
-		for id, l := range kv.leases {
-			ttls[id] = l.ttl
+		for id, lease := range kv.leases {
+			ttls[id] = lease.ttl
 		}
 		if err := putJSON(meta, keyLeases, ttls); err != nil {
 			return err
 		}
-		return putJSON(meta, keyCounters, counters{kv.revision, kv.lastLease})
+		return putJSON(meta, keyCounters, counters{kv.revision, kv.lastLeaseID})
 	})
 	if err != nil {
 		slog.Error("emulated state cannot be saved", "error", err)
 	}
 }
 
-// saveJob keeps a job's description, saveMachineCount how many machines were ever
-// rented: a name must never be used again.
+// saveJob stores a job's description.
 func (d *stateFile) saveJob(id string, j *protocol.Submission) { d.put(bucketJobs, []byte(id), j) }
-func (d *stateFile) saveMachineCount(n int)                    { d.put(bucketMeta, keyMachines, n) }
 
+// saveMachineCount stores how many machine names have been issued, because a name must never
+// be reused.
+func (d *stateFile) saveMachineCount(n int) { d.put(bucketMeta, keyMachines, n) }
+
+// put stores a value as JSON. It logs errors instead of returning them.
 func (d *stateFile) put(bucket, key []byte, v any) {
 	if d == nil {
 		return
@@ -126,14 +133,14 @@
 	}
 }
 
-// load reads what saveJob and saveMachineCount have kept.
-func (d *stateFile) load() (jobs []*protocol.Submission, machines int, err error) {
+// load returns the jobs and the machine count stored by saveJob and saveMachineCount.
+func (d *stateFile) load() (jobs []*protocol.Submission, machineCount int, err error) {
 	if d == nil {
 		return nil, 0, nil
 	}
 	err = d.db.View(func(tx *bbolt.Tx) error {
 		if raw := tx.Bucket(bucketMeta).Get(keyMachines); raw != nil {
-			if err := json.Unmarshal(raw, &machines); err != nil {
+			if err := json.Unmarshal(raw, &machineCount); err != nil {
 				return err
 			}
 		}
@@ -143,7 +150,7 @@
 			return json.Unmarshal(raw, &j)
 		})
 	})
-	return jobs, machines, err
+	return jobs, machineCount, err
 }
 
 func putJSON(b *bbolt.Bucket, key []byte, v any) error {
--- a/internal/emulator/stateservice.go
+++ b/internal/emulator/stateservice.go
@@ -16,17 +16,18 @@
 	"pepperlever/internal/protocol"
 )
 
-// StateLimits are the limits of the state service.
+// StateLimits holds the limits of the state service.
 type StateLimits struct {
-	// RPS and WriteRPS are requests and changes a second, with bursts of a
-	// second's worth; ValueKB bounds a value in KiB, TxnOps a transaction's changes.
+	// RPS and WriteRPS limit requests and changes per second, with bursts of one second's
+	// worth. ValueKB limits the size of a value in KiB and TxnOps the number of changes in a
+	// transaction.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// StateService serves a KV over HTTP.
+// StateService serves a KeyValueStore over HTTP and enforces the limits.
 type StateService struct {
 	limits StateLimits
 	start  time.Time
@@ -35,12 +36,13 @@
 	kv       *KeyValueStore
 	down     bool
 	file     *stateFile
-	changed  chan struct{} // closed and replaced at every change
+	changed  chan struct{} // closed and replaced at each change
 	requests tokenBucket
 	writes   tokenBucket
 }
 
-// NewStateService serves the store kept in dir, or one in memory when dir is empty.
+// NewStateService returns a state service that persists its store in dir, or keeps it only in
+// memory if dir is empty.
 func NewStateService(limits StateLimits, dir string) (*StateService, error) {
 	s := &StateService{limits: limits, start: time.Now(), kv: NewKeyValueStore(), changed: make(chan struct{})}
 	s.requests, s.writes = newTokenBucket(limits.RPS, limits.RPS), newTokenBucket(limits.WriteRPS, limits.WriteRPS)
@@ -53,7 +55,7 @@
 	return s, err
 }
 
-// Close ends the file that the state is kept in.
+// Close closes the state file.
 func (s *StateService) Close() error {
 	if s.file == nil {
 		return nil
@@ -61,8 +63,7 @@
 	return s.file.db.Close()
 }
 
-// SetDown starts or ends an outage. When one ends, every lease has its full time
-// again.
+// SetDown starts or ends an outage. At the end of an outage all leases are renewed.
 func (s *StateService) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,7 @@
 	s.down = down
 }
 
-// countKeys is how many keys begin with prefix, made how many changes were made.
+// countKeys returns the number of keys that begin with prefix.
 func (s *StateService) countKeys(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,43 +86,47 @@
 	return n
 }
 
+// changeCount returns the number of changes made so far.
 func (s *StateService) changeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.kv.changeCount
 }
 
+// now returns the time since the service was created, the clock of the store.
 func (s *StateService) now() time.Duration { return time.Since(s.start) }
 
-// Run answers on ln until ctx ends.
+// Run serves requests on ln and expires leases until ctx ends.
 func (s *StateService) Run(ctx context.Context, ln net.Listener) error {
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return serve(ctx, ln, s.handle) })
-	g.Go(func() error {
-		return every(ctx, leaseTick, func() {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return serve(ctx, ln, s.handle) })
+	group.Go(func() error {
+		return runEvery(ctx, leaseCheckInterval, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.expire()
+			s.expireLeases()
 		})
 	})
-	return g.Wait()
+	return group.Wait()
 }
 
-// leaseTick is how late a lease may end.
-const leaseTick = 50 * time.Millisecond
+// leaseCheckInterval is how often leases are checked, and so how late one may expire.
+const leaseCheckInterval = 50 * time.Millisecond
 
-func (s *StateService) expire() {
+// expireLeases removes expired leases, but not during an outage, when they cannot be renewed.
+// The caller holds s.mu.
+func (s *StateService) expireLeases() {
 	if !s.down {
 		s.mutate(func() { s.kv.Expire(s.now()) })
 	}
 }
 
-// mutate runs f, which may change the store, saves what it has changed and wakes
-// the watches.
-func (s *StateService) mutate(f func()) {
-	before := counters{s.kv.revision, s.kv.lastLease}
-	f()
-	after := counters{s.kv.revision, s.kv.lastLease}
+// mutate calls a function that may change the store, saves the changes and wakes the
+// watches. The caller holds s.mu.
+func (s *StateService) mutate(change func()) {
+	before := counters{s.kv.revision, s.kv.lastLeaseID}
+	change()
+	after := counters{s.kv.revision, s.kv.lastLeaseID}
 	if after != before && s.file != nil {
 		s.file.save(s.kv)
 	}
@@ -132,35 +137,37 @@
 	}
 }
 
+// handle dispatches a request. It holds s.mu, which a watch releases while it waits.
 func (s *StateService) handle(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.expire()
+	s.expireLeases()
 	path, method := string(ctx.Path()), string(ctx.Method())
 	switch {
 	case s.down && path == protocol.PathWatch:
-		s.watch(ctx)
+		s.handleWatch(ctx)
 	case s.down:
 		httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "trouble")
 	case !s.requests.take(now, 1):
 		httpserver.WriteProblem(ctx, fasthttp.StatusTooManyRequests, "too many requests")
 	case path == protocol.PathTxn && method == fasthttp.MethodPost:
-		s.mutate(func() { s.txn(ctx, now) })
+		s.mutate(func() { s.handleTxn(ctx, now) })
 	case path == protocol.PathWatch && method == fasthttp.MethodGet:
-		s.watch(ctx)
+		s.handleWatch(ctx)
 	case path == protocol.PathKV && method == fasthttp.MethodGet:
-		s.list(ctx)
+		s.handleList(ctx)
 	case strings.HasPrefix(path, protocol.PathKV+"/") && method == fasthttp.MethodGet:
-		s.get(ctx, strings.TrimPrefix(path, protocol.PathKV+"/"))
+		s.handleGet(ctx, strings.TrimPrefix(path, protocol.PathKV+"/"))
 	case path == protocol.PathLeases || strings.HasPrefix(path, protocol.PathLeases+"/"):
-		s.mutate(func() { s.lease(ctx, method, strings.TrimPrefix(path, protocol.PathLeases), now) })
+		s.mutate(func() { s.handleLease(ctx, method, strings.TrimPrefix(path, protocol.PathLeases), now) })
 	default:
 		httpserver.WriteProblem(ctx, fasthttp.StatusNotFound, "no such path")
 	}
 }
 
-func (s *StateService) get(ctx *fasthttp.RequestCtx, key string) {
+// handleGet returns one key.
+func (s *StateService) handleGet(ctx *fasthttp.RequestCtx, key string) {
 	kv, ok := s.kv.Get(key)
 	if !ok {
 		httpserver.WriteJSON(ctx, fasthttp.StatusNotFound, protocol.TxnResult{Revision: s.kv.revision})
@@ -169,63 +176,66 @@
 	httpserver.WriteJSON(ctx, fasthttp.StatusOK, kv)
 }
 
-func (s *StateService) list(ctx *fasthttp.RequestCtx) {
+// handleList returns a page of keys.
+func (s *StateService) handleList(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	limit, err := strconv.Atoi(string(args.Peek(protocol.ArgLimit)))
 	if err != nil || limit < 1 {
-		limit = maxPage
+		limit = maxPageKeys
 	}
 	httpserver.WriteJSON(ctx, fasthttp.StatusOK, s.kv.List(string(args.Peek(protocol.ArgPrefix)), string(args.Peek(protocol.ArgAfter)), limit))
 }
 
-func (s *StateService) txn(ctx *fasthttp.RequestCtx, now time.Duration) {
-	var t protocol.Txn
-	if err := json.Unmarshal(ctx.PostBody(), &t); err != nil {
+// handleTxn validates and applies a transaction.
+func (s *StateService) handleTxn(ctx *fasthttp.RequestCtx, now time.Duration) {
+	var request protocol.Txn
+	if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
 		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed transaction")
 		return
 	}
-	if why := s.malformed(&t); why != "" {
-		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, why)
+	if problem := s.validateTxn(&request); problem != "" {
+		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, problem)
 		return
 	}
-	if !s.writes.take(now, float64(len(t.Then))) {
+	if !s.writes.take(now, float64(len(request.Then))) {
 		httpserver.WriteProblem(ctx, fasthttp.StatusTooManyRequests, "too many changes")
 		return
 	}
-	out, ok, noLease := s.kv.Apply(t)
+	result, ok, leaseNotFound := s.kv.Apply(request)
 	switch {
-	case noLease:
+	case leaseNotFound:
 		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "no such lease")
 	case ok:
-		httpserver.WriteJSON(ctx, fasthttp.StatusOK, out)
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, result)
 	default:
-		httpserver.WriteJSON(ctx, fasthttp.StatusConflict, out)
+		httpserver.WriteJSON(ctx, fasthttp.StatusConflict, result)
 	}
 }
 
-// malformed tells what is wrong with a transaction, or nothing.
-func (s *StateService) malformed(t *protocol.Txn) string {
+// validateTxn returns what is wrong with a transaction, or "" if it is valid.
+func (s *StateService) validateTxn(t *protocol.Txn) string {
 	if len(t.Then) > s.limits.TxnOps || len(t.If) > 4*s.limits.TxnOps {
 		return "transaction is too long"
 	}
-	for _, c := range t.If {
-		if !validKey(c.Key) {
+	for _, condition := range t.If {
+		if !validKey(condition.Key) {
 			return "bad key"
 		}
 	}
-	for _, ch := range t.Then {
+	for _, change := range t.Then {
 		switch {
-		case (ch.Put == "") == (ch.Delete == "") || !validKey(ch.Put+ch.Delete):
+		case (change.Put == "") == (change.Delete == "") || !validKey(change.Put+change.Delete):
 			return "bad key"
-		case ch.Put != "" && len(ch.Value) == 0:
+		case change.Put != "" && len(change.Value) == 0:
 			return "value is missing"
-		case float64(len(ch.Value)) > s.limits.ValueKB*1024:
+		case float64(len(change.Value)) > s.limits.ValueKB*1024:
 			return "value is too long"
 		}
 	}
 	return ""
 }
 
+// validKey reports whether a key has an allowed length and contains no whitespace.
 func validKey(key string) bool {
 	return len(key) >= 1 && len(key) <= 200 && !strings.ContainsAny(key, " \t\n")
 }
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -9,156 +9,159 @@
 	"pepperlever/internal/protocol"
 )
 
-// Advance lets the time pass on all machines.
+// Advance moves all machines and tasks to now. A machine whose lease has expired kills its
+// tasks and begins a new session.
 func (f *Fleet) Advance(now time.Duration) {
-	lease := seconds(f.cfg.Workers.LeaseS)
+	leaseTTL := seconds(f.cfg.Workers.LeaseS)
 	for _, id := range slices.Sorted(maps.Keys(f.machines)) {
 		m := f.machines[id]
-		if now-max(m.leaseRenewedAt, m.epochStartedAt) > lease {
+		if now-max(m.leaseRenewedAt, m.sessionStartedAt) > leaseTTL {
 			m.killAll()
 			m.Session++
-			m.epochStartedAt, m.changed = now, true
+			m.sessionStartedAt, m.changed = now, true
 		}
 		for _, t := range m.tasks {
 			if t.stateEndsAt > 0 && now >= t.stateEndsAt {
-				f.nextState(m, t)
+				f.advanceState(m, t)
 			}
 		}
 	}
 	f.advanceGangs(now)
 }
 
-// nextState moves a task whose present state is over.
-func (f *Fleet) nextState(m *machine, t *task) {
+// advanceState moves a task to its next state when the current one has ended.
+func (f *Fleet) advanceState(m *machine, t *task) {
 	m.changed = true
-	at := t.stateEndsAt
+	endedAt := t.stateEndsAt
 	switch t.State {
-	case pulling:
+	case statePulling:
 		switch {
-		case f.results[t.Task]:
+		case f.completedTasks[t.Task]:
 			f.exitTask(t, protocol.WhyDone)
 		case *t.job.Kind == protocol.KindGang:
-			t.State, t.stateSince, t.stateEndsAt = waiting, at, at+seconds(f.cfg.Workers.GangWaitS)
+			t.State, t.stateSince, t.stateEndsAt = stateWaiting, endedAt, endedAt+seconds(f.cfg.Workers.GangWaitS)
 		default:
-			f.runTask(m, t, at)
+			f.runTask(m, t, endedAt)
 		}
-	case waiting:
+	case stateWaiting:
 		f.exitTask(t, whyGangIncomplete)
 	case protocol.Running:
-		f.completed++
+		f.completedRuns++
 		f.exitTask(t, protocol.WhyDone)
-	case saving:
+	case stateSaving:
 		f.exitTask(t, protocol.WhyStopped)
 		t.Saved = true
 	}
 }
 
-// runTask lets a task run, for as long as its owner has guessed, or as a program.
-func (f *Fleet) runTask(m *machine, t *task, at time.Duration) {
-	t.State, t.stateSince, t.stateEndsAt = protocol.Running, at, 0
-	if f.runner != nil && f.runner.Has(*t.job.Image) {
-		t.stop = f.runner.Start(m.Machine, t.job, t.Task, t.Attempt, func(ok bool) { f.programEnded(m, t, ok) })
+// runTask starts to run a task: as a program if its image has one, otherwise simulated for its
+// estimated duration, or without end for a service.
+func (f *Fleet) runTask(m *machine, t *task, startedAt time.Duration) {
+	t.State, t.stateSince, t.stateEndsAt = protocol.Running, startedAt, 0
+	if f.runner != nil && f.runner.HasProgram(*t.job.Image) {
+		t.stop = f.runner.Start(m.Machine, t.job, t.Task, t.Attempt, func(ok bool) { f.handleProgramExit(m, t, ok) })
 		return
 	}
 	if *t.job.Kind != protocol.KindService {
-		t.stateEndsAt = at + max(1, f.cfg.scaled(*t.job.EstimateS-f.resumableProgress(t)))
+		t.stateEndsAt = startedAt + max(1, f.cfg.scaled(*t.job.EstimateS-f.resumableProgress(t)))
 	}
 }
 
-// programEnded takes the end of a task's program.
-func (f *Fleet) programEnded(m *machine, t *task, ok bool) {
+// handleProgramExit ends a running task whose program has exited.
+func (f *Fleet) handleProgramExit(m *machine, t *task, ok bool) {
 	if t.State != protocol.Running {
 		return
 	}
 	m.changed = true
 	t.stop = nil
 	if ok {
-		f.completed++
+		f.completedRuns++
 		f.exitTask(t, protocol.WhyDone)
 	} else {
 		f.exitTask(t, protocol.WhyError)
 	}
 }
 
-// resumableProgress is what a task need not do again: what it saved when it was stopped,
-// and whole checkpoints.
+// resumableProgress returns the seconds of progress that a task does not have to repeat: what
+// it saved when it was stopped, or whole checkpoints. Without checkpoints it starts over.
 func (f *Fleet) resumableProgress(t *task) float64 {
-	p := f.progressS[t.Task]
+	saved := f.progressS[t.Task]
 	if *t.job.CheckpointS <= 0 {
 		return 0
 	}
-	return min(p, *t.job.EstimateS)
+	return min(saved, *t.job.EstimateS)
 }
 
-// advanceGangs lets the gangs whose tasks are all there begin, and those that have lost
-// one end.
+// advanceGangs starts the gangs whose tasks are all waiting, and ends those that have
+// completed or lost a task.
 func (f *Fleet) advanceGangs(now time.Duration) {
-	type key struct {
+	type gangAttempt struct {
 		job     string
 		attempt uint64
 	}
-	found := map[key][]*task{}
+	gangs := map[gangAttempt][]*task{}
 	owner := map[*task]*machine{}
 	for _, id := range slices.Sorted(maps.Keys(f.machines)) {
 		for _, t := range f.machines[id].tasks {
 			if t.job != nil && *t.job.Kind == protocol.KindGang {
-				k := key{*t.job.ID, t.Attempt}
-				found[k] = append(found[k], t)
+				k := gangAttempt{*t.job.ID, t.Attempt}
+				gangs[k] = append(gangs[k], t)
 				owner[t] = f.machines[id]
 			}
 		}
 	}
-	for _, tasks := range found {
-		whole := int64(len(tasks)) == *tasks[0].job.Tasks
-		in := func(state string) int {
+	for _, tasks := range gangs {
+		allPresent := int64(len(tasks)) == *tasks[0].job.Tasks
+		countInState := func(state string) int {
 			return len(slices.DeleteFunc(slices.Clone(tasks), func(t *task) bool { return t.State != state }))
 		}
-		done := slices.ContainsFunc(tasks, func(t *task) bool { return t.Why == protocol.WhyDone })
+		anyDone := slices.ContainsFunc(tasks, func(t *task) bool { return t.Why == protocol.WhyDone })
 		switch {
-		case whole && in(waiting) == len(tasks):
+		case allPresent && countInState(stateWaiting) == len(tasks):
 			for _, t := range tasks {
 				f.runTask(owner[t], t, now)
 				owner[t].changed = true
 			}
-		case done:
-			f.endRunning(tasks, owner, protocol.WhyDone)
-		case in(protocol.Running) > 0 && (!whole || in(protocol.Running)+in(saving) < len(tasks)):
+		case anyDone:
+			f.exitRunning(tasks, owner, protocol.WhyDone)
+		case countInState(protocol.Running) > 0 && (!allPresent || countInState(protocol.Running)+countInState(stateSaving) < len(tasks)):
 			f.endBrokenGang(now, tasks, owner)
 		}
 	}
 }
 
-// endRunning ends the running tasks of a gang.
-func (f *Fleet) endRunning(tasks []*task, owner map[*task]*machine, why string) {
+// exitRunning ends the running tasks of a gang.
+func (f *Fleet) exitRunning(tasks []*task, owner map[*task]*machine, reason string) {
 	for _, t := range tasks {
 		if t.State == protocol.Running {
 			owner[t].changed = true
-			f.exitTask(t, why)
+			f.exitTask(t, reason)
 		}
 	}
 }
 
-// endBrokenGang ends what is left of a gang once its tasks have noticed. Its progress falls
-// back to the last checkpoint.
+// endBrokenGang ends the remaining tasks of a gang that has lost one, after the time that
+// they take to notice. Their saved progress falls back to the last checkpoint.
 func (f *Fleet) endBrokenGang(now time.Duration, tasks []*task, owner map[*task]*machine) {
-	first := time.Duration(math.MaxInt64)
+	firstNoticedAt := time.Duration(math.MaxInt64)
 	for _, t := range tasks {
 		if t.State == protocol.Running {
 			if t.peerLossNoticedAt == 0 {
-				t.peerLossNoticedAt = now // it has noticed
+				t.peerLossNoticedAt = now
 			}
-			first = min(first, t.peerLossNoticedAt)
+			firstNoticedAt = min(firstNoticedAt, t.peerLossNoticedAt)
 		}
 	}
-	if now-first < seconds(f.cfg.Workers.GangPeerS) {
+	if now-firstNoticedAt < seconds(f.cfg.Workers.GangPeerS) {
 		return
 	}
 	for _, t := range tasks {
-		if every := *t.job.CheckpointS; every > 0 {
-			f.progressS[t.Task] = math.Floor(f.progressS[t.Task]/every) * every
+		if checkpointS := *t.job.CheckpointS; checkpointS > 0 {
+			f.progressS[t.Task] = math.Floor(f.progressS[t.Task]/checkpointS) * checkpointS
 		}
 	}
-	f.endRunning(tasks, owner, whyGangPeerLost)
+	f.exitRunning(tasks, owner, whyGangPeerLost)
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// seconds converts a number of seconds to a duration.
+func seconds(secs float64) time.Duration { return time.Duration(secs * float64(time.Second)) }
--- a/internal/emulator/tokenbucket.go
+++ b/internal/emulator/tokenbucket.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// tokenBucket is a limit of rate a second with bursts.
+// tokenBucket is a rate limiter that allows rate tokens per second and bursts of up to burst.
 type tokenBucket struct {
-	rate, burst, level float64
-	refilledAt         time.Duration
+	rate, burst, tokens float64
+	refilledAt          time.Duration
 }
 
+// newTokenBucket returns a full bucket.
 func newTokenBucket(rate, burst float64) tokenBucket {
-	return tokenBucket{rate: rate, burst: burst, level: burst}
+	return tokenBucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// take takes n out of the bucket, or tells that it does not hold as much.
+// take removes n tokens from the bucket. If there are fewer, it removes none and returns false.
 func (b *tokenBucket) take(now time.Duration, n float64) bool {
-	b.level = min(b.burst, b.level+(now-b.refilledAt).Seconds()*b.rate)
+	b.tokens = min(b.burst, b.tokens+(now-b.refilledAt).Seconds()*b.rate)
 	b.refilledAt = now
-	if b.level < n {
+	if b.tokens < n {
 		return false
 	}
-	b.level -= n
+	b.tokens -= n
 	return true
 }
--- a/internal/emulator/watchapi.go
+++ b/internal/emulator/watchapi.go
@@ -10,12 +10,13 @@
 	"pepperlever/internal/protocol"
 )
 
-// maxWatch is for how long a watch may stay open.
-const maxWatch = time.Minute
+// maxWatchDuration is the longest time that a watch stays open.
+const maxWatchDuration = time.Minute
 
-// watch waits for a change below a prefix. It gives the lock up meanwhile. During
-// an outage it stays open.
-func (s *StateService) watch(ctx *fasthttp.RequestCtx) {
+// handleWatch waits for changes under a prefix and returns them, or none after the requested
+// time. The caller holds s.mu, which is released while waiting. During an outage a watch stays
+// open and fails when its time is over.
+func (s *StateService) handleWatch(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	prefix := string(args.Peek(protocol.ArgPrefix))
 	since, errSince := strconv.ParseUint(string(args.Peek(protocol.ArgAfter)), 10, 64)
@@ -24,18 +25,18 @@
 		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "bad watch")
 		return
 	}
-	timer := time.NewTimer(min(time.Duration(max(wait, 0))*time.Millisecond, maxWatch))
+	timer := time.NewTimer(min(time.Duration(max(wait, 0))*time.Millisecond, maxWatchDuration))
 	defer timer.Stop()
-	for over := false; ; {
-		out, gone := s.kv.Changes(prefix, since)
+	for timedOut := false; ; {
+		changes, compacted := s.kv.Changes(prefix, since)
 		switch {
-		case gone && !s.down:
+		case compacted && !s.down:
 			httpserver.WriteProblem(ctx, fasthttp.StatusGone, "changes are forgotten")
 			return
-		case !s.down && (len(out.Events) > 0 || over):
-			httpserver.WriteJSON(ctx, fasthttp.StatusOK, out)
+		case !s.down && (len(changes.Events) > 0 || timedOut):
+			httpserver.WriteJSON(ctx, fasthttp.StatusOK, changes)
 			return
-		case s.down && over:
+		case s.down && timedOut:
 			httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "trouble")
 			return
 		}
@@ -44,7 +45,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		}
 		s.mu.Lock()
 	}
--- a/internal/emulator/workeragent.go
+++ b/internal/emulator/workeragent.go
@@ -16,107 +16,108 @@
 	"pepperlever/internal/protocol"
 )
 
-// startWorker starts the worker of a machine that has come up.
-func (s *Site) startWorker(ctx context.Context, now time.Duration, ch MachineChange) {
-	ln, err := net.Listen("tcp4", loopback)
+// startWorker starts the worker of a machine that has booted.
+func (s *Site) startWorker(ctx context.Context, now time.Duration, change MachineChange) {
+	ln, err := net.Listen("tcp4", loopbackAddress)
 	if err != nil {
-		slog.Error("emulated worker cannot listen", "machine", ch.Machine, "error", err)
+		slog.Error("emulated worker cannot listen", "machine", change.Machine, "error", err)
 		return
 	}
-	s.fleet.Add(now, ch.Machine, ln.Addr().String(), ch.Type, ch.Zone, ch.Spot)
-	ctx, s.workers[ch.Machine] = context.WithCancel(ctx)
-	w := &workerAgent{site: s, machine: ch.Machine, http: httpclient.New(protocol.ReportTimeout, 2)}
+	s.fleet.Add(now, change.Machine, ln.Addr().String(), change.Type, change.Zone, change.Spot)
+	ctx, s.workerCancels[change.Machine] = context.WithCancel(ctx)
+	w := &workerAgent{site: s, machine: change.Machine, http: httpclient.New(protocol.ReportTimeout, 2)}
 	s.group.Go(func() error { return serve(ctx, ln, w.handle) })
-	s.group.Go(func() error { return w.loop(ctx) })
+	s.group.Go(func() error { return w.reportLoop(ctx) })
 }
 
-// workerAgent is the network side of one worker.
+// workerAgent connects one worker of the fleet to the network.
 type workerAgent struct {
 	site    *Site
 	machine string
 	http    *httpclient.Client
-	// controller is the controller that it reports to.
+	// controller is the index of the controller that the worker reports to.
 	controller int
 }
 
-// handle answers direct calls.
+// handle handles direct calls from controllers and responds with a report.
 func (w *workerAgent) handle(ctx *fasthttp.RequestCtx) {
 	s := w.site
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status := fasthttp.StatusOK
 	if string(ctx.Path()) == protocol.PathCommands {
-		var o protocol.Orders
-		if err := json.Unmarshal(ctx.PostBody(), &o); err != nil || o.Token == 0 || o.Session == 0 {
+		var orders protocol.Orders
+		if err := json.Unmarshal(ctx.PostBody(), &orders); err != nil || orders.Token == 0 || orders.Session == 0 {
 			httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "token or session is missing")
 			return
 		}
-		if !s.fleet.Execute(s.now(), w.machine, o) {
+		if !s.fleet.Execute(s.now(), w.machine, orders) {
 			status = fasthttp.StatusConflict
 		}
 	}
-	r, there := s.fleet.Snapshot(s.now(), w.machine)
-	if !there {
+	report, found := s.fleet.NextReport(s.now(), w.machine)
+	if !found {
 		httpserver.WriteProblem(ctx, fasthttp.StatusServiceUnavailable, "machine is gone")
 		return
 	}
-	httpserver.WriteJSON(ctx, status, r)
+	httpserver.WriteJSON(ctx, status, report)
 }
 
-// loop reports every interval, give or take a quarter, and sooner when something
-// has changed.
-func (w *workerAgent) loop(ctx context.Context) error {
+// reportLoop reports at each interval, with a jitter of a quarter of it either way, and
+// earlier when something has changed.
+func (w *workerAgent) reportLoop(ctx context.Context) error {
 	interval := seconds(w.site.cfg.Workers.ReportS)
 	for w.controller = rand.IntN(len(w.site.controllers)); ctx.Err() == nil; {
 		if pause := w.report(); pause > 0 {
 			sleep(ctx, pause)
 		} else {
-			w.untilNext(ctx, interval*3/4+rand.N(interval/2))
+			w.waitForChange(ctx, interval*3/4+rand.N(interval/2))
 		}
 	}
 	return nil
 }
 
-// untilNext waits for a change, at most for most.
-func (w *workerAgent) untilNext(ctx context.Context, most time.Duration) {
-	const least = 500 * time.Millisecond
-	sleep(ctx, min(least, most))
-	for waited := least; waited < most && ctx.Err() == nil; waited += tick {
+// waitForChange waits until the machine has changes to report, for at least minWait and at
+// most maxWait.
+func (w *workerAgent) waitForChange(ctx context.Context, maxWait time.Duration) {
+	const minWait = 500 * time.Millisecond
+	sleep(ctx, min(minWait, maxWait))
+	for waited := minWait; waited < maxWait && ctx.Err() == nil; waited += tickInterval {
 		w.site.mu.Lock()
-		changed := w.site.fleet.Changed(w.machine)
+		changed := w.site.fleet.HasChanges(w.machine)
 		w.site.mu.Unlock()
 		if changed {
 			return
 		}
-		sleep(ctx, tick)
+		sleep(ctx, tickInterval)
 	}
 }
 
-// report sends one report and carries the answer out. It returns the pause before
-// the next try when the answer does not tell to stay.
+// report sends one report and handles the response. If the controller did not accept the
+// report, it selects another one and returns the delay before the next attempt, otherwise 0.
 func (w *workerAgent) report() time.Duration {
 	s := w.site
 	s.mu.Lock()
 	sent := s.now()
-	r, there := s.fleet.Snapshot(sent, w.machine)
+	r, found := s.fleet.NextReport(sent, w.machine)
 	s.mu.Unlock()
-	if !there {
+	if !found {
 		return protocol.ReportPause
 	}
-	var out struct {
+	var response struct {
 		protocol.Orders
 		protocol.Redirect
 	}
-	status, err := w.http.Call(fasthttp.MethodPost, s.controllers[w.controller].listen, protocol.PathReport, r, &out)
+	status, err := w.http.Call(fasthttp.MethodPost, s.controllers[w.controller].listenAddress, protocol.PathReport, r, &response)
 	if err == nil && status == http.StatusOK {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.fleet.HandleReply(s.now(), sent, w.machine, r.Session, out.Orders)
+		s.fleet.HandleReply(s.now(), sent, w.machine, r.Session, response.Orders)
 		return 0
 	}
 	if err == nil && status == http.StatusMisdirectedRequest {
 		for i, c := range s.controllers {
-			if c.node == out.ReportTo && i != w.controller {
+			if c.node == response.ReportTo && i != w.controller {
 				w.controller = i
 				return rand.N(500*time.Millisecond) + 1
 			}
@@ -126,11 +127,12 @@
 	return protocol.ReportPause
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
