--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -44,7 +44,7 @@
 			"ticket keys are kept. Every site needs authority.pem, tickets.toml and its own two files; do not distribute\n" +
 			"authority-key.pem.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := transport.Issue(dir, sites, time.Duration(days)*24*time.Hour, roll); err != nil {
+			if err := transport.IssueCredentials(dir, sites, time.Duration(days)*24*time.Hour, roll); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "wrote keys for %s to %s\n", strings.Join(sites, ", "), dir)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -86,8 +86,8 @@
 // FetchCatalog reads the catalog of machine types.
 func (c *Cloud) FetchCatalog() {
 	c.enqueue(func() {
-		var catalog protocol.Catalogue
-		status, err := c.call(fasthttp.MethodGet, protocol.PathTypes, nil, &catalog)
+		var catalog protocol.Catalog
+		status, err := c.call(fasthttp.MethodGet, protocol.PathMachineTypes, nil, &catalog)
 		c.updateAvailability(status, err)
 		if err == nil && status == fasthttp.StatusOK && len(catalog.Types) > 0 {
 			c.emit(core.CatalogReceived{Types: catalog.Types})
@@ -130,10 +130,10 @@
 	}
 }
 
-// Rent requests machines. Unless the answer is clear, the outcome is Unknown; the request can
-// then be retried safely, because its name makes it idempotent.
+// Rent requests machines. Unless the answer is clear, the outcome is OutcomeUnknown; the request
+// can then be retried safely, because its name makes it idempotent.
 func (c *Cloud) Rent(r protocol.Rental) {
-	reply := core.RentalResult{Rental: r, Outcome: core.Unknown}
+	reply := core.RentalResult{Rental: r, Outcome: core.OutcomeUnknown}
 	c.enqueue(func() {
 		var out struct {
 			protocol.MachineNames
@@ -143,9 +143,9 @@
 		switch {
 		case err != nil:
 		case status == fasthttp.StatusOK:
-			reply.Outcome, reply.Machines = core.Applied, append([]string{}, out.Machines...)
+			reply.Outcome, reply.Machines = core.OutcomeApplied, append([]string{}, out.Machines...)
 		case status == fasthttp.StatusServiceUnavailable && strings.Contains(out.Error, "capacity"), status == fasthttp.StatusBadRequest:
-			reply.Outcome = core.Refused
+			reply.Outcome = core.OutcomeRefused
 		}
 		c.emit(reply)
 	}, func() { c.emit(reply) })
--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -22,9 +22,9 @@
 	return &announcer{environment: core.environment, core: core, announcementSet: newAnnouncementSet()}
 }
 
-// note applies a cancellation that the store holds, whatever its source: a write of this node, its
+// apply applies a cancellation that the store holds, whatever its source: a write of this node, its
 // watch, a reply of the store or another controller.
-func (a *announcer) note(cancellation Cancellation) {
+func (a *announcer) apply(cancellation Cancellation) {
 	c := a.core
 	if s, known := c.ended.state(cancellation.Job); known && s.State != protocol.Cancelled {
 		c.log(Error, "ignoring cancellation of a job with another final state", "job", cancellation.Job, "state", s.State)
@@ -52,7 +52,7 @@
 			a.log(Error, "ignoring malformed cancellation", "node", node, "job", cancellation.Job)
 			continue
 		}
-		a.note(cancellation)
+		a.apply(cancellation)
 		known = append(known, cancellation.Job)
 		a.acknowledge(node, cancellation.Job)
 	}
@@ -67,7 +67,7 @@
 // knows of it: otherwise nobody would if this node and the store failed together.
 func (a *announcer) announce(id string) {
 	announcement := a.find(id)
-	if announcement == nil || a.core.reach.knownToAnother(announcement) {
+	if announcement == nil || a.core.peerReachability.knownToSecondController(announcement) {
 		return
 	}
 	a.core.broadcast(PeerMessage{Cancellations: []Cancellation{announcement.Cancellation}})
@@ -93,7 +93,7 @@
 func (a *announcer) resolveLookups() {
 	for id, announcement := range ordered(a.unconfirmed) {
 		outcome := lookup.Unavailable
-		if a.core.reach.knownToAnother(announcement) {
+		if a.core.peerReachability.knownToSecondController(announcement) {
 			outcome = lookup.Final
 			delete(a.unconfirmed, id)
 		}
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -114,7 +114,7 @@
 // and returns the duration.
 func (a *autoscaler) backOff(key offerKey, now, least, most time.Duration) time.Duration {
 	a.backoffs[key] = a.backoffs[key].grow(now, least, most)
-	return a.backoffs[key].last
+	return a.backoffs[key].lastPause
 }
 
 // handleCatalog replaces the catalog of machine types.
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -15,9 +15,9 @@
 // fleetSizes are the numbers of machines that the benchmarks run with.
 var fleetSizes = []int{100, 1400, 2800}
 
-// busyCore returns a core that leads every team, with one running task on each machine and one job
-// per ten machines.
-func busyCore(machines int) *Core {
+// newBusyCore returns a core that leads every team, with one running task on each machine and one
+// job per ten machines.
+func newBusyCore(machines int) *Core {
 	c := New(testSettings("a"), settings.DefaultPolicy(), "x")
 	c.now.Steady, c.replica.loaded, c.agents.tokens.current = time.Second, true, 1
 	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50}}})
@@ -38,22 +38,22 @@
 		c.agents.add(r.Machine, newAgentSession(1, 1, ""))
 	}
 	for _, j := range c.jobs {
-		j.TakeDirty(1) // everything is stored
+		j.TakeChunkWrites(1) // everything is stored
 	}
 	return c
 }
 
 // benchReport returns the report of machine n, which runs one task.
 func benchReport(n int, task string) protocol.Report {
-	return protocol.Report{Machine: fmt.Sprintf("vm-%06d", n), Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: 1, Token: 1,
+	return protocol.Report{Machine: fmt.Sprintf("vm-%06d", n), Type: "small", Zone: "z1", Spot: true, WorkerEpoch: 1, Seq: 1, Token: 1,
 		Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: protocol.Running}}}
 }
 
-// benchmarkFleetSizes runs a benchmark on a busyCore of each fleet size.
+// benchmarkFleetSizes runs a benchmark on a busy core of each fleet size.
 func benchmarkFleetSizes(b *testing.B, f func(b *testing.B, c *Core, machines int)) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := busyCore(n)
+			c := newBusyCore(n)
 			b.ReportAllocs()
 			f(b, c, n)
 		})
@@ -87,7 +87,7 @@
 		}
 		for b.Loop() {
 			c.now.Steady += time.Nanosecond
-			c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
+			c.scheduler.roundRequested, c.scheduler.nextRoundAt, c.effects = true, 0, nil
 			c.schedule()
 		}
 	})
@@ -100,8 +100,8 @@
 		for b.Loop() {
 			c.effects = nil
 			j.MarkDirty(0)
-			c.writer.flushJob(c.teamBy[j.Team], j)
-			c.handle(StoreReply{ID: c.ids.last, Outcome: Applied, Revision: 2})
+			c.writer.flushJob(c.teamsByName[j.Team], j)
+			c.handle(StoreReply{ID: c.ids.last, Outcome: OutcomeApplied, Revision: 2})
 		}
 	})
 }
@@ -130,12 +130,12 @@
 	}
 	for name, bindTasks := range map[string]bool{"room": false, "changes": true} {
 		b.Run(name, func(b *testing.B) {
-			c := busyCore(240)
+			c := newBusyCore(240)
 			addSmallJobs(c, bindTasks)
 			for b.Loop() {
 				c.now.Steady += time.Nanosecond
-				c.scheduler.dirty, c.scheduler.next, c.effects = true, 0, nil
-				c.writer.budget.refilledAt, c.writer.budget.level, c.writer.budget.pausedUntil = c.now.Steady, 0, 0
+				c.scheduler.roundRequested, c.scheduler.nextRoundAt, c.effects = true, 0, nil
+				c.writer.budget.refilledAt, c.writer.budget.available, c.writer.budget.pausedUntil = c.now.Steady, 0, 0
 				c.schedule()
 				c.writer.flushJobs()
 			}
@@ -155,7 +155,7 @@
 				for _, m := range c.machines.All() {
 					m.LastContact, m.LastReport = c.now.Steady, c.now.Steady
 				}
-				c.scheduler.dirty, c.scheduler.next, c.effects, c.scheduler.claims = true, 0, nil, nil
+				c.scheduler.roundRequested, c.scheduler.nextRoundAt, c.effects, c.scheduler.claims = true, 0, nil, nil
 				c.schedule()
 			}
 		})
@@ -250,7 +250,7 @@
 			j.Version = 1
 			c.addJob(c.teams[0], j)
 			c.now.Steady += time.Nanosecond
-			c.scheduler.dirty, c.scheduler.next, c.effects, c.scheduler.claims = true, 0, nil, nil
+			c.scheduler.roundRequested, c.scheduler.nextRoundAt, c.effects, c.scheduler.claims = true, 0, nil, nil
 			b.StartTimer()
 			c.schedule()
 			b.StopTimer()
@@ -266,7 +266,7 @@
 // BenchmarkLongReport measures handling a report of about the maximum request size: the machine is
 // full of tiny tasks, one of which has changed its state since the last report.
 func BenchmarkLongReport(b *testing.B) {
-	c := busyCore(100)
+	c := newBusyCore(100)
 	r := benchReport(0, "")
 	j := job.New(job.Spec{ID: "req-9", Team: c.teams[0].Name, Tasks: 600, Need: job.Resources{CPUs: 0.001}}, c.limits.defaultChunkSize(), 0)
 	j.Version = 1
@@ -288,7 +288,7 @@
 
 // BenchmarkSubmissions measures handling 500 submissions in one step.
 func BenchmarkSubmissions(b *testing.B) {
-	c := busyCore(1400)
+	c := newBusyCore(1400)
 	var commands []Command
 	for n := range 500 {
 		commands = append(commands, Submit{Req: uint64(n + 1), Body: []byte(submission(fmt.Sprintf("req-8%05d", n), "free", 30, ""))})
--- a/internal/core/besteffort.go
+++ b/internal/core/besteffort.go
@@ -62,5 +62,5 @@
 		return true
 	}
 	hasOtherWork := func(j *job.Job) bool { return !isBestEffort(j) }
-	return short && r.core.machines.HasBindingsOf(h.ID, hasOtherWork)
+	return short && r.core.machines.HasBindingOfJob(h.ID, hasOtherWork)
 }
--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -11,18 +11,18 @@
 
 // sendBurst sends requests to a node in one step, runs until all are answered, and returns the
 // status of each.
-func (w *world) sendBurst(node string, n int, command func(i int, req uint64) Command) map[int]int {
-	w.t.Helper()
-	first := w.nextReq + 1
+func (cluster *simCluster) sendBurst(node string, n int, command func(i int, req uint64) Command) map[int]int {
+	cluster.t.Helper()
+	first := cluster.nextReq + 1
 	for i := range n {
-		w.nextReq++
-		w.send(node, command(i, w.nextReq))
+		cluster.nextReq++
+		cluster.send(node, command(i, cluster.nextReq))
 	}
-	w.nextReq += 1 << 20 // keeps the IDs of the workers' requests apart
+	cluster.nextReq += 1 << 20 // keeps the IDs of the workers' requests apart
 	statuses := map[int]int{}
-	w.run(10*time.Second, func() bool {
+	cluster.run(10*time.Second, func() bool {
 		for i := range n {
-			if a, ok := w.answers[first+uint64(i)]; ok {
+			if a, ok := cluster.answers[first+uint64(i)]; ok {
 				statuses[i] = a.Status
 			}
 		}
@@ -35,10 +35,10 @@
 // answered, and so are their cancellations, and that cancelled tasks leave the machines.
 func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
 	const requestCount = 500
-	w := newWorld(t).ready()
-	w.allowRacingStarts = true
+	cluster := newSimCluster(t).ready()
+	cluster.allowRacingStarts = true
 	id := func(i int) string { return fmt.Sprintf("req-free-%d", i) }
-	submitted := w.sendBurst("a", requestCount, func(i int, req uint64) Command {
+	submitted := cluster.sendBurst("a", requestCount, func(i int, req uint64) Command {
 		return Submit{Req: req, Body: []byte(submission(id(i), "free", 1, ""))}
 	})
 	for i := range requestCount {
@@ -46,16 +46,16 @@
 			t.Fatalf("submission %d got status %d", i, submitted[i])
 		}
 	}
-	w.run(4*time.Second, nil)
-	cancelled := w.sendBurst("b", requestCount, func(i int, req uint64) Command { return Cancel{Req: req, ID: id(i)} })
+	cluster.run(4*time.Second, nil)
+	cancelled := cluster.sendBurst("b", requestCount, func(i int, req uint64) Command { return Cancel{Req: req, ID: id(i)} })
 	for i := range requestCount {
 		if submitted[i] == http.StatusCreated && cancelled[i] != http.StatusOK && cancelled[i] != http.StatusServiceUnavailable {
 			t.Errorf("cancellation %d got status %d", i, cancelled[i])
 		}
 	}
-	w.run(20*time.Second, nil)
+	cluster.run(20*time.Second, nil)
 	for i := range requestCount {
-		if s, _ := w.state(id(i)); s.State == protocol.Cancelled && w.onMachines(id(i)) > 0 {
+		if s, _ := cluster.state(id(i)); s.State == protocol.Cancelled && cluster.onMachines(id(i)) > 0 {
 			t.Errorf("%s is cancelled but still on a machine", id(i))
 		}
 	}
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -54,9 +54,9 @@
 	}
 	c.userTxn(txn, func(r StoreReply) {
 		switch r.Outcome {
-		case Applied:
+		case OutcomeApplied:
 			c.cancelStored(m, r.Revision)
-		case Conflict:
+		case OutcomeConflict:
 			c.cancelConflict(m, r.Failed)
 		default:
 			c.replyUnavailable(m.Req) // a retry finds out whether the write was applied
@@ -67,7 +67,7 @@
 // cancelStored announces a stored cancellation to the other controllers and answers the user.
 func (c *Core) cancelStored(m Cancel, revision uint64) {
 	c.log(Debug, "job cancelled", "job", m.ID)
-	c.announcements.note(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
+	c.announcements.apply(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
 	c.announcements.announce(m.ID)
 	c.lookups.request(m.ID, func(result lookup.Result) { c.replyLookup(m.Req, result) })
 }
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -25,7 +25,7 @@
 	}
 	id := strings.TrimPrefix(item.Key, keyCancel)
 	c.replica.cancelRequests[id] = record.RequestedAt
-	c.announcements.note(Cancellation{Job: id, Revision: item.Version, RequestedAt: record.RequestedAt})
+	c.announcements.apply(Cancellation{Job: id, Revision: item.Version, RequestedAt: record.RequestedAt})
 	return nil
 }
 
@@ -36,14 +36,14 @@
 		return
 	}
 	j.Cancel()
-	j.CancelledAt, j.CancelRequestedAt = c.now.Steady, c.replica.cancelRequests[j.ID]
+	j.CancelledAt, j.CancelRequestedAtMS = c.now.Steady, c.replica.cancelRequests[j.ID]
 	if a := c.announcements.find(j.ID); a != nil {
-		j.CancelledAt, j.CancelRequestedAt = a.learnedAt, a.RequestedAt
+		j.CancelledAt, j.CancelRequestedAtMS = a.learnedAt, a.RequestedAt
 	}
 	if !j.InFlight {
 		c.unbindUnstored(j)
 	}
-	c.stopCancelled(j)
+	c.stopCancelledTasks(j)
 	c.requestRound()
 }
 
@@ -64,16 +64,16 @@
 func (c *Core) stopCancelledJobs(t *team) {
 	for _, j := range ordered(t.jobs) {
 		if j.Cancelled {
-			c.stopCancelled(j)
+			c.stopCancelledTasks(j)
 		}
 	}
 }
 
-// stopCancelled stops the remaining tasks of a cancelled job. The job's leader stops all of them.
-// Every other controller stops those on the machines that it serves, since the leader's
-// commands are lost while controllers refuse each other's connections. A machine on
-// which a task does not end is returned.
-func (c *Core) stopCancelled(j *job.Job) {
+// stopCancelledTasks stops the remaining tasks of a cancelled job. The job's leader stops all of
+// them. Every other controller stops those on the machines that it serves, since the leader's
+// commands are lost while controllers refuse each other's connections. A machine on which a task
+// does not end is returned.
+func (c *Core) stopCancelledTasks(j *job.Job) {
 	leads := c.leads(j)
 	for i, b := range ordered(j.Bound) {
 		if !b.Stored {
@@ -83,7 +83,7 @@
 			c.reconciler.stopTask(j, i, b, 0)
 		}
 		if c.mayStillRun(j, i, b) {
-			c.returns.returnUnstopped(j, b.Machine)
+			c.returnTracker.returnUnstopped(j, b.Machine)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // reports the machine without the task: that controller stops the task if a delayed start
 // still arrives.
 func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
-	if c.cordons.isTerminated(b.Machine) || c.returns.isConfirmed(b.Machine) {
+	if c.cordons.isTerminated(b.Machine) || c.returnTracker.isConfirmed(b.Machine) {
 		return false
 	}
 	m, task := c.machines.Get(b.Machine), j.TaskID(i)
@@ -103,7 +103,7 @@
 	evidence, _ := m.Evidence(task, b)
 	if evidence == worker.Inconclusive && c.announcements.has(j.ID) {
 		_, found := m.Find(task, b.Attempt)
-		recent := c.reach.inDirectContact(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
+		recent := c.peerReachability.receivesMessagesFrom(m.Node) && c.now.Steady-m.LastContact < 2*c.reportInterval()
 		return found || !recent || c.announcements.controllerMayBeUnaware(j.ID, b.Machine)
 	}
 	return evidence == worker.Inconclusive || evidence == worker.Present
--- a/internal/core/cancelpartition_test.go
+++ b/internal/core/cancelpartition_test.go
@@ -10,28 +10,46 @@
 // store, for less and for more time than the cancellation deadline (docs/incidents/apart.md).
 func TestCancelledTasksEndInTimeUnderPartitions(t *testing.T) {
 	const deadline = 30 * time.Second
-	cuts := map[string]func(w *world, leader string){
-		"nothing":                 func(*world, string) {},
-		"all links":               func(w *world, _ string) { w.refuse(everyLink) },
-		"all links of the leader": func(w *world, leader string) { w.refuse(func(f, t string) bool { return f == leader || t == leader }) },
-		"links from the leader":   func(w *world, leader string) { w.refuse(func(f, _ string) bool { return f == leader }) },
-		"links to the leader":     func(w *world, leader string) { w.refuse(func(_, t string) bool { return t == leader }) },
-		"links to the fleet leader": func(w *world, _ string) {
-			fleetLeader := w.cores["a"].fleet.leader
-			w.refuse(func(_, t string) bool { return t == fleetLeader })
+	cuts := map[string]func(cluster *simCluster, leader string){
+		"nothing":   func(*simCluster, string) {},
+		"all links": func(cluster *simCluster, _ string) { cluster.disconnectLinks(everyLink) },
+		"all links of the leader": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(func(f, t string) bool { return f == leader || t == leader })
 		},
-		"every second link":          func(w *world, _ string) { w.refuse(func(f, t string) bool { return (f[0]+t[0])%2 == 1 }) },
-		"all links, leader's store":  func(w *world, leader string) { w.refuse(everyLink); w.cutStore(leader) },
-		"all links, another's store": func(w *world, leader string) { w.refuse(everyLink); w.cutStore(w.anotherNode(leader)) },
-		"all links, store of three": func(w *world, leader string) {
-			w.refuse(everyLink)
+		"links from the leader": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(func(f, _ string) bool { return f == leader })
+		},
+		"links to the leader": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(func(_, t string) bool { return t == leader })
+		},
+		"links to the fleet leader": func(cluster *simCluster, _ string) {
+			fleetLeader := cluster.cores["a"].fleet.leader
+			cluster.disconnectLinks(func(_, t string) bool { return t == fleetLeader })
+		},
+		"every second link": func(cluster *simCluster, _ string) {
+			cluster.disconnectLinks(func(f, t string) bool { return (f[0]+t[0])%2 == 1 })
+		},
+		"all links, leader's store": func(cluster *simCluster, leader string) { cluster.disconnectLinks(everyLink); cluster.cutStore(leader) },
+		"all links, another's store": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(everyLink)
+			cluster.cutStore(cluster.anotherNode(leader))
+		},
+		"all links, store of three": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(everyLink)
 			for _, n := range []string{"a", "c", "e"} {
-				w.cutStore(n)
+				cluster.cutStore(n)
 			}
 		},
-		"all links, leader crashes": func(w *world, leader string) { w.refuse(everyLink); w.crash(leader); w.expire(leader) },
-		"all links, one freezes":    func(w *world, leader string) { w.refuse(everyLink); w.freeze(w.anotherNode(leader)) },
-		"all links, leader freezes": func(w *world, leader string) { w.refuse(everyLink); w.freeze(leader) },
+		"all links, leader crashes": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(everyLink)
+			cluster.crash(leader)
+			cluster.expire(leader)
+		},
+		"all links, one freezes": func(cluster *simCluster, leader string) {
+			cluster.disconnectLinks(everyLink)
+			cluster.freeze(cluster.anotherNode(leader))
+		},
+		"all links, leader freezes": func(cluster *simCluster, leader string) { cluster.disconnectLinks(everyLink); cluster.freeze(leader) },
 	}
 	for name, cut := range cuts {
 		for _, deadlines := range []float64{0.5, 1, 2} {
@@ -41,16 +59,16 @@
 				if name == "all links" {
 					machines = 200
 				}
-				w, leader := loadedWorld(t, machines, "req-free-1")
-				cut(w, leader)
-				w.run(2*time.Second, nil)
-				if a := w.cancelJob(w.nodeWithStore(), "req-free-1"); a.Status != 200 {
+				cluster, leader := newLoadedSimCluster(t, machines, "req-free-1")
+				cut(cluster, leader)
+				cluster.run(2*time.Second, nil)
+				if a := cluster.cancelJob(cluster.nodeWithStore(), "req-free-1"); a.Status != 200 {
 					t.Fatalf("cancellation: got status %d, want 200", a.Status)
 				}
-				w.run(time.Duration(deadlines*float64(deadline)), nil)
-				w.heal()
-				w.run(2*deadline, nil)
-				if len(w.cancellationToldAt) > 0 {
+				cluster.run(time.Duration(deadlines*float64(deadline)), nil)
+				cluster.heal()
+				cluster.run(2*deadline, nil)
+				if len(cluster.cancelConfirmedAt) > 0 {
 					t.Error("the scenario ended before the deadline")
 				}
 			})
@@ -61,17 +79,17 @@
 // A machine that reaches no controller stops its tasks when its lease expires, even if the cloud
 // does not release the machine.
 func TestIsolatedMachineStopsTasksWhenLeaseExpires(t *testing.T) {
-	w, _ := loadedWorld(t, 20, "req-free-1")
-	w.noCloud = true
-	for _, f := range w.workers {
-		w.cutWorkers[f.Machine] = true
+	cluster, _ := newLoadedSimCluster(t, 20, "req-free-1")
+	cluster.cloudDegraded = true
+	for _, f := range cluster.workers {
+		cluster.cutWorkers[f.Machine] = true
 	}
-	w.cancelJob("a", "req-free-1")
-	if w.run(10*time.Second, nil); w.onMachines("req-free-1") == 0 {
+	cluster.cancelJob("a", "req-free-1")
+	if cluster.run(10*time.Second, nil); cluster.onMachines("req-free-1") == 0 {
 		t.Error("tasks ended before the lease expired")
 	}
-	if w.run(7*time.Second, nil); w.onMachines("req-free-1") > 0 {
-		t.Errorf("got %d running tasks after the lease expired, want none", w.onMachines("req-free-1"))
+	if cluster.run(7*time.Second, nil); cluster.onMachines("req-free-1") > 0 {
+		t.Errorf("got %d running tasks after the lease expired, want none", cluster.onMachines("req-free-1"))
 	}
 }
 
@@ -79,21 +97,21 @@
 // from the store learns at the same time that it was replaced and that the job was cancelled and
 // has ended, and must not mistake the deletion of the job for its completion.
 func TestDeposedLeaderReportsCancelledJobAsCancelled(t *testing.T) {
-	w := newWorldOf(t, fiveNodes)
-	w.allowRacingStarts, w.taskTime = true, time.Minute
-	w.ready()
-	leader := w.cores["a"].teamBy["free"].leader
-	accepted(t, w.submit(leader, "req-free-1", 12, ""))
-	w.started("req-free-1", 3)
-	w.cutStore(leader)
-	w.run(5*time.Second, nil)
-	w.cancelJob(w.nodeWithStore(), "req-free-1")
-	if !w.run(time.Minute, func() bool { return w.kv[jobKey("req-free-1")].Version == 0 }) {
+	cluster := newSimClusterOf(t, fiveNodes)
+	cluster.allowRacingStarts, cluster.taskTime = true, time.Minute
+	cluster.ready()
+	leader := cluster.cores["a"].teamsByName["free"].leader
+	requireAccepted(t, cluster.submit(leader, "req-free-1", 12, ""))
+	cluster.waitUntilStarted("req-free-1", 3)
+	cluster.cutStore(leader)
+	cluster.run(5*time.Second, nil)
+	cluster.cancelJob(cluster.nodeWithStore(), "req-free-1")
+	if !cluster.run(time.Minute, func() bool { return cluster.kv[jobKey("req-free-1")].Version == 0 }) {
 		t.Fatal("the cancelled job did not end")
 	}
-	w.restoreStore(leader)
-	w.run(10*time.Second, nil)
-	if s := stateOf(t, w.status(leader, "req-free-1")); s.State != "cancelled" {
+	cluster.restoreStore(leader)
+	cluster.run(10*time.Second, nil)
+	if s := requireJobState(t, cluster.status(leader, "req-free-1")); s.State != "cancelled" {
 		t.Errorf("%s: got state %+v, want cancelled", leader, s)
 	}
 }
--- a/internal/core/canceltiming_test.go
+++ b/internal/core/canceltiming_test.go
@@ -12,68 +12,68 @@
 	"pepperlever/internal/settings"
 )
 
-// tunedIdleWorld returns an idle world with the given worker lease and cancellation deadline in
-// seconds.
-func tunedIdleWorld(t tester, machines int, lease, cancel float64) *world {
+// newIdleSimClusterWithSettings returns an idle simulated cluster with the given worker lease and
+// cancellation deadline in seconds.
+func newIdleSimClusterWithSettings(t tester, machines int, lease, cancel float64) *simCluster {
 	t.Helper()
-	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = lease, cancel })
-	w.maxMachines, w.allowRacingStarts, w.taskTime = machines, true, 20*time.Minute
+	cluster := newSimClusterWithSettings(t, fiveNodes, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = lease, cancel })
+	cluster.maxMachines, cluster.allowRacingStarts, cluster.taskTime = machines, true, 20*time.Minute
 	for i := range machines {
-		w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
+		cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 	}
-	w.ready().run(10*time.Second, nil)
-	return w
+	cluster.ready().run(10*time.Second, nil)
+	return cluster
 }
 
 // A job is cancelled when the store begins to refuse requests of the leader alone. One second later
 // the store fails for longer than cancel_s, while up to eight of the job's machines hang and then
 // resume.
 func TestCancellationWhenStoreBeginsToRefuseLeader(t *testing.T) {
-	times := []struct{ lease, cancel float64 }{{16, 30}, {12, 32}, {26, 51}, {16, 20}}
-	hangs := map[string]func(w *world) time.Duration{
-		"no hang":                      func(*world) time.Duration { return 0 },
-		"shorter than the lease":       func(w *world) time.Duration { return w.lease() * 3 / 4 },
-		"just under cancel_s":          func(w *world) time.Duration { return w.cancelDeadline() - time.Second },
-		"just over cancel_s":           func(w *world) time.Duration { return w.cancelDeadline() + time.Second },
-		"hang and silent":              func(w *world) time.Duration { return w.lease() / 2 },
-		"report to another controller": func(w *world) time.Duration { return w.lease() / 2 },
+	times := []struct{ workerLease, cancel float64 }{{16, 30}, {12, 32}, {26, 51}, {16, 20}}
+	hangs := map[string]func(cluster *simCluster) time.Duration{
+		"no hang":                      func(*simCluster) time.Duration { return 0 },
+		"shorter than the lease":       func(cluster *simCluster) time.Duration { return cluster.workerLease() * 3 / 4 },
+		"just under cancel_s":          func(cluster *simCluster) time.Duration { return cluster.cancelDeadline() - time.Second },
+		"just over cancel_s":           func(cluster *simCluster) time.Duration { return cluster.cancelDeadline() + time.Second },
+		"hang and silent":              func(cluster *simCluster) time.Duration { return cluster.workerLease() / 2 },
+		"report to another controller": func(cluster *simCluster) time.Duration { return cluster.workerLease() / 2 },
 	}
 	for hang, duration := range hangs {
 		for _, p := range times {
 			for _, links := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, lease %v, cancel %v, links %v", hang, p.lease, p.cancel, links), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, lease %v, cancel %v, links %v", hang, p.workerLease, p.cancel, links), func(t *testing.T) {
 					t.Parallel()
-					w := tunedIdleWorld(t, 20, p.lease, p.cancel)
-					accepted(t, w.submit("b", cancelledJob, 40, ""))
-					w.started(cancelledJob, 40)
-					leader := w.leaderOf("free")
+					cluster := newIdleSimClusterWithSettings(t, 20, p.workerLease, p.cancel)
+					requireAccepted(t, cluster.submit("b", cancelledJobID, 40, ""))
+					cluster.waitUntilStarted(cancelledJobID, 40)
+					leader := cluster.leaderOf("free")
 					if !links {
-						w.refuse(everyLink)
+						cluster.disconnectLinks(everyLink)
 					}
 					hung := 0
-					for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-						if d := duration(w); d > 0 && hung < 8 && w.loadOf(w.workers[id], "").CPUs > 0 {
-							w.hang(id, d)
-							w.silentWorkers[id] = hang == "hang and silent"
-							w.workerCannotReach[link{leader, id}] = hang == "report to another controller"
+					for _, id := range slices.Sorted(maps.Keys(cluster.workers)) {
+						if d := duration(cluster); d > 0 && hung < 8 && cluster.loadOf(cluster.workers[id], "").CPUs > 0 {
+							cluster.hang(id, d)
+							cluster.silentWorkers[id] = hang == "hang and silent"
+							cluster.brokenWorkerLinks[link{leader, id}] = hang == "report to another controller"
 							hung++
 						}
 					}
-					w.refuseStoreTo(leader)
-					w.confirmCancellation()
-					w.run(time.Second, nil)
-					w.outage = true
-					before := w.onMachines(cancelledJob)
+					cluster.refuseStoreTo(leader)
+					cluster.confirmCancellation()
+					cluster.run(time.Second, nil)
+					cluster.outage = true
+					before := cluster.onMachines(cancelledJobID)
 					if hang != "no hang" && (hung != 8 || before == 0) {
 						t.Fatalf("got %d hung machines and %d running tasks, want 8 machines and some tasks", hung, before)
 					}
-					w.run(w.cancelDeadline()*5/4, nil) // the world checks the deadlines of cancellations
-					if len(w.cancellationToldAt) > 0 {
+					cluster.run(cluster.cancelDeadline()*5/4, nil) // the simulation checks the deadlines of cancellations
+					if len(cluster.cancelConfirmedAt) > 0 {
 						t.Error("the scenario ended before the deadline")
 					}
-					w.recover()
-					w.run(w.cancelDeadline(), nil)
-					if n := w.onMachines(cancelledJob); n > 0 {
+					cluster.recover()
+					cluster.run(cluster.cancelDeadline(), nil)
+					if n := cluster.onMachines(cancelledJobID); n > 0 {
 						t.Errorf("got %d running tasks, want none", n)
 					}
 				})
@@ -129,26 +129,26 @@
 // run runs the scenario and returns the state in the answer to the cancellation.
 func (d lastTasksEnd) run(t *testing.T) string {
 	t.Helper()
-	w := newWorldOf(t, fiveNodes).ready()
-	w.allowRacingStarts, w.taskTime, w.maxMachines = true, 6*time.Second, 80
-	w.watchLag, w.latency = 300*time.Millisecond, true
-	accepted(t, w.submit("a", endingJob, d.tasks, d.more))
-	w.run(time.Minute, func() bool { return w.startsOf(endingJob) == d.tasks })
-	d.awaitMoment(w)
-	node := w.leaderOf("free")
+	cluster := newSimClusterOf(t, fiveNodes).ready()
+	cluster.allowRacingStarts, cluster.taskTime, cluster.maxMachines = true, 6*time.Second, 80
+	cluster.watchLag, cluster.latency = 300*time.Millisecond, true
+	requireAccepted(t, cluster.submit("a", endingJob, d.tasks, d.more))
+	cluster.run(time.Minute, func() bool { return cluster.startsOf(endingJob) == d.tasks })
+	d.awaitMoment(cluster)
+	node := cluster.leaderOf("free")
 	if !d.atLeader {
-		node = w.anotherNode(node)
+		node = cluster.anotherNode(node)
 	}
-	cancel := d.sendRequests(t, w, node)
+	cancel := d.sendRequests(t, cluster, node)
 	for range 5 {
 		if cancel.Status == http.StatusOK {
 			break
 		}
-		cancel = w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: endingJob} })
+		cancel = cluster.request(node, func(req uint64) Command { return Cancel{Req: req, ID: endingJob} })
 	}
-	answered := stateOf(t, cancel)
-	w.run(2*time.Second, nil)
-	d.checkState(t, w, answered.State)
+	answered := requireJobState(t, cancel)
+	cluster.run(2*time.Second, nil)
+	d.checkState(t, cluster, answered.State)
 	return answered.State
 }
 
@@ -156,31 +156,31 @@
 func (d lastTasksEnd) body() []byte { return []byte(submission(endingJob, "free", d.tasks, d.more)) }
 
 // ended reports whether all tasks have ended.
-func (d lastTasksEnd) ended(w *world) bool {
+func (d lastTasksEnd) ended(cluster *simCluster) bool {
 	for n := range d.tasks {
-		if !w.completed[fmt.Sprintf("%s/%d", endingJob, n)] {
+		if !cluster.completed[fmt.Sprintf("%s/%d", endingJob, n)] {
 			return false
 		}
 	}
 	return true
 }
 
-// awaitMoment runs the world until the requests are to be sent.
-func (d lastTasksEnd) awaitMoment(w *world) {
+// awaitMoment runs the simulation until the requests are to be sent.
+func (d lastTasksEnd) awaitMoment(cluster *simCluster) {
 	const earliest = 5500 * time.Millisecond
-	begin, offset := w.now, time.Duration(d.tenths)*100*time.Millisecond
-	w.run(20*time.Second, func() bool {
-		elapsed := w.now - begin
-		return d.ended(w) || elapsed >= earliest && d.tenths < 0 && elapsed >= w.taskTime+offset
+	begin, offset := cluster.now, time.Duration(d.tenths)*100*time.Millisecond
+	cluster.run(20*time.Second, func() bool {
+		elapsed := cluster.now - begin
+		return d.ended(cluster) || elapsed >= earliest && d.tenths < 0 && elapsed >= cluster.taskTime+offset
 	})
-	if d.ended(w) {
-		w.run(max(0, offset), nil)
+	if d.ended(cluster) {
+		cluster.run(max(0, offset), nil)
 	}
 }
 
 // sendRequests sends all requests at the same time, checks the answers and returns the one to the
 // cancellation.
-func (d lastTasksEnd) sendRequests(t *testing.T, w *world, node string) (cancel Answer) {
+func (d lastTasksEnd) sendRequests(t *testing.T, cluster *simCluster, node string) (cancel Answer) {
 	t.Helper()
 	requests := map[uint64]string{}
 	for name, command := range ordered(map[string]func(req uint64) Command{
@@ -188,18 +188,18 @@
 		"ask":    func(req uint64) Command { return Status{Req: req, ID: endingJob} },
 		"repeat": func(req uint64) Command { return Submit{Req: req, Body: d.body()} },
 	}) {
-		w.nextReq++
-		requests[w.nextReq] = name
-		w.send(node, command(w.nextReq))
+		cluster.nextReq++
+		requests[cluster.nextReq] = name
+		cluster.send(node, command(cluster.nextReq))
 	}
-	w.run(2*time.Second, func() bool {
+	cluster.run(2*time.Second, func() bool {
 		for req, name := range requests {
-			a, answered := w.answers[req]
+			a, answered := cluster.answers[req]
 			if !answered {
 				continue
 			}
 			delete(requests, req)
-			if s, is := a.Body.(protocol.JobState); is && s.State == protocol.Done && !d.ended(w) {
+			if s, is := a.Body.(protocol.JobState); is && s.State == protocol.Done && !d.ended(cluster) {
 				t.Errorf("%s: reported as done before all tasks have ended", d.name)
 			}
 			if a.Status == http.StatusNotFound || a.Status == http.StatusBadRequest || a.Status == http.StatusUnprocessableEntity {
@@ -216,14 +216,14 @@
 
 // checkState checks that every controller reports the given state, with which the cancellation was
 // answered.
-func (d lastTasksEnd) checkState(t *testing.T, w *world, want string) {
+func (d lastTasksEnd) checkState(t *testing.T, cluster *simCluster, want string) {
 	t.Helper()
-	for _, n := range w.names {
-		if s := stateOf(t, w.status(n, endingJob)); s.State != want {
+	for _, n := range cluster.names {
+		if s := requireJobState(t, cluster.status(n, endingJob)); s.State != want {
 			t.Errorf("%s, %d tenths, at leader %v: cancellation answered %s, but status is %s at %s", d.name, d.tenths, d.atLeader, want, s.State, n)
 		}
 		repeat := func(req uint64) Command { return Submit{Req: req, Body: d.body()} }
-		if s := stateOf(t, w.request(n, repeat)); s.State != want {
+		if s := requireJobState(t, cluster.request(n, repeat)); s.State != want {
 			t.Errorf("%s: repeated submission: got state %s, want %s", d.name, s.State, want)
 		}
 	}
@@ -234,32 +234,32 @@
 func TestJobIsEitherDoneOrCancelled(t *testing.T) {
 	outcomes := map[string]int{}
 	for tenths := range 16 {
-		w := newWorldOf(t, fiveNodes).ready()
-		w.allowRacingStarts = true
-		accepted(t, w.submit("a", "req-blue-1", 1, ""))
-		w.started("req-blue-1", 1)
-		leader := w.cores["a"].teamBy["blue"].leader
-		w.run(4200*time.Millisecond+time.Duration(tenths)*100*time.Millisecond, nil)
-		for _, f := range w.workers {
-			f.node = slices.Index(w.names, leader) // the leader learns of the end from a report
+		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster.allowRacingStarts = true
+		requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
+		cluster.waitUntilStarted("req-blue-1", 1)
+		leader := cluster.cores["a"].teamsByName["blue"].leader
+		cluster.run(4200*time.Millisecond+time.Duration(tenths)*100*time.Millisecond, nil)
+		for _, f := range cluster.workers {
+			f.node = slices.Index(cluster.names, leader) // the leader learns of the end from a report
 		}
-		w.slowWatcher = leader
-		w.hold(everyLink)
+		cluster.blockedWatcher = leader
+		cluster.delayLinks(everyLink)
 		var a Answer
 		for range 5 { // the answer waits until another controller knows
-			if a = w.request("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
+			if a = cluster.request("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
 				break
 			}
-			w.run(time.Second, nil)
+			cluster.run(time.Second, nil)
 		}
-		answered := stateOf(t, a)
-		w.run(5*time.Second, nil)
-		w.slowWatcher = ""
-		w.restore()
-		w.run(10*time.Second, nil)
+		answered := requireJobState(t, a)
+		cluster.run(5*time.Second, nil)
+		cluster.blockedWatcher = ""
+		cluster.restoreLinks()
+		cluster.run(10*time.Second, nil)
 		outcomes[answered.State]++
-		for _, n := range w.names {
-			if s := stateOf(t, w.status(n, "req-blue-1")); s.State != answered.State {
+		for _, n := range cluster.names {
+			if s := requireJobState(t, cluster.status(n, "req-blue-1")); s.State != answered.State {
 				t.Errorf("cancelled after %d tenths: cancellation answered %s, but status is %s at %s", tenths, answered.State, s.State, n)
 			}
 		}
@@ -273,10 +273,10 @@
 // of it before the reply to that write. The job ends after a few more writes.
 func TestCancellationDuringBindingWrite(t *testing.T) {
 	const id = "req-free-1"
-	w := newWorldOf(t, fiveNodes).ready()
-	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	leader, writes, cancelled := w.leaderOf("free"), 0, false
-	w.onEffect = func(node string, e Effect) {
+	cluster := newSimClusterOf(t, fiveNodes).ready()
+	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
+	leader, writes, cancelled := cluster.leaderOf("free"), 0, false
+	cluster.onEffect = func(node string, e Effect) {
 		txn, is := e.(StoreTxn)
 		if !is || node != leader || !slices.ContainsFunc(txn.Txn.Then, func(ch protocol.Change) bool { return ch.Put == jobKey(id) }) {
 			return
@@ -285,16 +285,16 @@
 			return // it binds nothing
 		}
 		cancelled = true
-		r := w.decide(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
+		r := cluster.commitTxn(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
 			Then: []protocol.Change{putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(id), cancelRecord{})}})
-		w.send(leader, PeerMessageReceived{Node: w.anotherNode(leader), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
+		cluster.send(leader, PeerMessageReceived{Node: cluster.anotherNode(leader), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
 	}
-	accepted(t, w.submit("a", id, 40, ""))
-	if !w.run(20*time.Second, func() bool { return cancelled }) {
+	requireAccepted(t, cluster.submit("a", id, 40, ""))
+	if !cluster.run(20*time.Second, func() bool { return cancelled }) {
 		t.Fatal("no task was bound")
 	}
 	writes = 0
-	if !w.run(20*time.Second, func() bool { return w.kv[jobKey(id)].Version == 0 }) || writes > 5 {
+	if !cluster.run(20*time.Second, func() bool { return cluster.kv[jobKey(id)].Version == 0 }) || writes > 5 {
 		t.Errorf("got %d writes, want the job to end after at most 5", writes)
 	}
 }
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -112,8 +112,8 @@
 	return job.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
-// Kind is a machine type, either spot or on-demand.
-type Kind struct {
+// MachineKind is a machine type, either spot or on-demand.
+type MachineKind struct {
 	Type string
 	Spot bool
 }
@@ -130,17 +130,17 @@
 }
 
 // Kinds returns the traits of all kinds of machines.
-func (c Catalog) Kinds() map[Kind]KindTraits {
+func (c Catalog) Kinds() map[MachineKind]KindTraits {
 	mostCPUs, mostGPUs, cheapest := 1.0, 1.0, math.Inf(1)
 	for _, t := range c.types {
 		mostCPUs, mostGPUs = max(mostCPUs, t.CPUs), max(mostGPUs, t.GPUs)
 		cheapest = min(cheapest, pricePerCPU(t, true), pricePerCPU(t, false))
 	}
 	cheapest = max(cheapest, minPricePerCPU)
-	kinds := make(map[Kind]KindTraits, 2*len(c.types))
+	kinds := make(map[MachineKind]KindTraits, 2*len(c.types))
 	for name, t := range c.types {
 		for _, spot := range []bool{true, false} {
-			kinds[Kind{name, spot}] = KindTraits{
+			kinds[MachineKind{name, spot}] = KindTraits{
 				Capacity:     Capacity(t),
 				PricePremium: min(1, pricePerCPU(t, spot)/cheapest-1),
 				RelativeSize: t.CPUs / mostCPUs,
--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -38,7 +38,7 @@
 		{Name: "small", CPUs: 4, Price: 1.2, SpotPrice: 0.8},
 		{Name: "large", CPUs: 16, GPUs: 4, Price: 16, SpotPrice: 4},
 	}).Kinds()
-	for kind, want := range map[Kind]KindTraits{
+	for kind, want := range map[MachineKind]KindTraits{
 		{Type: "small", Spot: true}:  {Capacity: job.Resources{CPUs: 4}, PricePremium: 0, RelativeSize: 0.25},
 		{Type: "small", Spot: false}: {Capacity: job.Resources{CPUs: 4}, PricePremium: 1.2/0.8 - 1, RelativeSize: 0.25},
 		{Type: "large", Spot: false}: {Capacity: job.Resources{CPUs: 16, GPUs: 4}, PricePremium: 1, RelativeSize: 1, GPUShare: 1},
--- a/internal/core/catalog_test.go
+++ b/internal/core/catalog_test.go
@@ -26,31 +26,31 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorldOf(t, fiveNodes)
-			w.allowRacingStarts, w.taskTime = true, 5*time.Second
+			cluster := newSimClusterOf(t, fiveNodes)
+			cluster.allowRacingStarts, cluster.taskTime = true, 5*time.Second
 			m := base
 			tc.change(&m)
-			w.types = []protocol.MachineType{m}
-			for _, n := range w.names {
-				w.cfg[n].Params.Teams = []settings.Team{{Name: "free"}}
-				w.cores[n] = New(w.cfg[n], settings.DefaultPolicy(), n+"9")
-				w.load(n)
+			cluster.types = []protocol.MachineType{m}
+			for _, n := range cluster.names {
+				cluster.cfg[n].Params.Teams = []settings.Team{{Name: "free"}}
+				cluster.cores[n] = New(cluster.cfg[n], settings.DefaultPolicy(), n+"9")
+				cluster.sendSnapshot(n)
 			}
 			for i := range 8 {
-				w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
+				cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
-			w.run(8*time.Second, nil)
-			accepted(t, w.submit("a", "req-free-1", 20, ""))
-			accepted(t, w.submit("b", "req-free-2", 2, serviceFields))
-			if got := w.submit("c", "req-free-3", 1, gangFields).Status; got != tc.gang {
+			cluster.run(8*time.Second, nil)
+			requireAccepted(t, cluster.submit("a", "req-free-1", 20, ""))
+			requireAccepted(t, cluster.submit("b", "req-free-2", 2, serviceFields))
+			if got := cluster.submit("c", "req-free-3", 1, gangFields).Status; got != tc.gang {
 				t.Errorf("submission of a gang: got status %d", got)
 			}
-			if got := w.submit("d", "req-free-4", 1, `,"vcpus":400.0`).Status; got != http.StatusUnprocessableEntity {
+			if got := cluster.submit("d", "req-free-4", 1, `,"vcpus":400.0`).Status; got != http.StatusUnprocessableEntity {
 				t.Errorf("submission of a job that fits no machine: got status %d", got)
 			}
-			w.run(40*time.Second, nil)
-			if w.startsOf("req-free-1") < 20 || w.startsOf("req-free-2") < 2 || tc.gang == http.StatusCreated && w.startsOf("req-free-3") < 1 {
-				t.Errorf("started %d tasks of the array, %d of the service, %d of the gang", w.startsOf("req-free-1"), w.startsOf("req-free-2"), w.startsOf("req-free-3"))
+			cluster.run(40*time.Second, nil)
+			if cluster.startsOf("req-free-1") < 20 || cluster.startsOf("req-free-2") < 2 || tc.gang == http.StatusCreated && cluster.startsOf("req-free-3") < 1 {
+				t.Errorf("started %d tasks of the array, %d of the service, %d of the gang", cluster.startsOf("req-free-1"), cluster.startsOf("req-free-2"), cluster.startsOf("req-free-3"))
 			}
 		})
 	}
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -27,10 +27,10 @@
 
 func newHeldClaims() heldClaims { return heldClaims{jobs: map[string]bool{}} }
 
-// shareClaims announces the capacity claimed in this step to the other controllers at once. The
+// broadcastClaims announces the capacity claimed in this step to the other controllers at once. The
 // store would show it to them only after a write and a watch event; until then they might bind
 // the same capacity and be refused.
-func (c *Core) shareClaims() {
+func (c *Core) broadcastClaims() {
 	for part := range slices.Chunk(c.scheduler.claims, maxClaimsPerMessage) {
 		c.broadcast(PeerMessage{Claims: part})
 	}
@@ -42,7 +42,7 @@
 func (c *Core) handleClaim(from string, claim Claim) {
 	id, index, ok := job.ParseTaskID(claim.Task)
 	j := c.jobs[id]
-	if !ok || j == nil || c.leads(j) || c.teamBy[j.Team].leader != from {
+	if !ok || j == nil || c.leads(j) || c.teamsByName[j.Team].leader != from {
 		return
 	}
 	if j.Claim(index, &job.Binding{Machine: claim.Machine, Attempt: claim.Attempt, Since: c.now.Steady}) {
@@ -97,9 +97,10 @@
 	return left
 }
 
-// voidClaims drops the claims of a shard's former leader, which can no longer store them.
-func (c *Core) voidClaims(s *shard) {
-	for _, j := range ordered(c.jobsOf(s)) {
+// dropClaimsOfFormerLeader drops the claims of a shard's former leader, which can no longer store
+// them.
+func (c *Core) dropClaimsOfFormerLeader(s *shard) {
+	for _, j := range ordered(c.shardJobs(s)) {
 		if c.scheduler.heldClaims.jobs[j.ID] {
 			j.DropUnstored()
 			c.requestRound()
@@ -112,9 +113,9 @@
 	return Claim{Machine: b.Machine, Task: j.TaskID(index), Attempt: b.Attempt}
 }
 
-// unstoredClaims counts the bindings that other leaders have announced but that the store does
+// countUnstoredClaims counts the bindings that other leaders have announced but that the store does
 // not show yet.
-func (c *Core) unstoredClaims() (claims int) {
+func (c *Core) countUnstoredClaims() (claims int) {
 	for _, j := range c.jobs {
 		if !c.leads(j) {
 			claims += j.UnstoredBindings()
@@ -123,14 +124,14 @@
 	return claims
 }
 
-// claimWindow is how long a new binding waits for concurrent claims of other leaders on the same
-// capacity.
-func (c *Core) claimWindow() time.Duration { return c.reportInterval() / 60 }
+// claimSettleTime is how long a new binding waits for concurrent claims of other leaders on the
+// same capacity.
+func (c *Core) claimSettleTime() time.Duration { return c.reportInterval() / 60 }
 
-// resolveConflict drops the new bindings of a job whose capacity another leader has claimed with
-// precedence. Every leader sees the same claims and decides the same way, so one of two
+// dropConflictingClaims drops the new bindings of a job whose capacity another leader has claimed
+// with precedence. Every leader sees the same claims and decides the same way, so one of two
 // conflicting claims is kept, and the other leader picks another host without a refusal.
-func (c *Core) resolveConflict(j *job.Job) {
+func (c *Core) dropConflictingClaims(j *job.Job) {
 	if j.Kind == job.Gang {
 		return // all or nothing: a gang must not lose single bindings
 	}
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -9,10 +9,10 @@
 // TestOneOfTwoConflictingClaimsHolds checks that of two leaders that claim the same capacity at
 // the same time exactly one keeps it.
 func TestOneOfTwoConflictingClaimsHolds(t *testing.T) {
-	w := newWorld(t).ready()
-	w.submit("a", "req-red-1", 1, "")
-	w.started("req-red-1", 1) // uses two of the machine's four CPUs
-	c := w.cores["a"]
+	cluster := newSimCluster(t).ready()
+	cluster.submit("a", "req-red-1", 1, "")
+	cluster.waitUntilStarted("req-red-1", 1) // uses two of the machine's four CPUs
+	c := cluster.cores["a"]
 	blue, free := jobWithClaim(c, "req-blue-9"), jobWithClaim(c, "req-free-9")
 	if !c.claimHolds(blue, 0, blue.Bound[0]) || c.claimHolds(free, 0, free.Bound[0]) {
 		t.Error("want the claim with precedence, and only that one, to hold")
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -47,18 +47,18 @@
 
 // Outcomes of a request.
 const (
-	// Applied means that the request was carried out.
-	Applied Outcome = iota
-	// Conflict means that a condition failed and nothing was changed.
-	Conflict
-	// Missing means that the key does not exist.
-	Missing
-	// NoLease means that the lease of a write has expired and nothing was changed.
-	NoLease
-	// Refused means that the request was certainly not carried out.
-	Refused
-	// Unknown means that the request may have been carried out, or may still be.
-	Unknown
+	// OutcomeApplied means that the request was carried out.
+	OutcomeApplied Outcome = iota
+	// OutcomeConflict means that a condition failed and nothing was changed.
+	OutcomeConflict
+	// OutcomeMissing means that the key does not exist.
+	OutcomeMissing
+	// OutcomeNoLease means that the lease of a write has expired and nothing was changed.
+	OutcomeNoLease
+	// OutcomeRefused means that the request was certainly not carried out.
+	OutcomeRefused
+	// OutcomeUnknown means that the request may have been carried out, or may still be.
+	OutcomeUnknown
 )
 
 // Commands from the store.
@@ -113,10 +113,10 @@
 	PeerDisconnected struct{ Node string }
 	// DeliveryResult answers Deliver. Report is nil if the worker did not answer.
 	DeliveryResult struct {
-		Machine  string
-		Orders   protocol.Orders
-		Executed bool
-		Report   *protocol.Report
+		Machine      string
+		CommandBatch protocol.CommandBatch
+		Executed     bool
+		Report       *protocol.Report
 	}
 	// CatalogReceived contains the cloud's catalog of machine types.
 	CatalogReceived struct{ Types []protocol.MachineType }
@@ -124,7 +124,8 @@
 	InventoryReceived struct{ Machines []protocol.ListedMachine }
 	// CloudHealth reports whether the cloud carries out requests. It does not during an outage.
 	CloudHealth struct{ OK bool }
-	// RentalResult answers RequestRental. Outcome is Applied, Refused (no capacity) or Unknown.
+	// RentalResult answers RequestRental. Outcome is OutcomeApplied, OutcomeRefused (no
+	// capacity) or OutcomeUnknown.
 	RentalResult struct {
 		Rental   protocol.Rental
 		Outcome  Outcome
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,9 +28,9 @@
 	members membership
 	// teams lists the teams in the order of the settings. fleet is the shard that covers the
 	// machines.
-	teams  []*team
-	teamBy map[string]*team
-	fleet  *shard
+	teams       []*team
+	teamsByName map[string]*team
+	fleet       *shard
 	// jobs holds the jobs without a final state, ended caches those that have one.
 	jobs    map[string]*job.Job
 	ended   endedJobs
@@ -54,23 +54,23 @@
 	dependencies  *dependencies
 	lookups       *lookupController
 	stats         *jobstats.Collector
-	counts        Counters
+	counters      Counters
 
 	// Machines.
 
-	catalog    catalog.Catalog
-	machines   *worker.Registry
-	agents     *agentController
-	reconciler *reconciler
-	rebalancer rebalancer
-	returns    *machineReturns
+	catalog       catalog.Catalog
+	machines      *worker.Registry
+	agents        *agentController
+	reconciler    *reconciler
+	rebalancer    rebalancer
+	returnTracker *machineReturns
 
 	// Other controllers and sites.
 
-	reach     *reachability
-	freshness *freshnessTracker
-	relay     *storeRelay
-	isolation isolationDetector
+	peerReachability *reachability
+	freshness        *freshnessTracker
+	relay            *storeRelay
+	isolation        isolationDetector
 	// federation connects this site to others. It is nil if federation is not configured.
 	federation *federationAdapter
 
@@ -84,9 +84,9 @@
 	// usageUpdated is when the usage records were last updated.
 	usageUpdated time.Duration
 
-	heartbeat, share, storeUsage, reconcile time.Duration
-	autoscaler, forget, catalog             time.Duration
-	inventory, evacuation, statistics       time.Duration
+	heartbeat, shareUsage, storeUsage, reconcile time.Duration
+	autoscaler, cordonCleanup, catalog           time.Duration
+	inventory, evacuation, statistics            time.Duration
 }
 
 // New returns a core. The incarnation must be unique to each run of the process.
@@ -98,7 +98,7 @@
 		replica:     newReplica(),
 		ended:       newEndedJobs(),
 		fleet:       &shard{name: "fleet", key: keyFleet},
-		teamBy:      map[string]*team{},
+		teamsByName: map[string]*team{},
 		jobs:        map[string]*job.Job{},
 		cordons:     cordons{},
 		intents:     rentalIntents{},
@@ -110,7 +110,7 @@
 		autoscaler:  newAutoscaler(),
 		stats:       jobstats.New(),
 	}
-	c.upgrade = newUpgradeTracker(c.environment, c.members.roster)
+	c.upgrade = newUpgradeTracker(c.environment, c.members.controllers)
 	c.chunks = &chunkPolicy{environment: c.environment, limits: &c.limits, upgrade: c.upgrade, machines: c.machines}
 	c.writer = &jobWriter{environment: c.environment, core: c}
 	c.messenger = &messenger{environment: c.environment, peers: newPeerTable(cfg)}
@@ -120,8 +120,8 @@
 	c.dependencies = newDependencies(c)
 	c.lookups = newLookupController(c)
 	c.relay = newStoreRelay(c)
-	c.returns = newMachineReturns(c)
-	c.reach = &reachability{environment: c.environment, members: &c.members, peers: c.peers, relay: c.relay}
+	c.returnTracker = newMachineReturns(c)
+	c.peerReachability = &reachability{environment: c.environment, members: &c.members, peers: c.peers, relay: c.relay}
 	c.freshness = &freshnessTracker{environment: c.environment, peers: c.peers}
 	for _, t := range cfg.Params.Teams {
 		c.addTeam(newTeam(t))
@@ -141,7 +141,7 @@
 	c.federation.run()
 	c.schedule()
 	c.lookups.sendDue()
-	c.shareClaims()
+	c.broadcastClaims()
 	c.writer.flushJobs()
 	return c.effects
 }
--- a/internal/core/deferredstatus.go
+++ b/internal/core/deferredstatus.go
@@ -14,7 +14,7 @@
 // nothing else can have ended it, or else once the replica has reached the revision.
 func (l *lookupController) resolveActive(group lookup.Group, revision uint64) {
 	j := l.core.jobs[group.JobID]
-	if j != nil && !j.Cancelled && !l.core.dependencies.Waits(group.JobID) {
+	if j != nil && !j.Cancelled && !l.core.dependencies.IsBlocked(group.JobID) {
 		l.resolveWithProgress(group)
 		return
 	}
@@ -50,7 +50,7 @@
 	if l.core.hasEnded(id) {
 		return true
 	}
-	if !l.core.replica.shows(status.revision) {
+	if !l.core.replica.reflects(status.revision) {
 		return false
 	}
 	if l.core.jobs[id] == nil && l.core.replica.reloading {
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -42,9 +42,9 @@
 	session.delivering = true
 	session.probeDue = false
 	a.emit(Deliver{
-		Machine: machine,
-		Address: session.address,
-		Orders:  protocol.Orders{Token: session.token, Session: session.epoch, Commands: commands},
+		Machine:      machine,
+		Address:      session.address,
+		CommandBatch: protocol.CommandBatch{Token: session.token, WorkerEpoch: session.epoch, Commands: commands},
 	})
 }
 
@@ -73,7 +73,7 @@
 		a.handleReport(session, *d.Report, true)
 	}
 	if !d.Executed {
-		for _, command := range d.Orders.Commands {
+		for _, command := range d.CommandBatch.Commands {
 			delete(session.pendingStarts, taskAttempt{command.Task, command.Attempt})
 		}
 	}
@@ -91,9 +91,9 @@
 // starts needs no fence, so a hung machine costs one token rather than one per probe.
 func (a *agentController) deliveryUnanswered(session *agentSession, d DeliveryResult) {
 	session.unanswered = true
-	a.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.Orders.Commands))
-	if slices.ContainsFunc(d.Orders.Commands, isStart) {
-		a.fence(Fence{Machine: d.Machine, Above: d.Orders.Token})
+	a.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.CommandBatch.Commands))
+	if slices.ContainsFunc(d.CommandBatch.Commands, isStart) {
+		a.fence(Fence{Machine: d.Machine, Above: d.CommandBatch.Token})
 	}
 }
 
@@ -102,7 +102,7 @@
 // reportRefusedStarts informs the leaders of starts that the agent has rejected together with
 // the rest of the delivery.
 func (a *agentController) reportRefusedStarts(d DeliveryResult) {
-	for _, command := range d.Orders.Commands {
+	for _, command := range d.CommandBatch.Commands {
 		if !isStart(command) {
 			continue
 		}
@@ -111,7 +111,7 @@
 		if j == nil {
 			continue
 		}
-		if t := a.core.teamBy[j.Team]; t != nil {
+		if t := a.core.teamsByName[j.Team]; t != nil {
 			refusal := Refusal{Machine: d.Machine, Task: command.Task, Attempt: command.Attempt}
 			a.core.sendTo(t.leader, PeerMessage{Refusal: &refusal})
 		}
--- a/internal/core/deliveries_test.go
+++ b/internal/core/deliveries_test.go
@@ -20,8 +20,8 @@
 			r.Seq += 50
 			return &r
 		},
-		"previous session": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
-			r.Session--
+		"previous epoch": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
+			r.WorkerEpoch--
 			r.Seq += 50
 			r.Tasks = nil
 			return r
@@ -33,32 +33,32 @@
 		},
 		"attempt never issued": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: silentMachinesJob + "/0", Attempt: 999, State: protocol.Exited, Why: protocol.WhyDone})
+			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: silentMachinesJob + "/0", Attempt: 999, State: protocol.Exited, ExitReason: protocol.ExitDone})
 			return r
 		},
 		"task never submitted": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: "req-nobody-1/0", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone},
-				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: silentMachinesJob + "/99999", Attempt: 1, State: protocol.Exited, Why: protocol.WhyDone})
+			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: "req-nobody-1/0", Attempt: 1, State: protocol.Exited, ExitReason: protocol.ExitDone},
+				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: silentMachinesJob + "/99999", Attempt: 1, State: protocol.Exited, ExitReason: protocol.ExitDone})
 			return r
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w, _ := loadedWorld(t, 10, silentMachinesJob)
-			w.started(silentMachinesJob, 20)
-			w.run(3*time.Second, nil)
-			ids := slices.Sorted(maps.Keys(w.workers))
-			f := w.workers[ids[3]]
-			node := w.cores["a"].machines.Get(f.Machine).Node
-			r := w.snapshot(f)
-			orders := protocol.Orders{Token: f.Token, Session: f.Session}
-			w.send(node, DeliveryResult{Machine: f.Machine, Orders: orders, Executed: true, Report: change(&r, w.workers[ids[4]])})
-			w.run(time.Minute, nil)
-			if a := w.status("b", silentMachinesJob); stateOf(t, a).Done > 0 || w.onMachines(silentMachinesJob) != 20 || f.Session != 1 {
-				t.Errorf("got state %v with %d tasks left, want 20 tasks left, none done, and no new session", a.Body, w.onMachines(silentMachinesJob))
+			cluster, _ := newLoadedSimCluster(t, 10, silentMachinesJob)
+			cluster.waitUntilStarted(silentMachinesJob, 20)
+			cluster.run(3*time.Second, nil)
+			ids := slices.Sorted(maps.Keys(cluster.workers))
+			f := cluster.workers[ids[3]]
+			node := cluster.cores["a"].machines.Get(f.Machine).Node
+			r := cluster.currentReport(f)
+			batch := protocol.CommandBatch{Token: f.Token, WorkerEpoch: f.WorkerEpoch}
+			cluster.send(node, DeliveryResult{Machine: f.Machine, CommandBatch: batch, Executed: true, Report: change(&r, cluster.workers[ids[4]])})
+			cluster.run(time.Minute, nil)
+			if a := cluster.status("b", silentMachinesJob); requireJobState(t, a).Done > 0 || cluster.onMachines(silentMachinesJob) != 20 || f.WorkerEpoch != 1 {
+				t.Errorf("got state %v with %d tasks left, want 20 tasks left, none done, and no new epoch", a.Body, cluster.onMachines(silentMachinesJob))
 			}
-			w.startedOnce()
+			cluster.checkStartedOnce()
 		})
 	}
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -33,15 +33,15 @@
 	}
 	jobs := d.core.jobs
 	for _, j := range d.inheriting {
-		j.Inherit(nil)
+		j.InheritUrgency(nil)
 	}
 	d.inheriting = d.inheriting[:0]
-	urgencies := d.Inherit(func(id string) (dependency.Estimate, bool) {
+	urgencies := d.InheritUrgency(func(id string) (dependency.Estimate, bool) {
 		return urgencyEstimate(jobs[id])
 	})
 	for id, urgency := range ordered(urgencies) {
 		if j := jobs[id]; j != nil {
-			j.Inherit(&urgency)
+			j.InheritUrgency(&urgency)
 			d.inheriting = append(d.inheriting, j)
 		}
 	}
@@ -54,14 +54,14 @@
 	if j == nil || j.Cancelled {
 		return dependency.Estimate{}, false
 	}
-	own := dependency.Urgency{Priority: j.Priority, LatestStart: j.OwnLatestStart()}
-	return dependency.Estimate{Urgency: own, RunTime: j.RunTimeMS()}, true
+	own := dependency.Urgency{Priority: j.Priority, LatestStartMS: j.OwnLatestStartMS()}
+	return dependency.Estimate{Urgency: own, DurationMS: j.RunTimeMS()}, true
 }
 
 // track updates the dependency graph when the replica receives a job.
 func (d *dependencies) track(j *job.Job) {
 	if j.Attempt > 0 || len(j.Dependencies) == 0 {
-		d.Forget(j.ID)
+		d.RemoveDependencies(j.ID)
 		j.Blocked = false // no task is bound before all dependencies are done
 		return
 	}
@@ -74,7 +74,7 @@
 			unfinished = append(unfinished, id)
 		}
 	}
-	d.Wait(j.ID, unfinished)
+	d.SetDependencies(j.ID, unfinished)
 	if len(unfinished) == 0 {
 		d.onReady(j)
 		return
@@ -102,7 +102,7 @@
 		}
 		return
 	}
-	for _, dependent := range d.Followers(id) {
+	for _, dependent := range d.Dependents(id) {
 		d.cancelDependent(d.core.jobs[dependent], id)
 	}
 }
@@ -116,7 +116,7 @@
 	}
 	if !j.Cancelled {
 		d.core.log(Debug, "job cancelled because a dependency is cancelled", "job", j.ID, "dependency", upstream)
-		d.core.counts.CascadedCancellations++
+		d.core.counters.CascadedCancellations++
 		d.core.markCancelled(j)
 	}
 	d.core.rememberFinalState(j.ID, protocol.JobState{ID: j.ID, State: protocol.Cancelled})
@@ -135,9 +135,9 @@
 	if !d.core.every(&d.nextCheck, interval) {
 		return
 	}
-	for _, id := range d.Waiting() {
+	for _, id := range d.BlockedJobs() {
 		if j := d.core.jobs[id]; j != nil && d.core.leads(j) {
-			d.lookUp(d.Awaited(id))
+			d.lookUp(d.PendingDependencies(id))
 		}
 	}
 	d.lookUp(d.missingJobs(d.core.lookups.backgroundRequests(interval)))
@@ -160,7 +160,7 @@
 // lookUpUpstream reads the states of those direct and transitive dependencies of a job that the
 // replica does not hold, and reports whether there are any.
 func (d *dependencies) lookUpUpstream(id string) (unknown bool) {
-	return d.lookUp(d.Upstream(id))
+	return d.lookUp(d.TransitiveDependencies(id))
 }
 
 // lookUp reads the states of those of the given jobs that the replica does not hold, and reports
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -16,9 +16,9 @@
 
 // stateSeenBy returns the state of a job that a controller reports, or "" if it does not answer
 // with one.
-func (w *world) stateSeenBy(node, id string) string {
-	w.t.Helper()
-	if a := w.status(node, id); a.Status == http.StatusOK {
+func (cluster *simCluster) stateSeenBy(node, id string) string {
+	cluster.t.Helper()
+	if a := cluster.status(node, id); a.Status == http.StatusOK {
 		return a.Body.(protocol.JobState).State
 	}
 	return ""
@@ -28,8 +28,8 @@
 // meanwhile. After each failover the new leader knows which dependencies are done, however long ago
 // they ended.
 func TestDependencyChainSurvivesFailovers(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.allowRacingStarts, w.taskTime = true, 3*time.Second
+	cluster := newIdleSimCluster(t, 10)
+	cluster.allowRacingStarts, cluster.taskTime = true, 3*time.Second
 	teams := []string{"red", "blue", "free"}
 	var ids []string
 	for n := range 10 {
@@ -37,79 +37,79 @@
 		if n > 0 {
 			more = awaiting(ids...)
 		}
-		accepted(t, w.submit(w.names[n%5], id, 2, more))
+		requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, more))
 		ids = append(ids, id)
 	}
 	for n, id := range ids {
 		if n == 2 || n == 5 {
 			team := strings.Split(ids[n], "-")[1]
-			leader := w.leaderOf(team)
-			w.crash(leader)
-			w.expire(leader)
-			w.run(20*time.Second, func() bool { successor := w.leaderOf(team); return successor != "" && successor != leader })
-			w.boot(leader)
+			leader := cluster.leaderOf(team)
+			cluster.crash(leader)
+			cluster.expire(leader)
+			cluster.run(20*time.Second, func() bool { successor := cluster.leaderOf(team); return successor != "" && successor != leader })
+			cluster.boot(leader)
 		}
-		if !w.run(2*time.Minute, w.finished(id)) {
+		if !cluster.run(2*time.Minute, cluster.allDone(id)) {
 			t.Fatalf("%s did not end", id)
 		}
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // A job that is blocked by a dependency uses nothing: no capacity, no part of its team's limit and
 // no place in the ranking, and no machines are rented for it. Its waiting time begins when the
 // dependency is done.
 func TestBlockedJobReservesNothing(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.taskTime = 40 * time.Second
-	accepted(t, w.submit("a", "req-red-1", 1, ""))
-	accepted(t, w.submit("a", "req-red-2", 30, awaiting("req-red-1")))
-	w.run(10*time.Second, nil)
-	c := w.cores[w.leaderOf("red")]
-	j, team := c.jobs["req-red-2"], c.teamBy["red"]
-	if !j.Blocked || c.startAllowance(j) != 0 || c.waitingResources(team) != (job.Resources{}) {
-		t.Errorf("got an allowance of %d tasks and team demand %v, want none", c.startAllowance(j), c.waitingResources(team))
+	cluster := newIdleSimCluster(t, 10)
+	cluster.taskTime = 40 * time.Second
+	requireAccepted(t, cluster.submit("a", "req-red-1", 1, ""))
+	requireAccepted(t, cluster.submit("a", "req-red-2", 30, awaiting("req-red-1")))
+	cluster.run(10*time.Second, nil)
+	c := cluster.cores[cluster.leaderOf("red")]
+	j, team := c.jobs["req-red-2"], c.teamsByName["red"]
+	if !j.Blocked || c.startAllowance(j) != 0 || c.pendingResources(team) != (job.Resources{}) {
+		t.Errorf("got an allowance of %d tasks and team demand %v, want none", c.startAllowance(j), c.pendingResources(team))
 	}
 	if slices.ContainsFunc(c.scheduler.pendingDemand, func(d scaling.Demand) bool { return d.Spec.ID == j.ID }) {
 		t.Error("machines are rented for the blocked job")
 	}
 	before := team.record
-	w.run(10*time.Second, nil)
-	if used := team.record.Base[0] - before.Base[0]; used > 2*10.5 {
+	cluster.run(10*time.Second, nil)
+	if used := team.record.Baseline[0] - before.Baseline[0]; used > 2*10.5 {
 		t.Errorf("usage record of the team: got %v CPU seconds in 10 s, want those of one task", used)
 	}
-	accepted(t, w.submit("b", "req-red-3", 7, ""))
-	w.started("req-red-3", 7) // all of the team's limit except for the running task
-	if !w.run(time.Minute, w.finished("req-red-1")) {
+	requireAccepted(t, cluster.submit("b", "req-red-3", 7, ""))
+	cluster.waitUntilStarted("req-red-3", 7) // all of the team's limit except for the running task
+	if !cluster.run(time.Minute, cluster.allDone("req-red-1")) {
 		t.Fatal("the dependency did not end")
 	}
-	w.run(time.Second, nil)
-	if waited := w.now - j.PendingSince; waited > 2*time.Second {
+	cluster.run(time.Second, nil)
+	if waited := cluster.now - j.PendingSince; waited > 2*time.Second {
 		t.Errorf("got a waiting time of %v, want at most 2 s", waited)
 	}
-	w.started("req-red-2", 1)
+	cluster.waitUntilStarted("req-red-2", 1)
 }
 
 // A job inherits the urgency of a more urgent job that depends on it.
 func TestDependencyInheritsUrgency(t *testing.T) {
-	w := idleWorld(t, 0)
-	w.maxMachines = 0
-	accepted(t, w.submit("a", "req-free-1", 4, `,"urgency":"low","dueS":null`))
-	accepted(t, w.submit("a", "req-blue-1", 4, `,"urgency":"critical","dueS":30.0`+awaiting("req-free-1")))
-	w.run(2*time.Second, nil)
-	for _, node := range w.names {
-		c := w.cores[node]
+	cluster := newIdleSimCluster(t, 0)
+	cluster.maxMachines = 0
+	requireAccepted(t, cluster.submit("a", "req-free-1", 4, `,"urgency":"low","dueS":null`))
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, `,"urgency":"critical","dueS":30.0`+awaiting("req-free-1")))
+	cluster.run(2*time.Second, nil)
+	for _, node := range cluster.names {
+		c := cluster.cores[node]
 		j, dependent := c.jobs["req-free-1"], c.jobs["req-blue-1"]
 		if j.Rank() != 0 || isBestEffort(j) || !j.AboveNormal() || j.EffectiveSpec().Priority != 0 || j.Priority != len(protocol.Priorities)-1 {
 			t.Errorf("%s: got rank %d of a dependency with priority %d, want rank 0", node, j.Rank(), j.Priority)
 		}
-		if want := dependent.OwnLatestStart() - j.RunTimeMS(); j.LatestStart() != want || dependent.OwnLatestStart() == dependency.NoDeadline {
-			t.Errorf("%s: got latest start %d, want %d", node, j.LatestStart(), want)
+		if want := dependent.OwnLatestStartMS() - j.RunTimeMS(); j.LatestStartMS() != want || dependent.OwnLatestStartMS() == dependency.NoDeadline {
+			t.Errorf("%s: got latest start %d, want %d", node, j.LatestStartMS(), want)
 		}
 	}
-	w.cancelJob("b", "req-blue-1")
-	w.run(3*time.Second, nil)
-	if j := w.cores["a"].jobs["req-free-1"]; j.Rank() != j.Priority || !isBestEffort(j) {
+	cluster.cancelJob("b", "req-blue-1")
+	cluster.run(3*time.Second, nil)
+	if j := cluster.cores["a"].jobs["req-free-1"]; j.Rank() != j.Priority || !isBestEffort(j) {
 		t.Errorf("got rank %d without dependents, want the job's own priority", j.Rank())
 	}
 }
@@ -118,35 +118,35 @@
 // store. A job whose dependency was cancelled is accepted and cancelled; one whose dependency is
 // done runs.
 func TestEndedDependenciesAreReadFromTheStore(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.taskTime = 2 * time.Second
+	cluster := newIdleSimCluster(t, 10)
+	cluster.taskTime = 2 * time.Second
 	for _, id := range []string{"req-free-1", "req-free-2"} {
-		accepted(t, w.submit("a", id, 1, ""))
+		requireAccepted(t, cluster.submit("a", id, 1, ""))
 	}
-	if w.cancelJob("b", "req-free-1"); !w.run(time.Minute, w.finished("req-free-2")) {
+	if cluster.cancelJob("b", "req-free-1"); !cluster.run(time.Minute, cluster.allDone("req-free-2")) {
 		t.Fatal("the job did not end")
 	}
-	accepted(t, w.submit("a", "req-blue-3", 1, awaiting("req-free-1")))
-	if a := w.cancelJob("b", "req-free-2"); a.Body.(protocol.JobState).State != protocol.Done {
+	requireAccepted(t, cluster.submit("a", "req-blue-3", 1, awaiting("req-free-1")))
+	if a := cluster.cancelJob("b", "req-free-2"); a.Body.(protocol.JobState).State != protocol.Done {
 		t.Fatalf("cancellation of a finished job: got %v, want done", a.Body)
 	}
-	w.run(10*time.Second, nil)
-	w.stopAllFor(time.Second)
-	w.recover()
-	w.ready().run(10*time.Second, nil)
-	for _, node := range w.names {
-		if c := w.cores[node]; len(c.ended.states) > 1 {
+	cluster.run(10*time.Second, nil)
+	cluster.stopAllFor(time.Second)
+	cluster.recover()
+	cluster.ready().run(10*time.Second, nil)
+	for _, node := range cluster.names {
+		if c := cluster.cores[node]; len(c.ended.states) > 1 {
 			t.Fatalf("%s: got cached final states %v, want at most one", node, c.ended.states)
 		}
 	}
-	accepted(t, w.submit("c", "req-red-1", 1, awaiting("req-free-1")))
-	accepted(t, w.submit("d", "req-red-2", 1, awaiting("req-free-2", "req-red-1")))
-	accepted(t, w.submit("e", "req-red-3", 1, awaiting("req-free-2")))
-	if !w.run(time.Minute, w.finished("req-red-3")) {
+	requireAccepted(t, cluster.submit("c", "req-red-1", 1, awaiting("req-free-1")))
+	requireAccepted(t, cluster.submit("d", "req-red-2", 1, awaiting("req-free-2", "req-red-1")))
+	requireAccepted(t, cluster.submit("e", "req-red-3", 1, awaiting("req-free-2")))
+	if !cluster.run(time.Minute, cluster.allDone("req-red-3")) {
 		t.Error("the dependent of a finished job did not end")
 	}
 	for _, id := range []string{"req-red-1", "req-red-2", "req-blue-3"} {
-		if got := w.stateSeenBy("a", id); got != protocol.Cancelled {
+		if got := cluster.stateSeenBy("a", id); got != protocol.Cancelled {
 			t.Errorf("%s: got state %q, want cancelled", id, got)
 		}
 	}
--- a/internal/core/dependency/graph.go
+++ b/internal/core/dependency/graph.go
@@ -28,9 +28,9 @@
 	return &Graph{awaited: map[string]jobSet{}, dependents: map[string]jobSet{}}
 }
 
-// Wait sets the jobs that a job awaits, replacing any earlier ones.
-func (g *Graph) Wait(job string, awaited []string) {
-	g.Forget(job)
+// SetDependencies sets the jobs that a job awaits, replacing any earlier ones.
+func (g *Graph) SetDependencies(job string, awaited []string) {
+	g.RemoveDependencies(job)
 	if len(awaited) == 0 {
 		return
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// Forget removes the dependencies of a job. Jobs that await it keep waiting.
-func (g *Graph) Forget(job string) {
+// RemoveDependencies removes the dependencies of a job. Jobs that await it keep waiting.
+func (g *Graph) RemoveDependencies(job string) {
 	for upstream := range g.awaited[job] {
 		g.unlink(job, upstream)
 	}
@@ -76,20 +76,21 @@
 	return ready
 }
 
-// Waits reports whether a job still awaits others.
-func (g *Graph) Waits(job string) bool { return g.awaited[job] != nil }
+// IsBlocked reports whether a job still awaits others.
+func (g *Graph) IsBlocked(job string) bool { return g.awaited[job] != nil }
 
-// Waiting returns the jobs that still await others, sorted.
-func (g *Graph) Waiting() []string { return slices.Sorted(maps.Keys(g.awaited)) }
+// BlockedJobs returns the jobs that still await others, sorted.
+func (g *Graph) BlockedJobs() []string { return slices.Sorted(maps.Keys(g.awaited)) }
 
-// Awaited returns the jobs that a job still awaits, sorted.
-func (g *Graph) Awaited(job string) []string { return g.awaited[job].sorted() }
+// PendingDependencies returns the jobs that a job still awaits, sorted.
+func (g *Graph) PendingDependencies(job string) []string { return g.awaited[job].sorted() }
 
-// Followers returns the jobs that await a job, sorted.
-func (g *Graph) Followers(job string) []string { return g.dependents[job].sorted() }
+// Dependents returns the jobs that await a job, sorted.
+func (g *Graph) Dependents(job string) []string { return g.dependents[job].sorted() }
 
-// Upstream returns the direct and transitive dependencies that a job still awaits, sorted.
-func (g *Graph) Upstream(job string) []string {
+// TransitiveDependencies returns the direct and transitive dependencies that a job still awaits,
+// sorted.
+func (g *Graph) TransitiveDependencies(job string) []string {
 	upstream := jobSet{}
 	unvisited := []string{job}
 	for len(unvisited) > 0 {
--- a/internal/core/dependency/graph_test.go
+++ b/internal/core/dependency/graph_test.go
@@ -27,7 +27,7 @@
 					awaits[i] = append(awaits[i], name(a))
 				}
 			}
-			g.Wait(name(i), awaits[i])
+			g.SetDependencies(name(i), awaits[i])
 		}
 		done := map[string]bool{}
 		remaining := func(i int) []string {
@@ -35,7 +35,7 @@
 		}
 		for _, i := range rapid.Permutation(slices.Collect(indices(n))).Draw(t, "order") {
 			for j := range n {
-				if got, want := g.Awaited(name(j)), remaining(j); !slices.Equal(got, want) {
+				if got, want := g.PendingDependencies(name(j)), remaining(j); !slices.Equal(got, want) {
 					t.Fatalf("%s: got awaited jobs %v, want %v", name(j), got, want)
 				}
 			}
@@ -50,7 +50,7 @@
 			}
 			done[name(i)] = true
 		}
-		if len(g.Waiting())+len(g.AwaitedJobs()) > 0 {
+		if len(g.BlockedJobs())+len(g.AwaitedJobs()) > 0 {
 			t.Fatal("graph is not empty after all jobs are done")
 		}
 	})
@@ -77,10 +77,10 @@
 		"sign":    {Urgency{1, latestStart}, 5_000},
 	}
 	g := New()
-	g.Wait("resolve", []string{"fetch", "gone"})
-	g.Wait("docs", []string{"fetch"})
-	g.Wait("sign", []string{"resolve", "docs"})
-	got := g.Inherit(func(job string) (Estimate, bool) {
+	g.SetDependencies("resolve", []string{"fetch", "gone"})
+	g.SetDependencies("docs", []string{"fetch"})
+	g.SetDependencies("sign", []string{"resolve", "docs"})
+	got := g.InheritUrgency(func(job string) (Estimate, bool) {
 		estimate, known := jobs[job]
 		return estimate, known
 	})
@@ -94,10 +94,10 @@
 	if _, known := got["sign"]; known {
 		t.Error("got an inherited urgency for sign, which has no dependents")
 	}
-	if up := g.Upstream("sign"); !slices.Equal(up, []string{"docs", "fetch", "gone", "resolve"}) {
+	if up := g.TransitiveDependencies("sign"); !slices.Equal(up, []string{"docs", "fetch", "gone", "resolve"}) {
 		t.Errorf("got upstream jobs %v of sign, want docs, fetch, gone and resolve", up)
 	}
-	if g.Forget("docs"); slices.Contains(g.Followers("fetch"), "docs") {
-		t.Error("docs is still a follower of fetch after Forget")
+	if g.RemoveDependencies("docs"); slices.Contains(g.Dependents("fetch"), "docs") {
+		t.Error("docs is still a dependent of fetch after RemoveDependencies")
 	}
 }
--- a/internal/core/dependency/urgency.go
+++ b/internal/core/dependency/urgency.go
@@ -6,23 +6,23 @@
 type Urgency struct {
 	// Priority is the rank of the priority; 0 is the most urgent.
 	Priority int
-	// LatestStart is the latest start time, in Unix milliseconds, at which the deadlines of the
+	// LatestStartMS is the latest start time, in Unix milliseconds, at which the deadlines of the
 	// job and of its dependents can be met.
-	LatestStart int64
+	LatestStartMS int64
 }
 
-// NoDeadline is the LatestStart of a job without a deadline.
+// NoDeadline is the LatestStartMS of a job without a deadline.
 const NoDeadline = math.MaxInt64
 
 // lowestUrgency is the urgency of an unknown job without dependents.
-var lowestUrgency = Urgency{Priority: math.MaxInt, LatestStart: NoDeadline}
+var lowestUrgency = Urgency{Priority: math.MaxInt, LatestStartMS: NoDeadline}
 
 // withDependent returns u raised by the urgency of a dependent, which can't start before this job
 // with its run time in milliseconds is done.
-func (u Urgency) withDependent(dependent Urgency, runTime int64) Urgency {
+func (u Urgency) withDependent(dependent Urgency, durationMS int64) Urgency {
 	u.Priority = min(u.Priority, dependent.Priority)
-	if dependent.LatestStart != NoDeadline {
-		u.LatestStart = min(u.LatestStart, dependent.LatestStart-runTime)
+	if dependent.LatestStartMS != NoDeadline {
+		u.LatestStartMS = min(u.LatestStartMS, dependent.LatestStartMS-durationMS)
 	}
 	return u
 }
@@ -30,15 +30,15 @@
 // Estimate is a job's own urgency and run time, regardless of its dependents.
 type Estimate struct {
 	Urgency Urgency
-	// RunTime is the estimated run time in milliseconds.
-	RunTime int64
+	// DurationMS is the estimated run time in milliseconds.
+	DurationMS int64
 }
 
-// Inherit returns the urgency of every awaited job. A job inherits the highest priority among its
-// direct and transitive dependents, and its latest start precedes that of each direct dependent by
-// at least its own run time. estimate returns a job's own urgency and run time, and whether the job
-// is known.
-func (g *Graph) Inherit(estimate func(job string) (Estimate, bool)) map[string]Urgency {
+// InheritUrgency returns the inherited urgency of every awaited job. A job inherits the highest
+// priority among its direct and transitive dependents, and its latest start precedes that of each
+// direct dependent by at least its own run time. estimate returns a job's own urgency and run time,
+// and whether the job is known.
+func (g *Graph) InheritUrgency(estimate func(job string) (Estimate, bool)) map[string]Urgency {
 	resolver := urgencyResolver{graph: g, estimate: estimate, urgencies: map[string]Urgency{}}
 	inherited := map[string]Urgency{}
 	for _, job := range g.AwaitedJobs() {
@@ -64,8 +64,8 @@
 	}
 	urgency := own.Urgency
 	r.urgencies[job] = urgency // ends the recursion if the stored dependencies have a cycle
-	for _, dependent := range r.graph.Followers(job) {
-		urgency = urgency.withDependent(r.urgency(dependent), own.RunTime)
+	for _, dependent := range r.graph.Dependents(job) {
+		urgency = urgency.withDependent(r.urgency(dependent), own.DurationMS)
 	}
 	r.urgencies[job] = urgency
 	return urgency
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -48,15 +48,15 @@
 	case Answer:
 		parts = []any{"answer", e.Req, e.Status, e.Body, e.RetryAfter}
 	case StoreTxn:
-		parts = []any{"transaction", e.ID, e.Txn, e.Urgent, e.Quick}
+		parts = []any{"transaction", e.ID, e.Txn, e.Urgent, e.FailFast}
 	case StoreGet:
-		parts = []any{"get", e.ID, e.Key, e.Quick}
+		parts = []any{"get", e.ID, e.Key, e.FailFast}
 	case StoreReload:
 		parts = []any{"reload"}
 	case SendPeer:
 		parts = []any{"peer", e.Nodes, e.Message}
 	case Deliver:
-		parts = []any{"deliver", e.Machine, e.Address, e.Orders}
+		parts = []any{"deliver", e.Machine, e.Address, e.CommandBatch}
 	case FetchCatalog:
 		parts = []any{"catalogue"}
 	case FetchInventory:
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -20,19 +20,19 @@
 		// RetryAfter is in seconds.
 		RetryAfter int
 	}
-	// StoreTxn runs a transaction. Urgent and Quick ones go first. A user waits for Quick
-	// ones, so they fail early instead of being retried for long.
+	// StoreTxn runs a transaction. Urgent and FailFast ones go first. A user waits for
+	// FailFast ones, so they fail early instead of being retried for long.
 	StoreTxn struct {
-		ID     uint64
-		Txn    protocol.Txn
-		Urgent bool
-		Quick  bool
+		ID       uint64
+		Txn      protocol.Txn
+		Urgent   bool
+		FailFast bool
 	}
 	// StoreGet reads one key.
 	StoreGet struct {
-		ID    uint64
-		Key   string
-		Quick bool
+		ID       uint64
+		Key      string
+		FailFast bool
 	}
 	// StoreReload reads the whole store again.
 	StoreReload struct{}
@@ -44,7 +44,7 @@
 	// Deliver sends commands directly to a worker, without waiting for its heartbeat.
 	Deliver struct {
 		Machine, Address string
-		Orders           protocol.Orders
+		CommandBatch     protocol.CommandBatch
 	}
 	// FetchCatalog requests the cloud's catalog of machine types.
 	FetchCatalog struct{}
--- a/internal/core/endedjobs.go
+++ b/internal/core/endedjobs.go
@@ -57,9 +57,9 @@
 	e.revisions[id] = revision
 }
 
-// noteEnd records the revision at which a job ended, so that older messages about the job are
+// recordEnd records the revision at which a job ended, so that older messages about the job are
 // ignored, and stops announcing its cancellation.
-func (c *Core) noteEnd(id string, revision uint64) {
+func (c *Core) recordEnd(id string, revision uint64) {
 	c.ended.rememberRevision(id, revision)
 	c.announcements.remove(id)
 }
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -35,7 +35,7 @@
 		if target == nil {
 			return
 		}
-		target.Take(&j.Spec)
+		target.Allocate(&j.Spec)
 		zones[target.Zone]++
 		c.log(Debug, "replica moved off GPU host", "task", j.TaskID(index), "machine", h.ID)
 		c.reconciler.stopTask(j, index, b, 0)
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -8,57 +8,57 @@
 // The jobs of teams whose leader has crashed continue under another leader, until only one
 // controller is left.
 func TestTeamsOfACrashedLeaderContinueElsewhere(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
 	for _, id := range ids {
-		accepted(t, w.submit("c", id, 10, ""))
+		requireAccepted(t, cluster.submit("c", id, 10, ""))
 	}
-	w.run(12*time.Second, nil)
+	cluster.run(12*time.Second, nil)
 	for _, n := range []string{"a", "b"} {
-		w.crash(n)
-		w.expire(n)
+		cluster.crash(n)
+		cluster.expire(n)
 	}
-	if !w.run(4*time.Minute, w.finished(ids...)) {
+	if !cluster.run(4*time.Minute, cluster.allDone(ids...)) {
 		t.Fatal("jobs did not end after two crashes")
 	}
 }
 
 // All controllers crash while the store is down. Tasks that ran before must not run twice.
 func TestNoTaskRunsTwiceAfterAllControllersCrashInAnOutage(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 12, ""))
-	w.run(9*time.Second, nil)
-	w.outage = true
-	w.run(2*time.Second, nil)
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
+	cluster.run(9*time.Second, nil)
+	cluster.outage = true
+	cluster.run(2*time.Second, nil)
 	for _, n := range nodeNames {
-		w.crash(n)
+		cluster.crash(n)
 	}
-	w.run(3*time.Second, nil)
-	w.outage = false
+	cluster.run(3*time.Second, nil)
+	cluster.outage = false
 	for _, n := range nodeNames {
-		w.boot(n)
+		cluster.boot(n)
 	}
-	if !w.run(4*time.Minute, w.finished("req-blue-1")) {
+	if !cluster.run(4*time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("job did not end")
 	}
 }
 
 // Leaders lose the store one after the other. The starts that they send late must do no harm.
 func TestLateStartsOfLeadersWithoutTheStoreAreHarmless(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-red-1", 12, ""))
-	w.run(8*time.Second, nil)
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-red-1", 12, ""))
+	cluster.run(8*time.Second, nil)
 	for _, n := range nodeNames {
-		w.withoutStore[n] = true
-		w.expire(n)
-		w.run(10*time.Second, nil)
-		w.withoutStore[n] = false
-		w.send(n, LeaseExpired{})
-		w.nextReq++
-		w.leases[w.nextReq] = n
-		w.send(n, LeaseGranted{Lease: w.nextReq})
-	}
-	if !w.run(4*time.Minute, w.finished("req-red-1")) {
+		cluster.withoutStore[n] = true
+		cluster.expire(n)
+		cluster.run(10*time.Second, nil)
+		cluster.withoutStore[n] = false
+		cluster.send(n, LeaseExpired{})
+		cluster.nextReq++
+		cluster.leases[cluster.nextReq] = n
+		cluster.send(n, LeaseGranted{Lease: cluster.nextReq})
+	}
+	if !cluster.run(4*time.Minute, cluster.allDone("req-red-1")) {
 		t.Fatal("job did not end")
 	}
 }
@@ -67,18 +67,18 @@
 // not stop tasks that the new leader has started (docs/incidents/inc-491b.md).
 func TestDeposedLeaderDoesNotStopTasksOfItsSuccessor(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "with a write in flight": true} {
-		w := newWorld(t).ready()
-		leader := w.cores["a"].teamBy["free"].leader
-		accepted(t, w.submit(leader, "req-free-1", 6, ""))
+		cluster := newSimCluster(t).ready()
+		leader := cluster.cores["a"].teamsByName["free"].leader
+		requireAccepted(t, cluster.submit(leader, "req-free-1", 6, ""))
 		if !inFlight {
-			w.run(time.Second, nil)
+			cluster.run(time.Second, nil)
 		}
-		w.withoutStore[leader] = true
-		w.expire(leader)
-		if !w.run(2*time.Minute, w.finished("req-free-1")) {
+		cluster.withoutStore[leader] = true
+		cluster.expire(leader)
+		if !cluster.run(2*time.Minute, cluster.allDone("req-free-1")) {
 			t.Fatalf("%s: job did not end", name)
 		}
-		for task, n := range w.starts {
+		for task, n := range cluster.starts {
 			if n > 2 {
 				t.Errorf("%s: %s was started %d times, want at most 2", name, task, n)
 			}
@@ -88,63 +88,63 @@
 
 // The outcome of a transaction whose reply was lost is determined from its nonce.
 func TestUnansweredTransactionsAreResolvedByTheirNonce(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 4, ""))
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, ""))
 	for range 30 {
-		w.lostReplies = 1
-		w.run(time.Second, nil)
+		cluster.lostReplies = 1
+		cluster.run(time.Second, nil)
 	}
-	w.lostReplies = 0
-	if !w.run(2*time.Minute, w.finished("req-blue-1")) {
+	cluster.lostReplies = 0
+	if !cluster.run(2*time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("job did not end")
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // A new leader of the fleet keeps machines whose workers have not found it yet.
 func TestNewFleetLeaderKeepsMachinesThatHaveNotReportedToIt(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 12, ""))
-	w.run(40*time.Second, w.finished("req-blue-1"))
-	accepted(t, w.submit("b", "req-blue-2", 12, ""))
-	w.run(4*time.Second, nil)
-	before := w.onMachines("req-blue-2")
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
+	cluster.run(40*time.Second, cluster.allDone("req-blue-1"))
+	requireAccepted(t, cluster.submit("b", "req-blue-2", 12, ""))
+	cluster.run(4*time.Second, nil)
+	before := cluster.onMachines("req-blue-2")
 	for _, n := range nodeNames {
-		w.crash(n)
-		w.expire(n)
-		w.boot(n)
+		cluster.crash(n)
+		cluster.expire(n)
+		cluster.boot(n)
 	}
-	w.now += 5 * time.Minute // the cloud lists the machines as old
-	for _, f := range w.workers {
-		f.next, f.leaseRenewedAt = w.now+5*time.Second, w.now
+	cluster.now += 5 * time.Minute // the cloud lists the machines as old
+	for _, f := range cluster.workers {
+		f.nextReportAt, f.leaseRenewedAt = cluster.now+5*time.Second, cluster.now
 		for k := range f.running {
-			f.running[k] = w.now + 10*time.Second
+			f.running[k] = cluster.now + 10*time.Second
 		}
 	}
-	w.run(4*time.Second, nil)
-	if after := w.onMachines("req-blue-2"); before == 0 || after < before {
+	cluster.run(4*time.Second, nil)
+	if after := cluster.onMachines("req-blue-2"); before == 0 || after < before {
 		t.Errorf("%d tasks were on machines before the crash, %d after", before, after)
 	}
 }
 
 // Agents that have all switched to one controller are rebalanced once the others are back.
 func TestAgentsAreRebalancedAfterACrash(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	for range 12 {
-		w.addWorker("z1", false)
-	}
-	w.crash("b")
-	w.expire("b")
-	w.crash("c")
-	w.expire("c")
-	accepted(t, w.submit("a", "req-free-1", 900, ""))
-	w.run(10*time.Second, nil)
-	w.boot("b")
-	w.boot("c")
-	w.run(20*time.Second, nil)
+		cluster.addWorker("z1", false)
+	}
+	cluster.crash("b")
+	cluster.expire("b")
+	cluster.crash("c")
+	cluster.expire("c")
+	requireAccepted(t, cluster.submit("a", "req-free-1", 900, ""))
+	cluster.run(10*time.Second, nil)
+	cluster.boot("b")
+	cluster.boot("c")
+	cluster.run(20*time.Second, nil)
 	for _, n := range nodeNames {
-		if got := len(w.cores[n].agents.byMachine); got < 3 {
-			t.Errorf("%s serves %d of %d workers, want at least 3", n, got, len(w.workers))
+		if got := len(cluster.cores[n].agents.byMachine); got < 3 {
+			t.Errorf("%s serves %d of %d workers, want at least 3", n, got, len(cluster.workers))
 		}
 	}
 }
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -21,11 +21,11 @@
 // attributeFailures evaluates the task exits that appear in a report for the first time.
 func (c *Core) attributeFailures(m *worker.Machine, report *protocol.Report) {
 	for _, t := range report.Tasks {
-		if t.State != protocol.Exited || t.Why != protocol.WhyDone && t.Why != protocol.WhyError {
+		if t.State != protocol.Exited || t.ExitReason != protocol.ExitDone && t.ExitReason != protocol.ExitError {
 			continue
 		}
 		known, found := m.Find(t.Task, t.Attempt)
-		if found && known.State == protocol.Exited && m.Session == report.Session {
+		if found && known.State == protocol.Exited && m.WorkerEpoch == report.WorkerEpoch {
 			continue
 		}
 		id, _, ok := job.ParseTaskID(t.Task)
@@ -37,12 +37,12 @@
 
 // attributeExit records the success or failure of a task for its job and its machine.
 func (c *Core) attributeExit(j *job.Job, m *worker.Machine, machine string, t protocol.TaskReport) {
-	if t.Why == protocol.WhyDone {
+	if t.ExitReason == protocol.ExitDone {
 		m.ClearFailures()
 		if j.Suspected && c.leads(j) {
 			c.log(Info, "job is no longer suspected to be faulty", "job", j.ID)
 		}
-		j.MarkProven()
+		j.RecordSuccess()
 		return
 	}
 	m.RecordFailure(j.ID)
@@ -77,8 +77,8 @@
 // delayCanary delays the next canary start of a suspected job with exponential backoff.
 func (c *Core) delayCanary(j *job.Job) {
 	if j.Suspected && len(j.Bound) <= 1 {
-		j.NotBefore = c.now.Steady + c.reportInterval()<<min(j.Probes, maxCanaryDoublings)
-		j.Probes++
+		j.NotBefore = c.now.Steady + c.reportInterval()<<min(j.CanaryStarts, maxCanaryDoublings)
+		j.CanaryStarts++
 	}
 }
 
--- a/internal/core/fairness/fairness.go
+++ b/internal/core/fairness/fairness.go
@@ -16,20 +16,20 @@
 type Record struct {
 	// Window is the number of the tumbling window that the integrals cover.
 	Window int64 `json:"w"`
-	// Use is the integral of the resources in use over the seconds of the window. Base is that
+	// Use is the integral of the resources in use over the seconds of the window. Baseline is that
 	// of the baseline: what the team would use without sharing, the lesser of demand and share.
-	Use  Vector `json:"u"`
-	Base Vector `json:"b"`
+	Use      Vector `json:"u"`
+	Baseline Vector `json:"b"`
 }
 
-// Advance adds dt seconds of use and demand. It starts from zero if the window is another one.
-func (r *Record) Advance(window int64, dt float64, use, demand, share Vector) {
+// Accumulate adds dt seconds of use and demand. It starts from zero if the window is another one.
+func (r *Record) Accumulate(window int64, dt float64, use, demand, share Vector) {
 	if window != r.Window {
 		*r = Record{Window: window}
 	}
 	for i := range use {
 		r.Use[i] += use[i] * dt
-		r.Base[i] += min(demand[i], share[i]) * dt
+		r.Baseline[i] += min(demand[i], share[i]) * dt
 	}
 }
 
@@ -38,10 +38,10 @@
 func (r *Record) Degree() float64 {
 	minDegree, requested := 0.0, false
 	for i := range r.Use {
-		if r.Base[i] <= 0 {
+		if r.Baseline[i] <= 0 {
 			continue
 		}
-		degree := r.Use[i] / r.Base[i]
+		degree := r.Use[i] / r.Baseline[i]
 		if !requested || degree < minDegree {
 			minDegree, requested = degree, true
 		}
--- a/internal/core/fairness/fairness_test.go
+++ b/internal/core/fairness/fairness_test.go
@@ -7,7 +7,7 @@
 )
 
 // record returns a record with the given integrals.
-func record(use, base Vector) Record { return Record{Use: use, Base: base} }
+func record(use, base Vector) Record { return Record{Use: use, Baseline: base} }
 
 func TestDegreeIsMinimumOverRequestedResources(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -60,15 +60,15 @@
 	}
 }
 
-func TestAdvanceIntegratesWithinWindow(t *testing.T) {
+func TestAccumulateIntegratesWithinWindow(t *testing.T) {
 	var r Record
-	r.Advance(7, 2, Vector{4, 0, 8}, Vector{9, 0, 8}, Vector{6, 0, 10})
-	r.Advance(7, 3, Vector{1, 0, 0}, Vector{1, 0, 0}, Vector{6, 0, 10})
-	want := Record{Window: 7, Use: Vector{11, 0, 16}, Base: Vector{15, 0, 16}}
+	r.Accumulate(7, 2, Vector{4, 0, 8}, Vector{9, 0, 8}, Vector{6, 0, 10})
+	r.Accumulate(7, 3, Vector{1, 0, 0}, Vector{1, 0, 0}, Vector{6, 0, 10})
+	want := Record{Window: 7, Use: Vector{11, 0, 16}, Baseline: Vector{15, 0, 16}}
 	if diff := cmp.Diff(want, r); diff != "" {
 		t.Error(diff)
 	}
-	r.Advance(8, 1, Vector{1, 0, 1}, Vector{1, 0, 1}, Vector{6, 0, 10})
+	r.Accumulate(8, 1, Vector{1, 0, 1}, Vector{1, 0, 1}, Vector{6, 0, 10})
 	if r.Use != (Vector{1, 0, 1}) || r.Window != 8 {
 		t.Errorf("record of the previous window is not reset: %+v", r)
 	}
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -34,8 +34,8 @@
 	operators      operatorRequestTable
 }
 
-// Join makes this site part of a federation. It must be called before the first Step.
-func (c *Core) Join(config *federation.Config) {
+// EnableFederation makes this site part of a federation. It must be called before the first Step.
+func (c *Core) EnableFederation(config *federation.Config) {
 	c.federation = &federationAdapter{
 		core:                  c,
 		config:                config,
@@ -48,10 +48,10 @@
 	c.federation.limitWrites()
 }
 
-// limitWrites keeps the coordinator's writes within the store's limits. A write that forgets
+// limitWrites keeps the coordinator's writes within the store's limits. A write that deletes
 // decisions needs one of its changes to raise the low-water mark.
 func (f *federationAdapter) limitWrites() {
-	f.config.MaxForget = f.core.limits.maxChanges() - 1
+	f.config.MaxDeletionsPerWrite = f.core.limits.maxChanges() - 1
 }
 
 // running reports whether the coordinator runs on this controller.
@@ -60,10 +60,10 @@
 // owns reports whether a shard is the federation shard.
 func (f *federationAdapter) owns(s *shard) bool { return f != nil && s == f.shard }
 
-// start starts the coordinator after this controller has become the leader of the federation shard.
-// The replica then holds everything that earlier coordinators have stored. incarnation identifies
-// this run of the process.
-func (f *federationAdapter) start(incarnation string, records federation.Records) {
+// startCoordinator starts the coordinator after this controller has become the leader of the
+// federation shard. The replica then holds everything that earlier coordinators have stored.
+// incarnation identifies this run of the process.
+func (f *federationAdapter) startCoordinator(incarnation string, records federation.Records) {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(incarnation)) // never fails
 	f.coordinator = federation.New(f.config, seed.Sum64()+f.shard.version)
@@ -74,8 +74,8 @@
 	f.reloadAt = 0
 }
 
-// stop stops the coordinator after this controller has lost the leadership.
-func (f *federationAdapter) stop() { f.coordinator = nil }
+// stopCoordinator stops the coordinator after this controller has lost the leadership.
+func (f *federationAdapter) stopCoordinator() { f.coordinator = nil }
 
 // add queues an input for the coordinator.
 func (f *federationAdapter) add(input federation.Input) { f.inputs = append(f.inputs, input) }
--- a/internal/core/federation_test.go
+++ b/internal/core/federation_test.go
@@ -12,47 +12,47 @@
 // A controller without a federation configuration would run outgoing jobs. Nothing is handed off
 // while such a controller is live, and one that joins later leads no team.
 func TestControllerWithoutFederationPreventsHandOffs(t *testing.T) {
-	w, f := newFederatedWorld(t)
-	config := w.gateways["c"]
-	delete(w.gateways, "c")
-	w.crash("c")
-	w.expire("c")
-	w.boot("c")
-	w.ready()
+	cluster, f := newFederatedSimCluster(t)
+	config := cluster.federationConfigs["c"]
+	delete(cluster.federationConfigs, "c")
+	cluster.crash("c")
+	cluster.expire("c")
+	cluster.boot("c")
+	cluster.ready()
 	f.submitRemote("req-red-1")
 	if f.serveUntil(20*time.Second, func() bool { return len(f.answers) > 0 }) {
 		t.Error("job was handed off while a controller had no federation configuration")
 	}
-	w.crash("c")
-	w.expire("c")
+	cluster.crash("c")
+	cluster.expire("c")
 	if !f.serveUntil(time.Minute, func() bool { return len(f.answers) > 0 }) {
 		t.Fatal("job was not handed off after that controller had crashed")
 	}
-	w.boot("c")
+	cluster.boot("c")
 	f.serveUntil(20*time.Second, func() bool { return false })
-	for _, team := range w.cores["c"].teams {
+	for _, team := range cluster.cores["c"].teams {
 		if team.leading {
 			t.Errorf("controller without a federation configuration leads team %s", team.Name)
 		}
 	}
-	w.gateways["c"] = config
+	cluster.federationConfigs["c"] = config
 }
 
 // The coordinator's records match the store again after replies to its writes were lost.
 func TestCoordinatorRecoversFromUnansweredWrites(t *testing.T) {
-	w, f := newFederatedWorld(t)
+	cluster, f := newFederatedSimCluster(t)
 	f.decide = func(federation.Message) federation.Message {
-		w.lostReplies = 1 + len(f.answers)%3 // the next writes of any controller
+		cluster.lostReplies = 1 + len(f.answers)%3 // the next writes of any controller
 		return federation.Message{Kind: federation.KindDecision, Accepted: true}
 	}
-	f.finalState = func() string { w.lostReplies++; return protocol.Done }
+	f.finalState = func() string { cluster.lostReplies++; return protocol.Done }
 	for i := range 5 {
 		f.submitRemote(fmt.Sprintf("req-red-%d", i))
 	}
-	if !f.serveUntil(3*time.Minute, w.finished("req-red-0", "req-red-1", "req-red-2", "req-red-3", "req-red-4")) {
-		t.Errorf("not all jobs ended: %+v", w.cores["a"].handoffs.Records)
+	if !f.serveUntil(3*time.Minute, cluster.allDone("req-red-0", "req-red-1", "req-red-2", "req-red-3", "req-red-4")) {
+		t.Errorf("not all jobs ended: %+v", cluster.cores["a"].handoffs.Records)
 	}
-	if len(w.starts) > 0 {
-		t.Errorf("tasks were started at this site: %v", w.starts)
+	if len(cluster.starts) > 0 {
+		t.Errorf("tasks were started at this site: %v", cluster.starts)
 	}
 }
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -20,14 +20,14 @@
 func (f *federationAdapter) waitingJobs() federation.JobsWaiting {
 	jobs, longestWait := f.handoffCandidates()
 	waiting := federation.JobsWaiting{LongestWaitS: longestWait.Seconds()}
-	if !f.core.members.allKnowFederation() {
+	if !f.core.members.allSupportFederation() {
 		return waiting
 	}
 	for _, j := range jobs {
 		if len(waiting.Jobs) == maxWaitingJobs {
 			break
 		}
-		infeasible := f.core.catalog.Loaded() && f.core.submissionCheck().reject(f.core.teamBy[j.Team], &j.Spec) != nil
+		infeasible := f.core.catalog.Loaded() && f.core.submissionCheck().reject(f.core.teamsByName[j.Team], &j.Spec) != nil
 		waited := f.core.now.Steady - j.PendingSince
 		if infeasible || f.config.MayOffer(j.Class, waited) {
 			waiting.Jobs = append(waiting.Jobs, f.offerableJob(j, waited, infeasible))
@@ -53,7 +53,7 @@
 	slices.SortFunc(jobs, func(a, b *job.Job) int {
 		return cmp.Or(
 			cmp.Compare(a.Rank(), b.Rank()),
-			cmp.Compare(a.LatestStart(), b.LatestStart()),
+			cmp.Compare(a.LatestStartMS(), b.LatestStartMS()),
 			cmp.Compare(a.ID, b.ID))
 	})
 	return jobs, longestWait
--- a/internal/core/federationmessages.go
+++ b/internal/core/federationmessages.go
@@ -2,10 +2,10 @@
 
 import "pepperlever/internal/federation"
 
-// FederationNote is a message about the federation between controllers of one site. Exactly one
+// FederationMessage is a message about the federation between controllers of one site. Exactly one
 // field is set: a message from another site, the ID of a job to cancel, the progress of jobs at
 // other sites, an operator's request, or the reply to such a request.
-type FederationNote struct {
+type FederationMessage struct {
 	Message  *federation.Message `json:"m,omitempty"`
 	Cancel   string              `json:"c,omitempty"`
 	Progress map[string]Progress `json:"p,omitempty"`
--- a/internal/core/federationoperators.go
+++ b/internal/core/federationoperators.go
@@ -63,7 +63,7 @@
 	case f.shard.leader == "":
 		c.replyUnavailable(m.Req)
 	default:
-		c.route(f.shard.leader, PeerMessage{Federation: &FederationNote{Request: &m}})
+		c.route(f.shard.leader, PeerMessage{Federation: &FederationMessage{Request: &m}})
 	}
 }
 
@@ -81,7 +81,7 @@
 	case ActionDrain:
 		f.add(federation.Drain{Req: id, Site: federation.Site(m.Name), Drained: m.On})
 	case ActionRenew:
-		f.add(federation.Renew{Req: id, Site: federation.Site(m.Name), Operator: m.Operator, Reason: m.Reason})
+		f.add(federation.ResumeHandOffs{Req: id, Site: federation.Site(m.Name), Operator: m.Operator, Reason: m.Reason})
 	}
 }
 
@@ -115,5 +115,5 @@
 		return
 	}
 	reply := &OperatorReply{Req: to.req, Status: status, Body: mustjson.Marshal(body)}
-	f.core.route(to.node, PeerMessage{Federation: &FederationNote{Reply: reply}})
+	f.core.route(to.node, PeerMessage{Federation: &FederationMessage{Reply: reply}})
 }
--- a/internal/core/federationrouting.go
+++ b/internal/core/federationrouting.go
@@ -15,7 +15,7 @@
 	case f.running():
 		f.passToCoordinator(m)
 	case f.shard.leader != "" && f.shard.leader != f.core.cfg.Node:
-		f.core.route(f.shard.leader, PeerMessage{Federation: &FederationNote{Message: &m}})
+		f.core.route(f.shard.leader, PeerMessage{Federation: &FederationMessage{Message: &m}})
 	}
 }
 
@@ -26,7 +26,7 @@
 		if !f.core.catalog.Loaded() {
 			return // the other site offers the job again
 		}
-		input.Infeasible = f.infeasibleReason(m.Ticket)
+		input.InfeasibleReason = f.infeasibleReason(m.Ticket)
 	}
 	if m.Kind == federation.KindDecision && m.Accepted {
 		f.recordRemoteProgress(m)
@@ -43,7 +43,7 @@
 	}
 	f.core.handoffs.recordProgress(id, Progress{m.Done, m.Running})
 	progress := map[string]Progress{id: f.core.handoffs.progressOf(id)}
-	f.core.broadcast(PeerMessage{Federation: &FederationNote{Progress: progress}})
+	f.core.broadcast(PeerMessage{Federation: &FederationMessage{Progress: progress}})
 }
 
 // infeasibleReason returns why a job of another site can never run here, or "" if it can.
@@ -55,7 +55,7 @@
 	if len(spec.Dependencies) > 0 {
 		return "job awaits jobs of its own site"
 	}
-	if r := f.core.submissionCheck().reject(f.core.teamBy[spec.Team], spec); r != nil {
+	if r := f.core.submissionCheck().reject(f.core.teamsByName[spec.Team], spec); r != nil {
 		return r.reason
 	}
 	return ""
@@ -66,37 +66,37 @@
 // end of the job.
 func (c *Core) cancelOutgoing(m Cancel) {
 	c.replyUnavailable(m.Req)
-	c.federation.forward(FederationNote{Cancel: m.ID})
+	c.federation.forward(FederationMessage{Cancel: m.ID})
 }
 
-// forward passes a note to the controller that runs the coordinator.
-func (f *federationAdapter) forward(note FederationNote) {
+// forward passes a message to the controller that runs the coordinator.
+func (f *federationAdapter) forward(message FederationMessage) {
 	switch {
 	case f == nil || f.shard.leader == "":
 	case f.running():
-		f.handleNote(f.core.cfg.Node, note)
+		f.handleFederationMessage(f.core.cfg.Node, message)
 	default:
-		f.core.route(f.shard.leader, PeerMessage{Federation: &note})
+		f.core.route(f.shard.leader, PeerMessage{Federation: &message})
 	}
 }
 
-// handleNote handles a note about the federation from a controller of this site.
-func (f *federationAdapter) handleNote(from string, note FederationNote) {
+// handleFederationMessage handles a message about the federation from a controller of this site.
+func (f *federationAdapter) handleFederationMessage(from string, message FederationMessage) {
 	switch {
 	case f == nil:
-	case note.Message != nil:
+	case message.Message != nil:
 		if f.running() { // never forwarded a second time
-			f.passToCoordinator(*note.Message)
+			f.passToCoordinator(*message.Message)
 		}
-	case note.Progress != nil:
-		for id, progress := range note.Progress {
+	case message.Progress != nil:
+		for id, progress := range message.Progress {
 			f.core.handoffs.recordProgress(id, progress)
 		}
-	case note.Cancel != "" && f.running():
-		f.add(federation.CancelRequested{JobID: note.Cancel})
-	case note.Request != nil && f.running():
-		f.runOperatorRequest(requestOrigin{from, note.Request.Req}, *note.Request)
-	case note.Reply != nil:
-		f.core.reply(note.Reply.Req, note.Reply.Status, json.RawMessage(note.Reply.Body))
+	case message.Cancel != "" && f.running():
+		f.add(federation.CancelRequested{JobID: message.Cancel})
+	case message.Request != nil && f.running():
+		f.runOperatorRequest(requestOrigin{from, message.Request.Req}, *message.Request)
+	case message.Reply != nil:
+		f.core.reply(message.Reply.Req, message.Reply.Status, json.RawMessage(message.Reply.Body))
 	}
 }
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -11,7 +11,7 @@
 func (f *federationAdapter) executeWrite(w federation.StoreWrite) {
 	txn, ok := f.handoffTxn(w.Write)
 	if !ok {
-		f.add(federation.WriteCompleted{ID: w.ID, Outcome: federation.Conflict})
+		f.add(federation.WriteCompleted{ID: w.ID, Outcome: federation.OutcomeConflict})
 		return
 	}
 	txn.If = append(txn.If, f.shard.leaderCondition())
@@ -22,7 +22,7 @@
 			return // the leadership was lost meanwhile; the replica is updated by the watch
 		}
 		delete(f.pendingWrites, w.ID)
-		if r.Outcome == Applied {
+		if r.Outcome == OutcomeApplied {
 			f.applyToReplica(txn.Then, r.Revision)
 			delete(f.unattributedRevisions, r.Revision)
 			f.broadcastAccepted(w.Write, r.Revision)
@@ -33,12 +33,12 @@
 
 func toFederationOutcome(outcome Outcome) federation.Outcome {
 	switch outcome {
-	case Applied:
-		return federation.Applied
-	case Conflict:
-		return federation.Conflict
+	case OutcomeApplied:
+		return federation.OutcomeApplied
+	case OutcomeConflict:
+		return federation.OutcomeConflict
 	default:
-		return federation.Unknown
+		return federation.OutcomeUnknown
 	}
 }
 
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -90,8 +90,9 @@
 	}
 }
 
-// until returns the time up to which this node knows every confirmed cancellation.
-func (f *freshnessTracker) until() time.Duration {
+// cancellationsKnownUntil returns the time up to which this node knows every confirmed
+// cancellation.
+func (f *freshnessTracker) cancellationsKnownUntil() time.Duration {
 	return max(f.peers.freshUntil(f.now.Steady), f.storeFreshUntil)
 }
 
@@ -102,19 +103,19 @@
 	return changed
 }
 
-// noteStoreReply processes a reply from the store to a request that was sent at sentAt.
-func (c *Core) noteStoreReply(sentAt time.Duration, r StoreReply) {
+// recordStoreReply processes a reply from the store to a request that was sent at sentAt.
+func (c *Core) recordStoreReply(sentAt time.Duration, r StoreReply) {
 	if r.Oversized {
-		c.counts.OversizedTransactions++
+		c.counters.OversizedTransactions++
 	}
-	answered := r.Outcome == Applied || r.Outcome == Conflict || r.Outcome == Missing
+	answered := r.Outcome == OutcomeApplied || r.Outcome == OutcomeConflict || r.Outcome == OutcomeMissing
 	if r.Revision > 0 && answered {
 		c.freshness.storeAnswered(sentAt, r.Revision, c.replica.revision)
 	}
 }
 
-// checkLease logs an error if the settings leave too little time to enforce cancellations.
-func (f *freshnessTracker) checkLease() {
+// checkCancelDeadline logs an error if the settings leave too little time to enforce cancellations.
+func (f *freshnessTracker) checkCancelDeadline() {
 	if f.times.cancelDeadlineCoversLease() {
 		return
 	}
@@ -130,7 +131,7 @@
 // in a partitioned zone, turning workers away would end all work there.
 func (f *freshnessTracker) check(storeOK bool) {
 	bound := f.times.stalenessBound()
-	freshUntil := f.until()
+	freshUntil := f.cancellationsKnownUntil()
 	staleness := f.now.Steady - freshUntil
 	if staleness > bound/4 && storeOK && f.every(&f.nextStoreCheck, f.reportInterval()) {
 		probe := protocol.Txn{If: []protocol.Condition{{Key: keyNode + f.cfg.Node}}}
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -28,24 +28,24 @@
 		"acknowledgement of one of two peers": {func(c *Core) {
 			c.handleNodeHeartbeat("b", NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"a", "a.1"}}})
 		}, 0},
-		"reply from the store":       {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Conflict, Revision: 5}) }, sent},
-		"reply ahead of the replica": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 6}) }, 0},
+		"reply from the store":       {func(c *Core) { c.recordStoreReply(sent, StoreReply{Outcome: OutcomeConflict, Revision: 5}) }, sent},
+		"reply ahead of the replica": {func(c *Core) { c.recordStoreReply(sent, StoreReply{Outcome: OutcomeApplied, Revision: 6}) }, 0},
 		"replica reaches the reply": {func(c *Core) {
-			c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 6})
+			c.recordStoreReply(sent, StoreReply{Outcome: OutcomeApplied, Revision: 6})
 			c.applyEvents(StoreChanged{Revision: 6})
 		}, sent},
 		"replica stays behind the reply": {func(c *Core) {
-			c.noteStoreReply(sent, StoreReply{Outcome: Applied, Revision: 8})
+			c.recordStoreReply(sent, StoreReply{Outcome: OutcomeApplied, Revision: 8})
 			c.applyEvents(StoreChanged{Revision: 7})
 		}, 0},
-		"refused request": {func(c *Core) { c.noteStoreReply(sent, StoreReply{Outcome: Refused, Revision: 5}) }, 0},
+		"refused request": {func(c *Core) { c.recordStoreReply(sent, StoreReply{Outcome: OutcomeRefused, Revision: 5}) }, 0},
 	} {
-		c := New(testSettings("a"), newWorld(t).cores["a"].policy, "a")
+		c := New(testSettings("a"), newSimCluster(t).cores["a"].policy, "a")
 		c.replica.revision, c.now.Steady = 5, sent
 		c.freshness.nextHeartbeatID(c.members.incarnation)
 		c.now.Steady = later
 		test.apply(c)
-		if got := c.freshness.until(); got != test.want {
+		if got := c.freshness.cancellationsKnownUntil(); got != test.want {
 			t.Errorf("%s: fresh until %v, want %v", name, got, test.want)
 		}
 	}
--- a/internal/core/gangreservations.go
+++ b/internal/core/gangreservations.go
@@ -58,7 +58,7 @@
 // gangReservationTime is the wall-clock time, in milliseconds, from which hosts are reserved for
 // a gang.
 func gangReservationTime(j *job.Job, timeoutS float64) int64 {
-	return j.EligibleSince() + gangReservationDelay(j, timeoutS)
+	return j.EligibleSinceMS() + gangReservationDelay(j, timeoutS)
 }
 
 // gangReservationOrder is the sort key of the gangs that hosts are reserved for. It depends only
--- a/internal/core/gangreservations_test.go
+++ b/internal/core/gangreservations_test.go
@@ -12,43 +12,43 @@
 // minutes although single-task gangs keep arriving, each of which fits on a machine as soon as it
 // becomes free.
 func TestLargeGangStartsDespiteStreamOfSmallGangs(t *testing.T) {
-	w := gpuWorld(t, 4, 12)
-	w.taskTime = 40 * time.Second
+	cluster := newGPUSimCluster(t, 4, 12)
+	cluster.taskTime = 40 * time.Second
 	for n := range 200 {
-		accepted(t, w.submit("a", fmt.Sprintf("req-free-%d", n), 1, gangFields))
+		requireAccepted(t, cluster.submit("a", fmt.Sprintf("req-free-%d", n), 1, gangFields))
 		if n == 12 {
-			accepted(t, w.submit("b", "req-blue-large", 5, gangFields))
+			requireAccepted(t, cluster.submit("b", "req-blue-large", 5, gangFields))
 		}
-		w.run(time.Second, nil)
-		if w.startsOf("req-blue-large") == 5 {
+		cluster.run(time.Second, nil)
+		if cluster.startsOf("req-blue-large") == 5 {
 			break
 		}
 	}
-	if n := w.startsOf("req-blue-large"); n != 5 {
+	if n := cluster.startsOf("req-blue-large"); n != 5 {
 		t.Fatalf("%d of 5 tasks of the large gang started within four minutes", n)
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // TestTwoLargeGangsDoNotDeadlock checks that gangs that need the same zone do not each hold half
 // of its hosts.
 func TestTwoLargeGangsDoNotDeadlock(t *testing.T) {
-	w := gpuWorld(t, 2, 12)
-	w.taskTime = 30 * time.Second
+	cluster := newGPUSimCluster(t, 2, 12)
+	cluster.taskTime = 30 * time.Second
 	ids := []string{"req-free-1", "req-blue-1", "req-free-2", "req-blue-2"}
 	for _, id := range ids {
-		accepted(t, w.submit("a", id, 6, gangFields))
+		requireAccepted(t, cluster.submit("a", id, 6, gangFields))
 	}
-	if !w.run(4*time.Minute, w.finished(ids...)) {
+	if !cluster.run(4*time.Minute, cluster.allDone(ids...)) {
 		t.Fatal("gangs did not finish")
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // TestGangReservationTimeGrowsWithSize checks that hosts are reserved for a gang after a delay
 // that grows with its size, up to three timeouts.
 func TestGangReservationTimeGrowsWithSize(t *testing.T) {
-	c := newWorld(t).cores["a"]
+	c := newSimCluster(t).cores["a"]
 	for tasks, timeouts := range map[int]float64{1: 0, 2: 3.0 / 16, 4: 15.0 / 16, 8: 3, 100: 3} {
 		j := job.New(job.Spec{Tasks: tasks, Kind: job.Gang, Accepted: 1000}, 64, 0)
 		if got, want := gangReservationTime(j, c.policy.TimeoutS)-1000, int64(timeouts*c.policy.TimeoutS*1000); got != want {
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -42,8 +42,8 @@
 // keys iterates over the stored keys of the replica.
 func (r *handoffReplica) keys() iter.Seq[string] { return maps.Keys(r.versions) }
 
-// anyStored reports whether any hand-off record is stored.
-func (r *handoffReplica) anyStored() bool { return len(r.versions) > 0 }
+// hasRecords reports whether any hand-off record is stored.
+func (r *handoffReplica) hasRecords() bool { return len(r.versions) > 0 }
 
 // recordProgress records the progress of a job at another site. The number of done tasks never
 // decreases.
@@ -57,8 +57,8 @@
 // progressOf returns the last known progress of an outgoing job.
 func (r *handoffReplica) progressOf(id string) Progress { return r.progress[id] }
 
-// progressCopy returns a copy of the last known progress of all outgoing jobs.
-func (r *handoffReplica) progressCopy() map[string]Progress { return maps.Clone(r.progress) }
+// cloneProgress returns a copy of the last known progress of all outgoing jobs.
+func (r *handoffReplica) cloneProgress() map[string]Progress { return maps.Clone(r.progress) }
 
 // lacksProgress reports whether the progress of an accepted job at another site is unknown. Any
 // answer about it might then be older than what its user was told before.
@@ -180,9 +180,9 @@
 	return []protocol.Condition{{Key: outgoingKey(id)}}
 }
 
-// ignoresHandoffs reports whether this node must not lead any shard, because hand-offs are stored and
+// mustNotLead reports whether this node must not lead any shard, because hand-offs are stored and
 // the node has no federation configuration, so that it would run jobs that were handed off.
-func (c *Core) ignoresHandoffs() bool { return c.federation == nil && c.handoffs.anyStored() }
+func (c *Core) mustNotLead() bool { return c.federation == nil && c.handoffs.hasRecords() }
 
 // onHandedOff ends the unstored bindings of a job after a write has failed because the job is handed
 // off. The watch has not delivered the hand-off's record yet.
@@ -200,7 +200,7 @@
 	if c.handoffs.isStale(item) {
 		return nil
 	}
-	if c.federation == nil && !c.handoffs.anyStored() {
+	if c.federation == nil && !c.handoffs.hasRecords() {
 		c.log(Error, "hand-offs are stored but this controller has no federation configuration; it will not lead any shard")
 	}
 	if err := c.handoffs.applyRecord(item); err != nil {
--- a/internal/core/handofftxns.go
+++ b/internal/core/handofftxns.go
@@ -26,8 +26,8 @@
 		return f.decideIncomingTxn(w)
 	case federation.FinishIncoming:
 		return f.core.handoffs.finishIncomingTxn(w)
-	case federation.ForgetIncoming:
-		return f.core.handoffs.forgetIncomingTxn(w), true
+	case federation.DeleteIncoming:
+		return f.core.handoffs.deleteIncomingTxn(w), true
 	case federation.SetDrained:
 		return f.core.handoffs.setDrainedTxn(w), true
 	case federation.SetLastEpoch:
@@ -43,7 +43,7 @@
 	out := w.Outgoing
 	out.HandedOffAt = f.core.now.Wall
 	j := f.core.jobs[w.JobID]
-	if j == nil || !f.canHandOff(j) || !f.core.members.allKnowFederation() || out.Epoch != f.core.handoffs.LastEpochs[out.To]+1 {
+	if j == nil || !f.canHandOff(j) || !f.core.members.allSupportFederation() || out.Epoch != f.core.handoffs.LastEpochs[out.To]+1 {
 		return protocol.Txn{}, false
 	}
 	conditions := f.core.handoffs.unchangedConditions(lastEpochKey(out.To), outgoingKey(j.ID))
@@ -150,9 +150,10 @@
 	return protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, incoming)}}, found
 }
 
-// forgetIncomingTxn returns the transaction that deletes closed decisions. The final states of their
-// jobs are kept, like those of any job, so that tasks on workers that reconnect late are stopped.
-func (r *handoffReplica) forgetIncomingTxn(w federation.ForgetIncoming) protocol.Txn {
+// deleteIncomingTxn returns the transaction that deletes closed decisions. The final states of
+// their jobs are kept, like those of any job, so that tasks on workers that reconnect late are
+// stopped.
+func (r *handoffReplica) deleteIncomingTxn(w federation.DeleteIncoming) protocol.Txn {
 	key := lowWaterMarkKey(w.Origin)
 	txn := protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, w.LowWaterMark)}}
 	for _, id := range w.IDs {
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -10,13 +10,13 @@
 // store, and healthy if at least half of them do not.
 func TestHealthWhilePeersReachTheStore(t *testing.T) {
 	for cut, healthy := range map[string]bool{"": true, "a": false, "ab": false, "abc": true, "abcd": true, "abcde": true} {
-		w := newWorldOf(t, fiveNodes).ready()
-		w.run(10*time.Second, nil)
-		for _, n := range w.names {
-			w.send(n, StoreHealth{OK: !strings.Contains(cut, n)})
+		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster.run(10*time.Second, nil)
+		for _, n := range cluster.names {
+			cluster.send(n, StoreHealth{OK: !strings.Contains(cut, n)})
 		}
-		w.run(5*time.Second, nil)
-		got := w.request("a", func(req uint64) Command { return Health{Req: req} }).Status == 200
+		cluster.run(5*time.Second, nil)
+		got := cluster.request("a", func(req uint64) Command { return Health{Req: req} }).Status == 200
 		if got != healthy {
 			t.Errorf("with %q cut off from the store, a is healthy: %v", cut, got)
 		}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -32,8 +32,8 @@
 		}
 		session = a.openSession(report)
 	}
-	if report.Session != session.epoch {
-		session.startEpoch(report.Session)
+	if report.WorkerEpoch != session.epoch {
+		session.startEpoch(report.WorkerEpoch)
 	}
 	session.address = report.Address
 	session.lastReportAt = a.now.Steady
@@ -44,13 +44,13 @@
 		a.reply(heartbeat.Req, http.StatusMisdirectedRequest, protocol.Redirect{ReportTo: peer})
 		return
 	}
-	orders := protocol.Orders{Token: session.token, Commands: session.takeCommands()}
-	a.reply(heartbeat.Req, http.StatusOK, orders)
+	batch := protocol.CommandBatch{Token: session.token, Commands: session.takeCommands()}
+	a.reply(heartbeat.Req, http.StatusOK, batch)
 }
 
 // openSession opens a session for an agent that has switched to this node.
 func (a *agentController) openSession(report *protocol.Report) *agentSession {
-	session := newAgentSession(a.tokens.current, report.Session, report.Address)
+	session := newAgentSession(a.tokens.current, report.WorkerEpoch, report.Address)
 	a.add(report.Machine, session)
 	a.log(Info, "agent session opened", "machine", report.Machine, "type", report.Type,
 		"spot", report.Spot, "token", session.token)
@@ -77,11 +77,11 @@
 func (a *agentController) answerStaleReport(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	session := a.session(report.Machine)
-	if session == nil || session.epoch != report.Session || report.Token > session.token {
+	if session == nil || session.epoch != report.WorkerEpoch || report.Token > session.token {
 		a.replyUnavailable(heartbeat.Req)
 		return
 	}
-	a.reply(heartbeat.Req, http.StatusOK, protocol.Orders{Token: session.token})
+	a.reply(heartbeat.Req, http.StatusOK, protocol.CommandBatch{Token: session.token})
 }
 
 // handleReport processes a report of an agent of this node, or its reply to a direct call, and
@@ -114,7 +114,7 @@
 	session *agentSession, m *worker.Machine, report *protocol.Report, direct bool,
 ) bool {
 	unchanged := m.Node == a.cfg.Node && m.GrantedToken == session.token &&
-		m.HasSameContent(report) && m.IsNewer(report) && !m.MissedAnswer(report.Token)
+		m.HasSameContent(report) && m.IsNewer(report) && !m.ShowsMissedAnswer(report.Token)
 	switch {
 	case !unchanged || !session.hasSharedReport():
 		return true
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -10,11 +10,11 @@
 
 // Reports of tasks with malformed or unknown IDs are answered like any other.
 func TestMalformedReportsAreAnswered(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	for i, task := range []string{"", "x", "req-1/", "req-1/-4", "req-1/99999999999", "req-unknown/0"} {
-		r := protocol.Report{Machine: "vm-odd", Address: "x", Type: "odd", Session: 1, Seq: uint64(i + 1),
+		r := protocol.Report{Machine: "vm-odd", Address: "x", Type: "odd", WorkerEpoch: 1, Seq: uint64(i + 1),
 			Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: "odd"}}}
-		if a := w.request("a", func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusOK {
+		if a := cluster.request("a", func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusOK {
 			t.Errorf("report of task %q: got status %d, want 200", task, a.Status)
 		}
 	}
@@ -23,20 +23,20 @@
 // Leaders must not bind tasks to the machines of a silent controller: the starts would be lost,
 // and each task would wait for a fence.
 func TestMachinesOfASilentControllerAreNotSchedulable(t *testing.T) {
-	w := busyWorld(t, 6)
+	cluster := newBusySimCluster(t, 6)
 	var lost []string
-	for id := range w.cores["c"].agents.all() {
+	for id := range cluster.cores["c"].agents.all() {
 		lost = append(lost, id)
 	}
 	if len(lost) == 0 {
 		t.Fatal("no worker reports to c")
 	}
-	w.crash("c")
+	cluster.crash("c")
 	for _, id := range lost {
-		w.workers[id].next = w.now + time.Minute
+		cluster.workers[id].nextReportAt = cluster.now + time.Minute
 	}
-	a := w.cores["a"]
-	w.run(a.reportInterval()+time.Second, nil)
+	a := cluster.cores["a"]
+	cluster.run(a.reportInterval()+time.Second, nil)
 	for _, id := range lost {
 		if m := a.machines.Get(id); m != nil && a.isSchedulable(m) {
 			t.Errorf("machine %s is schedulable although its controller is silent", id)
@@ -47,17 +47,17 @@
 // An agent that switches to another controller is probed at once. Its report under the new
 // token proves what was lost with the previous controller.
 func TestAgentIsProbedAfterSwitchingControllers(t *testing.T) {
-	w := busyWorld(t, 1)
-	w.crash("c")
-	w.expire("c")
+	cluster := newBusySimCluster(t, 1)
+	cluster.crash("c")
+	cluster.expire("c")
 	var probed int
-	for id, f := range w.workers {
+	for id, f := range cluster.workers {
 		if nodeNames[f.node%len(nodeNames)] != "c" {
 			continue
 		}
-		a := w.cores["a"]
+		a := cluster.cores["a"]
 		f.node = 0
-		w.report(f)
+		cluster.report(f)
 		if session := a.agents.session(id); session != nil && (session.delivering || f.Token == session.token) {
 			probed++
 		}
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -20,7 +20,7 @@
 	hosts := make([]*placement.Host, 0, len(names))
 	for _, name := range names {
 		m := c.machines.Get(name)
-		traits, known := kinds[catalog.Kind{Type: m.Type, Spot: m.Spot}]
+		traits, known := kinds[catalog.MachineKind{Type: m.Type, Spot: m.Spot}]
 		if !known || !c.isSchedulable(m) {
 			continue
 		}
@@ -67,13 +67,13 @@
 	if c.autoscaler.isCordoning(m.Machine) {
 		return false
 	}
-	if m.IsUnreachable() || !c.reach.hasContact(m.Node) || c.reportOverdue(m) {
+	if m.IsUnreachable() || !c.peerReachability.hasContact(m.Node) || c.reportOverdue(m) {
 		return false
 	}
 	if c.failureScore(m) >= cordonThreshold {
 		return false
 	}
-	return m.FullAt == 0 || c.now.Steady-m.FullAt > c.reportInterval()/2
+	return m.LastRefusedAt == 0 || c.now.Steady-m.LastRefusedAt > c.reportInterval()/2
 }
 
 // tasksByZone counts the bound tasks of a job by zone.
--- a/internal/core/incominghandoffs_test.go
+++ b/internal/core/incominghandoffs_test.go
@@ -14,18 +14,18 @@
 // A job of another site runs here under an ID that users can neither submit nor cancel. Its end is
 // reported until the other site has closed the hand-off.
 func TestIncomingJobRunsAndItsEndIsReported(t *testing.T) {
-	w, f := newFederatedWorld(t)
+	cluster, f := newFederatedSimCluster(t)
 	f.serveUntil(10*time.Second, func() bool { return false })
 	offer := func(epoch federation.Epoch, body string) federation.Message {
 		return federation.Message{Kind: federation.KindOffer, Epoch: epoch, Ticket: &federation.Ticket{Origin: "far", To: "near", JobID: "req-x",
 			Class: "k", Epoch: epoch, Path: []federation.Site{"far"}, Body: json.RawMessage(body)}}
 	}
 	sent := func(kind federation.Kind, epoch federation.Epoch) *federation.Message {
-		i := slices.IndexFunc(w.sent, func(m federation.Message) bool { return m.Kind == kind && m.Epoch == epoch })
+		i := slices.IndexFunc(cluster.sent, func(m federation.Message) bool { return m.Kind == kind && m.Epoch == epoch })
 		if i < 0 {
 			return nil
 		}
-		return &w.sent[i]
+		return &cluster.sent[i]
 	}
 	f.send(offer(1, submission("req-x", "red", 2, "")))
 	f.send(offer(2, submission("req-x", "nobody", 2, "")))
@@ -39,18 +39,18 @@
 		}
 	}
 	for req, want := range map[string]int{"req-gw-far-1": http.StatusUnprocessableEntity, "req-gw-far-9": http.StatusUnprocessableEntity} {
-		if a := w.cancelJob("a", req); a.Status != want {
+		if a := cluster.cancelJob("a", req); a.Status != want {
 			t.Errorf("status of the cancellation of %s: got %d, want 422", req, a.Status)
 		}
 	}
-	if a := w.submit("a", "req-gw-far-7", 1, ""); a.Status != http.StatusBadRequest {
+	if a := cluster.submit("a", "req-gw-far-7", 1, ""); a.Status != http.StatusBadRequest {
 		t.Errorf("status of a submission with the ID of an incoming job: got %d, want 400", a.Status)
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 	f.send(federation.Message{Kind: federation.KindClosed, Epoch: 1, LowWaterMark: 3})
 	if !f.serveUntil(time.Minute, func() bool {
-		return len(w.cores["a"].handoffs.Incoming) == 0 && w.cores["b"].handoffs.LowWaterMarks["far"] == 3
+		return len(cluster.cores["a"].handoffs.Incoming) == 0 && cluster.cores["b"].handoffs.LowWaterMarks["far"] == 3
 	}) {
-		t.Errorf("closed incoming hand-offs were not forgotten: %v", w.cores["a"].handoffs.Incoming)
+		t.Errorf("closed incoming hand-offs were not forgotten: %v", cluster.cores["a"].handoffs.Incoming)
 	}
 }
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -30,10 +30,10 @@
 )
 
 // reconcileInventory returns machines that failed, never booted, or fell silent. A new fleet
-// leader first waits for the silence limit: workers may still be switching to a controller that
+// leader first waits for the silence timeout: workers may still be switching to a controller that
 // answers them, and after a restart of all controllers it has not heard from any machine yet.
 func (c *Core) reconcileInventory() {
-	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceLimit()
+	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceTimeout()
 	c.autoscaler.forgetUnlisted(c.cordons)
 	outages := c.updateZoneOutages()
 	for _, listed := range ordered(c.autoscaler.inventory) {
@@ -89,7 +89,7 @@
 	switch {
 	case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 		c.returnMachine(name, reasonReclaimed)
-	case silentFor > c.silenceLimit() && !toleratedInOutage && c.knowsAllMachines():
+	case silentFor > c.silenceTimeout() && !toleratedInOutage && c.knowsMachinesOfAllControllers():
 		c.returnMachine(name, reasonSilent)
 	case silentFor > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, c.listTolerance()):
 		c.returnMachine(name, reasonUnlisted)
@@ -99,11 +99,11 @@
 	}
 }
 
-// knowsAllMachines reports whether this node knows which machines report to each live controller.
-// Only then does a machine's silence mean that the machine itself has failed.
-func (c *Core) knowsAllMachines() bool {
+// knowsMachinesOfAllControllers reports whether this node knows which machines report to each live
+// controller. Only then does a machine's silence mean that the machine itself has failed.
+func (c *Core) knowsMachinesOfAllControllers() bool {
 	for node := range c.members.live {
-		if !c.reach.knowsMachinesOf(node) {
+		if !c.peerReachability.knowsMachinesOf(node) {
 			return false
 		}
 	}
@@ -130,7 +130,7 @@
 // isZoneOutage reports whether a zone is probably partitioned as a whole: neither its machines
 // nor its controllers are heard from. Tasks in the zone keep running, since its controllers still
 // answer its workers, and come back intact with the zone. If the machines were returned after the
-// usual silence limit, all of these tasks would run again.
+// usual silence timeout, all of these tasks would run again.
 func (c *Core) isZoneOutage(zone string) bool {
 	if zone == c.cfg.Zone {
 		return false
@@ -141,7 +141,7 @@
 			continue
 		}
 		controllers++
-		if c.reach.hasContact(p.Node) {
+		if c.peerReachability.hasContact(p.Node) {
 			return false
 		}
 	}
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -22,7 +22,7 @@
 	report := c.reportInterval()
 	for round := range uint64(40) {
 		for i := range fleet {
-			r := protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i), Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: round + 1, Token: 1}
+			r := protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i), Type: "small", Zone: "z1", Spot: true, WorkerEpoch: 1, Seq: round + 1, Token: 1}
 			c.applyObservation(Observation{Node: c.cfg.Node, Token: 1, Report: r})
 		}
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -51,7 +51,7 @@
 
 // checkIsolation updates whether this node is isolated.
 func (c *Core) checkIsolation() {
-	if c.isolation.update(!c.storeOK && c.reach.isolated(), c.now.Steady) {
+	if c.isolation.update(!c.storeOK && c.peerReachability.isolated(), c.now.Steady) {
 		c.log(Info, "controller is isolated", "effect", "redirects each worker once if more than one zone reports here")
 	}
 }
--- a/internal/core/isolation_test.go
+++ b/internal/core/isolation_test.go
@@ -14,26 +14,26 @@
 	for _, isolated := range []int{1, 2, 4} {
 		t.Run(fmt.Sprint(isolated), func(t *testing.T) {
 			t.Parallel()
-			w := gpuWorld(t, 30, 0)
-			w.taskTime = 10 * time.Minute
-			accepted(t, w.submit("a", "req-free-1", 60, ""))
-			w.started("req-free-1", 60)
-			for _, n := range w.names[:isolated] {
-				w.cutStore(n)
-				w.refuse(func(f, t string) bool { return f == n || t == n })
-				w.checkRejectsUsers(n) // before it has noticed the loss
-				w.send(n, StoreHealth{})
+			cluster := newGPUSimCluster(t, 30, 0)
+			cluster.taskTime = 10 * time.Minute
+			requireAccepted(t, cluster.submit("a", "req-free-1", 60, ""))
+			cluster.waitUntilStarted("req-free-1", 60)
+			for _, n := range cluster.names[:isolated] {
+				cluster.cutStore(n)
+				cluster.disconnectLinks(func(f, t string) bool { return f == n || t == n })
+				cluster.checkRejectsUsers(n) // before it has noticed the loss
+				cluster.send(n, StoreHealth{})
 			}
-			w.run(40*time.Second, nil)
-			for _, n := range w.names[:isolated] {
-				w.checkRejectsUsers(n)
+			cluster.run(40*time.Second, nil)
+			for _, n := range cluster.names[:isolated] {
+				cluster.checkRejectsUsers(n)
 			}
-			if n := w.onMachines("req-free-1"); len(w.workers) != 30 || n != 60 {
-				t.Errorf("%d of 30 machines and %d of 60 tasks are left", len(w.workers), n)
+			if n := cluster.onMachines("req-free-1"); len(cluster.workers) != 30 || n != 60 {
+				t.Errorf("%d of 30 machines and %d of 60 tasks are left", len(cluster.workers), n)
 			}
-			w.heal()
-			w.run(20*time.Second, nil)
-			w.startedOnce()
+			cluster.heal()
+			cluster.run(20*time.Second, nil)
+			cluster.checkStartedOnce()
 		})
 	}
 }
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -32,24 +32,24 @@
 	UnstoredExits []Exit
 
 	// Suspected is set while the job itself, not the machines, is presumed to cause its
-	// failures, for example because of an error in the submission. Proven is set once a task
+	// failures, for example because of an error in the submission. TaskSucceeded is set once a task
 	// has succeeded.
-	Suspected, Proven bool
-	// FailedOn lists the machines on which the job has failed since its last success, Probes
+	Suspected, TaskSucceeded bool
+	// FailedOn lists the machines on which the job has failed since its last success, CanaryStarts
 	// counts its canary starts, and NotBefore is the earliest time of the next start.
-	FailedOn  []string
-	Probes    int
-	NotBefore time.Duration
+	FailedOn     []string
+	CanaryStarts int
+	NotBefore    time.Duration
 
 	// Started is set once a task was observed running.
 	Started bool
 	// Running is the number of running tasks as counted at CountedAt.
 	Running   int
 	CountedAt time.Duration
-	// CancelledAt is when this controller learned of the job's cancellation. CancelRequestedAt
+	// CancelledAt is when this controller learned of the job's cancellation. CancelRequestedAtMS
 	// is the wall-clock time of the request in Unix milliseconds, 0 if unknown.
-	CancelledAt       time.Duration
-	CancelRequestedAt int64
+	CancelledAt         time.Duration
+	CancelRequestedAtMS int64
 	// ClaimedAt is when the newest bindings were created.
 	ClaimedAt time.Duration
 	// PendingSince is when the job began to wait for resources: when it was accepted, was
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -123,9 +123,10 @@
 	firstSinceSplit bool
 }
 
-// TakeDirty returns at most maxWrites chunk writes that are due besides the head, and whether more
-// are left. The chunks no longer count as changed; RevertWrites undoes that if the write fails.
-func (j *Job) TakeDirty(maxWrites int) (writes []ChunkWrite, more bool) {
+// TakeChunkWrites returns at most maxWrites chunk writes that are due besides the head, and whether
+// more are left. The chunks no longer count as changed; RevertWrites undoes that if the write
+// fails.
+func (j *Job) TakeChunkWrites(maxWrites int) (writes []ChunkWrite, more bool) {
 	for _, c := range slices.Sorted(maps.Keys(j.dirty)) {
 		write, needed := j.chunkWrite(c)
 		if needed && len(writes) == maxWrites {
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -52,7 +52,7 @@
 // flush stores changes in one transaction, or reverts them if the transaction fails. It reports
 // whether more changes are left.
 func (s *storedJob) flush(fails bool) (more bool) {
-	writes, more := s.job.TakeDirty(s.maxWrites)
+	writes, more := s.job.TakeChunkWrites(s.maxWrites)
 	if len(writes) > s.maxWrites {
 		s.t.Fatalf("got %d writes, want at most %d", len(writes), s.maxWrites)
 	}
--- a/internal/core/job/ledger.go
+++ b/internal/core/job/ledger.go
@@ -19,9 +19,9 @@
 	Need  Resources
 	Tasks map[TaskRef]*Binding
 	// Used is Need without the tasks that have exited. The owner of the ledger computes and
-	// caches it here; UsedCurrent is cleared whenever the cached value may be out of date.
-	Used        Resources
-	UsedCurrent bool
+	// caches it here; UsedValid is cleared whenever the cached value may be out of date.
+	Used      Resources
+	UsedValid bool
 }
 
 // Ledger indexes the bindings of all known jobs by machine. Between Add and Remove, every change to
@@ -38,7 +38,7 @@
 // Invalidate discards the cached Used value of a machine after its reported tasks have changed.
 func (l *Ledger) Invalidate(machine string) {
 	if load := l.loads[machine]; load != nil {
-		load.UsedCurrent = false
+		load.UsedValid = false
 	}
 }
 
@@ -66,14 +66,14 @@
 	}
 	load.Tasks[TaskRef{j, i}] = b
 	load.Need = load.Need.Plus(j.Need, 1)
-	load.UsedCurrent = false
+	load.UsedValid = false
 }
 
 func (l *Ledger) removeBinding(j *Job, i int, b *Binding) {
 	load := l.loads[b.Machine]
 	delete(load.Tasks, TaskRef{j, i})
 	load.Need = load.Need.Plus(j.Need, -1)
-	load.UsedCurrent = false
+	load.UsedValid = false
 	if len(load.Tasks) == 0 {
 		delete(l.loads, b.Machine) // also discards the accumulated rounding errors of Need
 	}
--- a/internal/core/job/stored_test.go
+++ b/internal/core/job/stored_test.go
@@ -24,7 +24,7 @@
 		j.Bind(i, &Binding{Machine: "vm-1", Attempt: uint64(i), Token: 4, Epoch: 2, Stored: true})
 	}
 	loaded := New(Spec{ID: j.ID, Team: j.Team}, 64, 0)
-	writes, more := j.TakeDirty(8)
+	writes, more := j.TakeChunkWrites(8)
 	if more || len(writes) != 3 {
 		t.Fatalf("got %d writes, more %v, want 3 writes and no more", len(writes), more)
 	}
--- a/internal/core/job/suspicion.go
+++ b/internal/core/job/suspicion.go
@@ -24,11 +24,11 @@
 }
 
 // HasSucceeded reports whether any task of the job has succeeded.
-func (j *Job) HasSucceeded() bool { return j.Proven || j.Done.Len() > 0 }
+func (j *Job) HasSucceeded() bool { return j.TaskSucceeded || j.Done.Len() > 0 }
 
-// MarkProven records that a task has succeeded. The job is no longer suspected, and its failure
+// RecordSuccess records that a task has succeeded. The job is no longer suspected, and its failure
 // history is reset.
-func (j *Job) MarkProven() {
-	j.Proven, j.Suspected = true, false
-	j.FailedOn, j.Probes, j.NotBefore = nil, 0, 0
+func (j *Job) RecordSuccess() {
+	j.TaskSucceeded, j.Suspected = true, false
+	j.FailedOn, j.CanaryStarts, j.NotBefore = nil, 0, 0
 }
--- a/internal/core/job/urgency.go
+++ b/internal/core/job/urgency.go
@@ -32,12 +32,12 @@
 // WasUnblocked reports whether Unblock was called for the job.
 func (j *Job) WasUnblocked() bool { return j.readyAtMS > 0 }
 
-// EligibleSince returns the time in Unix milliseconds from which the job could start: when it was
+// EligibleSinceMS returns the time in Unix milliseconds from which the job could start: when it was
 // accepted, or when its last dependency was done.
-func (j *Job) EligibleSince() int64 { return max(j.Accepted, j.readyAtMS) }
+func (j *Job) EligibleSinceMS() int64 { return max(j.Accepted, j.readyAtMS) }
 
-// Inherit sets the urgency that the job inherits from its dependents; nil clears it.
-func (j *Job) Inherit(u *dependency.Urgency) { j.inheritedUrgency = u }
+// InheritUrgency sets the urgency that the job inherits from its dependents; nil clears it.
+func (j *Job) InheritUrgency(u *dependency.Urgency) { j.inheritedUrgency = u }
 
 // Rank returns the rank of the highest priority among the job and its dependents. A lower rank is
 // more urgent.
@@ -53,30 +53,30 @@
 
 // HasDeadline reports whether the job or one of its dependents has a deadline.
 func (j *Job) HasDeadline() bool {
-	inherits := j.inheritedUrgency != nil && j.inheritedUrgency.LatestStart != dependency.NoDeadline
+	inherits := j.inheritedUrgency != nil && j.inheritedUrgency.LatestStartMS != dependency.NoDeadline
 	return j.DeadlineS > 0 || inherits
 }
 
 // RunTimeMS returns the user's estimate of a task's run time in milliseconds.
 func (j *Job) RunTimeMS() int64 { return int64(j.EstimateS * 1000) }
 
-// LatestStart returns the latest time, in Unix milliseconds, at which the job can start so that its
-// own deadline and those of its dependents are met. Without any deadline it is defaultWaitFactor
-// run times after the job became eligible.
-func (j *Job) LatestStart() int64 {
-	start := j.OwnLatestStart()
+// LatestStartMS returns the latest time, in Unix milliseconds, at which the job can start so that
+// its own deadline and those of its dependents are met. Without any deadline it is
+// defaultWaitFactor run times after the job became eligible.
+func (j *Job) LatestStartMS() int64 {
+	start := j.OwnLatestStartMS()
 	if j.inheritedUrgency != nil {
-		start = min(start, j.inheritedUrgency.LatestStart)
+		start = min(start, j.inheritedUrgency.LatestStartMS)
 	}
 	if start == dependency.NoDeadline {
-		return j.EligibleSince() + defaultWaitFactor*j.RunTimeMS()
+		return j.EligibleSinceMS() + defaultWaitFactor*j.RunTimeMS()
 	}
 	return start
 }
 
-// OwnLatestStart returns the latest start time in Unix milliseconds that meets the job's own
+// OwnLatestStartMS returns the latest start time in Unix milliseconds that meets the job's own
 // deadline, or dependency.NoDeadline if it has none.
-func (j *Job) OwnLatestStart() int64 {
+func (j *Job) OwnLatestStartMS() int64 {
 	if j.DeadlineS == 0 {
 		return dependency.NoDeadline
 	}
--- a/internal/core/jobflush.go
+++ b/internal/core/jobflush.go
@@ -34,8 +34,8 @@
 			w.warnBudgetExhausted(due[n:])
 			return
 		}
-		w.core.resolveConflict(j)
-		w.flushJob(w.core.teamBy[j.Team], j)
+		w.core.dropConflictingClaims(j)
+		w.flushJob(w.core.teamsByName[j.Team], j)
 	}
 }
 
@@ -85,7 +85,7 @@
 	own := &w.budget.due
 	all := *own
 	for node, pending := range w.core.peers.pendingWrites() {
-		if w.core.reach.hasContact(node) {
+		if w.core.peerReachability.hasContact(node) {
 			for rank, changes := range pending {
 				all[rank] += changes
 			}
@@ -107,7 +107,7 @@
 		return true
 	}
 	if j.Urgent {
-		return w.now.Steady >= max(j.StoredAt+w.reportInterval()/30, j.ClaimedAt+w.core.claimWindow())
+		return w.now.Steady >= max(j.StoredAt+w.reportInterval()/30, j.ClaimedAt+w.core.claimSettleTime())
 	}
 	wait := max(w.reportInterval(), w.exitBatchInterval())
 	if w.budget.onlyReserveLeft() {
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -10,22 +10,22 @@
 )
 
 func TestJobsOfAllTeamsRunExactlyOnce(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
 	for i, id := range ids {
-		accepted(t, w.submit(nodeNames[i], id, 12, ""))
+		requireAccepted(t, cluster.submit(nodeNames[i], id, 12, ""))
 	}
-	if !w.run(4*time.Minute, w.finished(ids...)) {
+	if !cluster.run(4*time.Minute, cluster.allDone(ids...)) {
 		t.Fatal("jobs did not end")
 	}
 	for _, id := range ids {
 		for _, n := range nodeNames {
-			if s := stateOf(t, w.status(n, id)); s.State != protocol.Done || s.Done != 12 {
+			if s := requireJobState(t, cluster.status(n, id)); s.State != protocol.Done || s.Done != 12 {
 				t.Errorf("%s: got job state %+v, want done with 12 tasks", n, s)
 			}
 		}
 		for i := range 12 {
-			if n := w.starts[fmt.Sprintf("%s/%d", id, i)]; n != 1 {
+			if n := cluster.starts[fmt.Sprintf("%s/%d", id, i)]; n != 1 {
 				t.Errorf("%s/%d was started %d times, want 1", id, i, n)
 			}
 		}
@@ -33,10 +33,10 @@
 }
 
 func TestLargestArrayStaysWithinStoreLimits(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", job.MaxTasks, ""))
-	w.run(20*time.Second, nil) // the world checks every transaction
-	if n := w.onMachines("req-blue-1"); n == 0 {
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", job.MaxTasks, ""))
+	cluster.run(20*time.Second, nil) // the simulation checks every transaction
+	if n := cluster.onMachines("req-blue-1"); n == 0 {
 		t.Error("no task of the array runs")
 	}
 }
--- a/internal/core/jobstats/jobstats.go
+++ b/internal/core/jobstats/jobstats.go
@@ -127,14 +127,14 @@
 	}
 }
 
-// Retain removes the active jobs for which isActive returns false. Their ends were not observed, so
-// they are counted as neither done nor cancelled.
-func (c *Collector) Retain(isActive func(id string) bool) {
+// RetainActive removes the active jobs for which isActive returns false. Their ends were not
+// observed, so they are counted as neither done nor cancelled.
+func (c *Collector) RetainActive(isActive func(id string) bool) {
 	maps.DeleteFunc(c.active, func(id string, _ *activeJob) bool { return !isActive(id) })
 }
 
-// NoteQuery records a request for the state of a job and whether it was answered.
-func (c *Collector) NoteQuery(id string, answered bool, now time.Duration) {
+// RecordQuery records a request for the state of a job and whether it was answered.
+func (c *Collector) RecordQuery(id string, answered bool, now time.Duration) {
 	since, unanswered := c.unansweredSince[id]
 	if unanswered {
 		c.longestUnanswered = max(c.longestUnanswered, now-since)
--- a/internal/core/jobstats/jobstats_test.go
+++ b/internal/core/jobstats/jobstats_test.go
@@ -43,7 +43,7 @@
 		{"b", true, 50},
 		{"a", true, 25},
 	} {
-		stats.NoteQuery(query.id, query.answered, query.at*time.Second)
+		stats.RecordQuery(query.id, query.answered, query.at*time.Second)
 	}
 	if got := stats.LongestUnanswered(); got != 8*time.Second {
 		t.Errorf("got %v, want 8s, the time from the first unanswered request to the answer", got)
--- a/internal/core/jobupdate.go
+++ b/internal/core/jobupdate.go
@@ -44,7 +44,7 @@
 	update.addConditions(t.leaderCondition())
 	update.addConditions(protocol.Condition{Key: jobKey(j.ID), Version: j.Version})
 	if w.core.chunks.splitOversized(j) {
-		w.core.counts.SplitJobs++
+		w.core.counters.SplitJobs++
 	}
 	update.addChunks(&w.core.limits)
 	w.addHead(update)
@@ -72,7 +72,7 @@
 	if j.Complete() || j.Cancelled {
 		otherChanges = endChanges
 	}
-	u.chunks, u.partial = j.TakeDirty(limits.chunksPerTxn(otherChanges))
+	u.chunks, u.partial = j.TakeChunkWrites(limits.chunksPerTxn(otherChanges))
 	for _, chunk := range u.chunks {
 		key := chunkKey(j.ID, chunk.Key)
 		if chunk.Value == nil {
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -21,11 +21,11 @@
 		return
 	}
 	switch r.Outcome {
-	case Applied:
+	case OutcomeApplied:
 		w.handleApplied(u, r.Revision)
-	case Conflict:
+	case OutcomeConflict:
 		w.handleConflict(u, r)
-	case Unknown:
+	case OutcomeUnknown:
 		// The transaction may have been applied, or may still be. Sending it again resolves
 		// that: either the retry is applied and the first attempt then fails its conditions,
 		// or the retry conflicts because the first attempt was applied.
@@ -72,7 +72,7 @@
 		state.Done = j.Tasks
 	}
 	w.core.rememberFinalState(j.ID, state)
-	w.core.noteEnd(j.ID, revision)
+	w.core.recordEnd(j.ID, revision)
 	w.log(Debug, "job ended", "job", j.ID, "state", u.finalState)
 	w.core.reconciler.forgetEndedTasks(j, u.exits)
 	w.core.forgetJob(j)
@@ -89,7 +89,7 @@
 	}
 	w.revertUpdate(u)
 	if slices.Contains(failed, cancelKey(j.ID)) {
-		w.core.announcements.note(Cancellation{Job: j.ID, Revision: r.Revision})
+		w.core.announcements.apply(Cancellation{Job: j.ID, Revision: r.Revision})
 	}
 	if slices.Contains(failed, outgoingKey(j.ID)) {
 		w.core.onHandedOff(j)
@@ -113,12 +113,12 @@
 		return
 	}
 	switch r.Outcome {
-	case Applied:
+	case OutcomeApplied:
 		if nonce, err := job.HeadNonce(r.Item.Value); err == nil && nonce == u.nonce {
 			w.handleApplied(u, r.Item.Version)
 			return
 		}
-	case Missing:
+	case OutcomeMissing:
 		if u.finalState != "" && u.retries > 0 {
 			w.readFinalState(u)
 			return
@@ -139,7 +139,7 @@
 			return
 		}
 		var stored finalStateRecord
-		if r.Outcome == Applied && json.Unmarshal(r.Item.Value, &stored) == nil && stored.State == u.finalState {
+		if r.Outcome == OutcomeApplied && json.Unmarshal(r.Item.Value, &stored) == nil && stored.State == u.finalState {
 			w.handleApplied(u, r.Item.Version)
 			return
 		}
--- a/internal/core/jobzones_test.go
+++ b/internal/core/jobzones_test.go
@@ -29,37 +29,37 @@
 		for _, silent := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, silent %v", name, silent), func(t *testing.T) {
 				t.Parallel()
-				w := newWorldOf(t, fiveNodes)
-				w.twoZones()
-				w.allowRacingStarts, w.taskTime = true, 30*time.Second
-				w.ready()
-				accepted(t, w.submit("a", id, 8, c.extraFields))
-				w.started(id, 8)
-				zones := w.zonesWith(id)
+				cluster := newSimClusterOf(t, fiveNodes)
+				cluster.twoZones()
+				cluster.allowRacingStarts, cluster.taskTime = true, 30*time.Second
+				cluster.ready()
+				requireAccepted(t, cluster.submit("a", id, 8, c.extraFields))
+				cluster.waitUntilStarted(id, 8)
+				zones := cluster.tasksPerZone(id)
 				zone := "z2"
 				if zones["z1"] > zones["z2"] {
 					zone = "z1"
 				}
 				lost := 0
-				for m, f := range w.workers {
+				for m, f := range cluster.workers {
 					if f.Zone == zone {
 						lost += len(f.Tasks)
 						if f.dead = true; !silent {
-							delete(w.workers, m) // the cloud's list shows it
+							delete(cluster.workers, m) // the cloud's list shows it
 						}
 					}
 				}
 				if lost == 0 {
 					t.Fatal("no task was lost")
 				}
-				w.fullZone = zone
-				w.run(90*time.Second, nil)
-				s, _ := w.state(id)
-				if allRunning := w.onMachines(id) == 8 || s.State == protocol.Done; allRunning != c.canMove {
-					t.Errorf("during the loss of the zone: %d of 8 tasks run, final state %q", w.onMachines(id), s.State)
+				cluster.fullZone = zone
+				cluster.run(90*time.Second, nil)
+				s, _ := cluster.state(id)
+				if allRunning := cluster.onMachines(id) == 8 || s.State == protocol.Done; allRunning != c.canMove {
+					t.Errorf("during the loss of the zone: %d of 8 tasks run, final state %q", cluster.onMachines(id), s.State)
 				}
-				w.fullZone = ""
-				if !w.run(2*time.Minute, func() bool { return w.finished(id)() || w.onMachines(id) == 8 }) {
+				cluster.fullZone = ""
+				if !cluster.run(2*time.Minute, func() bool { return cluster.allDone(id)() || cluster.onMachines(id) == 8 }) {
 					t.Error("job does not continue once the zone has capacity again")
 				}
 			})
@@ -70,11 +70,11 @@
 // The replicas of a spread service get machines in both zones, even if no other job has machines in
 // the second one.
 func TestSpreadReplicasGetMachinesInAllZones(t *testing.T) {
-	w := newWorldOf(t, fiveNodes).ready()
-	w.allowRacingStarts = true
-	accepted(t, w.submit("b", "req-free-2", 6, serviceFields))
-	w.run(40*time.Second, nil)
-	if zones := w.zonesWith("req-free-2"); zones["z1"] != 3 || zones["z2"] != 3 || w.rented > 12 {
-		t.Errorf("got replicas in %v with %d rented machines, want 3 in each zone with at most 12 machines", zones, w.rented)
+	cluster := newSimClusterOf(t, fiveNodes).ready()
+	cluster.allowRacingStarts = true
+	requireAccepted(t, cluster.submit("b", "req-free-2", 6, serviceFields))
+	cluster.run(40*time.Second, nil)
+	if zones := cluster.tasksPerZone("req-free-2"); zones["z1"] != 3 || zones["z2"] != 3 || cluster.rented > 12 {
+		t.Errorf("got replicas in %v with %d rented machines, want 3 in each zone with at most 12 machines", zones, cluster.rented)
 	}
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -12,20 +12,20 @@
 // Keys in the store. Every controller replicates everything below Root through a single watch.
 // Final states of jobs are stored outside Root and are never deleted.
 const (
-	Root          = "j/"
-	keyJob        = Root + "a/" // j/a/<job>[/<chunk>]: a job that is not final
-	keyCancel     = Root + "c/" // j/c/<job>: the job was cancelled by its user
-	keyLeader     = Root + "h/" // j/h/<team>: the leader of a team, attached to a lease
-	keyFleet      = Root + "f"  // the leader of the fleet, attached to a lease
-	keyNode       = Root + "n/" // j/n/<node>: a live controller, attached to a lease
-	keyToken      = Root + "t"  // the counter of fencing tokens
-	keyCordon     = Root + "x/" // j/x/<machine>: the machine is cordoned or terminated
-	keyIntent     = Root + "v/" // j/v/<request>: the intent to rent machines
-	keyRecord     = Root + "r/" // j/r/<team>: the usage record of a team
-	keyRelay      = Root + "b/" // j/b/<node>/<page>: messages to controllers that can't be reached directly
-	keyFederation = Root + "g"  // the leader of the federation, attached to a lease; see also handoffkeys.go
-	keyVersion    = Root + "p/" // j/p/<node>: the version of a controller; never deleted
-	keyState      = "u/"        // u/<job>: the final state of a job; never deleted
+	Root            = "j/"
+	keyJob          = Root + "a/" // j/a/<job>[/<chunk>]: a job that is not final
+	keyCancel       = Root + "c/" // j/c/<job>: the job was cancelled by its user
+	keyLeader       = Root + "h/" // j/h/<team>: the leader of a team, attached to a lease
+	keyFleet        = Root + "f"  // the leader of the fleet, attached to a lease
+	keyNode         = Root + "n/" // j/n/<node>: a live controller, attached to a lease
+	keyToken        = Root + "t"  // the counter of fencing tokens
+	keyCordon       = Root + "x/" // j/x/<machine>: the machine is cordoned or terminated
+	keyRentalIntent = Root + "v/" // j/v/<request>: the intent to rent machines
+	keyUsageRecord  = Root + "r/" // j/r/<team>: the usage record of a team
+	keyRelay        = Root + "b/" // j/b/<node>/<page>: messages to controllers that can't be reached directly
+	keyFederation   = Root + "g"  // the leader of the federation, attached to a lease; see also handoffkeys.go
+	keyVersion      = Root + "p/" // j/p/<node>: the version of a controller; never deleted
+	keyState        = "u/"        // u/<job>: the final state of a job; never deleted
 )
 
 // isLeaderKey reports whether a key holds the leader of a shard.
@@ -33,14 +33,14 @@
 	return key == keyFleet || key == keyFederation || strings.HasPrefix(key, keyLeader)
 }
 
-// teamPart encodes a team's name for use in a key. The result has no spaces or slashes, and no
-// percent signs, which an intermediate server might decode.
-func teamPart(team string) string {
+// encodeTeamName encodes a team's name for use in a key. The result has no spaces or slashes, and
+// no percent signs, which an intermediate server might decode.
+func encodeTeamName(team string) string {
 	return strings.ReplaceAll(strings.ReplaceAll(url.QueryEscape(team), "~", "%7E"), "%", "~")
 }
 
-// parseTeamPart decodes the result of teamPart.
-func parseTeamPart(part string) (string, error) {
+// decodeTeamName decodes the result of encodeTeamName.
+func decodeTeamName(part string) (string, error) {
 	return url.QueryUnescape(strings.ReplaceAll(part, "~", "%"))
 }
 
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -54,12 +54,12 @@
 func (c *Core) electLeaders() {
 	c.register()
 	members := &c.members
-	if members.lease == 0 || !members.registered() || c.ignoresHandoffs() {
+	if members.lease == 0 || !members.registered() || c.mustNotLead() {
 		return
 	}
-	c.upgrade.stateVersion()
+	c.upgrade.recordVersion()
 	for i, s := range c.allShards() {
-		preferred := members.preferredLeader(i, c.handoffs.anyStored())
+		preferred := members.preferredLeader(i, c.handoffs.hasRecords())
 		prefersSelf := preferred == members.self
 		connected := c.peers.isConnected(preferred)
 		switch {
@@ -98,7 +98,7 @@
 		if s.leading {
 			c.lostLeadership(s)
 		}
-		c.voidClaims(s)
+		c.dropClaimsOfFormerLeader(s)
 		s.leader, s.leaderIncarnation, s.version = leader.Node, leader.Incarnation, item.Version
 		if c.members.isSelf(leader) {
 			c.becameLeader(s)
@@ -112,14 +112,14 @@
 	for _, s := range c.allShards() {
 		if s.key == key && s.version < revision {
 			c.lostLeadership(s)
-			c.voidClaims(s)
+			c.dropClaimsOfFormerLeader(s)
 		}
 	}
 }
 
-// jobsOf returns the jobs of a team's shard, or nil for other shards.
-func (c *Core) jobsOf(s *shard) map[string]*job.Job {
-	if t := c.teamBy[s.name]; t != nil && s == &t.shard {
+// shardJobs returns the jobs of a team's shard, or nil for other shards.
+func (c *Core) shardJobs(s *shard) map[string]*job.Job {
+	if t := c.teamsByName[s.name]; t != nil && s == &t.shard {
 		return t.jobs
 	}
 	return nil
@@ -128,14 +128,14 @@
 // becameLeader starts this node's work as the leader of a shard.
 func (c *Core) becameLeader(s *shard) {
 	s.leading = true
-	jobs := c.jobsOf(s)
+	jobs := c.shardJobs(s)
 	c.log(Info, "leadership acquired", "shard", s.name, "jobs", len(jobs))
 	c.recoverJobs(jobs)
 	if s == c.fleet {
 		c.autoscaler.reset(c.now.Steady)
 	}
 	if c.federation.owns(s) {
-		c.federation.start(c.members.incarnation, c.handoffs.Records)
+		c.federation.startCoordinator(c.members.incarnation, c.handoffs.Records)
 	}
 	c.requestRound()
 }
@@ -162,13 +162,13 @@
 	wasLeading := s.leading
 	s.leading, s.leader, s.leaderIncarnation, s.version = false, "", "", 0
 	if c.federation.owns(s) {
-		c.federation.stop()
+		c.federation.stopCoordinator()
 	}
 	if !wasLeading {
 		return
 	}
 	c.log(Info, "leadership lost", "shard", s.name)
-	for _, j := range c.jobsOf(s) {
+	for _, j := range c.shardJobs(s) {
 		c.forgetJob(j)
 	}
 	c.replica.reloading = true
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -14,7 +14,7 @@
 	writeRateLowered bool
 }
 
-func (l *storeLimits) tightest() settings.StateLimits { return l.settings.Tightest() }
+func (l *storeLimits) lowest() settings.StateLimits { return l.settings.LowestLimits() }
 
 // Sizes of stored jobs in bytes.
 const (
@@ -44,26 +44,26 @@
 // applies only once the store enforces it: observing it earlier would delay starts needlessly.
 func (l *storeLimits) writeRate() float64 {
 	if l.writeRateLowered {
-		return l.tightest().WriteRPS
+		return l.lowest().WriteRPS
 	}
 	return l.settings.WriteRPS
 }
 
 // requestRate returns the store's request rate limit in requests per second.
-func (l *storeLimits) requestRate() float64 { return l.tightest().RPS }
+func (l *storeLimits) requestRate() float64 { return l.lowest().RPS }
 
 // maxChanges returns the maximum number of changes in a transaction.
-func (l *storeLimits) maxChanges() int { return l.tightest().TxnOps }
+func (l *storeLimits) maxChanges() int { return l.lowest().TxnOps }
 
 // maxConditions returns the maximum number of conditions in a transaction.
 func (l *storeLimits) maxConditions() int { return conditionsPerChange * l.maxChanges() }
 
 // valueBytes returns the maximum size of a value.
-func (l *storeLimits) valueBytes() int { return int(l.tightest().ValueKB * 1024) }
+func (l *storeLimits) valueBytes() int { return int(l.lowest().ValueKB * 1024) }
 
 // valueLimitDecreases reports whether the upcoming limit on the size of a value is lower than the
 // current one.
-func (l *storeLimits) valueLimitDecreases() bool { return l.tightest().ValueKB < l.settings.ValueKB }
+func (l *storeLimits) valueLimitDecreases() bool { return l.lowest().ValueKB < l.settings.ValueKB }
 
 // maxSpecBytes returns the maximum size of a stored spec: a quarter of a value.
 func (l *storeLimits) maxSpecBytes() int { return l.valueBytes() / 4 }
@@ -95,7 +95,7 @@
 
 // valuesPerTxn returns how many values of the maximum size fit into a transaction.
 func (l *storeLimits) valuesPerTxn() int {
-	return int(float64(protocol.MaxBody) / 1024 * 3 / 4 / l.tightest().ValueKB)
+	return int(float64(protocol.MaxBody) / 1024 * 3 / 4 / l.lowest().ValueKB)
 }
 
 // relayPagesPerTxn is the number of store relay pages that fit into a transaction regardless of the
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -35,7 +35,7 @@
 				j.Bind(i, &job.Binding{Machine: fmt.Sprintf(name, i), Attempt: 99_999, Token: 99_999, Epoch: 99})
 			}
 			j.Attempt, j.Nonce = 99_999, "node-with-a-name.1234567890.123456"
-			writes, more := j.TakeDirty(s.Tasks)
+			writes, more := j.TakeChunkWrites(s.Tasks)
 			if more || len(writes) < 2 {
 				t.Fatalf("job was split into %d chunks of %d tasks, want several chunks written at once", len(writes), j.ChunkSize)
 			}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -37,7 +37,7 @@
 // dependencyBytes is the total size of the dependency lists on the page, that of the other
 // job included. The first job always fits.
 func pageFull(jobs, dependencyBytes int) bool {
-	return jobs == protocol.JobsPage || jobs > 0 && dependencyBytes > protocol.PageAwaitsBytes
+	return jobs == protocol.MaxJobsPerPage || jobs > 0 && dependencyBytes > protocol.MaxDependencyBytesPerPage
 }
 
 // jobRow returns the row of a job in a list.
--- a/internal/core/lookup/queue.go
+++ b/internal/core/lookup/queue.go
@@ -81,9 +81,9 @@
 	q.refilledAt = now
 }
 
-// Spend charges the budget for one store request, even if the budget is exhausted. The budget may
-// become negative.
-func (q *Queue) Spend() { q.budget-- }
+// ChargeBudget charges the budget for one store request, even if the budget is exhausted. The
+// budget may become negative.
+func (q *Queue) ChargeBudget() { q.budget-- }
 
 // Next removes and returns the requests that the next transaction answers, oldest first. It returns
 // nil if no request is queued or the budget is exhausted.
@@ -91,7 +91,7 @@
 	if q.budget < 1 || len(q.accepted)+len(q.unknown) == 0 {
 		return nil
 	}
-	q.Spend()
+	q.ChargeBudget()
 	if q.isUnknownOldest() {
 		return takeBatch(&q.unknown, limits.maxUnknownJobs(), false)
 	}
@@ -125,7 +125,7 @@
 	q.unknown = rest
 	var batches []Batch
 	for len(urgent) > 0 {
-		q.Spend()
+		q.ChargeBudget()
 		batches = append(batches, takeBatch(&urgent, limits.maxUnknownJobs(), false))
 	}
 	return batches
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -126,9 +126,9 @@
 // condition failed, so a job of which no key is named is looked up again.
 func (l *lookupController) onReply(group lookup.Group, r StoreReply) {
 	switch {
-	case r.Outcome == Applied:
+	case r.Outcome == OutcomeApplied:
 		l.onNoFinalState(group, r.Revision)
-	case r.Outcome != Conflict || len(r.Failed) == 0:
+	case r.Outcome != OutcomeConflict || len(r.Failed) == 0:
 		group.ResolveUnavailable()
 	case slices.Contains(r.Failed, keyState+group.JobID):
 		l.fetchFinalState(group)
@@ -167,7 +167,7 @@
 
 // fetchFinalState reads the final state of a job that has one.
 func (l *lookupController) fetchFinalState(group lookup.Group) {
-	l.queue.Spend()
+	l.queue.ChargeBudget()
 	l.core.userGet(keyState+group.JobID, func(r StoreReply) {
 		if err := l.onFinalStateRead(group, r); err != nil {
 			l.core.log(Error, "stored job state is malformed", "job", group.JobID, "error", err.Error())
@@ -178,7 +178,7 @@
 
 // onFinalStateRead handles the reply to a read of a job's final state.
 func (l *lookupController) onFinalStateRead(group lookup.Group, r StoreReply) error {
-	if r.Outcome != Applied {
+	if r.Outcome != OutcomeApplied {
 		group.ResolveUnavailable()
 		return nil
 	}
@@ -207,6 +207,6 @@
 		l.core.dependencies.cancelDependent(j, "") // none of its tasks ever started, so there is nothing to announce
 		return
 	}
-	l.core.announcements.note(Cancellation{Job: id, Revision: revision})
+	l.core.announcements.apply(Cancellation{Job: id, Revision: revision})
 	l.core.announcements.announce(id)
 }
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -10,18 +10,18 @@
 )
 
 // poll requests the states of jobs from a node at the same time and returns the answers by job ID.
-func (w *world) poll(node string, ids []string) map[string]Answer {
-	w.t.Helper()
+func (cluster *simCluster) poll(node string, ids []string) map[string]Answer {
+	cluster.t.Helper()
 	reqs := map[string]uint64{}
 	for _, id := range ids {
-		w.nextReq++
-		reqs[id] = w.nextReq
-		w.send(node, Status{Req: w.nextReq, ID: id})
+		cluster.nextReq++
+		reqs[id] = cluster.nextReq
+		cluster.send(node, Status{Req: cluster.nextReq, ID: id})
 	}
 	received := map[string]Answer{}
-	w.run(10*time.Second, func() bool {
+	cluster.run(10*time.Second, func() bool {
 		for id, req := range reqs {
-			if a, ok := w.answers[req]; ok {
+			if a, ok := cluster.answers[req]; ok {
 				received[id] = a
 			}
 		}
@@ -32,19 +32,19 @@
 
 // Guards against one store request for each poll, which would exhaust the store's request rate.
 func TestManyPollsShareFewStoreRequests(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	var ids []string
 	for i := range 100 {
 		id := fmt.Sprintf("req-red-%d", i) // most of them wait for the team's limit
-		accepted(t, w.submit("a", id, 1, ""))
+		requireAccepted(t, cluster.submit("a", id, 1, ""))
 		ids = append(ids, id)
 	}
-	before := w.requests
-	answers := w.poll("b", ids)
+	before := cluster.requests
+	answers := cluster.poll("b", ids)
 	for _, id := range ids {
-		stateOf(t, answers[id])
+		requireJobState(t, answers[id])
 	}
-	if n := w.requests - before; n > 40 {
+	if n := cluster.requests - before; n > 40 {
 		t.Errorf("%d polls: got %d store requests, want at most 40", len(ids), n)
 	}
 }
@@ -54,25 +54,25 @@
 // unknown nor as unfinished.
 func TestStatusIsNotStale(t *testing.T) {
 	for _, nameOneKey := range []bool{false, true} {
-		w := newWorld(t).ready()
-		w.nameOneFailedKey = nameOneKey
+		cluster := newSimCluster(t).ready()
+		cluster.nameOneFailedKey = nameOneKey
 		ids := []string{"req-blue-1", "req-blue-2", "req-blue-3", "req-free-1"}
 		for _, id := range ids[:3] {
-			accepted(t, w.submit("a", id, 1, ""))
+			requireAccepted(t, cluster.submit("a", id, 1, ""))
 		}
-		w.run(time.Second, nil)
-		w.seen["c"] = 1 << 40 // c receives no more changes
-		accepted(t, w.submit("a", ids[3], 400, ""))
-		if !w.run(2*time.Minute, w.finished(ids[:3]...)) {
+		cluster.run(time.Second, nil)
+		cluster.seen["c"] = 1 << 40 // c receives no more changes
+		requireAccepted(t, cluster.submit("a", ids[3], 400, ""))
+		if !cluster.run(2*time.Minute, cluster.allDone(ids[:3]...)) {
 			t.Fatal("the jobs did not end")
 		}
-		answers := w.poll("c", append(ids, "req-nobody"))
+		answers := cluster.poll("c", append(ids, "req-nobody"))
 		for _, id := range ids[:3] {
-			if s := stateOf(t, answers[id]); s.State != protocol.Done {
+			if s := requireJobState(t, answers[id]); s.State != protocol.Done {
 				t.Errorf("%s: got state %+v, want done", id, s)
 			}
 		}
-		if s := stateOf(t, answers[ids[3]]); s.State != protocol.Queued && s.State != protocol.Running {
+		if s := requireJobState(t, answers[ids[3]]); s.State != protocol.Queued && s.State != protocol.Running {
 			t.Errorf("%s: got state %+v, want queued or running", ids[3], s)
 		}
 		if a := answers["req-nobody"]; a.Status != http.StatusNotFound {
@@ -82,16 +82,16 @@
 }
 
 func TestPollsBeyondTheLookupRateAreRejected(t *testing.T) {
-	w := newWorld(t).ready()
-	c := w.cores["a"]
+	cluster := newSimCluster(t).ready()
+	c := cluster.cores["a"]
 	limit := int(c.lookups.limits().Rate) * c.limits.maxConditions()
-	w.answers = map[uint64]Answer{}
+	cluster.answers = map[uint64]Answer{}
 	for i := range 6 * limit {
-		w.send("a", Status{Req: 1<<32 + uint64(i), ID: fmt.Sprintf("req-nobody-%d", i)})
+		cluster.send("a", Status{Req: 1<<32 + uint64(i), ID: fmt.Sprintf("req-nobody-%d", i)})
 	}
-	w.step("a")
+	cluster.step("a")
 	rejected := 0
-	for _, a := range w.answers {
+	for _, a := range cluster.answers {
 		if a.Status == http.StatusServiceUnavailable && a.RetryAfter > 0 {
 			rejected++
 		}
@@ -99,7 +99,7 @@
 	if rejected < limit {
 		t.Errorf("got %d of %d polls rejected at once, want at least those beyond the limit", rejected, 6*limit)
 	}
-	w.run(10*time.Second, nil)
+	cluster.run(10*time.Second, nil)
 	if accepted, unknown := c.lookups.queue.Len(); accepted+unknown > 0 {
 		t.Errorf("got %d queued lookups, want none", accepted+unknown)
 	}
@@ -108,17 +108,17 @@
 // Guards against restoring a job that has ended: the message about its acceptance may be delayed
 // until after its end.
 func TestDelayedAcceptanceMessageDoesNotRestoreEndedJob(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 1, ""))
-	item := w.kv[jobKey("req-blue-1")]
-	if !w.run(time.Minute, w.finished("req-blue-1")) {
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
+	item := cluster.kv[jobKey("req-blue-1")]
+	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("the job did not end")
 	}
-	w.run(time.Second, nil)
+	cluster.run(time.Second, nil)
 	for _, n := range nodeNames {
-		w.send(n, PeerMessageReceived{Node: nodeNames[0], Message: PeerMessage{Accepted: &item}})
-		w.step(n)
-		if w.cores[n].jobs["req-blue-1"] != nil {
+		cluster.send(n, PeerMessageReceived{Node: nodeNames[0], Message: PeerMessage{Accepted: &item}})
+		cluster.step(n)
+		if cluster.cores[n].jobs["req-blue-1"] != nil {
 			t.Errorf("%s: the replica holds a job that has ended", n)
 		}
 	}
@@ -127,7 +127,7 @@
 // A report with hundreds of unknown tasks causes one lookup for each job, and no task is stopped
 // before the store has answered.
 func TestReportOfHundredsOfUnknownTasksIsBounded(t *testing.T) {
-	c := busyCore(10)
+	c := newBusyCore(10)
 	r := benchReport(0, "req-0/0")
 	r.Seq = 2
 	for n := range 300 {
--- a/internal/core/loweredlimits_test.go
+++ b/internal/core/loweredlimits_test.go
@@ -16,38 +16,38 @@
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprintf("written late %v", late), func(t *testing.T) {
 			t.Parallel()
-			w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
+			cluster := newSimClusterWithSettings(t, fiveNodes, func(s *settings.Settings) {
 				s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
 			})
-			w.notUpgraded["c"] = true
+			cluster.notUpgraded["c"] = true
 			for i := range 40 {
-				w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
+				cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
-			w.ready().run(10*time.Second, nil)
-			w.taskTime = 20 * time.Second
-			accepted(t, w.submit("a", "req-free-1", tasks, `,"vcpus":1.0`))
-			w.started("req-free-1", 100)
-			c := w.cores[w.leaderOf("free")]
+			cluster.ready().run(10*time.Second, nil)
+			cluster.taskTime = 20 * time.Second
+			requireAccepted(t, cluster.submit("a", "req-free-1", tasks, `,"vcpus":1.0`))
+			cluster.waitUntilStarted("req-free-1", 100)
+			c := cluster.cores[cluster.leaderOf("free")]
 			if c.jobs["req-free-1"].ChunkSize != c.limits.defaultChunkSize() {
 				t.Fatal("chunks were split before all controllers are upgraded")
 			}
-			w.lateWrite = func(_ string, e StoreTxn) time.Duration {
+			cluster.lateWrite = func(_ string, e StoreTxn) time.Duration {
 				if late && strings.HasPrefix(e.Txn.Then[0].Put, keyJob) {
 					return 3 * time.Second
 				}
 				return 0
 			}
-			clear(w.notUpgraded)
-			w.run(5*time.Second, nil)
-			w.lowLimits, w.lateWrite = true, nil
-			leader := w.leaderOf("free")
-			w.crash(leader)
-			w.expire(leader)
-			if !w.run(5*time.Minute, w.finished("req-free-1")) {
+			clear(cluster.notUpgraded)
+			cluster.run(5*time.Second, nil)
+			cluster.limitsLowered, cluster.lateWrite = true, nil
+			leader := cluster.leaderOf("free")
+			cluster.crash(leader)
+			cluster.expire(leader)
+			if !cluster.run(5*time.Minute, cluster.allDone("req-free-1")) {
 				t.Fatal("job did not end")
 			}
-			w.run(5*time.Second, nil)
-			for key := range w.kv {
+			cluster.run(5*time.Second, nil)
+			for key := range cluster.kv {
 				if strings.HasPrefix(key, jobKey("req-free-1")) {
 					t.Errorf("key %s is left after the end of the job", key)
 				}
--- a/internal/core/machinereturns_test.go
+++ b/internal/core/machinereturns_test.go
@@ -10,58 +10,58 @@
 // Each finds in the stored state that a job was cancelled long ago but not that its tasks have
 // ended, and returns machines only once worker reports had time to arrive.
 func TestRestartedControllersWaitForReportsBeforeReturningMachines(t *testing.T) {
-	w := idleWorld(t, 20)
-	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	accepted(t, w.submit("a", cancelledJob, 40, ""))
-	w.started(cancelledJob, 40)
-	w.send("a", Cancel{Req: 1 << 20, ID: cancelledJob})
-	if !w.run(time.Second, func() bool { return w.kv[cancelKey(cancelledJob)].Version > 0 }) {
+	cluster := newIdleSimCluster(t, 20)
+	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
+	requireAccepted(t, cluster.submit("a", cancelledJobID, 40, ""))
+	cluster.waitUntilStarted(cancelledJobID, 40)
+	cluster.send("a", Cancel{Req: 1 << 20, ID: cancelledJobID})
+	if !cluster.run(time.Second, func() bool { return cluster.kv[cancelKey(cancelledJobID)].Version > 0 }) {
 		t.Fatal("the cancellation was not stored")
 	}
-	w.outage = true // the ends of the tasks are not stored
-	w.run(w.cancelDeadline()*45/100, nil)
-	for _, n := range w.names {
-		w.crash(n)
-		w.expire(n)
+	cluster.outage = true // the ends of the tasks are not stored
+	cluster.run(cluster.cancelDeadline()*45/100, nil)
+	for _, n := range cluster.names {
+		cluster.crash(n)
+		cluster.expire(n)
 	}
-	w.run(time.Second, nil)
+	cluster.run(time.Second, nil)
 	returned := 0
-	w.onEffect = func(node string, e Effect) {
+	cluster.onEffect = func(node string, e Effect) {
 		if l, is := e.(Log); is && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) {
 			returned++
 		}
 	}
-	w.outage = false
-	for _, n := range w.names {
-		w.boot(n)
+	cluster.outage = false
+	for _, n := range cluster.names {
+		cluster.boot(n)
 	}
-	w.run(w.cancelDeadline(), nil)
-	if returned > 0 || w.onMachines(cancelledJob) > 0 {
-		t.Errorf("got %d machine returns and %d running tasks, want none", returned, w.onMachines(cancelledJob))
+	cluster.run(cluster.cancelDeadline(), nil)
+	if returned > 0 || cluster.onMachines(cancelledJobID) > 0 {
+		t.Errorf("got %d machine returns and %d running tasks, want none", returned, cluster.onMachines(cancelledJobID))
 	}
 }
 
 // Guards against a leader that reconnects after a partition, learns of a job that was cancelled
 // long ago and returns machines because of outdated information about where the job's tasks are.
 func TestReconnectedLeaderReturnsNoMachines(t *testing.T) {
-	w := idleWorld(t, 20)
-	w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-	accepted(t, w.submit("b", cancelledJob, 30, ""))
-	w.started(cancelledJob, 30)
-	oldLeader := w.cores["b"].teamBy["free"].leader
-	w.isolate(oldLeader)
-	w.run(reportIntervals(2), nil)
-	w.confirmCancellation()
-	w.run(w.cancelDeadline(), nil)
+	cluster := newIdleSimCluster(t, 20)
+	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
+	requireAccepted(t, cluster.submit("b", cancelledJobID, 30, ""))
+	cluster.waitUntilStarted(cancelledJobID, 30)
+	oldLeader := cluster.cores["b"].teamsByName["free"].leader
+	cluster.isolate(oldLeader)
+	cluster.run(reportIntervals(2), nil)
+	cluster.confirmCancellation()
+	cluster.run(cluster.cancelDeadline(), nil)
 	returned := 0
-	w.onEffect = func(_ string, e Effect) {
+	cluster.onEffect = func(_ string, e Effect) {
 		if l, is := e.(Log); is && l.Level == Info && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && l.Text != "machine returned" {
 			returned++
 		}
 	}
-	accepted(t, w.submit(w.nodeWithStore(), "req-free-2", 30, ""))
-	w.heal()
-	w.run(w.cancelDeadline(), nil)
+	requireAccepted(t, cluster.submit(cluster.nodeWithStore(), "req-free-2", 30, ""))
+	cluster.heal()
+	cluster.run(cluster.cancelDeadline(), nil)
 	if returned > 0 {
 		t.Errorf("got %d machine returns, want none", returned)
 	}
--- a/internal/core/silence.go
+++ b/internal/core/machinetimeouts.go
@@ -7,12 +7,12 @@
 	"pepperlever/internal/protocol"
 )
 
-// silenceLimit returns how long a machine may stay silent before it is given up. A report may
+// silenceTimeout returns how long a machine may stay silent before it is given up. A report may
 // be late or lost, and a worker spends a timeout and a pause on each unavailable controller
 // that it tries.
-func (c *Core) silenceLimit() time.Duration {
+func (c *Core) silenceTimeout() time.Duration {
 	attempts := 1 + c.members.missing()
-	return 2*c.reportInterval() + time.Duration(attempts)*(protocol.ReportTimeout+protocol.ReportPause)
+	return 2*c.reportInterval() + time.Duration(attempts)*(protocol.ReportTimeout+protocol.ReportRetryDelay)
 }
 
 // reportOverdue reports whether a machine's own reports have stopped arriving, even though it
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -17,8 +17,8 @@
 	self string
 	// incarnation identifies this run of the process.
 	incarnation string
-	// roster lists all configured controllers, in the same order on every node.
-	roster []string
+	// controllers lists all configured controllers, in the same order on every node.
+	controllers []string
 	// live holds the registered controllers by name.
 	live map[string]nodeRecord
 	// lease is this node's lease in the store, or 0 if it has none.
@@ -35,27 +35,27 @@
 }
 
 func newMembership(self, incarnation string, peers []settings.Peer) membership {
-	roster := []string{self}
+	controllers := []string{self}
 	for _, peer := range peers {
-		roster = append(roster, peer.Node)
+		controllers = append(controllers, peer.Node)
 	}
-	slices.Sort(roster)
+	slices.Sort(controllers)
 	return membership{
 		self:        self,
 		incarnation: incarnation,
-		roster:      slices.Compact(roster),
+		controllers: slices.Compact(controllers),
 		live:        map[string]nodeRecord{},
 	}
 }
 
 // size returns the number of configured controllers.
-func (m *membership) size() int { return len(m.roster) }
+func (m *membership) size() int { return len(m.controllers) }
 
 // position returns this node's index among the configured controllers.
-func (m *membership) position() int { return slices.Index(m.roster, m.self) }
+func (m *membership) position() int { return slices.Index(m.controllers, m.self) }
 
 // missing returns how many configured controllers are not registered.
-func (m *membership) missing() int { return max(0, len(m.roster)-len(m.live)) }
+func (m *membership) missing() int { return max(0, len(m.controllers)-len(m.live)) }
 
 // isLive reports whether a controller is registered.
 func (m *membership) isLive(node string) bool {
@@ -81,10 +81,10 @@
 	return live && own.Incarnation == m.incarnation && own.Lease == m.lease
 }
 
-// allKnowFederation reports whether all live controllers leave jobs alone that were handed off.
-func (m *membership) allKnowFederation() bool {
+// allSupportFederation reports whether all live controllers leave jobs alone that were handed off.
+func (m *membership) allSupportFederation() bool {
 	for _, node := range m.live {
-		if !node.Federation {
+		if !node.SupportsFederation {
 			return false
 		}
 	}
@@ -96,9 +96,9 @@
 // own shards. If federation support is required, controllers that do not leave handed-off jobs
 // alone are skipped.
 func (m *membership) preferredLeader(index int, requiresFederation bool) string {
-	for offset := range m.roster {
-		name := m.roster[(index+offset)%len(m.roster)]
-		if node, live := m.live[name]; live && (node.Federation || !requiresFederation) {
+	for offset := range m.controllers {
+		name := m.controllers[(index+offset)%len(m.controllers)]
+		if node, live := m.live[name]; live && (node.SupportsFederation || !requiresFederation) {
 			return name
 		}
 	}
@@ -110,7 +110,7 @@
 // lease may still be live, must not replace a newer key.
 func (m *membership) registration(federation bool) protocol.Txn {
 	key := keyNode + m.self
-	own := nodeRecord{Incarnation: m.incarnation, Lease: m.lease, Federation: federation}
+	own := nodeRecord{Incarnation: m.incarnation, Lease: m.lease, SupportsFederation: federation}
 	return protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: m.live[m.self].version}},
 		Then: []protocol.Change{{Put: key, Value: mustjson.Marshal(own), Lease: m.lease}},
@@ -127,7 +127,7 @@
 	m.registering = true
 	c.compareAndSwap(m.registration(c.federation != nil), true, func(r StoreReply) {
 		m.registering = false // electLeaders retries unless the watch shows the key
-		if r.Outcome == Applied {
+		if r.Outcome == OutcomeApplied {
 			m.registeredAt = r.Revision
 		}
 	})
--- a/internal/core/messenger_test.go
+++ b/internal/core/messenger_test.go
@@ -52,7 +52,7 @@
 		"already forwarded":                     {connected: []string{"c"}, message: PeerMessage{To: receiver, From: "d"}},
 		"already forwarded, receiver connected": {connected: []string{"b"}, message: PeerMessage{To: receiver, From: "d"}, via: "b"},
 	} {
-		c := newWorldOf(t, fiveNodes).cores["a"]
+		c := newSimClusterOf(t, fiveNodes).cores["a"]
 		for _, node := range c.peers.names {
 			c.peers.setConnected(node, slices.Contains(test.connected, node))
 		}
@@ -69,7 +69,7 @@
 			t.Errorf("%s: sent to %v, want %q", name, sent, test.via)
 		}
 	}
-	c := newWorldOf(t, fiveNodes).cores["a"]
+	c := newSimClusterOf(t, fiveNodes).cores["a"]
 	c.effects = nil
 	if c.route("stranger", PeerMessage{}); len(c.effects) > 0 {
 		t.Errorf("message to an unknown node was sent: %+v", c.effects)
--- a/internal/core/nodeheartbeat.go
+++ b/internal/core/nodeheartbeat.go
@@ -6,7 +6,7 @@
 // the usage records of the teams that this node leads.
 func (c *Core) sendHeartbeat() {
 	heartbeat := c.newHeartbeat()
-	if c.every(&c.timers.share, usageRecordInterval) {
+	if c.every(&c.timers.shareUsage, usageRecordInterval) {
 		heartbeat.Records = c.ownUsageRecords()
 	}
 	heartbeat.ReportingMachines, heartbeat.ReportSeqs = c.agents.takeReported()
@@ -22,9 +22,9 @@
 		StoreOK:          c.storeOK,
 		PendingWrites:    c.writer.budget.due,
 		ID:               c.freshness.nextHeartbeatID(c.members.incarnation),
-		Acknowledgements: c.peers.acknowledgements(c.members.roster),
-		Unacknowledged:   c.announcements.unacknowledgedBy(c.members.roster, c.peers),
-		Unreachable:      c.reach.unreachable(),
+		Acknowledgements: c.peers.acknowledgements(c.members.controllers),
+		Unacknowledged:   c.announcements.unacknowledgedBy(c.members.controllers, c.peers),
+		Unreachable:      c.peerReachability.unreachable(),
 		Disconnected:     disconnected,
 	}
 }
@@ -35,7 +35,7 @@
 	records := map[string]fairness.Record{}
 	for _, t := range c.teams {
 		if t.leading {
-			t.ranked = t.record
+			t.exchangedRecord = t.record
 			records[t.Name] = t.record
 		}
 	}
@@ -51,8 +51,8 @@
 	peer.applyHeartbeat(&heartbeat)
 	c.freshness.recordAcknowledgements(peer, &heartbeat)
 	for name, usage := range heartbeat.Records {
-		if t := c.teamBy[name]; t != nil && !t.leading {
-			t.record, t.ranked = usage, usage
+		if t := c.teamsByName[name]; t != nil && !t.leading {
+			t.record, t.exchangedRecord = usage, usage
 		}
 	}
 	for i, id := range heartbeat.ReportingMachines {
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -18,7 +18,7 @@
 	}
 	m := c.machines.Get(report.Machine)
 	if m == nil {
-		c.noteProvisioned(report)
+		c.recordProvisioned(report)
 		m = c.addMachine(report.Machine)
 	} else if !m.IsNewer(report) {
 		c.applyNewerToken(m, &o)
@@ -40,7 +40,7 @@
 // applyNewerToken updates a machine whose report is already known but was answered under a
 // newer token.
 func (c *Core) applyNewerToken(m *worker.Machine, o *Observation) {
-	if m.Session == o.Report.Session && o.Token > m.GrantedToken {
+	if m.WorkerEpoch == o.Report.WorkerEpoch && o.Token > m.GrantedToken {
 		m.Node, m.GrantedToken = o.Node, o.Token
 		c.requestRound()
 	}
--- a/internal/core/outgoinghandoffs_test.go
+++ b/internal/core/outgoinghandoffs_test.go
@@ -15,39 +15,39 @@
 // An outgoing job is never bound at this site, every controller shows its progress, and it ends once,
 // as the other site reports, even if every controller of this site restarts meanwhile.
 func TestOutgoingJobEndsAsRemoteSiteReports(t *testing.T) {
-	w, f := newFederatedWorld(t)
+	cluster, f := newFederatedSimCluster(t)
 	f.submitRemote("req-red-1")
 	if !f.serveUntil(time.Minute, func() bool {
-		return cmp.Equal(w.status("b", "req-red-1").Body, protocol.JobState{ID: "req-red-1", State: protocol.Running, Done: 1, Running: 2})
+		return cmp.Equal(cluster.status("b", "req-red-1").Body, protocol.JobState{ID: "req-red-1", State: protocol.Running, Done: 1, Running: 2})
 	}) {
 		t.Fatal("progress of the outgoing job is not shown")
 	}
 	for _, n := range nodeNames {
-		w.crash(n)
-		w.expire(n)
-		w.boot(n)
+		cluster.crash(n)
+		cluster.expire(n)
+		cluster.boot(n)
 		f.serveUntil(10*time.Second, func() bool {
 			for _, n := range nodeNames {
-				if s, ok := w.status(n, "req-red-1").Body.(protocol.JobState); ok && (s.Done != 1 || s.State != protocol.Running) {
+				if s, ok := cluster.status(n, "req-red-1").Body.(protocol.JobState); ok && (s.Done != 1 || s.State != protocol.Running) {
 					t.Fatalf("%s: job state is %+v, which is older than the reported progress", n, s)
 				}
 			}
 			return false
 		})
 	}
-	w.ready()
+	cluster.ready()
 	f.finalState = func() string { return protocol.Done }
-	if !f.serveUntil(time.Minute, w.finished("req-red-1")) {
+	if !f.serveUntil(time.Minute, cluster.allDone("req-red-1")) {
 		t.Fatal("the end of the job is not stored")
 	}
 	f.serveUntil(5*time.Second, func() bool { return false })
 	for _, n := range nodeNames {
-		if s := w.status(n, "req-red-1").Body.(protocol.JobState); s.State != protocol.Done || s.Done != 3 {
+		if s := cluster.status(n, "req-red-1").Body.(protocol.JobState); s.State != protocol.Done || s.Done != 3 {
 			t.Errorf("%s: got job state %+v, want done with 3 tasks", n, s)
 		}
 	}
-	if len(w.starts) > 0 || w.kv[jobKey("req-red-1")].Version > 0 || w.kv[outgoingKey("req-red-1")].Version > 0 {
-		t.Errorf("tasks were started at this site (%v) or records of the job are left", w.starts)
+	if len(cluster.starts) > 0 || cluster.kv[jobKey("req-red-1")].Version > 0 || cluster.kv[outgoingKey("req-red-1")].Version > 0 {
+		t.Errorf("tasks were started at this site (%v) or records of the job are left", cluster.starts)
 	}
 }
 
@@ -55,27 +55,27 @@
 // has refused the job.
 func TestOutgoingJobCancellationIsConfirmedByRemoteSite(t *testing.T) {
 	for _, accepted := range []bool{true, false} {
-		w, f := newFederatedWorld(t)
+		cluster, f := newFederatedSimCluster(t)
 		if !accepted {
 			f.decide = func(federation.Message) federation.Message { return federation.Message{} } // not a valid answer
 		}
 		f.submitRemote("req-red-1")
-		if !f.serveUntil(time.Minute, func() bool { return len(f.answers) > 0 && w.cores["a"].isOutgoing("req-red-1") }) {
+		if !f.serveUntil(time.Minute, func() bool { return len(f.answers) > 0 && cluster.cores["a"].isOutgoing("req-red-1") }) {
 			t.Fatal("job is not handed off")
 		}
 		delete(f.answers, 0)
 		if !accepted {
 			clear(f.answers)
 		}
-		if a := w.cancelJob("c", "req-red-1"); a.Status != http.StatusServiceUnavailable || a.RetryAfter < 1 {
+		if a := cluster.cancelJob("c", "req-red-1"); a.Status != http.StatusServiceUnavailable || a.RetryAfter < 1 {
 			t.Errorf("accepted %v: status of the cancellation: got %d, want 503 with Retry-After", accepted, a.Status)
 		}
 		f.finalState = func() string { return protocol.Cancelled }
-		if !f.serveUntil(time.Minute, func() bool { return w.cancelJob("b", "req-red-1").Status == http.StatusOK }) {
+		if !f.serveUntil(time.Minute, func() bool { return cluster.cancelJob("b", "req-red-1").Status == http.StatusOK }) {
 			t.Fatalf("accepted %v: cancellation is never confirmed", accepted)
 		}
 		f.serveUntil(5*time.Second, func() bool { return false })
-		if s := w.status("a", "req-red-1").Body.(protocol.JobState); s.State != protocol.Cancelled || w.kv[jobKey("req-red-1")].Version > 0 {
+		if s := cluster.status("a", "req-red-1").Body.(protocol.JobState); s.State != protocol.Cancelled || cluster.kv[jobKey("req-red-1")].Version > 0 {
 			t.Errorf("accepted %v: got job state %+v, want cancelled and no head", accepted, s)
 		}
 	}
@@ -83,32 +83,32 @@
 
 // A job that the other site refuses runs at this site.
 func TestRefusedJobRunsLocally(t *testing.T) {
-	w, f := newFederatedWorld(t)
+	cluster, f := newFederatedSimCluster(t)
 	for _, n := range nodeNames {
-		w.gateways[n].Classes[0].OfferAfterS = 0
+		cluster.federationConfigs[n].Classes[0].OfferAfterS = 0
 	}
 	f.decide = func(federation.Message) federation.Message {
 		return federation.Message{Kind: federation.KindDecision, Reason: "not today"}
 	}
-	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
+	if a := cluster.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
-	if !f.serveUntil(2*time.Minute, w.finished("req-red-1")) {
+	if !f.serveUntil(2*time.Minute, cluster.allDone("req-red-1")) {
 		t.Fatal("refused job does not finish at this site")
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // The scheduler does not place the tasks of an outgoing job.
 func TestOutgoingJobIsNotPlaced(t *testing.T) {
-	w, f := newFederatedWorld(t)
-	w.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustjson.Marshal(federation.Outgoing{Epoch: 1, To: "far"})})
+	cluster, f := newFederatedSimCluster(t)
+	cluster.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustjson.Marshal(federation.Outgoing{Epoch: 1, To: "far"})})
 	f.serveUntil(time.Second, func() bool { return false })
-	if a := w.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
+	if a := cluster.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
 	f.serveUntil(15*time.Second, func() bool { return false })
-	for n, c := range w.cores {
+	for n, c := range cluster.cores {
 		if j := c.jobs["req-red-1"]; j.Attempt > 0 || c.startAllowance(j) > 0 {
 			t.Errorf("%s tried to bind the outgoing job", n)
 		}
@@ -121,34 +121,34 @@
 	outgoing := federation.Outgoing{Epoch: 1, To: "far", Accepted: true}
 	for name, c := range map[string]struct {
 		extraFields string
-		before      func(w *world)
-		holds       func(w *world) bool
+		before      func(cluster *simCluster)
+		holds       func(cluster *simCluster) bool
 	}{
-		"a binding after a hand-off": {before: func(w *world) { w.putWithoutEvent(outgoingKey("req-red-1"), outgoing) },
-			holds: func(w *world) bool { return len(w.starts) == 0 }},
-		"a cancellation after a hand-off": {before: func(w *world) { w.putWithoutEvent(outgoingKey("req-red-1"), outgoing) },
-			holds: func(w *world) bool {
-				return w.cancelJob("b", "req-red-1").Status == http.StatusServiceUnavailable && w.kv[keyState+"req-red-1"].Version == 0
+		"a binding after a hand-off": {before: func(cluster *simCluster) { cluster.putWithoutEvent(outgoingKey("req-red-1"), outgoing) },
+			holds: func(cluster *simCluster) bool { return len(cluster.starts) == 0 }},
+		"a cancellation after a hand-off": {before: func(cluster *simCluster) { cluster.putWithoutEvent(outgoingKey("req-red-1"), outgoing) },
+			holds: func(cluster *simCluster) bool {
+				return cluster.cancelJob("b", "req-red-1").Status == http.StatusServiceUnavailable && cluster.kv[keyState+"req-red-1"].Version == 0
 			}},
-		"a hand-off after a binding": {extraFields: remoteZoneOnly, before: func(w *world) { w.putWithoutEvent(jobKey("req-red-1"), "bound meanwhile") },
-			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
-		"a hand-off after a cancellation": {extraFields: remoteZoneOnly, before: func(w *world) { w.putWithoutEvent(cancelKey("req-red-1"), struct{}{}) },
-			holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
-		"a hand-off after a drain by another": {extraFields: remoteZoneOnly, before: func(w *world) {
-			w.change(protocol.Change{Put: drainedKey("far"), Value: mustjson.Marshal(struct{}{})})
-		}, holds: func(w *world) bool { return w.kv[outgoingKey("req-red-1")].Version == 0 }},
+		"a hand-off after a binding": {extraFields: remoteZoneOnly, before: func(cluster *simCluster) { cluster.putWithoutEvent(jobKey("req-red-1"), "bound meanwhile") },
+			holds: func(cluster *simCluster) bool { return cluster.kv[outgoingKey("req-red-1")].Version == 0 }},
+		"a hand-off after a cancellation": {extraFields: remoteZoneOnly, before: func(cluster *simCluster) { cluster.putWithoutEvent(cancelKey("req-red-1"), struct{}{}) },
+			holds: func(cluster *simCluster) bool { return cluster.kv[outgoingKey("req-red-1")].Version == 0 }},
+		"a hand-off after a drain by another": {extraFields: remoteZoneOnly, before: func(cluster *simCluster) {
+			cluster.change(protocol.Change{Put: drainedKey("far"), Value: mustjson.Marshal(struct{}{})})
+		}, holds: func(cluster *simCluster) bool { return cluster.kv[outgoingKey("req-red-1")].Version == 0 }},
 	} {
-		w, f := newFederatedWorld(t)
+		cluster, f := newFederatedSimCluster(t)
 		f.serveUntil(10*time.Second, func() bool { return false }) // the sites compare their records first
-		w.nextReq++
-		w.send("a", Submit{Req: w.nextReq, Body: []byte(submission("req-red-1", "red", 3, c.extraFields))})
-		if !w.run(time.Second, func() bool { _, stored := w.kv[jobKey("req-red-1")]; return stored }) {
+		cluster.nextReq++
+		cluster.send("a", Submit{Req: cluster.nextReq, Body: []byte(submission("req-red-1", "red", 3, c.extraFields))})
+		if !cluster.run(time.Second, func() bool { _, stored := cluster.kv[jobKey("req-red-1")]; return stored }) {
 			t.Fatalf("%s: job is not accepted", name)
 		}
-		c.before(w)
+		c.before(cluster)
 		f.serveUntil(15*time.Second, func() bool { return false })
-		if !c.holds(w) {
-			t.Errorf("%s: starts %v, versions of the hand-off record %d and of the final state %d", name, w.starts, w.kv[outgoingKey("req-red-1")].Version, w.kv[keyState+"req-red-1"].Version)
+		if !c.holds(cluster) {
+			t.Errorf("%s: starts %v, versions of the hand-off record %d and of the final state %d", name, cluster.starts, cluster.kv[outgoingKey("req-red-1")].Version, cluster.kv[keyState+"req-red-1"].Version)
 		}
 	}
 }
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -21,7 +21,7 @@
 	Fence         *Fence             `json:"f,omitempty"`
 	ReturnRequest *ReturnRequest     `json:"x,omitempty"`
 	Heartbeat     *NodeHeartbeat     `json:"b,omitempty"`
-	Federation    *FederationNote    `json:"g,omitempty"`
+	Federation    *FederationMessage `json:"g,omitempty"`
 	Cancellations []Cancellation     `json:"w,omitempty"`
 	// Acknowledged lists the jobs whose cancellation the sender knows of.
 	Acknowledged []string `json:"a,omitempty"`
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -19,8 +19,8 @@
 	for batch := range batchObservations(observations) {
 		c.route(node, PeerMessage{Observations: batch})
 	}
-	if progress := c.handoffs.progressCopy(); len(progress) > 0 {
-		c.route(node, PeerMessage{Federation: &FederationNote{Progress: progress}})
+	if progress := c.handoffs.cloneProgress(); len(progress) > 0 {
+		c.route(node, PeerMessage{Federation: &FederationMessage{Progress: progress}})
 	}
 }
 
@@ -59,7 +59,7 @@
 	case m.Heartbeat != nil:
 		c.handleNodeHeartbeat(from, *m.Heartbeat)
 	case m.Federation != nil:
-		c.federation.handleNote(from, *m.Federation)
+		c.federation.handleFederationMessage(from, *m.Federation)
 	case m.Cancellations != nil:
 		c.announcements.receive(from, m.Cancellations)
 	case m.Acknowledged != nil:
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -34,7 +34,7 @@
 			release(s, chosen)
 			return nil
 		}
-		host.Take(s)
+		host.Allocate(s)
 		zones[host.Zone]++
 		chosen = append(chosen, host)
 	}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -77,11 +77,11 @@
 	ReservedForGang string
 }
 
-// Take allocates resources on the host for one task of a job.
-func (h *Host) Take(s *job.Spec) {
+// Allocate allocates resources on the host for one task of a job.
+func (h *Host) Allocate(s *job.Spec) {
 	h.Free = h.Free.Plus(s.Need, -1)
 	h.Empty = false
-	h.ReportBytes += protocol.TaskBytes(s.ID) + taskOverheadBytes
+	h.ReportBytes += protocol.MaxTaskReportBytes(s.ID) + taskOverheadBytes
 }
 
 // reservedForLarger reports whether the host was reserved in the previous round for a task that
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -111,7 +111,7 @@
 	h := &Host{Capacity: job.Resources{CPUs: 64}, Free: job.Resources{CPUs: 64}, RemainingS: -1}
 	n := 0
 	for p := NewPicker(s, []*Host{h}); p.Next(1, Zones{}) != nil; n++ {
-		h.Take(s)
+		h.Allocate(s)
 	}
 	if n < 300 || n*len(`{"piece":"req-000001/99999","try":99999,"stance":"exited","cause":"done"}`) > protocol.MaxBody {
 		t.Errorf("host takes %d tasks", n)
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -118,7 +118,7 @@
 	if host == nil {
 		return nil
 	}
-	host.Take(&j.Spec)
+	host.Allocate(&j.Spec)
 	p.zones[host.Zone]++
 	return []*placement.Host{host}
 }
@@ -140,7 +140,7 @@
 			Machine: host.ID,
 			Attempt: j.Attempt,
 			Token:   m.GrantedToken,
-			Epoch:   m.Session,
+			Epoch:   m.WorkerEpoch,
 			Since:   c.now.Steady,
 		}
 		j.Bind(index, binding)
@@ -173,7 +173,7 @@
 		return // reserveForGangs handles gangs
 	}
 	c := r.core
-	age := time.Duration(c.now.Wall-j.EligibleSince()) * time.Millisecond
+	age := time.Duration(c.now.Wall-j.EligibleSinceMS()) * time.Millisecond
 	if !isBestEffort(j) && age >= seconds(c.policy.TimeoutS) {
 		overdue := scaling.Demand{Spec: &j.Spec, Tasks: tasks, Zones: r.constrainedZones(j)}
 		r.overdueDemand = append(r.overdueDemand, overdue)
