--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -111,7 +111,7 @@
 // preemptibleHosts lists the hosts that are not about to be reclaimed and run a preemptible task.
 func (r *round) preemptibleHosts(hosts []*placement.Host, isVictim func(*job.Job) bool) []*placement.Host {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h *placement.Host) bool {
-		return h.RemainingS >= 0 || !r.core.machines.HasBindingsOf(h.ID, isVictim)
+		return h.RemainingS >= 0 || !r.core.machines.HasBindingOfJob(h.ID, isVictim)
 	})
 }
 
@@ -218,7 +218,7 @@
 	if !c.policy.Preemption {
 		return false
 	}
-	preemptor, preempted := c.teamBy[j.Team], c.teamBy[victim.Team]
+	preemptor, preempted := c.teamsByName[j.Team], c.teamsByName[victim.Team]
 	return preemptor != preempted &&
 		preemptor.usage().CPUs+j.Need.CPUs <= preemptor.CPUs &&
 		preempted.usage().CPUs > preempted.CPUs
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -33,7 +33,7 @@
 		"best-effort for best-effort": {3, 3, 0},
 		"normal for urgent":           {2, 1, 0},
 	} {
-		c := busyCore(10)
+		c := newBusyCore(10)
 		for _, j := range c.jobs {
 			j.Priority = tc.victims
 		}
@@ -63,16 +63,16 @@
 // TestArraysArePreemptedForUnplacedReplicas checks that arrays are preempted where no capacity
 // could be reserved for replicas, and no more of them than necessary.
 func TestArraysArePreemptedForUnplacedReplicas(t *testing.T) {
-	w := gpuWorld(t, 8, 0)
-	w.taskTime = time.Hour
-	accepted(t, w.submit("b", "req-free-batch", 60, `,"vcpus":1.0`))
-	w.started("req-free-batch", 32)
-	accepted(t, w.submit("c", "req-free-watch", 6, serviceFields))
-	w.run(4*time.Second, nil)
-	if got := w.onMachines("req-free-watch"); got != 6 {
+	cluster := newGPUSimCluster(t, 8, 0)
+	cluster.taskTime = time.Hour
+	requireAccepted(t, cluster.submit("b", "req-free-batch", 60, `,"vcpus":1.0`))
+	cluster.waitUntilStarted("req-free-batch", 32)
+	requireAccepted(t, cluster.submit("c", "req-free-watch", 6, serviceFields))
+	cluster.run(4*time.Second, nil)
+	if got := cluster.onMachines("req-free-watch"); got != 6 {
 		t.Errorf("%d of 6 replicas are running after 4 s", got)
 	}
-	if got := w.onMachines("req-free-batch"); got < 16 {
+	if got := cluster.onMachines("req-free-batch"); got < 16 {
 		t.Errorf("got %d running tasks of the array, want at least 16", got)
 	}
 }
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -177,13 +177,13 @@
 	for key, raw := range productionSamples(t).Stored {
 		addFieldPaths(known, keyKind(key), decodeJSON(t, raw))
 	}
-	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
+	cluster := newSimClusterWithSettings(t, fiveNodes, func(s *settings.Settings) {
 		s.Params.State.ValueKB = 1
 		s.Params.State.Next = settings.StateLimits{ValueKB: 0.5, TxnOps: 5}
 	})
-	w.notUpgraded["c"], w.allowRacingStarts = true, true
+	cluster.notUpgraded["c"], cluster.allowRacingStarts = true, true
 	versionRecords, chunks := 0, 0
-	w.onEffect = func(node string, e Effect) {
+	cluster.onEffect = func(node string, e Effect) {
 		x, ok := e.(StoreTxn)
 		if !ok {
 			return
@@ -209,16 +209,16 @@
 		}
 	}
 	for i := range 40 {
-		w.addWorker(fmt.Sprintf("z%d", 1+i%2), i%3 == 0)
+		cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), i%3 == 0)
 	}
-	w.ready().run(10*time.Second, nil)
-	accepted(t, w.submit("a", "req-free-1", 40, `,"vcpus":0.5`))
-	accepted(t, w.submit("b", "req-red-1", 4, `,"shape":"group","samePlace":true`))
-	w.run(5*time.Second, nil)
-	leader := w.leaderOf("free")
-	w.crash(leader)
-	w.expire(leader)
-	if !w.run(3*time.Minute, w.finished("req-free-1", "req-red-1")) {
+	cluster.ready().run(10*time.Second, nil)
+	requireAccepted(t, cluster.submit("a", "req-free-1", 40, `,"vcpus":0.5`))
+	requireAccepted(t, cluster.submit("b", "req-red-1", 4, `,"shape":"group","samePlace":true`))
+	cluster.run(5*time.Second, nil)
+	leader := cluster.leaderOf("free")
+	cluster.crash(leader)
+	cluster.expire(leader)
+	if !cluster.run(3*time.Minute, cluster.allDone("req-free-1", "req-red-1")) {
 		t.Error("jobs did not end")
 	}
 	if versionRecords < len(fiveNodes)-1 || chunks == 0 {
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -60,8 +60,8 @@
 // taken so far.
 type provisioningSample struct{ rentedAt, elapsed time.Duration }
 
-// noteProvisioned records the time from a machine's rental to its first report.
-func (c *Core) noteProvisioned(r *protocol.Report) {
+// recordProvisioned records the time from a machine's rental to its first report.
+func (c *Core) recordProvisioned(r *protocol.Report) {
 	a := &c.autoscaler
 	rentedAt, rented := a.firstSeen[r.Machine]
 	if !c.fleet.leading || !rented || rentedAt < a.leaderSince {
@@ -127,7 +127,7 @@
 // provisioningTimeout is the age at which a machine that has not booted is returned.
 func (c *Core) provisioningTimeout(typ string) time.Duration {
 	pendingTimeout := c.autoscaler.provisioning.pendingTimeout(typ, c.catalog)
-	return pendingTimeout + pendingTimeout/2 + c.silenceLimit()
+	return pendingTimeout + pendingTimeout/2 + c.silenceTimeout()
 }
 
 // recordProvisioningFailure records that a machine failed to boot. After several failures in a
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -12,7 +12,7 @@
 // and are still booting.
 func newFleetLeader(t *testing.T, n int, age time.Duration) *Core {
 	t.Helper()
-	c := newWorld(t).ready().cores[nodeNames[0]]
+	c := newSimCluster(t).ready().cores[nodeNames[0]]
 	c.fleet.leading = true
 	c.autoscaler.reset(c.now.Steady)
 	c.now.Steady += time.Hour
@@ -28,7 +28,7 @@
 
 // sendFirstReport delivers a machine's first report.
 func sendFirstReport(c *Core, id string) {
-	c.handle(Heartbeat{Req: 1, Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: "z1", Spot: true, Session: 1, Seq: 1}})
+	c.handle(Heartbeat{Req: 1, Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: "z1", Spot: true, WorkerEpoch: 1, Seq: 1}})
 }
 
 // TestLateMachinesStillCountAsPending checks that when all machines boot late, they still count
@@ -53,7 +53,7 @@
 	for i := range 9 {
 		sendFirstReport(c, fmt.Sprintf("vm-9%03d", i))
 	}
-	c.now.Steady += 2*boot + c.silenceLimit() + boot
+	c.now.Steady += 2*boot + c.silenceTimeout() + boot
 	c.autoscaler.updateProvisioningTimes(c.now.Steady, c.machines, c.catalog)
 	if n := len(c.pendingCapacity()); n > 0 {
 		t.Errorf("got %d pending machines, want 0", n)
@@ -68,7 +68,7 @@
 // if there are more of them than provisioning samples are evaluated.
 func TestAllMachinesThatFailToBootAreReturned(t *testing.T) {
 	c := newFleetLeader(t, 40, 2*(maxProvisioningFactor+1)*2*5*time.Second)
-	c.now.Steady += c.silenceLimit() + time.Second
+	c.now.Steady += c.silenceTimeout() + time.Second
 	c.reconcileInventory()
 	if n := len(c.autoscaler.returnReasons); n != 40 {
 		t.Errorf("returning %d of 40 machines that never boot", n)
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -14,12 +14,12 @@
 // TestTeamLimitCountsUnresolvedBindings checks that every binding counts towards the team's limit
 // until its task is known to be gone.
 func TestTeamLimitCountsUnresolvedBindings(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-red-1", 30, ""))
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-red-1", 30, ""))
 	peak := 0.0
 	for range 40 {
-		w.run(time.Second, nil)
-		peak = max(peak, w.inUse("red"))
+		cluster.run(time.Second, nil)
+		peak = max(peak, cluster.cpusInUse("red"))
 	}
 	if peak != 16 {
 		t.Errorf("got a peak of %v CPUs in use, want the limit of 16", peak)
@@ -27,9 +27,9 @@
 }
 
 func TestZeroTeamLimitMeansUnlimited(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-free-1", 30, ""))
-	if !w.run(3*time.Minute, w.finished("req-free-1")) {
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-free-1", 30, ""))
+	if !cluster.run(3*time.Minute, cluster.allDone("req-free-1")) {
 		t.Fatal("job of a team without a limit did not finish")
 	}
 }
@@ -44,7 +44,7 @@
 		for i := range bound {
 			j.Bind(i, &job.Binding{})
 		}
-		c.addJob(c.teamBy[team], j)
+		c.addJob(c.teamsByName[team], j)
 		return j
 	}
 	priorityNormal := slices.Index(protocol.Priorities, "normal")
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -95,7 +95,7 @@
 		r.t.Errorf("%v: final state of %s changed from %s to %s", r.now, id, now, s.State)
 	case s.State == protocol.Cancelled:
 		if r.reportedFinalStates[id] = s.State; now == "" {
-			r.cancellationToldAt[id], r.firstCancelReports[id] = r.now, r.now
+			r.cancelConfirmedAt[id], r.firstCancelReports[id] = r.now, r.now
 		}
 		if !r.mayBeCancelled(id) {
 			r.t.Errorf("%v: %s is cancelled, but no user cancelled it or a dependency", r.now, id)
@@ -149,7 +149,7 @@
 	}
 	waitedFor := time.Duration(0)
 	for end := r.now + within; r.now < end && (isWaiting("red") || isWaiting("")); r.run(time.Second, nil) {
-		if waitedFor += time.Second; r.inUse("red") > 16-2 || !isWaiting("red") {
+		if waitedFor += time.Second; r.cpusInUse("red") > 16-2 || !isWaiting("red") {
 			waitedFor = 0
 		}
 		if waitedFor > within/8 {
--- a/internal/core/randomfaults_test.go
+++ b/internal/core/randomfaults_test.go
@@ -15,16 +15,16 @@
 // deaf machine receives nothing, a mute one sends no reports. The sorted names determine which fault
 // a seed draws.
 var faults = map[string]func(r *randomScenario, node, other string){
-	"all links refused": func(r *randomScenario, _, _ string) { r.refuse(everyLink) },
+	"all links refused": func(r *randomScenario, _, _ string) { r.disconnectLinks(everyLink) },
 	"one link refused": func(r *randomScenario, node, other string) {
-		r.refuse(func(f, t string) bool { return f == node && t == other })
+		r.disconnectLinks(func(f, t string) bool { return f == node && t == other })
 	},
 	"all of one refused": func(r *randomScenario, node, _ string) {
-		r.refuse(func(f, t string) bool { return f == node || t == node })
+		r.disconnectLinks(func(f, t string) bool { return f == node || t == node })
 	},
-	"all links slow": func(r *randomScenario, _, _ string) { r.hold(everyLink) },
+	"all links slow": func(r *randomScenario, _, _ string) { r.delayLinks(everyLink) },
 	"one link slow": func(r *randomScenario, node, other string) {
-		r.hold(func(f, t string) bool { return f == node && t == other })
+		r.delayLinks(func(f, t string) bool { return f == node && t == other })
 	},
 	"no store for one": func(r *randomScenario, node, _ string) {
 		if r.canFail(node) {
@@ -87,22 +87,26 @@
 			return time.Duration(2+r.rng.IntN(11)) * time.Second
 		}
 	},
-	"held commands":    func(r *randomScenario, _, _ string) { r.delayDeliveries = true },
-	"late reports":     func(r *randomScenario, _, _ string) { r.replayReports = true },
-	"a machine is cut": func(r *randomScenario, _, _ string) { r.eachOfSome(20, func(id string) { r.cutWorkers[id] = true }) },
+	"held commands": func(r *randomScenario, _, _ string) { r.delayDeliveries = true },
+	"late reports":  func(r *randomScenario, _, _ string) { r.replayReports = true },
+	"a machine is cut": func(r *randomScenario, _, _ string) {
+		r.forRandomMachines(20, func(id string) { r.cutWorkers[id] = true })
+	},
 	"deaf machines": func(r *randomScenario, _, _ string) {
-		r.eachOfSome(5, func(id string) { r.unreachableWorkers[id] = true })
+		r.forRandomMachines(5, func(id string) { r.workersReceivingNothing[id] = true })
 	},
 	"deaf to one": func(r *randomScenario, node, _ string) {
-		r.eachOfSome(2, func(id string) { r.workerCannotReach[link{node, id}] = true })
+		r.forRandomMachines(2, func(id string) { r.brokenWorkerLinks[link{node, id}] = true })
+	},
+	"machines taken": func(r *randomScenario, _, _ string) {
+		r.forRandomMachines(10, func(id string) { delete(r.workers, id) })
 	},
-	"machines taken": func(r *randomScenario, _, _ string) { r.eachOfSome(10, func(id string) { delete(r.workers, id) }) },
 	"the cloud refuses": func(r *randomScenario, _, _ string) {
-		r.noCloud = true
-		r.after(30*time.Second, func() { r.noCloud = false })
+		r.cloudDegraded = true
+		r.after(30*time.Second, func() { r.cloudDegraded = false })
 	},
 	"mute machines": func(r *randomScenario, _, _ string) {
-		r.eachOfSome(5, func(id string) { r.silentWorkers[id] = true })
+		r.forRandomMachines(5, func(id string) { r.silentWorkers[id] = true })
 		r.after(time.Duration(4+r.rng.IntN(40))*time.Second, func() { clear(r.silentWorkers) })
 	},
 	"a mute zone": func(r *randomScenario, _, _ string) {
@@ -114,7 +118,7 @@
 		r.after(time.Duration(4+r.rng.IntN(30))*time.Second, func() { clear(r.silentWorkers) })
 	},
 	"machines hang": func(r *randomScenario, _, _ string) {
-		r.eachOfSome(10, func(id string) { r.hang(id, time.Duration(2+r.rng.IntN(30))*time.Second) })
+		r.forRandomMachines(10, func(id string) { r.hang(id, time.Duration(2+r.rng.IntN(30))*time.Second) })
 	},
 	"cancelled now":        func(r *randomScenario, node, _ string) { r.cancelRunningJobs(node) },
 	"cancelled at the end": func(r *randomScenario, _, _ string) { r.cancelAtEndUntil = r.now + 30*time.Second },
@@ -124,7 +128,7 @@
 		r.changeLeaders([]string{"red", "blue", "free"}[r.rng.IntN(3)], 10, time.Duration(3+r.rng.IntN(10))*time.Second)
 	},
 	"all away": func(r *randomScenario, _, _ string) {
-		r.stopAllFor(r.lease() + time.Duration(r.rng.IntN(12))*time.Second)
+		r.stopAllFor(r.workerLease() + time.Duration(r.rng.IntN(12))*time.Second)
 	},
 	"a zone is cut": func(r *randomScenario, _, _ string) {
 		r.cutSecondZoneFor(time.Duration(5+r.rng.IntN(40)) * time.Second)
@@ -133,7 +137,7 @@
 		r.fullZone = []string{"z1", "z2"}[r.rng.IntN(2)]
 		r.after(30*time.Second, func() { r.fullZone = "" })
 	},
-	"limits become lower":  func(r *randomScenario, _, _ string) { r.lowLimits = len(r.notUpgraded) == 0 },
+	"limits become lower":  func(r *randomScenario, _, _ string) { r.limitsLowered = len(r.notUpgraded) == 0 },
 	"the last is upgraded": func(r *randomScenario, _, _ string) { clear(r.notUpgraded) },
 	"all is well":          func(r *randomScenario, _, _ string) { r.recover() },
 }
--- a/internal/core/randomdays_test.go
+++ b/internal/core/randomscenarios_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// randomScenario is a world with random faults, and what its users have been told.
+// randomScenario is a simulated cluster with random faults, and what its users have been told.
 type randomScenario struct {
-	*world
+	*simCluster
 	// acceptedJobs are all jobs that were accepted; openJobs are those that must complete, which
 	// excludes jobs that may be cancelled.
 	openJobs, acceptedJobs []string
@@ -102,37 +102,37 @@
 // and two teams with a limit. With mixedVersions, controller c runs the previous version until a
 // fault upgrades it.
 func newRandomScenario(t tester, mixedVersions bool) *randomScenario {
-	w := newTunedWorld(t, fiveNodes, func(s *settings.Settings) {
+	cluster := newSimClusterWithSettings(t, fiveNodes, func(s *settings.Settings) {
 		s.Params.Teams[1].CPUsMax = 24
 		s.Params.State.ValueKB = 2
 		s.Params.State.Next = settings.StateLimits{WriteRPS: 30, ValueKB: 1, TxnOps: 5}
 	})
-	w.notUpgraded["c"] = mixedVersions
+	cluster.notUpgraded["c"] = mixedVersions
 	if !mixedVersions {
-		clear(w.notUpgraded)
+		clear(cluster.notUpgraded)
 	}
-	w.maxMachines, w.allowRacingStarts = 60, true
-	w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 3, SpotPrice: 1.2,
+	cluster.maxMachines, cluster.allowRacingStarts = 60, true
+	cluster.types = append(cluster.types, protocol.MachineType{Name: "large", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1, Price: 3, SpotPrice: 1.2,
 		BootS: 5, Zones: []string{"z1", "z2"}})
-	w.twoZones()
+	cluster.twoZones()
 	for i := range 60 {
-		id := w.addWorker(fmt.Sprintf("z%d", 1+i%2), i%3 == 0)
+		id := cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), i%3 == 0)
 		if i%6 == 5 {
-			w.workers[id].Type = "large"
+			cluster.workers[id].Type = "large"
 		}
 	}
-	w.ready().run(10*time.Second, nil)
-	r := &randomScenario{world: w, reportedFinalStates: map[string]string{}, replyHandlers: map[uint64]func(Answer){}, cancelRequested: map[string]bool{}, firstCancelReports: map[string]time.Duration{}}
+	cluster.ready().run(10*time.Second, nil)
+	r := &randomScenario{simCluster: cluster, reportedFinalStates: map[string]string{}, replyHandlers: map[uint64]func(Answer){}, cancelRequested: map[string]bool{}, firstCancelReports: map[string]time.Duration{}}
 	recorder := newEffectRecorder()
 	r.recorder = recorder
-	w.onEffect = func(node string, e Effect) {
-		recorder.record(w.now, node, e)
+	cluster.onEffect = func(node string, e Effect) {
+		recorder.record(cluster.now, node, e)
 		if a, isAnswer := e.(Answer); isAnswer && r.replyHandlers[a.Req] != nil {
 			r.replyHandlers[a.Req](a)
 			delete(r.replyHandlers, a.Req)
 		}
 	}
-	w.scheduledActions = append(w.scheduledActions, func() bool { r.cancelEndingJobs(); return false })
+	cluster.scheduledActions = append(cluster.scheduledActions, func() bool { r.cancelEndingJobs(); return false })
 	return r
 }
 
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -15,23 +15,23 @@
 	relay   *storeRelay
 }
 
-// inDirectContact reports whether a message from a controller has arrived recently, over a
+// receivesMessagesFrom reports whether a message from a controller has arrived recently, over a
 // connection or through an intermediary. Starts for the machines of a silent controller are
 // lost, and its workers need seconds to switch to another one.
-func (r *reachability) inDirectContact(node string) bool {
+func (r *reachability) receivesMessagesFrom(node string) bool {
 	return r.peers.inContact(node, r.now.Steady)
 }
 
 // isUnreachable reports whether a controller has a live lease in the store although none of its
 // messages arrive here.
 func (r *reachability) isUnreachable(node string) bool {
-	return r.members.isLive(node) && !r.inDirectContact(node)
+	return r.members.isLive(node) && !r.receivesMessagesFrom(node)
 }
 
 // unreachable returns the live controllers whose messages do not arrive here.
 func (r *reachability) unreachable() []string {
 	var nodes []string
-	for _, node := range r.members.roster {
+	for _, node := range r.members.controllers {
 		if r.isUnreachable(node) {
 			nodes = append(nodes, node)
 		}
@@ -45,7 +45,7 @@
 	if !r.members.isLive(node) || r.peers.get(node) == nil {
 		return false
 	}
-	return r.peers.reportsSelfUnreachable(node) || !r.inDirectContact(node)
+	return r.peers.reportsSelfUnreachable(node) || !r.receivesMessagesFrom(node)
 }
 
 // partitioned reports whether this node is partitioned from any controller.
@@ -62,7 +62,7 @@
 // isolated.
 func (r *reachability) isolated() bool {
 	for _, node := range r.peers.names {
-		if r.inDirectContact(node) {
+		if r.receivesMessagesFrom(node) {
 			return false
 		}
 	}
@@ -73,7 +73,7 @@
 // store relay. Tasks that are bound to machines of a controller without contact are not
 // started.
 func (r *reachability) hasContact(node string) bool {
-	return r.inDirectContact(node) ||
+	return r.receivesMessagesFrom(node) ||
 		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.now.Steady, r.relayTimeout())
 }
 
@@ -87,16 +87,16 @@
 // controller that is known only through the store relay, it does once that controller's pages
 // list them.
 func (r *reachability) knowsMachinesOf(node string) bool {
-	return r.inDirectContact(node) || r.hasContact(node) && r.relay.listsMachines(node)
+	return r.receivesMessagesFrom(node) || r.hasContact(node) && r.relay.listsMachines(node)
 }
 
-// knownToAnother reports whether a second controller knows of a cancellation, or there is no
-// second one. A controller of an older release cannot report what it knows and is trusted to
+// knownToSecondController reports whether a second controller knows of a cancellation, or there is
+// no second one. A controller of an older release cannot report what it knows and is trusted to
 // learn of the cancellation from its watch.
-func (r *reachability) knownToAnother(a *cancelAnnouncement) bool {
+func (r *reachability) knownToSecondController(a *cancelAnnouncement) bool {
 	onlyLiveNode := true
 	for node, peer := range r.peers.states {
-		inContact := r.inDirectContact(node)
+		inContact := r.receivesMessagesFrom(node)
 		if a.knownTo(node, r.peers) || inContact && peer.lastHeartbeatID == "" {
 			return true
 		}
@@ -108,6 +108,6 @@
 // partitionedFromLeader reports whether this node is partitioned from the leader of a job's
 // team, and therefore has to act for that leader on the machines that it serves.
 func (c *Core) partitionedFromLeader(j *job.Job) bool {
-	t := c.teamBy[j.Team]
-	return t != nil && !t.leading && c.reach.partitionedFrom(t.leader)
+	t := c.teamsByName[j.Team]
+	return t != nil && !t.leading && c.peerReachability.partitionedFrom(t.leader)
 }
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -114,7 +114,7 @@
 		return "", 0
 	}
 	r.backoffs[target] = r.backoffs[target].grow(now, lease, maxRebalanceBackoff*lease)
-	return target, r.backoffs[target].last
+	return target, r.backoffs[target].lastPause
 }
 
 // lessLoadedPeer returns the controller that a worker should report to instead, or an empty
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// busyWorld returns a world with at least the given number of workers and enough tasks to keep
-// all of them busy.
-func busyWorld(t *testing.T, workers int) *world {
+// newBusySimCluster returns a simulated cluster with at least the given number of workers and
+// enough tasks to keep all of them busy.
+func newBusySimCluster(t *testing.T, workers int) *simCluster {
 	t.Helper()
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	for range workers {
-		w.addWorker("z1", false)
+		cluster.addWorker("z1", false)
 	}
-	accepted(t, w.submit("a", "req-free-1", 20000, ""))
-	w.run(20*time.Second, nil)
-	return w
+	requireAccepted(t, cluster.submit("a", "req-free-1", 20000, ""))
+	cluster.run(20*time.Second, nil)
+	return cluster
 }
 
 // A controller that is partitioned from the workers alone has no workers and seems the least
 // loaded. Workers that fail to reach it must not be redirected there again and again.
 func TestRebalancingAvoidsControllersUnreachableFromWorkers(t *testing.T) {
-	w := busyWorld(t, 12)
-	w.unreachableNodes["c"] = true
-	w.run(20*time.Second, nil)
-	before := w.redirected["c"]
-	w.run(30*time.Second, nil)
-	if n := w.redirected["c"] - before; n > 6 {
+	cluster := newBusySimCluster(t, 12)
+	cluster.unreachableNodes["c"] = true
+	cluster.run(20*time.Second, nil)
+	before := cluster.redirected["c"]
+	cluster.run(30*time.Second, nil)
+	if n := cluster.redirected["c"] - before; n > 6 {
 		t.Errorf("%d workers were redirected to c, which they cannot reach; want at most 6", n)
 	}
-	w.unreachableNodes["c"] = false
-	w.run(2*time.Minute, nil)
-	if n := len(w.cores["c"].agents.byMachine); n < 3 {
+	cluster.unreachableNodes["c"] = false
+	cluster.run(2*time.Minute, nil)
+	if n := len(cluster.cores["c"].agents.byMachine); n < 3 {
 		t.Errorf("%d workers report to c again, want at least 3", n)
 	}
 }
 
 // Workers spread to a restarted controller with few redirects.
 func TestRebalancingDoesNotOscillate(t *testing.T) {
-	w := busyWorld(t, 30)
-	w.run(20*time.Second, nil)
-	w.crash("b")
-	w.expire("b")
-	w.run(20*time.Second, nil)
-	w.boot("b")
+	cluster := newBusySimCluster(t, 30)
+	cluster.run(20*time.Second, nil)
+	cluster.crash("b")
+	cluster.expire("b")
+	cluster.run(20*time.Second, nil)
+	cluster.boot("b")
 	redirects := func() (n int) {
 		for _, node := range nodeNames {
-			n += w.redirected[node]
+			n += cluster.redirected[node]
 		}
 		return n
 	}
 	before := redirects()
-	w.run(40*time.Second, nil)
-	if n := redirects() - before; n > len(w.workers)*2/3 {
-		t.Errorf("%d redirects of %d workers after a controller was restarted, want at most two thirds", n, len(w.workers))
+	cluster.run(40*time.Second, nil)
+	if n := redirects() - before; n > len(cluster.workers)*2/3 {
+		t.Errorf("%d redirects of %d workers after a controller was restarted, want at most two thirds", n, len(cluster.workers))
 	}
 	var workersByNode []int
 	for _, node := range nodeNames {
-		workersByNode = append(workersByNode, len(w.cores[node].agents.byMachine))
+		workersByNode = append(workersByNode, len(cluster.cores[node].agents.byMachine))
 	}
 	if most, least := slices.Max(workersByNode), slices.Min(workersByNode); most > 2*least {
 		t.Errorf("got %v workers per controller, want none with more than twice the workers of another", workersByNode)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -81,19 +81,19 @@
 // forget the task only after the end is stored.
 func (r *reconciler) taskEnded(j *job.Job, i int, m *worker.Machine, t protocol.TaskReport) {
 	j.UnstoredExits = append(j.UnstoredExits, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
-	switch t.Why {
-	case protocol.WhyDone:
+	switch t.ExitReason {
+	case protocol.ExitDone:
 		r.log(Debug, "task done", "task", t.Task, "machine", m.Machine)
 		j.Finish(i)
 		r.core.requestRound()
 		return
-	case protocol.WhyError:
+	case protocol.ExitError:
 		r.core.delayCanary(j)
 		r.log(Debug, "task failed", "task", t.Task, "machine", m.Machine)
-	case protocol.WhyUnknown:
+	case protocol.ExitUnknownTask:
 		j.NotBefore = r.now.Steady + r.reportInterval()
-	case protocol.WhyNoRoom, protocol.WhyBusy:
-		m.FullAt = r.now.Steady
+	case protocol.ExitNoCapacity, protocol.ExitBusy:
+		m.LastRefusedAt = r.now.Steady
 	}
 	r.core.unbind(j, i)
 }
@@ -112,7 +112,7 @@
 			r.reconcileJob(j)
 		}
 	}
-	r.core.returns.flush()
+	r.core.returnTracker.flush()
 }
 
 func (r *reconciler) reconcileJob(j *job.Job) {
@@ -122,7 +122,7 @@
 		}
 	}
 	if j.Cancelled {
-		r.core.stopCancelled(j)
+		r.core.stopCancelledTasks(j)
 	} else {
 		r.evictBeforeReclaim(j)
 	}
@@ -142,7 +142,7 @@
 	}
 	m := r.core.machines.Get(b.Machine)
 	if r.isSilent(m, b) {
-		r.core.returns.request(b.Machine, reasonUnknownMachine)
+		r.core.returnTracker.request(b.Machine, reasonUnknownMachine)
 	}
 	if m == nil {
 		return
@@ -159,7 +159,7 @@
 // whether the task is there.
 func isFenceDue(m *worker.Machine, task string, b *job.Binding, now, reportInterval time.Duration) bool {
 	_, reported := m.Find(task, b.Attempt)
-	if reported && b.State != "" && m.Session == b.Epoch {
+	if reported && b.State != "" && m.WorkerEpoch == b.Epoch {
 		return false
 	}
 	waited := min(now-b.Since, now-b.FencedAt)
@@ -171,8 +171,8 @@
 // know the machine.
 func (r *reconciler) isSilent(m *worker.Machine, b *job.Binding) bool {
 	if m == nil {
-		return r.now.Steady-b.Since > r.core.silenceLimit()
+		return r.now.Steady-b.Since > r.core.silenceTimeout()
 	}
 	lastContact := max(m.LastContact, b.Since)
-	return r.now.Steady-lastContact > 2*r.core.silenceLimit() && r.core.knowsAllMachines()
+	return r.now.Steady-lastContact > 2*r.core.silenceTimeout() && r.core.knowsMachinesOfAllControllers()
 }
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -9,10 +9,10 @@
 type nodeRecord struct {
 	Incarnation string `json:"i"`
 	Lease       uint64 `json:"l"`
-	// Federation is set if the controller has a federation configuration, and so doesn't run jobs
-	// that were handed off.
-	Federation bool `json:"g,omitempty"`
-	version    uint64
+	// SupportsFederation is set if the controller has a federation configuration, and so doesn't
+	// run jobs that were handed off.
+	SupportsFederation bool `json:"g,omitempty"`
+	version            uint64
 }
 
 // leaderRecord is the stored value of a shard's leader.
--- a/internal/core/registration_test.go
+++ b/internal/core/registration_test.go
@@ -13,30 +13,30 @@
 // anything.
 func TestDelayedWriteOfAnEarlierIncarnationDoesNotReplaceTheNodeKey(t *testing.T) {
 	for _, delay := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
-		w := newWorldOf(t, fiveNodes).ready()
-		w.crash("a")
-		w.expire("a")
-		w.run(time.Second, nil)
-		w.lateWrite = func(node string, e StoreTxn) time.Duration {
+		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster.crash("a")
+		cluster.expire("a")
+		cluster.run(time.Second, nil)
+		cluster.lateWrite = func(node string, e StoreTxn) time.Duration {
 			if node != "a" || e.Txn.Then[0].Put != keyNode+"a" {
 				return 0
 			}
-			w.lateWrite = nil
+			cluster.lateWrite = nil
 			return delay
 		}
-		w.boot("a")
-		w.run(300*time.Millisecond, nil)
-		oldLeases := w.leasesOf("a")
-		w.crash("a")
-		w.boot("a")
-		w.run(3*time.Second, nil)
-		w.endLeases(oldLeases)
-		w.run(20*time.Second, nil)
+		cluster.boot("a")
+		cluster.run(300*time.Millisecond, nil)
+		oldLeases := cluster.leasesOf("a")
+		cluster.crash("a")
+		cluster.boot("a")
+		cluster.run(3*time.Second, nil)
+		cluster.endLeases(oldLeases)
+		cluster.run(20*time.Second, nil)
 		var n nodeRecord
-		if err := json.Unmarshal(w.kv[keyNode+"a"].Value, &n); err != nil || n.Incarnation != w.cores["a"].members.incarnation {
-			t.Errorf("write delayed by %v: key of a is %s, want the new incarnation", delay, w.kv[keyNode+"a"].Value)
+		if err := json.Unmarshal(cluster.kv[keyNode+"a"].Value, &n); err != nil || n.Incarnation != cluster.cores["a"].members.incarnation {
+			t.Errorf("write delayed by %v: key of a is %s, want the new incarnation", delay, cluster.kv[keyNode+"a"].Value)
 		}
-		if leader := w.cores["b"].teamBy["red"].leader; leader != "a" {
+		if leader := cluster.cores["b"].teamsByName["red"].leader; leader != "a" {
 			t.Errorf("write delayed by %v: team red is led by %q, want a", delay, leader)
 		}
 	}
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -16,7 +16,7 @@
 // update acts for the leaders that this node is partitioned from. It publishes pages while this
 // node is partitioned from any controller, and deletes them otherwise.
 func (r *storeRelay) update() {
-	partitioned := r.core.reach.partitioned()
+	partitioned := r.core.peerReachability.partitioned()
 	if partitioned && r.every(&r.nextStartCheck, r.reportInterval()/30) {
 		r.actForUnreachableLeaders()
 	}
@@ -60,7 +60,7 @@
 					Index:   ref.Index,
 					Attempt: binding.Attempt,
 					Machine: id,
-					Reason:  taskReport.Why,
+					Reason:  taskReport.ExitReason,
 				})
 			}
 		}
@@ -75,7 +75,7 @@
 		if r.now.Steady-m.LastContact > 2*r.reportInterval() {
 			continue
 		}
-		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: session.token, Epoch: m.Session}
+		kind := relay.MachineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Token: session.token, Epoch: m.WorkerEpoch}
 		if m.ReclaimAt > 0 {
 			remaining := (m.ReclaimAt - r.now.Steady).Seconds()
 			kind.NoticeS = max(1, int(remaining/noticeStepSeconds)*noticeStepSeconds)
@@ -104,7 +104,7 @@
 	r.writing = true
 	r.compareAndSwap(txn, true, func(reply StoreReply) {
 		r.writing = false
-		if reply.Outcome == Applied {
+		if reply.Outcome == OutcomeApplied {
 			r.publication.Confirm(changes, reply.Revision)
 		}
 	})
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -74,14 +74,14 @@
 	m := r.core.machines.Get(id)
 	switch {
 	case m == nil:
-		r.core.noteProvisioned(&protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot})
+		r.core.recordProvisioned(&protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot})
 		m = r.core.addMachine(id)
-	case kind.Token < m.GrantedToken || kind.Epoch < m.Session:
+	case kind.Token < m.GrantedToken || kind.Epoch < m.WorkerEpoch:
 		return // a newer token or epoch is known, so the page is outdated
 	}
-	if m.Session < kind.Epoch {
+	if m.WorkerEpoch < kind.Epoch {
 		// A new epoch starts without the tasks of the previous one.
-		fresh := protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Session: kind.Epoch}
+		fresh := protocol.Report{Machine: id, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, WorkerEpoch: kind.Epoch}
 		m.Update(fresh, r.now.Steady)
 		r.core.machines.InvalidateLoad(id)
 	}
@@ -123,13 +123,13 @@
 	}
 	task := j.TaskID(entry.Index)
 	if entry.Reason == "" {
-		m.FullAt = r.now.Steady
+		m.LastRefusedAt = r.now.Steady
 		r.log(Debug, "task was not started", "task", task, "machine", entry.Machine)
 		r.core.unbind(j, entry.Index)
 		return
 	}
-	taskReport := protocol.TaskReport{Task: task, Attempt: entry.Attempt, State: protocol.Exited, Why: entry.Reason}
-	if entry.Reason == protocol.WhyDone || entry.Reason == protocol.WhyError {
+	taskReport := protocol.TaskReport{Task: task, Attempt: entry.Attempt, State: protocol.Exited, ExitReason: entry.Reason}
+	if entry.Reason == protocol.ExitDone || entry.Reason == protocol.ExitError {
 		r.core.attributeExit(j, m, entry.Machine, taskReport)
 	}
 	r.core.reconciler.taskEnded(j, entry.Index, m, taskReport)
--- a/internal/core/unreachableleaders.go
+++ b/internal/core/relaystarts.go
@@ -58,7 +58,7 @@
 // startForLeader forwards the start of a task whose leader may not be able to request it.
 func (r *storeRelay) startForLeader(j *job.Job, i int, b *job.Binding) {
 	r.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
-	r.core.agents.forwardStart(r.core.teamBy[j.Team].leader, Start{
+	r.core.agents.forwardStart(r.core.teamsByName[j.Team].leader, Start{
 		Machine:  b.Machine,
 		Task:     j.TaskID(i),
 		Attempt:  b.Attempt,
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -51,10 +51,10 @@
 	}
 	c.intents[name] = intent
 	c.compareAndSwap(protocol.Txn{
-		If:   []protocol.Condition{c.fleet.leaderCondition(), {Key: keyIntent + name}},
-		Then: []protocol.Change{putJSON(keyIntent+name, intent)},
+		If:   []protocol.Condition{c.fleet.leaderCondition(), {Key: keyRentalIntent + name}},
+		Then: []protocol.Change{putJSON(keyRentalIntent+name, intent)},
 	}, true, func(r StoreReply) {
-		if r.Outcome != Applied {
+		if r.Outcome != OutcomeApplied {
 			delete(c.intents, name)
 			return
 		}
@@ -70,16 +70,16 @@
 		return
 	}
 	intent.pending = false
-	if result.Outcome != Unknown {
+	if result.Outcome != OutcomeUnknown {
 		// Request what is still missing at once, unless the cloud has trouble answering.
 		c.timers.autoscaler = 0
 	}
 	switch result.Outcome {
-	case Applied:
+	case OutcomeApplied:
 		intent.Machines = result.Machines
 		c.recordRental(result)
 		c.storeIntent(result.Rental.Request, intent)
-	case Refused:
+	case OutcomeRefused:
 		c.backOffOffer(offerOf(result.Rental))
 		intent.Machines, intent.pending = []string{}, true
 		c.deleteIntent(result.Rental.Request, intent)
@@ -147,7 +147,7 @@
 	intent.pending = true
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{c.fleet.leaderCondition()},
-		Then: []protocol.Change{putJSON(keyIntent+name, intent)},
+		Then: []protocol.Change{putJSON(keyRentalIntent+name, intent)},
 	}, false, func(StoreReply) { intent.pending = false })
 }
 
@@ -155,10 +155,10 @@
 func (c *Core) deleteIntent(name string, intent *rentalIntent) {
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{c.fleet.leaderCondition()},
-		Then: []protocol.Change{{Delete: keyIntent + name}},
+		Then: []protocol.Change{{Delete: keyRentalIntent + name}},
 	}, false, func(r StoreReply) {
 		intent.pending = false
-		if r.Outcome == Applied {
+		if r.Outcome == OutcomeApplied {
 			delete(c.intents, name)
 		}
 	})
--- a/internal/core/rentals_test.go
+++ b/internal/core/rentals_test.go
@@ -34,7 +34,7 @@
 			if !ok {
 				continue
 			}
-			c.handle(StoreReply{ID: txn.ID, Outcome: Applied, Revision: 9})
+			c.handle(StoreReply{ID: txn.ID, Outcome: OutcomeApplied, Revision: 9})
 			request := c.effects[len(c.effects)-1].(RequestRental)
 			if requests++; request.Rental.Type != "cheap" || request.Rental.Count > protocol.MaxRental {
 				t.Fatalf("got rental %+v, want at most MaxRental machines of type cheap", request.Rental)
@@ -45,7 +45,7 @@
 				names = append(names, fmt.Sprintf("vm-8%04d", got))
 			}
 			c.timers.autoscaler = time.Hour
-			c.handle(RentalResult{Rental: request.Rental, Outcome: Applied, Machines: names})
+			c.handle(RentalResult{Rental: request.Rental, Outcome: OutcomeApplied, Machines: names})
 			if c.timers.autoscaler > c.now.Steady {
 				t.Fatal("the next autoscaler run is delayed")
 			}
@@ -62,7 +62,7 @@
 // TestUnansweredRentalIsNotRetriedImmediately checks that a rental without an answer is retried
 // at the usual interval, not as fast as the cloud allows.
 func TestUnansweredRentalIsNotRetriedImmediately(t *testing.T) {
-	for outcome, wantImmediate := range map[Outcome]bool{Applied: true, Refused: true, Unknown: false} {
+	for outcome, wantImmediate := range map[Outcome]bool{OutcomeApplied: true, OutcomeRefused: true, OutcomeUnknown: false} {
 		c := newFleetLeader(t, 0, 0)
 		c.intents["r"] = &rentalIntent{}
 		c.timers.autoscaler = c.now.Steady + time.Second
--- a/internal/core/repeat_test.go
+++ b/internal/core/repeat_test.go
@@ -13,29 +13,29 @@
 // its cause.
 func TestSameCommandsGiveTheSameEffects(t *testing.T) {
 	script := func() []string {
-		w := newWorld(t)
+		cluster := newSimCluster(t)
 		var out []string
-		w.onEffect = func(node string, e Effect) {
+		cluster.onEffect = func(node string, e Effect) {
 			raw, err := json.Marshal(e)
 			if err != nil {
 				t.Fatal(err)
 			}
-			out = append(out, fmt.Sprintf("%v %s %T %s", w.now, node, e, raw))
+			out = append(out, fmt.Sprintf("%v %s %T %s", cluster.now, node, e, raw))
 		}
-		w.ready()
+		cluster.ready()
 		for i := range 6 {
-			w.submit(nodeNames[i%3], fmt.Sprintf("req-%s-%d", []string{"red", "blue", "free"}[i%3], i), 5+7*i, "")
+			cluster.submit(nodeNames[i%3], fmt.Sprintf("req-%s-%d", []string{"red", "blue", "free"}[i%3], i), 5+7*i, "")
 		}
-		w.run(5*time.Second, nil)
-		w.cancelJob("b", "req-blue-1")
-		w.outage = true
-		w.run(5*time.Second, nil)
-		w.outage = false
-		w.crash("a")
-		w.expire("a")
-		w.run(5*time.Second, nil)
-		w.boot("a")
-		w.run(time.Minute, nil)
+		cluster.run(5*time.Second, nil)
+		cluster.cancelJob("b", "req-blue-1")
+		cluster.outage = true
+		cluster.run(5*time.Second, nil)
+		cluster.outage = false
+		cluster.crash("a")
+		cluster.expire("a")
+		cluster.run(5*time.Second, nil)
+		cluster.boot("a")
+		cluster.run(time.Minute, nil)
 		return out
 	}
 	first := script()
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// shows reports whether the copy reflects a revision.
-func (r *replica) shows(revision uint64) bool { return revision <= r.revision }
+// reflects reports whether the copy reflects a revision.
+func (r *replica) reflects(revision uint64) bool { return revision <= r.revision }
 
 // advance records that the copy reflects everything up to a revision.
 func (r *replica) advance(revision uint64) { r.revision = max(r.revision, revision) }
@@ -75,10 +75,10 @@
 	}
 	c.replica.advance(m.Revision)
 	c.replica.reloading = false
-	c.stats.Retain(func(id string) bool { return c.jobs[id] != nil })
+	c.stats.RetainActive(func(id string) bool { return c.jobs[id] != nil })
 	c.freshness.replicaAdvanced(c.replica.revision)
 	if !c.replica.loaded {
-		c.freshness.checkLease()
+		c.freshness.checkCancelDeadline()
 	}
 	c.replica.loaded = true
 	c.log(Info, "state loaded", "keys", len(m.Items), "revision", m.Revision)
@@ -122,7 +122,7 @@
 		known[cancelKey(id)] = true
 	}
 	for name := range c.intents {
-		known[keyIntent+name] = true
+		known[keyRentalIntent+name] = true
 	}
 	for key := range c.handoffs.keys() {
 		known[key] = true
@@ -154,14 +154,14 @@
 		if err = json.Unmarshal(item.Value, &cordon); err == nil {
 			c.onCordonPut(strings.TrimPrefix(key, keyCordon), cordon)
 		}
-	case strings.HasPrefix(key, keyIntent):
+	case strings.HasPrefix(key, keyRentalIntent):
 		intent := &rentalIntent{}
 		if err = json.Unmarshal(item.Value, intent); err == nil {
-			c.intents.put(strings.TrimPrefix(key, keyIntent), intent, item.Version, c.fleet.leading)
+			c.intents.put(strings.TrimPrefix(key, keyRentalIntent), intent, item.Version, c.fleet.leading)
 		}
 	case strings.HasPrefix(key, keyVersion):
 		err = c.upgrade.onVersionPut(item)
-	case strings.HasPrefix(key, keyRecord):
+	case strings.HasPrefix(key, keyUsageRecord):
 		err = c.onUsageRecordPut(item)
 	}
 	if err != nil {
@@ -186,7 +186,7 @@
 		c.onNodeDelete(key)
 	case strings.HasPrefix(key, keyCordon):
 		delete(c.cordons, strings.TrimPrefix(key, keyCordon))
-	case strings.HasPrefix(key, keyIntent):
-		delete(c.intents, strings.TrimPrefix(key, keyIntent))
+	case strings.HasPrefix(key, keyRentalIntent):
+		delete(c.intents, strings.TrimPrefix(key, keyRentalIntent))
 	}
 }
--- a/internal/core/replicajobs.go
+++ b/internal/core/replicajobs.go
@@ -39,7 +39,7 @@
 	if j.Attempt > attempt {
 		j.PendingSince = c.now.Steady // its leader has bound some tasks
 	}
-	t := c.teamBy[j.Team]
+	t := c.teamsByName[j.Team]
 	if t == nil {
 		return nil
 	}
@@ -101,7 +101,7 @@
 	if j := c.jobs[id]; j != nil && !j.Cancelled && j.Version < revision {
 		c.rememberFinalState(id, finalStateAtDeletion(j))
 	}
-	c.noteEnd(id, revision)
+	c.recordEnd(id, revision)
 }
 
 // finalStateAtDeletion returns the final state of a job whose head was deleted while this node knew
@@ -127,8 +127,8 @@
 func (c *Core) forgetJob(j *job.Job) {
 	delete(c.jobs, j.ID)
 	c.machines.UntrackBindings(j)
-	c.dependencies.Forget(j.ID)
-	if t := c.teamBy[j.Team]; t != nil {
+	c.dependencies.RemoveDependencies(j.ID)
+	if t := c.teamsByName[j.Team]; t != nil {
 		delete(t.jobs, j.ID)
 	}
 	c.requestRound()
--- a/internal/core/replies.go
+++ b/internal/core/replies.go
@@ -57,10 +57,10 @@
 
 // userTxn is compareAndSwap for requests that a user waits for.
 func (e *environment) userTxn(t protocol.Txn, done func(StoreReply)) {
-	e.emit(StoreTxn{ID: e.expectReply(done), Txn: t, Quick: true})
+	e.emit(StoreTxn{ID: e.expectReply(done), Txn: t, FailFast: true})
 }
 
 // userGet is get for requests that a user waits for.
 func (e *environment) userGet(key string, done func(StoreReply)) {
-	e.emit(StoreGet{ID: e.expectReply(done), Key: key, Quick: true})
+	e.emit(StoreGet{ID: e.expectReply(done), Key: key, FailFast: true})
 }
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -10,22 +10,22 @@
 	"pepperlever/internal/protocol"
 )
 
-// gpuWorld has five controllers and machines of two types: small ones, and large ones with GPUs
-// that each hold one task of a gang.
-func gpuWorld(t *testing.T, small, large int) *world {
+// newGPUSimCluster has five controllers and machines of two types: small ones, and large ones with
+// GPUs that each hold one task of a gang.
+func newGPUSimCluster(t *testing.T, small, large int) *simCluster {
 	t.Helper()
-	w := newWorldOf(t, fiveNodes)
-	w.maxMachines, w.allowRacingStarts = small+large, true
-	w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
+	cluster := newSimClusterOf(t, fiveNodes)
+	cluster.maxMachines, cluster.allowRacingStarts = small+large, true
+	cluster.types = append(cluster.types, protocol.MachineType{Name: "large", CPUs: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
 		Price: 20, SpotPrice: 8, BootS: 5, Zones: []string{"z1", "z2"}})
 	for i := range small + large {
-		id := w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
+		id := cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 		if i >= small {
-			w.workers[id].Type = "large"
+			cluster.workers[id].Type = "large"
 		}
 	}
-	w.ready().run(3*time.Second, nil)
-	return w
+	cluster.ready().run(3*time.Second, nil)
+	return cluster
 }
 
 const (
@@ -34,9 +34,9 @@
 )
 
 // onMachineType counts the running tasks of a job on machines of a type.
-func (w *world) onMachineType(id, typ string) int {
+func (cluster *simCluster) onMachineType(id, typ string) int {
 	n := 0
-	for _, f := range w.workers {
+	for _, f := range cluster.workers {
 		if f.Type != typ {
 			continue
 		}
@@ -52,16 +52,16 @@
 // TestServicesAvoidMachinesReservedForGangs checks that service replicas, which are long-running,
 // stay off the only machines on which gangs fit.
 func TestServicesAvoidMachinesReservedForGangs(t *testing.T) {
-	w := gpuWorld(t, 12, 6)
-	w.taskTime = 20 * time.Second
-	accepted(t, w.submit("a", "req-blue-gang", 2, gangFields))
-	w.started("req-blue-gang", 2)
-	accepted(t, w.submit("b", "req-free-watch", 24, serviceFields))
-	w.run(20*time.Second, nil)
-	if n := w.onMachineType("req-free-watch", "large"); n != 0 {
+	cluster := newGPUSimCluster(t, 12, 6)
+	cluster.taskTime = 20 * time.Second
+	requireAccepted(t, cluster.submit("a", "req-blue-gang", 2, gangFields))
+	cluster.waitUntilStarted("req-blue-gang", 2)
+	requireAccepted(t, cluster.submit("b", "req-free-watch", 24, serviceFields))
+	cluster.run(20*time.Second, nil)
+	if n := cluster.onMachineType("req-free-watch", "large"); n != 0 {
 		t.Errorf("%d replicas are on machines with GPUs, want 0", n)
 	}
-	if n := w.onMachineType("req-free-watch", "small"); n < 20 {
+	if n := cluster.onMachineType("req-free-watch", "small"); n < 20 {
 		t.Errorf("%d of 24 replicas are running, want at least 20", n)
 	}
 }
@@ -69,23 +69,23 @@
 // TestReplicasAreEvacuatedFromGPUHostsForAGang checks that replicas placed on GPU hosts before
 // the first gang was known are moved, except those that do not fit elsewhere.
 func TestReplicasAreEvacuatedFromGPUHostsForAGang(t *testing.T) {
-	w := gpuWorld(t, 8, 2)
-	w.taskTime = time.Hour
-	accepted(t, w.submit("a", "req-free-batch", 16, `,"memoryGb":7.0`)) // fills the small machines
-	w.started("req-free-batch", 16)
-	accepted(t, w.submit("b", "req-free-watch", 8, serviceFields))
-	w.run(time.Minute, nil)
-	if n := w.onMachineType("req-free-watch", "large"); n != 8 {
+	cluster := newGPUSimCluster(t, 8, 2)
+	cluster.taskTime = time.Hour
+	requireAccepted(t, cluster.submit("a", "req-free-batch", 16, `,"memoryGb":7.0`)) // fills the small machines
+	cluster.waitUntilStarted("req-free-batch", 16)
+	requireAccepted(t, cluster.submit("b", "req-free-watch", 8, serviceFields))
+	cluster.run(time.Minute, nil)
+	if n := cluster.onMachineType("req-free-watch", "large"); n != 8 {
 		t.Fatalf("%d of 8 replicas are on GPU hosts before the gang is submitted", n)
 	}
-	w.maxMachines = 0 // the cloud has no more machines
-	w.cancelJob("a", "req-free-batch")
-	accepted(t, w.submit("b", "req-blue-gang", 1, gangFields))
-	if !w.run(time.Minute, func() bool { return w.startsOf("req-blue-gang") == 1 }) {
+	cluster.maxMachines = 0 // the cloud has no more machines
+	cluster.cancelJob("a", "req-free-batch")
+	requireAccepted(t, cluster.submit("b", "req-blue-gang", 1, gangFields))
+	if !cluster.run(time.Minute, func() bool { return cluster.startsOf("req-blue-gang") == 1 }) {
 		t.Fatal("gang did not start")
 	}
-	w.run(10*time.Second, nil)
-	if n := w.onMachines("req-free-watch"); n != 8 {
+	cluster.run(10*time.Second, nil)
+	if n := cluster.onMachines("req-free-watch"); n != 8 {
 		t.Errorf("%d of 8 replicas are running", n)
 	}
 }
@@ -93,25 +93,25 @@
 // TestReplicasStartImmediatelyUnderArrayLoad checks that capacity for replicas is reserved on
 // hosts that have their image, while arrays of lower priority fill the remaining capacity.
 func TestReplicasStartImmediatelyUnderArrayLoad(t *testing.T) {
-	w := gpuWorld(t, 32, 0)
-	w.taskTime = time.Hour
-	accepted(t, w.submit("a", "req-free-first", 32, serviceFields))
-	w.started("req-free-first", 32)
+	cluster := newGPUSimCluster(t, 32, 0)
+	cluster.taskTime = time.Hour
+	requireAccepted(t, cluster.submit("a", "req-free-first", 32, serviceFields))
+	cluster.waitUntilStarted("req-free-first", 32)
 	for n := range 3 {
-		w.taskTime = 15 * time.Second
+		cluster.taskTime = 15 * time.Second
 		for part := range 4 {
-			accepted(t, w.submit("b", fmt.Sprintf("req-free-%d%d", n, part), 100, `,"vcpus":1.0`))
+			requireAccepted(t, cluster.submit("b", fmt.Sprintf("req-free-%d%d", n, part), 100, `,"vcpus":1.0`))
 		}
-		w.run(18*time.Second, nil)
-		w.taskTime = time.Hour
+		cluster.run(18*time.Second, nil)
+		cluster.taskTime = time.Hour
 		id := fmt.Sprintf("req-free-next%d", n)
-		accepted(t, w.submit("c", id, 6, serviceFields))
-		w.run(600*time.Millisecond, nil)
-		if got := w.onMachines(id); got != 6 {
+		requireAccepted(t, cluster.submit("c", id, 6, serviceFields))
+		cluster.run(600*time.Millisecond, nil)
+		if got := cluster.onMachines(id); got != 6 {
 			t.Errorf("%s: %d of 6 replicas are running after 0.6 s", id, got)
 		}
 	}
-	if w.startsOf("req-free-00") == 0 {
+	if cluster.startsOf("req-free-00") == 0 {
 		t.Error("no task of an array started")
 	}
 }
@@ -120,29 +120,29 @@
 // all controllers right after. A restarted leader knows the replicas but not yet the zones of
 // their machines, and must not place more than half of a service in one zone.
 func TestServicesStaySpreadWhileLeadersRestart(t *testing.T) {
-	w := gpuWorld(t, 30, 0)
-	w.taskTime = time.Hour
+	cluster := newGPUSimCluster(t, 30, 0)
+	cluster.taskTime = time.Hour
 	for n := range 4 {
-		accepted(t, w.submit("a", fmt.Sprintf("req-free-%d", n), 9, serviceFields))
+		requireAccepted(t, cluster.submit("a", fmt.Sprintf("req-free-%d", n), 9, serviceFields))
 	}
-	w.run(time.Second, nil)
-	for n, id := range slices.Sorted(maps.Keys(w.workers)) {
-		w.workers[id].dead = n < 12 && w.workers[id].Zone == "z1"
+	cluster.run(time.Second, nil)
+	for n, id := range slices.Sorted(maps.Keys(cluster.workers)) {
+		cluster.workers[id].dead = n < 12 && cluster.workers[id].Zone == "z1"
 	}
-	for _, nodes := range [][]string{{w.cores["a"].teamBy["free"].leader}, fiveNodes} {
+	for _, nodes := range [][]string{{cluster.cores["a"].teamsByName["free"].leader}, fiveNodes} {
 		for _, n := range nodes {
-			w.crash(n)
-			w.expire(n)
+			cluster.crash(n)
+			cluster.expire(n)
 		}
-		w.run(time.Second, nil)
+		cluster.run(time.Second, nil)
 		for _, n := range nodes {
-			w.boot(n)
+			cluster.boot(n)
 		}
-		w.run(15*time.Second, nil)
+		cluster.run(15*time.Second, nil)
 	}
-	w.run(time.Minute, nil)
+	cluster.run(time.Minute, nil)
 	for n := range 4 {
-		if got := w.onMachines(fmt.Sprintf("req-free-%d", n)); got != 9 {
+		if got := cluster.onMachines(fmt.Sprintf("req-free-%d", n)); got != 9 {
 			t.Errorf("%d of 9 replicas of service %d are running", got, n)
 		}
 	}
--- a/internal/core/reservedhosts_test.go
+++ b/internal/core/reservedhosts_test.go
@@ -13,17 +13,17 @@
 // hosts, each leaving capacity to jobs of the other: the stored jobs must override the
 // reservations remembered from the previous round.
 func TestControllersConvergeOnReservedHosts(t *testing.T) {
-	w := idleWorld(t, 8)
-	w.allowRacingStarts, w.taskTime = true, 5*time.Minute
-	accepted(t, w.submit("a", "req-free-1", 8, `,"vcpus":3.0`))
-	w.started("req-free-1", 8)
-	accepted(t, w.submit("b", "req-blue-1", 6, `,"vcpus":4.0`))
-	accepted(t, w.submit("c", "req-free-2", 3, `,"vcpus":2.0`))
-	w.run(time.Minute, nil) // longer than the timeout
-	if n := len(w.cores["a"].scheduler.reservedFor); n == 0 {
+	cluster := newIdleSimCluster(t, 8)
+	cluster.allowRacingStarts, cluster.taskTime = true, 5*time.Minute
+	requireAccepted(t, cluster.submit("a", "req-free-1", 8, `,"vcpus":3.0`))
+	cluster.waitUntilStarted("req-free-1", 8)
+	requireAccepted(t, cluster.submit("b", "req-blue-1", 6, `,"vcpus":4.0`))
+	requireAccepted(t, cluster.submit("c", "req-free-2", 3, `,"vcpus":2.0`))
+	cluster.run(time.Minute, nil) // longer than the timeout
+	if n := len(cluster.cores["a"].scheduler.reservedFor); n == 0 {
 		t.Fatal("no host is reserved")
 	}
-	names := w.cores["a"].machines.Names()
+	names := cluster.cores["a"].machines.Names()
 	need := job.Resources{CPUs: 4, MemoryGB: 1}
 	for name, remembered := range map[string]map[string]job.Resources{
 		"nothing":         nil,
@@ -37,19 +37,19 @@
 			}
 		}),
 	} {
-		for _, node := range []string{w.leaderOf("blue"), w.leaderOf("free")} {
-			c := w.cores[node]
+		for _, node := range []string{cluster.leaderOf("blue"), cluster.leaderOf("free")} {
+			c := cluster.cores[node]
 			c.scheduler.reservedFor = maps.Clone(remembered)
 			c.requestRound()
 		}
-		w.run(time.Second, nil)
-		for _, node := range w.names {
-			w.cores[node].requestRound()
+		cluster.run(time.Second, nil)
+		for _, node := range cluster.names {
+			cluster.cores[node].requestRound()
 		}
-		w.run(time.Second, nil)
-		want := fmt.Sprint(w.cores["a"].scheduler.reservedFor)
-		for _, node := range w.names {
-			if got := fmt.Sprint(w.cores[node].scheduler.reservedFor); got != want {
+		cluster.run(time.Second, nil)
+		want := fmt.Sprint(cluster.cores["a"].scheduler.reservedFor)
+		for _, node := range cluster.names {
+			if got := fmt.Sprint(cluster.cores[node].scheduler.reservedFor); got != want {
 				t.Errorf("remembered %s: controller %s reserves %s, controller a %s", name, node, got, want)
 			}
 		}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -123,7 +123,7 @@
 		r.sortJobs(queue.jobs)
 		r.queues = append(r.queues, queue)
 		r.ranking = append(r.ranking, fairness.Team{
-			Record:  t.ranked,
+			Record:  t.exchangedRecord,
 			Weight:  max(weights[i], 1),
 			Overdue: slices.ContainsFunc(queue.jobs, r.isOverdue),
 		})
@@ -161,14 +161,14 @@
 func (r *round) schedulingKey(j *job.Job) int64 {
 	timeoutS := r.core.policy.TimeoutS
 	gotNothing := len(j.Bound)+j.Done.Len() == 0
-	waitedMillis := float64(r.core.now.Wall - j.EligibleSince())
+	waitedMillis := float64(r.core.now.Wall - j.EligibleSinceMS())
 	switch {
 	case gotNothing && waitedMillis > starvationTimeouts*timeoutS*1000:
 		return 0
 	case j.Kind == job.Gang && !j.HasDeadline():
 		return gangReservationTime(j, timeoutS)
 	}
-	return j.LatestStart()
+	return j.LatestStartMS()
 }
 
 // entitlement is the right of an unplaced job to expensive machines. It is strongest once half of
@@ -179,7 +179,7 @@
 	switch {
 	case isBestEffort(j) && c.now.Steady-j.PendingSince < maxWait:
 		return scaling.BestEffort
-	case c.now.Wall-j.EligibleSince() > (j.LatestStart()-j.EligibleSince())/2:
+	case c.now.Wall-j.EligibleSinceMS() > (j.LatestStartMS()-j.EligibleSinceMS())/2:
 		return scaling.AtRisk
 	case queue.usage.CPUs+j.Need.CPUs <= queue.team.CPUs:
 		return scaling.Guaranteed
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -45,7 +45,7 @@
 	if c.cordons.has(name) {
 		return
 	}
-	if since, cordoning := c.autoscaler.cordoning[name]; cordoning && c.now.Steady-since < c.silenceLimit() {
+	if since, cordoning := c.autoscaler.cordoning[name]; cordoning && c.now.Steady-since < c.silenceTimeout() {
 		return
 	}
 	c.autoscaler.beginCordon(name, c.now.Steady)
@@ -53,7 +53,7 @@
 		If:   []protocol.Condition{c.fleet.leaderCondition(), {Key: keyCordon + name}},
 		Then: []protocol.Change{putJSON(keyCordon+name, cordonRecord{Reason: reason})},
 	}, false, func(r StoreReply) {
-		if r.Outcome == Refused || r.Outcome == NoLease {
+		if r.Outcome == OutcomeRefused || r.Outcome == OutcomeNoLease {
 			delete(c.autoscaler.cordoning, name)
 		}
 	})
@@ -91,7 +91,7 @@
 		return false
 	}
 	since, releasing := c.autoscaler.releasing[name]
-	return !releasing || c.now.Steady-since >= c.silenceLimit()
+	return !releasing || c.now.Steady-since >= c.silenceTimeout()
 }
 
 // handleRelease handles the cloud's reply to a release. A confirmed release ends everything that
@@ -99,7 +99,7 @@
 func (c *Core) handleRelease(result ReleaseResult) {
 	for _, id := range result.Machines {
 		if result.OK {
-			c.returns.confirm(id)
+			c.returnTracker.confirm(id)
 		}
 	}
 	if !c.fleet.leading {
@@ -128,7 +128,7 @@
 		txn.Then = append(txn.Then, putJSON(keyCordon+name, cordonRecord{Terminated: true}))
 	}
 	c.compareAndSwap(txn, true, func(r StoreReply) {
-		if r.Outcome != Applied {
+		if r.Outcome != OutcomeApplied {
 			c.autoscaler.retryRelease(names)
 			return
 		}
@@ -156,7 +156,7 @@
 			break
 		}
 	}
-	if len(txn.Then) > 0 && c.every(&c.timers.forget, c.reportInterval()) {
+	if len(txn.Then) > 0 && c.every(&c.timers.cordonCleanup, c.reportInterval()) {
 		c.compareAndSwap(txn, false, func(StoreReply) {})
 	}
 }
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -10,10 +10,10 @@
 
 // scheduler is the scheduling state that is kept between rounds.
 type scheduler struct {
-	// dirty is set when something has changed that a round may act on. next is the earliest time
-	// of the next round.
-	dirty bool
-	next  time.Duration
+	// roundRequested is set when something has changed that a round may act on. nextRoundAt is the
+	// earliest time of the next round.
+	roundRequested bool
+	nextRoundAt    time.Duration
 	// claims are the bindings made in this step that are still to be announced to other
 	// controllers.
 	claims []Claim
@@ -42,18 +42,18 @@
 
 // startRound reports whether a round is due, and if so sets the earliest time of the next one.
 func (s *scheduler) startRound(now, interval time.Duration) bool {
-	if now < s.next {
+	if now < s.nextRoundAt {
 		return false
 	}
-	if !s.dirty && now < s.next+periodicRoundIntervals*interval {
+	if !s.roundRequested && now < s.nextRoundAt+periodicRoundIntervals*interval {
 		return false
 	}
-	s.next, s.dirty = now+interval, false
+	s.nextRoundAt, s.roundRequested = now+interval, false
 	return true
 }
 
 // requestRound requests a scheduling round because something has changed that it may act on.
-func (c *Core) requestRound() { c.scheduler.dirty = true }
+func (c *Core) requestRound() { c.scheduler.roundRequested = true }
 
 // schedule runs a scheduling round if one is due. The round plans for the teams of all
 // controllers, in ranking order. This node binds only the tasks of teams that it leads, and
--- a/internal/core/sharedreports_test.go
+++ b/internal/core/sharedreports_test.go
@@ -10,58 +10,58 @@
 // all others. The next report contained nothing new for that controller and was not shared, so
 // the leader still considered the tasks running.
 func TestFirstReportOfASessionIsSharedEvenIfUnchanged(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.noCloud, w.allowRacingStarts, w.taskTime = true, true, 10*time.Minute
-	accepted(t, w.submit("a", "req-free-1", 20, ""))
-	w.started("req-free-1", 20)
-	leader := w.leaderOf("free")
-	node, machine := w.machineServedBy(func(node string) bool { return node != leader && node != w.cores["a"].fleet.leader })
-	leaderView := func() uint64 { return w.cores[leader].machines.Get(machine).Session }
+	cluster := newIdleSimCluster(t, 10)
+	cluster.cloudDegraded, cluster.allowRacingStarts, cluster.taskTime = true, true, 10*time.Minute
+	requireAccepted(t, cluster.submit("a", "req-free-1", 20, ""))
+	cluster.waitUntilStarted("req-free-1", 20)
+	leader := cluster.leaderOf("free")
+	node, machine := cluster.machineServedBy(func(node string) bool { return node != leader && node != cluster.cores["a"].fleet.leader })
+	leaderView := func() uint64 { return cluster.cores[leader].machines.Get(machine).WorkerEpoch }
 
-	w.silentWorkers[machine] = true
-	w.refuse(func(from, to string) bool { return from == node || to == node })
-	w.withoutStore[node] = true // its lease stays live
-	if !w.run(w.lease()+reportIntervals(4), func() bool { return w.cores[node].agents.session(machine) == nil }) {
+	cluster.silentWorkers[machine] = true
+	cluster.disconnectLinks(func(from, to string) bool { return from == node || to == node })
+	cluster.withoutStore[node] = true // its lease stays live
+	if !cluster.run(cluster.workerLease()+reportIntervals(4), func() bool { return cluster.cores[node].agents.session(machine) == nil }) {
 		t.Fatal("session of a silent agent was not dropped")
 	}
-	if held := w.cores[node].machines.Get(machine).Session; held != 2 || leaderView() != 1 {
+	if held := cluster.cores[node].machines.Get(machine).WorkerEpoch; held != 2 || leaderView() != 1 {
 		t.Fatalf("agent's controller knows epoch %d and the leader epoch %d, want 2 and 1", held, leaderView())
 	}
-	w.restore()
-	delete(w.withoutStore, node)
-	w.run(time.Second, nil)
-	w.reportTo(machine, node)
-	if !w.run(reportIntervals(3), func() bool { return w.cores[node].agents.session(machine) != nil }) {
+	cluster.restoreLinks()
+	delete(cluster.withoutStore, node)
+	cluster.run(time.Second, nil)
+	cluster.reportTo(machine, node)
+	if !cluster.run(reportIntervals(3), func() bool { return cluster.cores[node].agents.session(machine) != nil }) {
 		t.Fatal("agent did not open a session")
 	}
-	w.run(reportIntervals(1), nil)
+	cluster.run(reportIntervals(1), nil)
 	if leaderView() < 2 {
-		t.Errorf("leader has a report of epoch %d, machine is in epoch %d", leaderView(), w.workers[machine].Session)
+		t.Errorf("leader has a report of epoch %d, machine is in epoch %d", leaderView(), cluster.workers[machine].WorkerEpoch)
 	}
 }
 
 // machineServedBy returns a controller that matches, and a machine with tasks that reports to
 // it.
-func (w *world) machineServedBy(matches func(node string) bool) (node, machine string) {
-	w.t.Helper()
-	for _, node := range w.names {
+func (cluster *simCluster) machineServedBy(matches func(node string) bool) (node, machine string) {
+	cluster.t.Helper()
+	for _, node := range cluster.names {
 		if !matches(node) {
 			continue
 		}
-		for _, m := range w.cores[node].agents.ownMachines() {
+		for _, m := range cluster.cores[node].agents.ownMachines() {
 			if len(m.Tasks) > 0 {
 				return node, m.Machine
 			}
 		}
 	}
-	w.t.Fatal("no matching controller serves a machine with tasks")
+	cluster.t.Fatal("no matching controller serves a machine with tasks")
 	return "", ""
 }
 
 // reportTo makes a silent machine report again, to the given controller.
-func (w *world) reportTo(machine, node string) {
-	delete(w.silentWorkers, machine)
-	for w.names[w.workers[machine].node%len(w.names)] != node {
-		w.workers[machine].node++
+func (cluster *simCluster) reportTo(machine, node string) {
+	delete(cluster.silentWorkers, machine)
+	for cluster.names[cluster.workers[machine].node%len(cluster.names)] != node {
+		cluster.workers[machine].node++
 	}
 }
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -11,35 +11,35 @@
 )
 
 // checkStart checks the scheduling invariants when a task starts on a machine.
-func (w *world) checkStart(f *fakeWorker, task string) {
-	w.starts[task]++
+func (cluster *simCluster) checkStart(f *fakeWorker, task string) {
+	cluster.starts[task]++
 	id, _, _ := job.ParseTaskID(task)
-	for other, g := range w.workers {
+	for other, g := range cluster.workers {
 		for _, t := range g.Tasks {
 			if t.Task == task && t.State != protocol.Exited {
-				w.t.Errorf("%v: %s started on %s while it was still on %s", w.now, task, f.Machine, other)
+				cluster.t.Errorf("%v: %s started on %s while it was still on %s", cluster.now, task, f.Machine, other)
 			}
 		}
 	}
-	if s, ok := w.state(id); ok && !w.allowRacingStarts {
-		w.t.Errorf("%v: %s started although its job is %s", w.now, task, s.State)
+	if s, ok := cluster.state(id); ok && !cluster.allowRacingStarts {
+		cluster.t.Errorf("%v: %s started although its job is %s", cluster.now, task, s.State)
 	}
-	if dependency := w.unfinishedDependency(id); dependency != "" {
-		w.t.Errorf("%v: %s started before its dependency %s was done", w.now, task, dependency)
+	if dependency := cluster.unfinishedDependency(id); dependency != "" {
+		cluster.t.Errorf("%v: %s started before its dependency %s was done", cluster.now, task, dependency)
 	}
-	w.checkPlacement(f, id)
-	for _, t := range w.cfg[w.names[0]].Params.Teams {
-		if used := w.inUse(t.Name); t.CPUsMax > 0 && used > t.CPUsMax+1e-6 {
-			w.t.Errorf("%v: team %s uses %v CPUs, more than its limit", w.now, t.Name, used)
+	cluster.checkPlacement(f, id)
+	for _, t := range cluster.cfg[cluster.names[0]].Params.Teams {
+		if used := cluster.cpusInUse(t.Name); t.CPUsMax > 0 && used > t.CPUsMax+1e-6 {
+			cluster.t.Errorf("%v: team %s uses %v CPUs, more than its limit", cluster.now, t.Name, used)
 		}
 	}
 }
 
 // unfinishedDependency returns the first dependency of a job that is not done, or "".
-func (w *world) unfinishedDependency(id string) string {
-	if s := w.specs[id]; s != nil {
+func (cluster *simCluster) unfinishedDependency(id string) string {
+	if s := cluster.specs[id]; s != nil {
 		for _, dependency := range s.Dependencies {
-			if s, _ := w.state(dependency); s.State != protocol.Done {
+			if s, _ := cluster.state(dependency); s.State != protocol.Done {
 				return dependency
 			}
 		}
@@ -49,40 +49,40 @@
 
 // checkCancelDeadlines checks that no task of a job still runs cancel_s after its user was told
 // that it is cancelled.
-func (w *world) checkCancelDeadlines() {
-	for id, at := range w.cancellationToldAt {
-		if w.now-at > seconds(w.cfg[w.names[0]].Params.Workers.CancelS) {
-			if n := w.onMachines(id); n > 0 {
-				w.t.Errorf("%v: %d tasks of %s still run, want 0: its cancellation was confirmed at %v", w.now, n, id, at)
+func (cluster *simCluster) checkCancelDeadlines() {
+	for id, at := range cluster.cancelConfirmedAt {
+		if cluster.now-at > seconds(cluster.cfg[cluster.names[0]].Params.Workers.CancelS) {
+			if n := cluster.onMachines(id); n > 0 {
+				cluster.t.Errorf("%v: %d tasks of %s still run, want 0: its cancellation was confirmed at %v", cluster.now, n, id, at)
 			}
-			delete(w.cancellationToldAt, id)
+			delete(cluster.cancelConfirmedAt, id)
 		}
 	}
 }
 
 // checkPlacement checks that a job's constraints on machines and zones allow one more of its
 // tasks on a machine.
-func (w *world) checkPlacement(f *fakeWorker, id string) {
-	s := w.specs[id]
+func (cluster *simCluster) checkPlacement(f *fakeWorker, id string) {
+	s := cluster.specs[id]
 	if s == nil {
 		return
 	}
 	if !s.Allows(f.Type, f.Zone, f.Spot) {
-		w.t.Errorf("%v: a task of %s started on %s, but the job does not allow type %s, zone %s, spot %v", w.now, id, f.Machine, f.Type, f.Zone, f.Spot)
+		cluster.t.Errorf("%v: a task of %s started on %s, but the job does not allow type %s, zone %s, spot %v", cluster.now, id, f.Machine, f.Type, f.Zone, f.Spot)
 	}
-	zones := w.zonesWith(id)
+	zones := cluster.tasksPerZone(id)
 	if zones[f.Zone]++; s.OneZone && len(zones) > 1 {
-		w.t.Errorf("%v: tasks of %s are in zones %v, want a single zone", w.now, id, zones)
+		cluster.t.Errorf("%v: tasks of %s are in zones %v, want a single zone", cluster.now, id, zones)
 	}
 	if s.Spread && zones[f.Zone] > (s.Tasks+1)/2 {
-		w.t.Errorf("%v: %d of the %d tasks of %s are in zone %s, want at most half, rounded up", w.now, zones[f.Zone], s.Tasks, id, f.Zone)
+		cluster.t.Errorf("%v: %d of the %d tasks of %s are in zone %s, want at most half, rounded up", cluster.now, zones[f.Zone], s.Tasks, id, f.Zone)
 	}
 }
 
-// zonesWith counts a job's tasks on machines by zone.
-func (w *world) zonesWith(id string) map[string]int {
+// tasksPerZone counts a job's tasks on machines by zone.
+func (cluster *simCluster) tasksPerZone(id string) map[string]int {
 	out := map[string]int{}
-	for _, g := range w.workers {
+	for _, g := range cluster.workers {
 		for _, t := range g.Tasks {
 			if !g.dead && strings.HasPrefix(t.Task, id+"/") && t.State != protocol.Exited {
 				out[g.Zone]++
@@ -92,21 +92,21 @@
 	return out
 }
 
-// inUse returns the CPUs that a team's tasks use on all machines.
-func (w *world) inUse(team string) float64 {
+// cpusInUse returns the CPUs that a team's tasks use on all machines.
+func (cluster *simCluster) cpusInUse(team string) float64 {
 	sum := 0.0
-	for _, f := range w.workers {
-		sum += w.loadOf(f, team).CPUs
+	for _, f := range cluster.workers {
+		sum += cluster.loadOf(f, team).CPUs
 	}
 	return sum
 }
 
 // loadOf returns the resources that tasks use on a machine: those of one team, or of all teams
 // if team is empty.
-func (w *world) loadOf(f *fakeWorker, team string) (sum job.Resources) {
+func (cluster *simCluster) loadOf(f *fakeWorker, team string) (sum job.Resources) {
 	for _, t := range f.Tasks {
 		id, _, _ := job.ParseTaskID(t.Task)
-		if s := w.specs[id]; s != nil && t.State != protocol.Exited && (team == "" || s.Team == team) {
+		if s := cluster.specs[id]; s != nil && t.State != protocol.Exited && (team == "" || s.Team == team) {
 			sum = sum.Plus(s.Need, 1)
 		}
 	}
@@ -115,20 +115,20 @@
 
 // hasCapacityFor reports whether the machines have free capacity for the tasks that a job needs
 // to run at once, and its team's limit allows them.
-func (w *world) hasCapacityFor(s *job.Spec) bool {
-	needed, zones := s.MinConcurrency(), w.zonesWith(s.ID)
-	for _, t := range w.cfg[w.names[0]].Params.Teams {
-		if t.Name == s.Team && t.CPUsMax > 0 && w.inUse(t.Name)+float64(needed)*s.Need.CPUs > t.CPUsMax {
+func (cluster *simCluster) hasCapacityFor(s *job.Spec) bool {
+	needed, zones := s.MinConcurrency(), cluster.tasksPerZone(s.ID)
+	for _, t := range cluster.cfg[cluster.names[0]].Params.Teams {
+		if t.Name == s.Team && t.CPUsMax > 0 && cluster.cpusInUse(t.Name)+float64(needed)*s.Need.CPUs > t.CPUsMax {
 			return false
 		}
 	}
 	freeSlots := map[string]int{}
-	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		f := w.workers[id]
-		if f.dead || w.isHung(id) || !s.Allows(f.Type, f.Zone, f.Spot) || s.OneZone && len(zones) > 0 && zones[f.Zone] == 0 {
+	for _, id := range slices.Sorted(maps.Keys(cluster.workers)) {
+		f := cluster.workers[id]
+		if f.dead || cluster.isHung(id) || !s.Allows(f.Type, f.Zone, f.Spot) || s.OneZone && len(zones) > 0 && zones[f.Zone] == 0 {
 			continue
 		}
-		available := w.capacityOf(f.Type).Plus(w.loadOf(f, ""), -1)
+		available := cluster.capacityOf(f.Type).Plus(cluster.loadOf(f, ""), -1)
 		for s.Need.Fits(available) {
 			available = available.Plus(s.Need, -1)
 			freeSlots[f.Zone]++
@@ -147,11 +147,11 @@
 	return total >= needed
 }
 
-// finished returns a condition for run: all the given jobs are done.
-func (w *world) finished(ids ...string) func() bool {
+// allDone returns a condition for run: all the given jobs are done.
+func (cluster *simCluster) allDone(ids ...string) func() bool {
 	return func() bool {
 		for _, id := range ids {
-			if s, _ := w.state(id); s.State != protocol.Done {
+			if s, _ := cluster.state(id); s.State != protocol.Done {
 				return false
 			}
 		}
@@ -159,28 +159,28 @@
 	}
 }
 
-// started runs the simulation until at least n tasks of a job are on machines.
-func (w *world) started(id string, n int) {
-	w.t.Helper()
-	if !w.run(time.Minute, func() bool { return w.onMachines(id) >= n }) {
-		w.t.Fatalf("%s did not start", id)
+// waitUntilStarted runs the simulation until at least n tasks of a job are on machines.
+func (cluster *simCluster) waitUntilStarted(id string, n int) {
+	cluster.t.Helper()
+	if !cluster.run(time.Minute, func() bool { return cluster.onMachines(id) >= n }) {
+		cluster.t.Fatalf("%s did not start", id)
 	}
 }
 
-// startedOnce checks that no task was started twice.
-func (w *world) startedOnce() {
-	w.t.Helper()
-	for task, n := range w.starts {
+// checkStartedOnce checks that no task was started twice.
+func (cluster *simCluster) checkStartedOnce() {
+	cluster.t.Helper()
+	for task, n := range cluster.starts {
 		if n != 1 {
-			w.t.Errorf("%s was started %d times, want 1", task, n)
+			cluster.t.Errorf("%s was started %d times, want 1", task, n)
 		}
 	}
 }
 
 // onMachines counts the tasks of a job that are on machines and have not exited.
-func (w *world) onMachines(id string) int {
+func (cluster *simCluster) onMachines(id string) int {
 	n := 0
-	for _, f := range w.workers {
+	for _, f := range cluster.workers {
 		for _, t := range f.Tasks {
 			if strings.HasPrefix(t.Task, id+"/") && t.State != protocol.Exited {
 				n++
@@ -191,10 +191,10 @@
 }
 
 // leaderOf returns the leader of a team according to the store, or "".
-func (w *world) leaderOf(team string) string {
-	for _, n := range w.names {
-		if c := w.cores[n]; c != nil && !w.withoutStore[n] && c.replica.loaded {
-			return c.teamBy[team].leader
+func (cluster *simCluster) leaderOf(team string) string {
+	for _, n := range cluster.names {
+		if c := cluster.cores[n]; c != nil && !cluster.withoutStore[n] && c.replica.loaded {
+			return c.teamsByName[team].leader
 		}
 	}
 	return ""
--- a/internal/core/simcloud_test.go
+++ b/internal/core/simcloud_test.go
@@ -10,32 +10,32 @@
 )
 
 // listMachines sends the cloud's inventory to a controller.
-func (w *world) listMachines(node string) {
+func (cluster *simCluster) listMachines(node string) {
 	var inventory InventoryReceived
-	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		f := w.workers[id]
-		if id == w.unlisted {
+	for _, id := range slices.Sorted(maps.Keys(cluster.workers)) {
+		f := cluster.workers[id]
+		if id == cluster.unlistedMachine {
 			continue
 		}
-		inventory.Machines = append(inventory.Machines, protocol.ListedMachine{ID: id, Type: f.Type, Zone: f.Zone, Spot: f.Spot, State: protocol.Running, AgeS: w.now.Seconds()})
+		inventory.Machines = append(inventory.Machines, protocol.ListedMachine{ID: id, Type: f.Type, Zone: f.Zone, Spot: f.Spot, State: protocol.Running, AgeS: cluster.now.Seconds()})
 	}
-	w.send(node, inventory)
+	cluster.send(node, inventory)
 }
 
 // isZoneFull reports whether the cloud has no more machines in a zone.
-func (w *world) isZoneFull(zone string) bool {
+func (cluster *simCluster) isZoneFull(zone string) bool {
 	n := 0
-	for _, f := range w.workers {
+	for _, f := range cluster.workers {
 		if f.Zone == zone {
 			n++
 		}
 	}
-	return zone == w.fullZone || w.limitZoneCapacity && n >= w.maxMachines/2
+	return zone == cluster.fullZone || cluster.limitZoneCapacity && n >= cluster.maxMachines/2
 }
 
 // capacityOf returns the resources of a machine type, or none if it is unknown.
-func (w *world) capacityOf(typ string) job.Resources {
-	for _, t := range w.types {
+func (cluster *simCluster) capacityOf(typ string) job.Resources {
+	for _, t := range cluster.types {
 		if t.Name == typ {
 			return catalog.Capacity(t)
 		}
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -12,9 +12,9 @@
 	"pepperlever/internal/settings"
 )
 
-// world simulates controllers, workers, the cloud and the store on a fake clock, and checks
+// simCluster simulates controllers, workers, the cloud and the store on a fake clock, and checks
 // the scheduling invariants whenever a task starts.
-type world struct {
+type simCluster struct {
 	t            tester
 	rng          *rand.Rand
 	now          time.Duration
@@ -47,8 +47,8 @@
 	nextReq uint64            // the number last used, for requests, leases and incarnations
 	starts  map[string]int    // the number of starts of each task
 	cfg     map[string]*settings.Settings
-	// unlisted is a machine that is missing from the cloud's inventory.
-	unlisted string
+	// unlistedMachine is a machine that is missing from the cloud's inventory.
+	unlistedMachine string
 	// requests counts the requests that the controllers send to the store.
 	requests int
 	// nameOneFailedKey makes the store report only the first failed condition of a transaction.
@@ -61,10 +61,10 @@
 	allowRacingStarts bool
 	// broken holds jobs whose tasks fail on any machine, faulty machines on which any task fails.
 	broken, faulty map[string]bool
-	// gateways holds the federation configuration of each node that has one; sent holds the
-	// messages to other sites.
-	gateways map[string]*federation.Config
-	sent     []federation.Message
+	// federationConfigs holds the federation configuration of each node that has one; sent holds
+	// the messages to other sites.
+	federationConfigs map[string]*federation.Config
+	sent              []federation.Message
 	// onEffect, if set, is called with every effect of a controller.
 	onEffect func(node string, e Effect)
 	// names lists the controllers; maxMachines is the capacity of the cloud.
@@ -72,7 +72,7 @@
 	maxMachines int
 	// taskTime is the normal run time of a task.
 	taskTime time.Duration
-	// types is the cloud's catalogue of machine types.
+	// types is the cloud's catalog of machine types.
 	types []protocol.MachineType
 	// refusedLinks holds the links between controllers that are down and drop all messages.
 	refusedLinks map[link]bool
@@ -83,18 +83,18 @@
 	// network.
 	frozen     map[string]bool
 	cutWorkers map[string]bool
-	// unreachableWorkers are the machines whose reports arrive but which receive nothing;
-	// workerCannotReach holds broken links from a controller to a machine.
-	unreachableWorkers map[string]bool
-	workerCannotReach  map[link]bool
+	// workersReceivingNothing are the machines whose reports arrive but which receive nothing;
+	// brokenWorkerLinks holds broken links from a controller to a machine.
+	workersReceivingNothing map[string]bool
+	brokenWorkerLinks       map[link]bool
 	// silentWorkers are the machines whose reports reach no controller, while deliveries to them
 	// succeed.
 	silentWorkers map[string]bool
 	// replayReports sends late duplicates of reports from pastReports to random controllers.
 	replayReports bool
 	pastReports   []Heartbeat
-	// noCloud makes the cloud return no catalogue and release no machines.
-	noCloud bool
+	// cloudDegraded makes the cloud return no catalog and release no machines.
+	cloudDegraded bool
 	// storeUnavailableSince is when a controller lost the store. It is told so after a report
 	// interval; storeLossReported holds the controllers that have been told.
 	storeUnavailableSince map[string]time.Duration
@@ -103,8 +103,8 @@
 	// of its last ones.
 	watchLag  time.Duration
 	watchedAt map[string]time.Duration
-	// slowWatcher is a controller whose watch delivers no events.
-	slowWatcher string
+	// blockedWatcher is a controller whose watch delivers no events.
+	blockedWatcher string
 	// awaitingSnapshot holds the controllers that wait for a snapshot of the store, awaitingLease
 	// those that wait for a lease.
 	awaitingSnapshot, awaitingLease map[string]bool
@@ -125,8 +125,8 @@
 	tokenOwners map[uint64]string
 	// completed holds the tasks that ran to their end.
 	completed map[string]bool
-	// cancellationToldAt is when a controller told the user of a job that it is cancelled.
-	cancellationToldAt map[string]time.Duration
+	// cancelConfirmedAt is when a controller told the user of a job that it is cancelled.
+	cancelConfirmedAt map[string]time.Duration
 	// specs holds the specification of each submitted job.
 	specs map[string]*job.Spec
 	// adjustSettings, if set, changes the settings of each controller before it starts.
@@ -153,11 +153,11 @@
 	// notUpgraded holds the controllers that run the previous version, which does not store its
 	// version.
 	notUpgraded map[string]bool
-	// lowLimits makes the store enforce the announced lower limits.
-	lowLimits bool
+	// limitsLowered makes the store enforce the announced lower limits.
+	limitsLowered bool
 }
 
-// tester is the common subset of testing.T and rapid.T that a world uses.
+// tester is the common subset of testing.T and rapid.T that a simulated cluster uses.
 type tester interface {
 	Helper()
 	Error(args ...any)
@@ -167,65 +167,68 @@
 	Logf(format string, args ...any)
 }
 
-// newWorld returns a world of three controllers.
-func newWorld(t tester) *world { return newWorldOf(t, nodeNames) }
+// newSimCluster returns a simulated cluster of three controllers.
+func newSimCluster(t tester) *simCluster { return newSimClusterOf(t, nodeNames) }
 
-// newWorldOf returns a world of the given controllers.
-func newWorldOf(t tester, names []string) *world { return newTunedWorld(t, names, nil) }
+// newSimClusterOf returns a simulated cluster of the given controllers.
+func newSimClusterOf(t tester, names []string) *simCluster {
+	return newSimClusterWithSettings(t, names, nil)
+}
 
-// newTunedWorld returns a world that starts each controller with adjusted settings.
-func newTunedWorld(t tester, names []string, adjustSettings func(*settings.Settings)) *world {
-	w := &world{
-		t:                     t,
-		rng:                   rand.New(rand.NewPCG(1, 2)),
-		tick:                  100 * time.Millisecond,
-		names:                 names,
-		adjustSettings:        adjustSettings,
-		maxMachines:           40,
-		taskTime:              5 * time.Second,
-		specs:                 map[string]*job.Spec{},
-		endedAt:               map[string]time.Duration{},
-		notUpgraded:           map[string]bool{},
-		hungUntil:             map[string]time.Duration{},
-		completeGangs:         map[taskAttempt]bool{},
-		cores:                 map[string]*Core{},
-		inbox:                 map[string][]Command{},
-		withoutStore:          map[string]bool{},
-		kv:                    map[string]protocol.KeyValue{},
-		seen:                  map[string]uint64{},
-		leases:                map[uint64]string{},
-		workers:               map[string]*fakeWorker{},
-		answers:               map[uint64]Answer{},
-		starts:                map[string]int{},
-		broken:                map[string]bool{},
-		faulty:                map[string]bool{},
-		unreachableNodes:      map[string]bool{},
-		redirected:            map[string]int{},
-		cfg:                   map[string]*settings.Settings{},
-		refusedLinks:          map[link]bool{},
-		slowLinks:             map[link]bool{},
-		heldMessages:          map[link][]PeerMessage{},
-		frozen:                map[string]bool{},
-		cutWorkers:            map[string]bool{},
-		unreachableWorkers:    map[string]bool{},
-		silentWorkers:         map[string]bool{},
-		workerCannotReach:     map[link]bool{},
-		storeUnavailableSince: map[string]time.Duration{},
-		storeLossReported:     map[string]bool{},
-		awaitingSnapshot:      map[string]bool{},
-		awaitingLease:         map[string]bool{},
-		watchedAt:             map[string]time.Duration{},
-		cancellationToldAt:    map[string]time.Duration{},
-		completed:             map[string]bool{},
-		tokenOwners:           map[uint64]string{},
+// newSimClusterWithSettings returns a simulated cluster that starts each controller with adjusted
+// settings.
+func newSimClusterWithSettings(t tester, names []string, adjustSettings func(*settings.Settings)) *simCluster {
+	cluster := &simCluster{
+		t:                       t,
+		rng:                     rand.New(rand.NewPCG(1, 2)),
+		tick:                    100 * time.Millisecond,
+		names:                   names,
+		adjustSettings:          adjustSettings,
+		maxMachines:             40,
+		taskTime:                5 * time.Second,
+		specs:                   map[string]*job.Spec{},
+		endedAt:                 map[string]time.Duration{},
+		notUpgraded:             map[string]bool{},
+		hungUntil:               map[string]time.Duration{},
+		completeGangs:           map[taskAttempt]bool{},
+		cores:                   map[string]*Core{},
+		inbox:                   map[string][]Command{},
+		withoutStore:            map[string]bool{},
+		kv:                      map[string]protocol.KeyValue{},
+		seen:                    map[string]uint64{},
+		leases:                  map[uint64]string{},
+		workers:                 map[string]*fakeWorker{},
+		answers:                 map[uint64]Answer{},
+		starts:                  map[string]int{},
+		broken:                  map[string]bool{},
+		faulty:                  map[string]bool{},
+		unreachableNodes:        map[string]bool{},
+		redirected:              map[string]int{},
+		cfg:                     map[string]*settings.Settings{},
+		refusedLinks:            map[link]bool{},
+		slowLinks:               map[link]bool{},
+		heldMessages:            map[link][]PeerMessage{},
+		frozen:                  map[string]bool{},
+		cutWorkers:              map[string]bool{},
+		workersReceivingNothing: map[string]bool{},
+		silentWorkers:           map[string]bool{},
+		brokenWorkerLinks:       map[link]bool{},
+		storeUnavailableSince:   map[string]time.Duration{},
+		storeLossReported:       map[string]bool{},
+		awaitingSnapshot:        map[string]bool{},
+		awaitingLease:           map[string]bool{},
+		watchedAt:               map[string]time.Duration{},
+		cancelConfirmedAt:       map[string]time.Duration{},
+		completed:               map[string]bool{},
+		tokenOwners:             map[uint64]string{},
 	}
-	w.types = []protocol.MachineType{
+	cluster.types = []protocol.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: []string{"z1", "z2"}},
 	}
 	for _, n := range names {
-		w.boot(n)
+		cluster.boot(n)
 	}
-	return w
+	return cluster
 }
 
 // testSettings returns the settings of a controller in a cluster of nodeNames.
@@ -250,218 +253,218 @@
 	return s
 }
 
-// nodeNames are the controllers of newWorld.
+// nodeNames are the controllers of newSimCluster.
 var nodeNames = []string{"a", "b", "c"}
 
 // boot starts or restarts a controller.
-func (w *world) boot(node string) {
-	w.cfg[node] = settingsForNodes(node, w.names)
-	if w.adjustSettings != nil {
-		w.adjustSettings(w.cfg[node])
+func (cluster *simCluster) boot(node string) {
+	cluster.cfg[node] = settingsForNodes(node, cluster.names)
+	if cluster.adjustSettings != nil {
+		cluster.adjustSettings(cluster.cfg[node])
 	}
-	w.assignZone(node)
-	w.nextReq++
-	w.cores[node] = New(w.cfg[node], settings.DefaultPolicy(), fmt.Sprint(node, w.nextReq))
-	if g := w.gateways[node]; g != nil {
-		w.cores[node].Join(g)
+	cluster.assignZone(node)
+	cluster.nextReq++
+	cluster.cores[node] = New(cluster.cfg[node], settings.DefaultPolicy(), fmt.Sprint(node, cluster.nextReq))
+	if g := cluster.federationConfigs[node]; g != nil {
+		cluster.cores[node].EnableFederation(g)
 	}
-	w.inbox[node] = nil
-	delete(w.storeUnavailableSince, node)
-	delete(w.storeLossReported, node)
-	if w.awaitingSnapshot[node] = true; !w.outage && !w.withoutStore[node] {
-		w.read(node)
+	cluster.inbox[node] = nil
+	delete(cluster.storeUnavailableSince, node)
+	delete(cluster.storeLossReported, node)
+	if cluster.awaitingSnapshot[node] = true; !cluster.outage && !cluster.withoutStore[node] {
+		cluster.sendSnapshotWhenReachable(node)
 	}
-	w.grantLease(node)
-	for _, other := range w.names {
-		if w.cores[other] != nil && other != node {
-			w.connect(node, other)
-			w.connect(other, node)
+	cluster.grantLease(node)
+	for _, other := range cluster.names {
+		if cluster.cores[other] != nil && other != node {
+			cluster.connect(node, other)
+			cluster.connect(other, node)
 		}
 	}
 }
 
 // send queues a command for a controller's next step.
-func (w *world) send(node string, c Command) {
+func (cluster *simCluster) send(node string, c Command) {
 	if s, isSubmission := c.(Submit); isSubmission {
-		w.recordSubmission(s.Body)
+		cluster.recordSubmission(s.Body)
 	}
-	w.inbox[node] = append(w.inbox[node], c)
+	cluster.inbox[node] = append(cluster.inbox[node], c)
 }
 
 // run advances the simulation by d, or until done returns true. It reports whether done did.
-func (w *world) run(d time.Duration, done func() bool) bool {
-	for end := w.now + d; w.now < end; w.now += w.tick {
+func (cluster *simCluster) run(d time.Duration, done func() bool) bool {
+	for end := cluster.now + d; cluster.now < end; cluster.now += cluster.tick {
 		if done != nil && done() {
 			return true
 		}
-		w.scheduledActions = slices.DeleteFunc(w.scheduledActions, func(action func() bool) bool { return action() })
-		for _, f := range w.messagesInFlight {
-			w.send(f.to, PeerMessageReceived{Node: f.from, Message: f.message})
+		cluster.scheduledActions = slices.DeleteFunc(cluster.scheduledActions, func(action func() bool) bool { return action() })
+		for _, f := range cluster.messagesInFlight {
+			cluster.send(f.to, PeerMessageReceived{Node: f.from, Message: f.message})
 		}
-		w.messagesInFlight = nil
-		w.stepWorkers()
-		w.replayPastReports()
-		for _, node := range w.names {
-			w.step(node)
+		cluster.messagesInFlight = nil
+		cluster.stepWorkers()
+		cluster.replayPastReports()
+		for _, node := range cluster.names {
+			cluster.step(node)
 		}
-		w.checkCancelDeadlines()
+		cluster.checkCancelDeadlines()
 	}
 	return done != nil && done()
 }
 
 // step delivers a controller's queued commands and applies the effects.
-func (w *world) step(node string) {
-	c := w.cores[node]
-	if c == nil || w.frozen[node] {
+func (cluster *simCluster) step(node string) {
+	c := cluster.cores[node]
+	if c == nil || cluster.frozen[node] {
 		return
 	}
-	w.sendEvents(node)
-	w.updateStoreHealth(node)
-	batch := w.inbox[node]
-	w.inbox[node] = nil
-	effects := c.Step(Now{Steady: w.now, Wall: w.now.Milliseconds()}, batch)
+	cluster.sendEvents(node)
+	cluster.updateStoreHealth(node)
+	batch := cluster.inbox[node]
+	cluster.inbox[node] = nil
+	effects := c.Step(Now{Steady: cluster.now, Wall: cluster.now.Milliseconds()}, batch)
 	for token := range c.agents.tokens.acquired {
-		w.checkTokenOwner(node, token)
+		cluster.checkTokenOwner(node, token)
 	}
 	for _, e := range effects {
-		w.applyEffect(node, e)
+		cluster.applyEffect(node, e)
 	}
 }
 
 // sendEvents delivers new store events to a controller, unless its watch is blocked or lags.
-func (w *world) sendEvents(node string) {
-	blocked := w.outage || w.withoutStore[node] || w.awaitingSnapshot[node] || w.slowWatcher == node
-	if blocked || w.seen[node] >= uint64(len(w.events)) || w.now < w.watchedAt[node]+w.watchLag {
+func (cluster *simCluster) sendEvents(node string) {
+	blocked := cluster.outage || cluster.withoutStore[node] || cluster.awaitingSnapshot[node] || cluster.blockedWatcher == node
+	if blocked || cluster.seen[node] >= uint64(len(cluster.events)) || cluster.now < cluster.watchedAt[node]+cluster.watchLag {
 		return
 	}
-	w.watchedAt[node] = w.now
-	w.send(node, StoreChanged{Revision: w.revision, Events: slices.Clone(w.events[w.seen[node]:])})
-	w.seen[node] = uint64(len(w.events))
+	cluster.watchedAt[node] = cluster.now
+	cluster.send(node, StoreChanged{Revision: cluster.revision, Events: slices.Clone(cluster.events[cluster.seen[node]:])})
+	cluster.seen[node] = uint64(len(cluster.events))
 }
 
 // crash stops a controller. Its lease stays until expire is called.
-func (w *world) crash(node string) {
-	delete(w.cores, node)
-	w.messagesInFlight = slices.DeleteFunc(w.messagesInFlight, func(f inFlightMessage) bool { return f.from == node })
-	for _, other := range w.names {
-		if w.cores[other] != nil {
-			w.send(other, PeerDisconnected{Node: node})
+func (cluster *simCluster) crash(node string) {
+	delete(cluster.cores, node)
+	cluster.messagesInFlight = slices.DeleteFunc(cluster.messagesInFlight, func(f inFlightMessage) bool { return f.from == node })
+	for _, other := range cluster.names {
+		if cluster.cores[other] != nil {
+			cluster.send(other, PeerDisconnected{Node: node})
 		}
 	}
 }
 
 // ready runs the simulation until every node can take requests.
-func (w *world) ready() *world {
-	w.t.Helper()
-	if !w.run(20*time.Second, func() bool {
-		for _, n := range w.names {
-			c := w.cores[n]
+func (cluster *simCluster) ready() *simCluster {
+	cluster.t.Helper()
+	if !cluster.run(20*time.Second, func() bool {
+		for _, n := range cluster.names {
+			c := cluster.cores[n]
 			if c == nil || !c.replica.loaded || !c.catalog.Loaded() || c.agents.tokens.current == 0 || c.fleet.leader == "" {
 				return false
 			}
 		}
 		return true
 	}) {
-		w.t.Fatal("controllers did not become ready")
+		cluster.t.Fatal("controllers did not become ready")
 	}
-	return w
+	return cluster
 }
 
 // applyEffect carries out an effect of a controller in the simulated environment.
-func (w *world) applyEffect(node string, e Effect) {
-	if w.onEffect != nil {
-		w.onEffect(node, e)
+func (cluster *simCluster) applyEffect(node string, e Effect) {
+	if cluster.onEffect != nil {
+		cluster.onEffect(node, e)
 	}
 	switch e := e.(type) {
 	case Answer:
-		w.answers[e.Req] = e
+		cluster.answers[e.Req] = e
 	case StoreTxn:
-		w.executeTxn(node, e)
+		cluster.executeTxn(node, e)
 	case StoreGet:
-		w.executeGet(node, e)
+		cluster.executeGet(node, e)
 	case StoreReload:
-		w.read(node)
+		cluster.sendSnapshotWhenReachable(node)
 	case SendPeer:
-		w.sendPeer(node, e)
+		cluster.sendPeer(node, e)
 	case SendSite:
-		w.sent = append(w.sent, e.Message)
+		cluster.sent = append(cluster.sent, e.Message)
 	case Deliver:
-		w.startDelivery(node, e)
+		cluster.startDelivery(node, e)
 	case FetchCatalog:
-		w.send(node, CloudHealth{OK: !w.noCloud})
-		if !w.noCloud {
-			w.send(node, CatalogReceived{Types: w.types})
+		cluster.send(node, CloudHealth{OK: !cluster.cloudDegraded})
+		if !cluster.cloudDegraded {
+			cluster.send(node, CatalogReceived{Types: cluster.types})
 		}
 	case FetchInventory:
-		w.listMachines(node)
+		cluster.listMachines(node)
 	case RequestRental:
-		w.rentMachines(node, e)
+		cluster.rentMachines(node, e)
 	case ReleaseMachines:
-		w.releaseMachines(node, e)
+		cluster.releaseMachines(node, e)
 	}
 }
 
 // sendPeer sends a message to other controllers, as the state of each link allows.
-func (w *world) sendPeer(node string, e SendPeer) {
-	if slices.Contains(w.previousRelease, node) {
+func (cluster *simCluster) sendPeer(node string, e SendPeer) {
+	if slices.Contains(cluster.previousRelease, node) {
 		e.Message = asPreviousRelease(e.Message)
 	}
 	for _, to := range e.Nodes {
 		msg := e.Message
-		if slices.Contains(w.previousRelease, to) {
+		if slices.Contains(cluster.previousRelease, to) {
 			msg = asPreviousRelease(msg)
 		}
 		switch messageLink := (link{node, to}); {
-		case w.cores[to] == nil || w.refusedLinks[messageLink]:
-		case w.slowLinks[messageLink]:
-			w.heldMessages[messageLink] = append(w.heldMessages[messageLink], msg)
-		case w.latency:
-			w.messagesInFlight = append(w.messagesInFlight, inFlightMessage{messageLink, msg})
+		case cluster.cores[to] == nil || cluster.refusedLinks[messageLink]:
+		case cluster.slowLinks[messageLink]:
+			cluster.heldMessages[messageLink] = append(cluster.heldMessages[messageLink], msg)
+		case cluster.latency:
+			cluster.messagesInFlight = append(cluster.messagesInFlight, inFlightMessage{messageLink, msg})
 		default:
-			w.send(to, PeerMessageReceived{Node: node, Message: msg})
+			cluster.send(to, PeerMessageReceived{Node: node, Message: msg})
 		}
 	}
 }
 
 // startDelivery executes a delivery at once, delays it or loses it.
-func (w *world) startDelivery(node string, delivery Deliver) {
-	if w.loseDeliveries {
-		w.heldDeliveries = append(w.heldDeliveries, delivery)
-		w.send(node, DeliveryResult{Machine: delivery.Machine, Orders: delivery.Orders})
+func (cluster *simCluster) startDelivery(node string, delivery Deliver) {
+	if cluster.loseDeliveries {
+		cluster.heldDeliveries = append(cluster.heldDeliveries, delivery)
+		cluster.send(node, DeliveryResult{Machine: delivery.Machine, CommandBatch: delivery.CommandBatch})
 		return
 	}
-	if w.delayDeliveries && w.rng.IntN(4) == 0 {
-		w.delayDelivery(node, delivery, time.Duration(1+w.rng.IntN(12))*time.Second)
+	if cluster.delayDeliveries && cluster.rng.IntN(4) == 0 {
+		cluster.delayDelivery(node, delivery, time.Duration(1+cluster.rng.IntN(12))*time.Second)
 		return
 	}
-	w.deliver(node, delivery)
+	cluster.deliver(node, delivery)
 }
 
 // rentMachines adds the requested machines, or refuses the rental for lack of capacity.
-func (w *world) rentMachines(node string, e RequestRental) {
-	if len(w.workers) >= w.maxMachines || w.isZoneFull(e.Rental.Zone) {
-		w.send(node, RentalResult{Rental: e.Rental, Outcome: Refused})
+func (cluster *simCluster) rentMachines(node string, e RequestRental) {
+	if len(cluster.workers) >= cluster.maxMachines || cluster.isZoneFull(e.Rental.Zone) {
+		cluster.send(node, RentalResult{Rental: e.Rental, Outcome: OutcomeRefused})
 		return
 	}
 	var names []string
 	for range e.Rental.Count {
-		id := w.addWorker(e.Rental.Zone, e.Rental.Spot)
-		w.workers[id].Type = e.Rental.Type
+		id := cluster.addWorker(e.Rental.Zone, e.Rental.Spot)
+		cluster.workers[id].Type = e.Rental.Type
 		names = append(names, id)
 	}
-	w.send(node, RentalResult{Rental: e.Rental, Outcome: Applied, Machines: names})
+	cluster.send(node, RentalResult{Rental: e.Rental, Outcome: OutcomeApplied, Machines: names})
 }
 
 // releaseMachines returns machines to the cloud.
-func (w *world) releaseMachines(node string, e ReleaseMachines) {
-	if w.noCloud {
-		w.send(node, ReleaseResult{Machines: e.Machines})
+func (cluster *simCluster) releaseMachines(node string, e ReleaseMachines) {
+	if cluster.cloudDegraded {
+		cluster.send(node, ReleaseResult{Machines: e.Machines})
 		return
 	}
 	for _, m := range e.Machines {
-		delete(w.workers, m)
+		delete(cluster.workers, m)
 	}
-	w.send(node, ReleaseResult{Machines: e.Machines, OK: true})
+	cluster.send(node, ReleaseResult{Machines: e.Machines, OK: true})
 }
 
 // asPreviousRelease removes the message fields that the previous release does not know.
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -7,18 +7,18 @@
 )
 
 // stopAllFor stops all controllers and restarts them after d.
-func (w *world) stopAllFor(d time.Duration) {
-	w.allRestarted = true
-	for _, n := range w.names {
-		if w.cores[n] != nil {
-			w.crash(n)
-			w.expire(n)
+func (cluster *simCluster) stopAllFor(d time.Duration) {
+	cluster.allRestarted = true
+	for _, n := range cluster.names {
+		if cluster.cores[n] != nil {
+			cluster.crash(n)
+			cluster.expire(n)
 		}
 	}
-	w.after(d, func() {
-		for _, n := range w.names {
-			if w.cores[n] == nil {
-				w.boot(n)
+	cluster.after(d, func() {
+		for _, n := range cluster.names {
+			if cluster.cores[n] == nil {
+				cluster.boot(n)
 			}
 		}
 	})
@@ -26,22 +26,22 @@
 
 // changeLeaders repeatedly forces a leader change of a team: alternately it restarts the leader and
 // lets its lease expire.
-func (w *world) changeLeaders(team string, times int, interval time.Duration) {
+func (cluster *simCluster) changeLeaders(team string, times int, interval time.Duration) {
 	for i := range times {
-		w.after(time.Duration(i)*interval, func() {
-			leader := w.leaderOf(team)
-			if leader == "" || w.cores[leader] == nil || w.frozen[leader] {
+		cluster.after(time.Duration(i)*interval, func() {
+			leader := cluster.leaderOf(team)
+			if leader == "" || cluster.cores[leader] == nil || cluster.frozen[leader] {
 				return
 			}
 			if i%2 == 0 {
-				w.restartImmediately(leader)
-				w.expireOldLeases(leader)
+				cluster.restartImmediately(leader)
+				cluster.expireOldLeases(leader)
 				return
 			}
-			w.cutStore(leader)
-			w.after(interval/4, func() {
-				if w.withoutStore[leader] && w.cores[leader] != nil {
-					w.restoreStore(leader)
+			cluster.cutStore(leader)
+			cluster.after(interval/4, func() {
+				if cluster.withoutStore[leader] && cluster.cores[leader] != nil {
+					cluster.restoreStore(leader)
 				}
 			})
 		})
@@ -50,62 +50,62 @@
 
 // canFail reports whether a controller and at least two others are healthy, so that two healthy
 // ones remain if it fails.
-func (w *world) canFail(node string) bool {
+func (cluster *simCluster) canFail(node string) bool {
 	n := 0
-	for _, other := range w.names {
-		if w.cores[other] != nil && !w.withoutStore[other] && !w.frozen[other] {
+	for _, other := range cluster.names {
+		if cluster.cores[other] != nil && !cluster.withoutStore[other] && !cluster.frozen[other] {
 			n++
 		}
 	}
-	return n > 2 && w.cores[node] != nil && !w.withoutStore[node] && !w.frozen[node]
+	return n > 2 && cluster.cores[node] != nil && !cluster.withoutStore[node] && !cluster.frozen[node]
 }
 
 // after calls f once d has passed, unless recover has been called by then.
-func (w *world) after(d time.Duration, f func()) {
-	at, recoveriesBefore := w.now+d, w.recoveryCount
-	w.scheduledActions = append(w.scheduledActions, func() bool {
-		if w.now >= at && w.recoveryCount == recoveriesBefore {
+func (cluster *simCluster) after(d time.Duration, f func()) {
+	at, recoveriesBefore := cluster.now+d, cluster.recoveryCount
+	cluster.scheduledActions = append(cluster.scheduledActions, func() bool {
+		if cluster.now >= at && cluster.recoveryCount == recoveriesBefore {
 			f()
 		}
-		return w.now >= at
+		return cluster.now >= at
 	})
 }
 
-// eachOfSome calls f for a random selection of machines, on average one in oneIn.
-func (w *world) eachOfSome(oneIn int, f func(id string)) {
-	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		if w.rng.IntN(oneIn) == 0 {
+// forRandomMachines calls f for a random selection of machines, on average one in oneIn.
+func (cluster *simCluster) forRandomMachines(oneIn int, f func(id string)) {
+	for _, id := range slices.Sorted(maps.Keys(cluster.workers)) {
+		if cluster.rng.IntN(oneIn) == 0 {
 			f(id)
 		}
 	}
 }
 
 // isolate cuts a controller off from the store and from all other controllers.
-func (w *world) isolate(node string) {
-	w.cutStore(node)
-	w.refuse(func(from, to string) bool { return from == node || to == node })
+func (cluster *simCluster) isolate(node string) {
+	cluster.cutStore(node)
+	cluster.disconnectLinks(func(from, to string) bool { return from == node || to == node })
 }
 
 // restartImmediately restarts a controller without downtime. The lease of its previous
 // incarnation stays until it times out.
-func (w *world) restartImmediately(node string) {
-	if w.cores[node] == nil {
+func (cluster *simCluster) restartImmediately(node string) {
+	if cluster.cores[node] == nil {
 		return
 	}
-	previousLeases := w.leasesOf(node)
-	w.crash(node)
-	w.boot(node)
-	w.after(controllerLease, func() { w.endLeases(previousLeases) })
+	previousLeases := cluster.leasesOf(node)
+	cluster.crash(node)
+	cluster.boot(node)
+	cluster.after(controllerLease, func() { cluster.endLeases(previousLeases) })
 }
 
 // recover ends all faults, except that a machine that hangs continues at its own time and lowered
 // limits stay.
-func (w *world) recover() {
-	w.recoveryCount++
-	w.endOutage()
-	w.noCloud, w.delayDeliveries, w.watchLag, w.lateWrite, w.delayReports, w.fullZone = false, false, 0, nil, false, ""
-	w.reconnectZone()
-	w.heal()
-	clear(w.cutWorkers)
-	clear(w.notUpgraded)
+func (cluster *simCluster) recover() {
+	cluster.recoveryCount++
+	cluster.endOutage()
+	cluster.cloudDegraded, cluster.delayDeliveries, cluster.watchLag, cluster.lateWrite, cluster.delayReports, cluster.fullZone = false, false, 0, nil, false, ""
+	cluster.reconnectZone()
+	cluster.heal()
+	clear(cluster.cutWorkers)
+	clear(cluster.notUpgraded)
 }
--- a/internal/core/simnetwork_test.go
+++ b/internal/core/simnetwork_test.go
@@ -11,107 +11,109 @@
 }
 
 // connect tells a controller that it can send to another, unless the link between them is down.
-func (w *world) connect(from, to string) {
-	if !w.refusedLinks[link{from, to}] {
-		w.send(from, PeerConnected{Node: to})
+func (cluster *simCluster) connect(from, to string) {
+	if !cluster.refusedLinks[link{from, to}] {
+		cluster.send(from, PeerConnected{Node: to})
 	}
 }
 
-// refuse takes down the links for which matches returns true. Each direction is a link of its own.
-func (w *world) refuse(matches func(from, to string) bool) {
-	for _, from := range w.names {
-		for _, to := range w.names {
-			if from != to && matches(from, to) && !w.refusedLinks[link{from, to}] {
-				w.refusedLinks[link{from, to}] = true
-				w.send(from, PeerDisconnected{Node: to})
+// disconnectLinks takes down the links for which matches returns true. Each direction is a link of
+// its own.
+func (cluster *simCluster) disconnectLinks(matches func(from, to string) bool) {
+	for _, from := range cluster.names {
+		for _, to := range cluster.names {
+			if from != to && matches(from, to) && !cluster.refusedLinks[link{from, to}] {
+				cluster.refusedLinks[link{from, to}] = true
+				cluster.send(from, PeerDisconnected{Node: to})
 			}
 		}
 	}
 }
 
-// restore repairs all links between controllers and delivers the messages that slow links held.
-func (w *world) restore() {
-	clear(w.slowLinks)
-	for _, from := range w.names {
-		for _, to := range w.names {
-			if w.refusedLinks[link{from, to}] {
-				delete(w.refusedLinks, link{from, to})
-				w.connect(from, to)
+// restoreLinks repairs all links between controllers and delivers the messages that slow links
+// held.
+func (cluster *simCluster) restoreLinks() {
+	clear(cluster.slowLinks)
+	for _, from := range cluster.names {
+		for _, to := range cluster.names {
+			if cluster.refusedLinks[link{from, to}] {
+				delete(cluster.refusedLinks, link{from, to})
+				cluster.connect(from, to)
 			}
-			for _, m := range w.heldMessages[link{from, to}] {
-				w.send(to, PeerMessageReceived{Node: from, Message: m})
+			for _, m := range cluster.heldMessages[link{from, to}] {
+				cluster.send(to, PeerMessageReceived{Node: from, Message: m})
 			}
-			delete(w.heldMessages, link{from, to})
+			delete(cluster.heldMessages, link{from, to})
 		}
 	}
 }
 
-// hold makes the links for which matches returns true hold messages until restore.
-func (w *world) hold(matches func(from, to string) bool) {
-	for _, from := range w.names {
-		for _, to := range w.names {
+// delayLinks makes the links for which matches returns true hold messages until restoreLinks.
+func (cluster *simCluster) delayLinks(matches func(from, to string) bool) {
+	for _, from := range cluster.names {
+		for _, to := range cluster.names {
 			if from != to && matches(from, to) {
-				w.slowLinks[link{from, to}] = true
+				cluster.slowLinks[link{from, to}] = true
 			}
 		}
 	}
 }
 
 // assignZone sets the zones of a controller and its peers in its settings.
-func (w *world) assignZone(node string) {
-	if w.controllerZones == nil {
+func (cluster *simCluster) assignZone(node string) {
+	if cluster.controllerZones == nil {
 		return
 	}
-	c := w.cfg[node]
-	c.Zone = w.controllerZones[node]
+	c := cluster.cfg[node]
+	c.Zone = cluster.controllerZones[node]
 	for i, p := range c.Peers {
-		c.Peers[i].Zone = w.controllerZones[p.Node]
+		c.Peers[i].Zone = cluster.controllerZones[p.Node]
 	}
 }
 
 // twoZones assigns the last two controllers to zone z2 and the others to z1.
-func (w *world) twoZones() {
-	w.limitZoneCapacity, w.controllerZones = true, map[string]string{}
-	for i, n := range w.names {
-		if w.controllerZones[n] = "z1"; i >= len(w.names)-2 {
-			w.controllerZones[n] = "z2"
+func (cluster *simCluster) twoZones() {
+	cluster.limitZoneCapacity, cluster.controllerZones = true, map[string]string{}
+	for i, n := range cluster.names {
+		if cluster.controllerZones[n] = "z1"; i >= len(cluster.names)-2 {
+			cluster.controllerZones[n] = "z2"
 		}
 	}
-	for _, n := range w.names {
-		w.assignZone(n)
+	for _, n := range cluster.names {
+		cluster.assignZone(n)
 	}
 }
 
 // cutZone partitions a zone from the other zones and from the store. Controllers and machines
 // inside it still reach each other.
-func (w *world) cutZone(zone string) {
-	w.isolatedZone = zone
-	w.refuse(func(from, to string) bool {
-		return (w.controllerZones[from] == zone) != (w.controllerZones[to] == zone)
+func (cluster *simCluster) cutZone(zone string) {
+	cluster.isolatedZone = zone
+	cluster.disconnectLinks(func(from, to string) bool {
+		return (cluster.controllerZones[from] == zone) != (cluster.controllerZones[to] == zone)
 	})
-	for _, n := range w.names {
-		if w.controllerZones[n] == zone {
-			w.cutStore(n)
+	for _, n := range cluster.names {
+		if cluster.controllerZones[n] == zone {
+			cluster.cutStore(n)
 		}
 	}
 }
 
 // reconnectZone ends the partition that cutZone began.
-func (w *world) reconnectZone() {
-	if w.isolatedZone == "" {
+func (cluster *simCluster) reconnectZone() {
+	if cluster.isolatedZone == "" {
 		return
 	}
-	zone := w.isolatedZone
-	w.isolatedZone = ""
-	w.restore()
-	for _, n := range w.names {
-		if w.controllerZones[n] == zone && w.withoutStore[n] && w.cores[n] != nil {
-			w.restoreStore(n)
+	zone := cluster.isolatedZone
+	cluster.isolatedZone = ""
+	cluster.restoreLinks()
+	for _, n := range cluster.names {
+		if cluster.controllerZones[n] == zone && cluster.withoutStore[n] && cluster.cores[n] != nil {
+			cluster.restoreStore(n)
 		}
 	}
 }
 
 // crossesZonePartition reports whether a zone partition separates a controller from a machine.
-func (w *world) crossesZonePartition(node string, f *fakeWorker) bool {
-	return w.isolatedZone != "" && (w.controllerZones[node] == w.isolatedZone) != (f.Zone == w.isolatedZone)
+func (cluster *simCluster) crossesZonePartition(node string, f *fakeWorker) bool {
+	return cluster.isolatedZone != "" && (cluster.controllerZones[node] == cluster.isolatedZone) != (f.Zone == cluster.isolatedZone)
 }
--- a/internal/core/simstore_test.go
+++ b/internal/core/simstore_test.go
@@ -11,35 +11,35 @@
 )
 
 // grantLease grants a controller a new lease, as soon as it can reach the store.
-func (w *world) grantLease(node string) {
-	if w.awaitingLease[node] = w.outage || w.withoutStore[node]; w.awaitingLease[node] {
+func (cluster *simCluster) grantLease(node string) {
+	if cluster.awaitingLease[node] = cluster.outage || cluster.withoutStore[node]; cluster.awaitingLease[node] {
 		return
 	}
-	w.nextReq++
-	w.leases[w.nextReq] = node
-	w.send(node, LeaseGranted{Lease: w.nextReq})
+	cluster.nextReq++
+	cluster.leases[cluster.nextReq] = node
+	cluster.send(node, LeaseGranted{Lease: cluster.nextReq})
 }
 
 // cutStore cuts a controller off from the store and expires its lease.
-func (w *world) cutStore(node string) {
-	w.withoutStore[node] = true
-	w.expire(node)
+func (cluster *simCluster) cutStore(node string) {
+	cluster.withoutStore[node] = true
+	cluster.expire(node)
 }
 
 // restoreStore reconnects a controller to the store and grants it a new lease.
-func (w *world) restoreStore(node string) {
-	delete(w.withoutStore, node)
-	w.send(node, LeaseExpired{})
-	w.grantLease(node)
+func (cluster *simCluster) restoreStore(node string) {
+	delete(cluster.withoutStore, node)
+	cluster.send(node, LeaseExpired{})
+	cluster.grantLease(node)
 }
 
 // expire expires all leases of a controller.
-func (w *world) expire(node string) { w.endLeases(w.leasesOf(node)) }
+func (cluster *simCluster) expire(node string) { cluster.endLeases(cluster.leasesOf(node)) }
 
 // leasesOf lists the active leases of a controller, including those of previous incarnations.
-func (w *world) leasesOf(node string) (out []uint64) {
-	for _, lease := range slices.Sorted(maps.Keys(w.leases)) {
-		if w.leases[lease] == node {
+func (cluster *simCluster) leasesOf(node string) (out []uint64) {
+	for _, lease := range slices.Sorted(maps.Keys(cluster.leases)) {
+		if cluster.leases[lease] == node {
 			out = append(out, lease)
 		}
 	}
@@ -47,181 +47,182 @@
 }
 
 // endLeases ends leases and deletes the keys attached to them.
-func (w *world) endLeases(leases []uint64) {
+func (cluster *simCluster) endLeases(leases []uint64) {
 	for _, lease := range leases {
-		delete(w.leases, lease)
-		for _, key := range slices.Sorted(maps.Keys(w.kv)) {
-			if w.kv[key].Lease == lease {
-				w.change(protocol.Change{Delete: key})
+		delete(cluster.leases, lease)
+		for _, key := range slices.Sorted(maps.Keys(cluster.kv)) {
+			if cluster.kv[key].Lease == lease {
+				cluster.change(protocol.Change{Delete: key})
 			}
 		}
 	}
 }
 
 // expireOldLeases ends all leases of a controller except its newest.
-func (w *world) expireOldLeases(node string) {
-	if all := w.leasesOf(node); len(all) > 1 {
-		w.endLeases(all[:len(all)-1])
+func (cluster *simCluster) expireOldLeases(node string) {
+	if all := cluster.leasesOf(node); len(all) > 1 {
+		cluster.endLeases(all[:len(all)-1])
 	}
 }
 
-// read sends a controller a snapshot of the store, as soon as it can reach the store.
-func (w *world) read(node string) {
-	if w.awaitingSnapshot[node] = w.outage || w.withoutStore[node]; !w.awaitingSnapshot[node] {
-		w.load(node)
+// sendSnapshotWhenReachable sends a controller a snapshot of the store, as soon as it can reach the
+// store.
+func (cluster *simCluster) sendSnapshotWhenReachable(node string) {
+	if cluster.awaitingSnapshot[node] = cluster.outage || cluster.withoutStore[node]; !cluster.awaitingSnapshot[node] {
+		cluster.sendSnapshot(node)
 	}
 }
 
-// load sends a controller a snapshot of all stored keys.
-func (w *world) load(node string) {
-	snapshot := SnapshotLoaded{Revision: w.revision}
-	for _, key := range slices.Sorted(maps.Keys(w.kv)) {
+// sendSnapshot sends a controller a snapshot of all stored keys.
+func (cluster *simCluster) sendSnapshot(node string) {
+	snapshot := SnapshotLoaded{Revision: cluster.revision}
+	for _, key := range slices.Sorted(maps.Keys(cluster.kv)) {
 		if strings.HasPrefix(key, Root) {
-			snapshot.Items = append(snapshot.Items, w.kv[key])
+			snapshot.Items = append(snapshot.Items, cluster.kv[key])
 		}
 	}
-	w.seen[node] = uint64(len(w.events))
-	w.send(node, snapshot)
+	cluster.seen[node] = uint64(len(cluster.events))
+	cluster.send(node, snapshot)
 }
 
 // updateStoreHealth tells a controller when it has lost the store for a report interval, and when
 // it reaches it again.
-func (w *world) updateStoreHealth(node string) {
-	switch since, unavailable := w.storeUnavailableSince[node]; {
-	case !w.outage && !w.withoutStore[node]:
-		delete(w.storeUnavailableSince, node)
-		if w.awaitingSnapshot[node] {
-			w.read(node)
+func (cluster *simCluster) updateStoreHealth(node string) {
+	switch since, unavailable := cluster.storeUnavailableSince[node]; {
+	case !cluster.outage && !cluster.withoutStore[node]:
+		delete(cluster.storeUnavailableSince, node)
+		if cluster.awaitingSnapshot[node] {
+			cluster.sendSnapshotWhenReachable(node)
 		}
-		if w.awaitingLease[node] {
-			w.grantLease(node)
+		if cluster.awaitingLease[node] {
+			cluster.grantLease(node)
 		}
-		if w.storeLossReported[node] {
-			delete(w.storeLossReported, node)
-			w.send(node, StoreHealth{OK: true})
+		if cluster.storeLossReported[node] {
+			delete(cluster.storeLossReported, node)
+			cluster.send(node, StoreHealth{OK: true})
 		}
 	case !unavailable:
-		w.storeUnavailableSince[node] = w.now
-	case !w.storeLossReported[node] && w.now-since > seconds(w.cfg[node].Params.Workers.ReportS):
-		w.storeLossReported[node] = true
-		w.send(node, StoreHealth{})
+		cluster.storeUnavailableSince[node] = cluster.now
+	case !cluster.storeLossReported[node] && cluster.now-since > seconds(cluster.cfg[node].Params.Workers.ReportS):
+		cluster.storeLossReported[node] = true
+		cluster.send(node, StoreHealth{})
 	}
 }
 
 // change applies one change as a revision of its own.
-func (w *world) change(ch protocol.Change) {
-	w.revision++
-	w.applyChange(ch)
+func (cluster *simCluster) change(ch protocol.Change) {
+	cluster.revision++
+	cluster.applyChange(ch)
 }
 
 // applyChange applies a change at the current revision and records its event.
-func (w *world) applyChange(ch protocol.Change) {
+func (cluster *simCluster) applyChange(ch protocol.Change) {
 	if ch.Delete != "" {
-		if _, ok := w.kv[ch.Delete]; ok {
-			delete(w.kv, ch.Delete)
-			w.recordEvent(protocol.Event{Delete: ch.Delete, Version: w.revision})
+		if _, ok := cluster.kv[ch.Delete]; ok {
+			delete(cluster.kv, ch.Delete)
+			cluster.recordEvent(protocol.Event{Delete: ch.Delete, Version: cluster.revision})
 		}
 		return
 	}
 	if id, final := strings.CutPrefix(ch.Put, keyState); final {
-		w.endedAt[id] = w.now
+		cluster.endedAt[id] = cluster.now
 	}
-	w.kv[ch.Put] = protocol.KeyValue{Key: ch.Put, Value: slices.Clone(ch.Value), Version: w.revision, Lease: ch.Lease}
-	w.recordEvent(protocol.Event{Put: ch.Put, Value: slices.Clone(ch.Value), Version: w.revision})
+	cluster.kv[ch.Put] = protocol.KeyValue{Key: ch.Put, Value: slices.Clone(ch.Value), Version: cluster.revision, Lease: ch.Lease}
+	cluster.recordEvent(protocol.Event{Put: ch.Put, Value: slices.Clone(ch.Value), Version: cluster.revision})
 }
 
 // recordEvent appends an event for the controllers' watches.
-func (w *world) recordEvent(e protocol.Event) {
+func (cluster *simCluster) recordEvent(e protocol.Event) {
 	if strings.HasPrefix(e.Put+e.Delete, Root) {
-		w.events = append(w.events, e)
+		cluster.events = append(cluster.events, e)
 	}
 }
 
 // executeTxn executes a controller's transaction and sends the reply, unless a fault refuses or
 // delays the transaction or loses the reply.
-func (w *world) executeTxn(node string, e StoreTxn) {
-	if w.outage || w.withoutStore[node] {
-		w.send(node, StoreReply{ID: e.ID, Outcome: Refused})
+func (cluster *simCluster) executeTxn(node string, e StoreTxn) {
+	if cluster.outage || cluster.withoutStore[node] {
+		cluster.send(node, StoreReply{ID: e.ID, Outcome: OutcomeRefused})
 		return
 	}
-	if w.notUpgraded[node] && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Put, keyVersion) }) {
-		w.send(node, StoreReply{ID: e.ID, Outcome: Refused})
+	if cluster.notUpgraded[node] && slices.ContainsFunc(e.Txn.Then, func(ch protocol.Change) bool { return strings.HasPrefix(ch.Put, keyVersion) }) {
+		cluster.send(node, StoreReply{ID: e.ID, Outcome: OutcomeRefused})
 		return
 	}
-	if !w.fitsStoreLimits(e.Txn) {
-		w.t.Errorf("%v: transaction of %d changes and %d conditions, the first change on %s, exceeds the limits of the store", w.now, len(e.Txn.Then), len(e.Txn.If), e.Txn.Then[0].Put+e.Txn.Then[0].Delete)
+	if !cluster.fitsStoreLimits(e.Txn) {
+		cluster.t.Errorf("%v: transaction of %d changes and %d conditions, the first change on %s, exceeds the limits of the store", cluster.now, len(e.Txn.Then), len(e.Txn.If), e.Txn.Then[0].Put+e.Txn.Then[0].Delete)
 	}
-	w.requests++
-	if w.lateWrite != nil && len(e.Txn.Then) > 0 {
-		if d := w.lateWrite(node, e); d > 0 {
-			w.executeTxnLate(node, e, d)
+	cluster.requests++
+	if cluster.lateWrite != nil && len(e.Txn.Then) > 0 {
+		if d := cluster.lateWrite(node, e); d > 0 {
+			cluster.executeTxnLate(node, e, d)
 			return
 		}
 	}
-	r := w.decide(e.Txn)
+	r := cluster.commitTxn(e.Txn)
 	r.ID = e.ID
-	if w.lostReplies > 0 {
-		w.lostReplies--
-		r = StoreReply{ID: e.ID, Outcome: Unknown}
+	if cluster.lostReplies > 0 {
+		cluster.lostReplies--
+		r = StoreReply{ID: e.ID, Outcome: OutcomeUnknown}
 	}
-	w.send(node, r)
+	cluster.send(node, r)
 }
 
-// decide commits a transaction if its conditions hold and its leases are active.
-func (w *world) decide(txn protocol.Txn) (r StoreReply) {
+// commitTxn commits a transaction if its conditions hold and its leases are active.
+func (cluster *simCluster) commitTxn(txn protocol.Txn) (r StoreReply) {
 	for _, ch := range txn.Then {
-		if ch.Lease != 0 && w.leases[ch.Lease] == "" {
-			return StoreReply{Outcome: NoLease}
+		if ch.Lease != 0 && cluster.leases[ch.Lease] == "" {
+			return StoreReply{Outcome: OutcomeNoLease}
 		}
 	}
 	for _, cond := range txn.If {
-		if w.kv[cond.Key].Version != cond.Version {
+		if cluster.kv[cond.Key].Version != cond.Version {
 			r.Failed = append(r.Failed, cond.Key)
 		}
 	}
-	if w.nameOneFailedKey && len(r.Failed) > 1 {
+	if cluster.nameOneFailedKey && len(r.Failed) > 1 {
 		r.Failed = r.Failed[:1]
 	}
 	if len(r.Failed) > 0 {
-		r.Outcome, r.Revision = Conflict, w.revision
+		r.Outcome, r.Revision = OutcomeConflict, cluster.revision
 	} else {
-		w.checkFenced(txn)
+		cluster.checkFenced(txn)
 		if len(txn.Then) > 0 {
-			w.revision++
+			cluster.revision++
 		}
 		for _, ch := range txn.Then {
-			w.applyChange(ch)
+			cluster.applyChange(ch)
 		}
-		r.Revision = w.revision
+		r.Revision = cluster.revision
 	}
 	return r
 }
 
 // executeGet sends a controller the value of a key.
-func (w *world) executeGet(node string, e StoreGet) {
-	w.requests++
-	r := StoreReply{ID: e.ID, Outcome: Missing, Revision: w.revision}
-	if kv, ok := w.kv[e.Key]; ok {
-		r.Outcome, r.Item = Applied, kv
+func (cluster *simCluster) executeGet(node string, e StoreGet) {
+	cluster.requests++
+	r := StoreReply{ID: e.ID, Outcome: OutcomeMissing, Revision: cluster.revision}
+	if kv, ok := cluster.kv[e.Key]; ok {
+		r.Outcome, r.Item = OutcomeApplied, kv
 	}
-	if w.outage || w.withoutStore[node] {
-		r = StoreReply{ID: e.ID, Outcome: Refused}
+	if cluster.outage || cluster.withoutStore[node] {
+		r = StoreReply{ID: e.ID, Outcome: OutcomeRefused}
 	}
-	w.send(node, r)
+	cluster.send(node, r)
 }
 
 // storeLimits returns the limits that the store enforces now.
-func (w *world) storeLimits() settings.StateLimits {
-	state := w.cfg[w.names[0]].Params.State
-	if w.lowLimits {
-		return state.Tightest()
+func (cluster *simCluster) storeLimits() settings.StateLimits {
+	state := cluster.cfg[cluster.names[0]].Params.State
+	if cluster.limitsLowered {
+		return state.LowestLimits()
 	}
 	return state.StateLimits
 }
 
 // fitsStoreLimits reports whether a transaction is within the limits of the store.
-func (w *world) fitsStoreLimits(txn protocol.Txn) bool {
-	p := w.storeLimits()
+func (cluster *simCluster) fitsStoreLimits(txn protocol.Txn) bool {
+	p := cluster.storeLimits()
 	return len(txn.Then) <= p.TxnOps && len(txn.If) <= 4*p.TxnOps && !slices.ContainsFunc(txn.Then, func(ch protocol.Change) bool {
 		return float64(len(ch.Value)) > p.ValueKB*1024
 	})
@@ -229,23 +230,23 @@
 
 // executeTxnLate executes a transaction after delay. Its sender is told after at most a second that
 // the outcome is unknown.
-func (w *world) executeTxnLate(node string, e StoreTxn, delay time.Duration) {
-	sentAt, sender := w.now, w.cores[node]
-	w.scheduledActions = append(w.scheduledActions, func() bool {
-		if w.now < sentAt+delay || w.outage {
+func (cluster *simCluster) executeTxnLate(node string, e StoreTxn, delay time.Duration) {
+	sentAt, sender := cluster.now, cluster.cores[node]
+	cluster.scheduledActions = append(cluster.scheduledActions, func() bool {
+		if cluster.now < sentAt+delay || cluster.outage {
 			return false
 		}
-		if w.fitsStoreLimits(e.Txn) { // the limits may have been lowered since
-			w.decide(e.Txn)
+		if cluster.fitsStoreLimits(e.Txn) { // the limits may have been lowered since
+			cluster.commitTxn(e.Txn)
 		}
 		return true
 	})
-	w.scheduledActions = append(w.scheduledActions, func() bool {
-		if w.now < sentAt+min(delay, time.Second) {
+	cluster.scheduledActions = append(cluster.scheduledActions, func() bool {
+		if cluster.now < sentAt+min(delay, time.Second) {
 			return false
 		}
-		if w.cores[node] == sender {
-			w.send(node, StoreReply{ID: e.ID, Outcome: Unknown})
+		if cluster.cores[node] == sender {
+			cluster.send(node, StoreReply{ID: e.ID, Outcome: OutcomeUnknown})
 		}
 		return true
 	})
@@ -254,28 +255,28 @@
 // checkFenced checks that a transaction would have no effect if it was executed after newer ones
 // of the same controller: it must have a condition on a key that it changes, so that any newer
 // change of that key makes it fail.
-func (w *world) checkFenced(txn protocol.Txn) {
+func (cluster *simCluster) checkFenced(txn protocol.Txn) {
 	for _, ch := range txn.Then {
 		key := ch.Put + ch.Delete
 		switch {
 		case slices.ContainsFunc(txn.If, func(c protocol.Condition) bool { return c.Key == key }):
 			return
-		case strings.HasPrefix(key, keyCordon), strings.HasPrefix(key, keyIntent), strings.HasPrefix(key, keyRecord):
+		case strings.HasPrefix(key, keyCordon), strings.HasPrefix(key, keyRentalIntent), strings.HasPrefix(key, keyUsageRecord):
 			// A terminated machine never returns, a rental's name is never reused, and usage
 			// records are hints: an outdated one changes the fairness ranking only slightly.
 			return
 		}
 	}
 	if len(txn.Then) > 0 {
-		w.t.Errorf("%v: a late write of %s could overwrite a newer one: no condition on a changed key", w.now, txn.Then[0].Put+txn.Then[0].Delete)
+		cluster.t.Errorf("%v: a late write of %s could overwrite a newer one: no condition on a changed key", cluster.now, txn.Then[0].Put+txn.Then[0].Delete)
 	}
 }
 
 // checkTokenOwner checks that no two incarnations acquire the same fencing token.
-func (w *world) checkTokenOwner(node string, token uint64) {
-	owner := w.cores[node].members.incarnation
-	if otherOwner, owned := w.tokenOwners[token]; owned && otherOwner != owner {
-		w.t.Errorf("%v: %s and %s both acquired fencing token %d", w.now, otherOwner, owner, token)
+func (cluster *simCluster) checkTokenOwner(node string, token uint64) {
+	owner := cluster.cores[node].members.incarnation
+	if otherOwner, owned := cluster.tokenOwners[token]; owned && otherOwner != owner {
+		cluster.t.Errorf("%v: %s and %s both acquired fencing token %d", cluster.now, otherOwner, owner, token)
 	}
-	w.tokenOwners[token] = owner
+	cluster.tokenOwners[token] = owner
 }
--- a/internal/core/simusers_test.go
+++ b/internal/core/simusers_test.go
@@ -14,25 +14,25 @@
 )
 
 // request sends a user's request to a node and runs the simulation until it is answered.
-func (w *world) request(node string, newCommand func(req uint64) Command) Answer {
-	w.t.Helper()
-	w.nextReq++
-	req := w.nextReq
-	w.send(node, newCommand(req))
-	if !w.run(10*time.Second, func() bool { _, ok := w.answers[req]; return ok }) {
-		w.t.Fatalf("%s did not answer within 10s", node)
+func (cluster *simCluster) request(node string, newCommand func(req uint64) Command) Answer {
+	cluster.t.Helper()
+	cluster.nextReq++
+	req := cluster.nextReq
+	cluster.send(node, newCommand(req))
+	if !cluster.run(10*time.Second, func() bool { _, ok := cluster.answers[req]; return ok }) {
+		cluster.t.Fatalf("%s did not answer within 10s", node)
 	}
-	return w.answers[req]
+	return cluster.answers[req]
 }
 
 // submit submits an array for the team that the job's id names. extraFields is JSON that is appended
 // to the submission and overrides its fields.
-func (w *world) submit(node, id string, tasks int, extraFields string) Answer {
-	w.t.Helper()
+func (cluster *simCluster) submit(node, id string, tasks int, extraFields string) Answer {
+	cluster.t.Helper()
 	team := strings.TrimPrefix(id, protocol.JobPrefix)
 	team, _, _ = strings.Cut(team, "-")
 	body := submission(id, team, tasks, extraFields)
-	return w.request(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+	return cluster.request(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 }
 
 // submission returns the JSON of an array submission, with extraFields appended.
@@ -43,50 +43,50 @@
 }
 
 // status asks a node for the state of a job.
-func (w *world) status(node, id string) Answer {
-	w.t.Helper()
-	return w.request(node, func(req uint64) Command { return Status{Req: req, ID: id} })
+func (cluster *simCluster) status(node, id string) Answer {
+	cluster.t.Helper()
+	return cluster.request(node, func(req uint64) Command { return Status{Req: req, ID: id} })
 }
 
 // cancelJob cancels a job at a node and records when its user was told so.
-func (w *world) cancelJob(node, id string) Answer {
-	w.t.Helper()
-	a := w.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
+func (cluster *simCluster) cancelJob(node, id string) Answer {
+	cluster.t.Helper()
+	a := cluster.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
 	if a.Status == http.StatusOK {
-		w.cancellationToldAt[id] = w.now
+		cluster.cancelConfirmedAt[id] = cluster.now
 	}
 	return a
 }
 
 // state returns the stored final state of a job, and whether it has one.
-func (w *world) state(id string) (finalStateRecord, bool) {
+func (cluster *simCluster) state(id string) (finalStateRecord, bool) {
 	var s finalStateRecord
-	kv, ok := w.kv[keyState+id]
+	kv, ok := cluster.kv[keyState+id]
 	if ok {
 		if err := json.Unmarshal(kv.Value, &s); err != nil {
-			w.t.Fatal(err)
+			cluster.t.Fatal(err)
 		}
 	}
 	return s, ok
 }
 
 // recordSubmission records the specification of a submitted job, accepted or not.
-func (w *world) recordSubmission(body []byte) {
-	if s, err := job.Parse(body, protocol.MaxBody); err == nil && w.specs[s.ID] == nil {
-		w.specs[s.ID] = s
+func (cluster *simCluster) recordSubmission(body []byte) {
+	if s, err := job.Parse(body, protocol.MaxBody); err == nil && cluster.specs[s.ID] == nil {
+		cluster.specs[s.ID] = s
 	}
 }
 
-// accepted fails the test unless a submission was accepted.
-func accepted(t tester, a Answer) {
+// requireAccepted fails the test unless a submission was accepted.
+func requireAccepted(t tester, a Answer) {
 	t.Helper()
 	if a.Status != http.StatusCreated {
 		t.Fatalf("submission got status %d (%v), want 201", a.Status, a.Body)
 	}
 }
 
-// stateOf returns the job state in an answer, and fails the test if there is none.
-func stateOf(t *testing.T, a Answer) protocol.JobState {
+// requireJobState returns the job state in an answer, and fails the test if there is none.
+func requireJobState(t *testing.T, a Answer) protocol.JobState {
 	t.Helper()
 	s, ok := a.Body.(protocol.JobState)
 	if a.Status != http.StatusOK || !ok {
@@ -96,9 +96,9 @@
 }
 
 // serving returns a random controller that can answer users, or "".
-func (w *world) serving() string {
-	for _, i := range w.rng.Perm(len(w.names)) {
-		if n := w.names[i]; w.cores[n] != nil && !w.withoutStore[n] && !w.frozen[n] && !w.outage {
+func (cluster *simCluster) serving() string {
+	for _, i := range cluster.rng.Perm(len(cluster.names)) {
+		if n := cluster.names[i]; cluster.cores[n] != nil && !cluster.withoutStore[n] && !cluster.frozen[n] && !cluster.outage {
 			return n
 		}
 	}
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -16,7 +16,7 @@
 type fakeWorker struct {
 	protocol.Report
 	node           int                           // the index of the controller it reports to, modulo their number
-	next           time.Duration                 // when the next report is due
+	nextReportAt   time.Duration                 // when the next report is due
 	leaseRenewedAt time.Duration                 // when the last report that was answered was sent
 	running        map[taskAttempt]time.Duration // when each attempt ends
 	dead           bool                          // the machine has stopped for good
@@ -25,114 +25,114 @@
 }
 
 // addWorker adds a machine that sends its first report in three seconds.
-func (w *world) addWorker(zone string, spot bool) string {
-	w.rented++
-	id := fmt.Sprintf("vm-%06d", w.rented)
-	w.workers[id] = &fakeWorker{running: map[taskAttempt]time.Duration{}, missingPeerSince: map[taskAttempt]time.Duration{}, node: w.rented,
-		next: w.now + 3*time.Second, leaseRenewedAt: w.now + 3*time.Second,
-		Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: zone, Spot: spot, Session: 1}}
+func (cluster *simCluster) addWorker(zone string, spot bool) string {
+	cluster.rented++
+	id := fmt.Sprintf("vm-%06d", cluster.rented)
+	cluster.workers[id] = &fakeWorker{running: map[taskAttempt]time.Duration{}, missingPeerSince: map[taskAttempt]time.Duration{}, node: cluster.rented,
+		nextReportAt: cluster.now + 3*time.Second, leaseRenewedAt: cluster.now + 3*time.Second,
+		Report: protocol.Report{Machine: id, Address: id, Type: "small", Zone: zone, Spot: spot, WorkerEpoch: 1}}
 	return id
 }
 
 // stepWorkers ends tasks, expires leases and sends the reports that are due.
-func (w *world) stepWorkers() {
-	for _, id := range slices.Sorted(maps.Keys(w.workers)) {
-		f := w.workers[id]
-		if f == nil || f.dead || w.isHung(id) {
-			if f != nil && w.allRestarted {
-				w.expireWorkerLease(f) // its tasks may run on only within its lease
+func (cluster *simCluster) stepWorkers() {
+	for _, id := range slices.Sorted(maps.Keys(cluster.workers)) {
+		f := cluster.workers[id]
+		if f == nil || f.dead || cluster.isHung(id) {
+			if f != nil && cluster.allRestarted {
+				cluster.expireWorkerLease(f) // its tasks may run on only within its lease
 			}
 			continue
 		}
-		changed := w.checkGangPeers(f)
+		changed := cluster.checkGangPeers(f)
 		for i, task := range f.Tasks {
 			end, ok := f.running[taskAttempt{task.Task, task.Attempt}]
-			if ok && task.State == protocol.Running && w.now >= end {
-				f.Tasks[i].State, f.Tasks[i].Why = protocol.Exited, protocol.WhyDone
-				w.recordCompletion(task.Task)
-				if id, _, _ := job.ParseTaskID(task.Task); w.broken[id] || w.faulty[f.Machine] {
-					f.Tasks[i].Why = protocol.WhyError
+			if ok && task.State == protocol.Running && cluster.now >= end {
+				f.Tasks[i].State, f.Tasks[i].ExitReason = protocol.Exited, protocol.ExitDone
+				cluster.recordCompletion(task.Task)
+				if id, _, _ := job.ParseTaskID(task.Task); cluster.broken[id] || cluster.faulty[f.Machine] {
+					f.Tasks[i].ExitReason = protocol.ExitError
 				}
 				changed = true
 			}
 		}
-		w.expireWorkerLease(f)
-		if w.now >= f.next || changed {
-			w.report(f)
+		cluster.expireWorkerLease(f)
+		if cluster.now >= f.nextReportAt || changed {
+			cluster.report(f)
 		}
 	}
 }
 
 // report sends a worker's report to its controller and handles the answer at once.
-func (w *world) report(f *fakeWorker) {
-	f.next = w.now + 2*time.Second
-	node := w.names[f.node%len(w.names)]
-	c := w.cores[node]
-	if c == nil || w.unreachableNodes[node] || w.frozen[node] || w.cutWorkers[f.Machine] || w.silentWorkers[f.Machine] || w.crossesZonePartition(node, f) {
+func (cluster *simCluster) report(f *fakeWorker) {
+	f.nextReportAt = cluster.now + 2*time.Second
+	node := cluster.names[f.node%len(cluster.names)]
+	c := cluster.cores[node]
+	if c == nil || cluster.unreachableNodes[node] || cluster.frozen[node] || cluster.cutWorkers[f.Machine] || cluster.silentWorkers[f.Machine] || cluster.crossesZonePartition(node, f) {
 		f.node++
 		return
 	}
 	f.Seq++
-	w.nextReq++
-	req := w.nextReq
-	heartbeat := Heartbeat{Req: req, Report: w.snapshot(f)}
-	if w.replayReports && w.rng.IntN(4) == 0 {
-		w.pastReports = append(w.pastReports, heartbeat)
+	cluster.nextReq++
+	req := cluster.nextReq
+	heartbeat := Heartbeat{Req: req, Report: cluster.currentReport(f)}
+	if cluster.replayReports && cluster.rng.IntN(4) == 0 {
+		cluster.pastReports = append(cluster.pastReports, heartbeat)
 	}
-	if w.delayReports && w.rng.IntN(4) == 0 {
-		w.delayReport(heartbeat)
+	if cluster.delayReports && cluster.rng.IntN(4) == 0 {
+		cluster.delayReport(heartbeat)
 		f.node++
-		f.next = w.now + 5*time.Second
+		f.nextReportAt = cluster.now + 5*time.Second
 		return
 	}
-	w.send(node, heartbeat)
+	cluster.send(node, heartbeat)
 	for range 4 {
-		w.step(node)
+		cluster.step(node)
 	}
-	if !w.reachesWorker(f, node) {
+	if !cluster.reachesWorker(f, node) {
 		f.node++
-		f.next = w.now + 5*time.Second // a timeout and a pause before the retry
+		f.nextReportAt = cluster.now + 5*time.Second // a timeout and a pause before the retry
 		return
 	}
-	a, ok := w.answers[req]
-	delete(w.answers, req)
+	a, ok := cluster.answers[req]
+	delete(cluster.answers, req)
 	if to, ok := a.Body.(protocol.Redirect); ok {
-		w.redirected[to.ReportTo]++
-		f.node = slices.Index(w.names, to.ReportTo)
-		f.next = w.now + 500*time.Millisecond
+		cluster.redirected[to.ReportTo]++
+		f.node = slices.Index(cluster.names, to.ReportTo)
+		f.nextReportAt = cluster.now + 500*time.Millisecond
 		return
 	}
-	orders, isOrders := a.Body.(protocol.Orders)
-	if !ok || a.Status != http.StatusOK || !isOrders {
+	batch, isBatch := a.Body.(protocol.CommandBatch)
+	if !ok || a.Status != http.StatusOK || !isBatch {
 		f.node++
 		return
 	}
-	if orders.Token >= f.Token {
-		f.Token, f.leaseRenewedAt = orders.Token, w.now
-		w.executeCommands(f, orders.Commands)
+	if batch.Token >= f.Token {
+		f.Token, f.leaseRenewedAt = batch.Token, cluster.now
+		cluster.executeCommands(f, batch.Commands)
 	}
 }
 
 // reachesWorker reports whether messages from a controller to a machine arrive.
-func (w *world) reachesWorker(f *fakeWorker, node string) bool {
-	return !w.unreachableWorkers[f.Machine] && !w.workerCannotReach[link{node, f.Machine}]
+func (cluster *simCluster) reachesWorker(f *fakeWorker, node string) bool {
+	return !cluster.workersReceivingNothing[f.Machine] && !cluster.brokenWorkerLinks[link{node, f.Machine}]
 }
 
 // replayPastReports sometimes sends a duplicate of a past report to a random controller.
-func (w *world) replayPastReports() {
-	if !w.replayReports || len(w.pastReports) == 0 || w.rng.IntN(3) > 0 {
+func (cluster *simCluster) replayPastReports() {
+	if !cluster.replayReports || len(cluster.pastReports) == 0 || cluster.rng.IntN(3) > 0 {
 		return
 	}
-	heartbeat := w.pastReports[w.rng.IntN(len(w.pastReports))]
-	w.nextReq++
-	heartbeat.Req = w.nextReq
-	if node := w.names[w.rng.IntN(len(w.names))]; w.cores[node] != nil && !w.frozen[node] {
-		w.send(node, heartbeat)
+	heartbeat := cluster.pastReports[cluster.rng.IntN(len(cluster.pastReports))]
+	cluster.nextReq++
+	heartbeat.Req = cluster.nextReq
+	if node := cluster.names[cluster.rng.IntN(len(cluster.names))]; cluster.cores[node] != nil && !cluster.frozen[node] {
+		cluster.send(node, heartbeat)
 	}
 }
 
-// snapshot returns a copy of a worker's current report.
-func (w *world) snapshot(f *fakeWorker) protocol.Report {
+// currentReport returns a copy of a worker's current report.
+func (cluster *simCluster) currentReport(f *fakeWorker) protocol.Report {
 	r := f.Report
 	r.Tasks = slices.Clone(f.Tasks)
 	return r
@@ -140,49 +140,49 @@
 
 // deliver executes a delivery as a worker does and sends the result to the controller. A hung
 // machine executes it later.
-func (w *world) deliver(node string, delivery Deliver) {
-	f := w.workers[delivery.Machine]
-	result := DeliveryResult{Machine: delivery.Machine, Orders: delivery.Orders}
-	if f != nil && w.isHung(f.Machine) && !w.crossesZonePartition(node, f) {
+func (cluster *simCluster) deliver(node string, delivery Deliver) {
+	f := cluster.workers[delivery.Machine]
+	result := DeliveryResult{Machine: delivery.Machine, CommandBatch: delivery.CommandBatch}
+	if f != nil && cluster.isHung(f.Machine) && !cluster.crossesZonePartition(node, f) {
 		// Executed when the machine continues, unless its lease has expired by then.
-		w.delayDelivery(node, delivery, w.hungUntil[f.Machine]-w.now+2*w.tick)
+		cluster.delayDelivery(node, delivery, cluster.hungUntil[f.Machine]-cluster.now+2*cluster.tick)
 		return
 	}
-	if f != nil && !f.dead && !w.cutWorkers[f.Machine] && w.reachesWorker(f, node) && !w.crossesZonePartition(node, f) {
+	if f != nil && !f.dead && !cluster.cutWorkers[f.Machine] && cluster.reachesWorker(f, node) && !cluster.crossesZonePartition(node, f) {
 		f.Seq++
-		if delivery.Orders.Token >= f.Token && delivery.Orders.Session == f.Session {
-			f.Token = delivery.Orders.Token
-			w.executeCommands(f, delivery.Orders.Commands)
+		if delivery.CommandBatch.Token >= f.Token && delivery.CommandBatch.WorkerEpoch == f.WorkerEpoch {
+			f.Token = delivery.CommandBatch.Token
+			cluster.executeCommands(f, delivery.CommandBatch.Commands)
 			result.Executed = true
 		}
-		r := w.snapshot(f)
+		r := cluster.currentReport(f)
 		result.Report = &r
 	}
-	if w.cores[node] != nil {
-		w.send(node, result)
+	if cluster.cores[node] != nil {
+		cluster.send(node, result)
 	}
 }
 
 // delayDelivery executes a delivery later and gives it no reply, as when the machine hangs for a
 // while.
-func (w *world) delayDelivery(node string, delivery Deliver, delay time.Duration) {
-	w.send(node, DeliveryResult{Machine: delivery.Machine, Orders: delivery.Orders})
-	at := w.now + delay
-	w.scheduledActions = append(w.scheduledActions, func() bool {
-		if w.now < at {
+func (cluster *simCluster) delayDelivery(node string, delivery Deliver, delay time.Duration) {
+	cluster.send(node, DeliveryResult{Machine: delivery.Machine, CommandBatch: delivery.CommandBatch})
+	at := cluster.now + delay
+	cluster.scheduledActions = append(cluster.scheduledActions, func() bool {
+		if cluster.now < at {
 			return false
 		}
-		if f := w.workers[delivery.Machine]; f != nil && !f.dead && delivery.Orders.Token >= f.Token && delivery.Orders.Session == f.Session {
+		if f := cluster.workers[delivery.Machine]; f != nil && !f.dead && delivery.CommandBatch.Token >= f.Token && delivery.CommandBatch.WorkerEpoch == f.WorkerEpoch {
 			f.Seq++
-			f.Token = delivery.Orders.Token
-			w.executeCommands(f, delivery.Orders.Commands)
+			f.Token = delivery.CommandBatch.Token
+			cluster.executeCommands(f, delivery.CommandBatch.Commands)
 		}
 		return true
 	})
 }
 
 // executeCommands executes commands in order.
-func (w *world) executeCommands(f *fakeWorker, commands []protocol.Command) {
+func (cluster *simCluster) executeCommands(f *fakeWorker, commands []protocol.Command) {
 	for _, cmd := range commands {
 		key := taskAttempt{cmd.Task, cmd.Attempt}
 		at := slices.IndexFunc(f.Tasks, func(t protocol.TaskReport) bool {
@@ -190,19 +190,19 @@
 		})
 		switch cmd.Op {
 		case protocol.OpStart:
-			if why := w.rejectionReason(f, cmd.Task); at < 0 && why != "" {
-				f.Tasks = append(f.Tasks, protocol.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: protocol.Exited, Why: why})
+			if why := cluster.rejectionReason(f, cmd.Task); at < 0 && why != "" {
+				f.Tasks = append(f.Tasks, protocol.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: protocol.Exited, ExitReason: why})
 			} else if at < 0 {
-				w.checkStart(f, cmd.Task)
+				cluster.checkStart(f, cmd.Task)
 				f.Tasks = append(f.Tasks, protocol.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: protocol.Running})
-				f.running[key] = w.now + w.runTime(cmd.Task)
-				if id, _, _ := job.ParseTaskID(cmd.Task); w.broken[id] || w.faulty[f.Machine] {
-					f.running[key] = w.now + time.Second
+				f.running[key] = cluster.now + cluster.runTime(cmd.Task)
+				if id, _, _ := job.ParseTaskID(cmd.Task); cluster.broken[id] || cluster.faulty[f.Machine] {
+					f.running[key] = cluster.now + time.Second
 				}
 			}
 		case protocol.OpStop:
 			if at >= 0 && f.Tasks[at].State != protocol.Exited {
-				f.Tasks[at].State, f.Tasks[at].Why = protocol.Exited, protocol.WhyStopped
+				f.Tasks[at].State, f.Tasks[at].ExitReason = protocol.Exited, protocol.ExitStopped
 			}
 		case protocol.OpForget:
 			if at >= 0 && f.Tasks[at].State == protocol.Exited {
@@ -215,24 +215,24 @@
 
 // hang makes a machine hang for d. Its tasks take that much longer, and commands that arrive
 // meanwhile are executed afterwards.
-func (w *world) hang(id string, d time.Duration) {
-	f := w.workers[id]
-	if f == nil || w.isHung(id) {
+func (cluster *simCluster) hang(id string, d time.Duration) {
+	f := cluster.workers[id]
+	if f == nil || cluster.isHung(id) {
 		return
 	}
-	w.hungUntil[id] = w.now + d
+	cluster.hungUntil[id] = cluster.now + d
 	for k := range f.running {
 		f.running[k] += d
 	}
 }
 
 // isHung reports whether a machine hangs.
-func (w *world) isHung(id string) bool { return w.now < w.hungUntil[id] }
+func (cluster *simCluster) isHung(id string) bool { return cluster.now < cluster.hungUntil[id] }
 
-// expireWorkerLease ends a worker's session and all its tasks once its lease has expired.
-func (w *world) expireWorkerLease(f *fakeWorker) {
-	if w.now-f.leaseRenewedAt > w.lease() {
-		f.Session, f.Tasks, f.leaseRenewedAt = f.Session+1, nil, w.now
+// expireWorkerLease ends a worker's epoch and all its tasks once its lease has expired.
+func (cluster *simCluster) expireWorkerLease(f *fakeWorker) {
+	if cluster.now-f.leaseRenewedAt > cluster.workerLease() {
+		f.WorkerEpoch, f.Tasks, f.leaseRenewedAt = f.WorkerEpoch+1, nil, cluster.now
 		clear(f.running)
 		clear(f.missingPeerSince)
 	}
@@ -240,17 +240,17 @@
 
 // delayReport delivers a report to a random controller after the worker has stopped waiting for an
 // answer. It is still the newest from that machine, unless the machine has reported again since.
-func (w *world) delayReport(heartbeat Heartbeat) {
-	at := w.now + time.Duration(2+w.rng.IntN(30))*time.Second
-	node := w.names[w.rng.IntN(len(w.names))]
-	w.scheduledActions = append(w.scheduledActions, func() bool {
-		if w.now < at {
+func (cluster *simCluster) delayReport(heartbeat Heartbeat) {
+	at := cluster.now + time.Duration(2+cluster.rng.IntN(30))*time.Second
+	node := cluster.names[cluster.rng.IntN(len(cluster.names))]
+	cluster.scheduledActions = append(cluster.scheduledActions, func() bool {
+		if cluster.now < at {
 			return false
 		}
-		if w.cores[node] != nil && !w.frozen[node] {
-			w.nextReq++
-			heartbeat.Req = w.nextReq
-			w.send(node, heartbeat)
+		if cluster.cores[node] != nil && !cluster.frozen[node] {
+			cluster.nextReq++
+			heartbeat.Req = cluster.nextReq
+			cluster.send(node, heartbeat)
 		}
 		return true
 	})
@@ -258,45 +258,45 @@
 
 // runTime returns how long a task runs. A service's task never ends, and one that completed in an
 // earlier attempt has nothing left to do.
-func (w *world) runTime(task string) time.Duration {
+func (cluster *simCluster) runTime(task string) time.Duration {
 	id, n, _ := job.ParseTaskID(task)
-	s := w.specs[id]
+	s := cluster.specs[id]
 	switch {
-	case w.completed[task]:
+	case cluster.completed[task]:
 		return 0
 	case s != nil && s.Kind == job.Service:
 		return 1 << 50
-	case w.unevenRunTimes && n%2 == 1 && (s == nil || s.Kind != job.Gang):
-		return 3 * w.taskTime
+	case cluster.unevenRunTimes && n%2 == 1 && (s == nil || s.Kind != job.Gang):
+		return 3 * cluster.taskTime
 	}
-	return w.taskTime
+	return cluster.taskTime
 }
 
 // checkGangPeers makes gang tasks on a machine exit that have lacked a peer for too long:
 // gang_peer_s if the gang has been complete before, else gang_wait_s.
-func (w *world) checkGangPeers(f *fakeWorker) (changed bool) {
-	p := w.cfg[w.names[0]].Params.Workers
+func (cluster *simCluster) checkGangPeers(f *fakeWorker) (changed bool) {
+	p := cluster.cfg[cluster.names[0]].Params.Workers
 	for i, t := range f.Tasks {
 		id, _, _ := job.ParseTaskID(t.Task)
-		s, key := w.specs[id], taskAttempt{t.Task, t.Attempt}
-		if s == nil || s.Kind != job.Gang || t.State == protocol.Exited || w.completed[t.Task] {
+		s, key := cluster.specs[id], taskAttempt{t.Task, t.Attempt}
+		if s == nil || s.Kind != job.Gang || t.State == protocol.Exited || cluster.completed[t.Task] {
 			continue
 		}
-		present, anyCompleted := w.attemptProgress(id, t.Attempt)
+		present, anyCompleted := cluster.attemptProgress(id, t.Attempt)
 		switch since, missing := f.missingPeerSince[key]; {
 		case anyCompleted:
 			// All tasks of a gang complete together.
-			f.running[key] = min(f.running[key], w.now)
+			f.running[key] = min(f.running[key], cluster.now)
 		case present == s.Tasks:
 			delete(f.missingPeerSince, key)
 		case !missing:
-			f.missingPeerSince[key] = w.now
-		case w.now-since > seconds(p.GangPeerS) && w.completeGangs[taskAttempt{id, t.Attempt}] || w.now-since > seconds(p.GangWaitS):
-			f.Tasks[i].State, f.Tasks[i].Why = protocol.Exited, "mates_gone"
+			f.missingPeerSince[key] = cluster.now
+		case cluster.now-since > seconds(p.GangPeerS) && cluster.completeGangs[taskAttempt{id, t.Attempt}] || cluster.now-since > seconds(p.GangWaitS):
+			f.Tasks[i].State, f.Tasks[i].ExitReason = protocol.Exited, "mates_gone"
 			changed = true
 		}
 		if present == s.Tasks {
-			w.completeGangs[taskAttempt{id, t.Attempt}] = true
+			cluster.completeGangs[taskAttempt{id, t.Attempt}] = true
 		}
 	}
 	return changed
@@ -304,20 +304,20 @@
 
 // recordCompletion records that a task ran to its end. The tasks of a gang complete together.
 // Results are kept, so a task that is started again has nothing left to do.
-func (w *world) recordCompletion(task string) {
-	w.completed[task] = true
+func (cluster *simCluster) recordCompletion(task string) {
+	cluster.completed[task] = true
 	id, _, _ := job.ParseTaskID(task)
-	if s := w.specs[id]; s != nil && s.Kind == job.Gang {
+	if s := cluster.specs[id]; s != nil && s.Kind == job.Gang {
 		for n := range s.Tasks {
-			w.completed[s.TaskID(n)] = true
+			cluster.completed[s.TaskID(n)] = true
 		}
 	}
 }
 
 // attemptProgress counts the tasks of a job's attempt that are on machines, and reports whether any
 // of its tasks has completed.
-func (w *world) attemptProgress(id string, attempt uint64) (present int, anyCompleted bool) {
-	for _, f := range w.workers {
+func (cluster *simCluster) attemptProgress(id string, attempt uint64) (present int, anyCompleted bool) {
+	for _, f := range cluster.workers {
 		for _, t := range f.Tasks {
 			if t.Attempt != attempt || !strings.HasPrefix(t.Task, id+"/") {
 				continue
@@ -325,7 +325,7 @@
 			if t.State != protocol.Exited {
 				present++
 			}
-			anyCompleted = anyCompleted || t.Why == protocol.WhyDone
+			anyCompleted = anyCompleted || t.ExitReason == protocol.ExitDone
 		}
 	}
 	return present, anyCompleted
@@ -333,17 +333,17 @@
 
 // rejectionReason returns why a worker rejects a start: the machine lacks free resources, or
 // another attempt of the task is on it. It returns "" if the start is accepted.
-func (w *world) rejectionReason(f *fakeWorker, task string) string {
+func (cluster *simCluster) rejectionReason(f *fakeWorker, task string) string {
 	id, _, _ := job.ParseTaskID(task)
-	s := w.specs[id]
+	s := cluster.specs[id]
 	if s == nil {
 		return ""
 	}
 	if slices.ContainsFunc(f.Tasks, func(t protocol.TaskReport) bool { return t.Task == task && t.State != protocol.Exited }) {
-		return protocol.WhyBusy
+		return protocol.ExitBusy
 	}
-	if available := w.capacityOf(f.Type).Plus(w.loadOf(f, ""), -1); !s.Need.Fits(available) {
-		return protocol.WhyNoRoom
+	if available := cluster.capacityOf(f.Type).Plus(cluster.loadOf(f, ""), -1); !s.Need.Fits(available) {
+		return protocol.ExitNoCapacity
 	}
 	return ""
 }
--- a/internal/core/spot_test.go
+++ b/internal/core/spot_test.go
@@ -7,38 +7,38 @@
 
 // restartDelay starts a long task, lets loseMachine act on its machine, and returns how long it
 // took until the task was started again.
-func restartDelay(t *testing.T, loseMachine func(w *world, f *fakeWorker)) time.Duration {
+func restartDelay(t *testing.T, loseMachine func(cluster *simCluster, f *fakeWorker)) time.Duration {
 	t.Helper()
-	w := newWorld(t).ready()
-	w.submit("a", "req-blue-1", 1, `,"guessS":400.0`)
-	w.started("req-blue-1", 1)
-	w.run(15*time.Second, nil) // longer than the cloud's list lag
-	w.submit("a", "req-blue-2", 1, `,"guessS":400.0`)
-	w.started("req-blue-2", 1)
-	for _, c := range w.cores {
+	cluster := newSimCluster(t).ready()
+	cluster.submit("a", "req-blue-1", 1, `,"guessS":400.0`)
+	cluster.waitUntilStarted("req-blue-1", 1)
+	cluster.run(15*time.Second, nil) // longer than the cloud's list lag
+	cluster.submit("a", "req-blue-2", 1, `,"guessS":400.0`)
+	cluster.waitUntilStarted("req-blue-2", 1)
+	for _, c := range cluster.cores {
 		for id := range c.autoscaler.firstSeen {
 			c.autoscaler.firstSeen[id] -= time.Minute // as if rented a minute earlier
 		}
 	}
-	for _, f := range w.workers {
+	for _, f := range cluster.workers {
 		for _, task := range f.Tasks {
 			if task.Task == "req-blue-2/0" {
-				loseMachine(w, f)
+				loseMachine(cluster, f)
 			}
 		}
 	}
-	from := w.now
-	w.run(time.Minute, func() bool { return w.starts["req-blue-2/0"] > 1 })
-	return w.now - from
+	from := cluster.now
+	cluster.run(time.Minute, func() bool { return cluster.starts["req-blue-2/0"] > 1 })
+	return cluster.now - from
 }
 
 // TestTasksOfReclaimedMachineRestartImmediately checks that after a reclaim notice tasks restart
-// without waiting for the machine's silence limit.
+// without waiting for the machine's silence timeout.
 func TestTasksOfReclaimedMachineRestartImmediately(t *testing.T) {
-	delay := restartDelay(t, func(w *world, f *fakeWorker) {
+	delay := restartDelay(t, func(cluster *simCluster, f *fakeWorker) {
 		notice := 1.0
 		f.NoticeS = &notice
-		w.report(f)
+		cluster.report(f)
 		f.dead = true
 	})
 	if limit := 4 * time.Second; delay > limit {
@@ -49,10 +49,10 @@
 // TestTaskThatCannotFinishBeforeReclaimMovesImmediately checks that a task that cannot finish
 // before its machine is reclaimed is moved while the machine still runs.
 func TestTaskThatCannotFinishBeforeReclaimMovesImmediately(t *testing.T) {
-	delay := restartDelay(t, func(w *world, f *fakeWorker) {
+	delay := restartDelay(t, func(cluster *simCluster, f *fakeWorker) {
 		notice := 30.0
 		f.NoticeS = &notice
-		w.report(f)
+		cluster.report(f)
 	})
 	if limit := 4 * time.Second; delay > limit {
 		t.Errorf("restart took %v, want at most 4s", delay)
@@ -62,10 +62,10 @@
 // TestUnlistedSilentMachineIsReturnedSooner checks that without a reclaim notice a silent machine
 // that is missing from the cloud's list is returned sooner than one that is still listed.
 func TestUnlistedSilentMachineIsReturnedSooner(t *testing.T) {
-	hung := restartDelay(t, func(_ *world, f *fakeWorker) { f.dead = true })
-	taken := restartDelay(t, func(w *world, f *fakeWorker) {
+	hung := restartDelay(t, func(_ *simCluster, f *fakeWorker) { f.dead = true })
+	taken := restartDelay(t, func(cluster *simCluster, f *fakeWorker) {
 		f.dead = true
-		w.unlisted = f.Machine
+		cluster.unlistedMachine = f.Machine
 	})
 	if taken >= hung {
 		t.Errorf("restart took %v for a reclaimed machine, want less than the %v for a hanging one", taken, hung)
--- a/internal/core/stalereports_test.go
+++ b/internal/core/stalereports_test.go
@@ -14,62 +14,62 @@
 // A duplicate or delayed report changes nothing, neither at the controller that the machine
 // reports to nor at the four others.
 func TestDuplicateReportChangesNothing(t *testing.T) {
-	w, _ := loadedWorld(t, 10, "req-free-1")
-	f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
-	w.run(5*time.Second, nil) // until heartbeats have announced all reports
-	node := w.cores["a"].machines.Get(f.Machine).Node
-	old := w.snapshot(f)
+	cluster, _ := newLoadedSimCluster(t, 10, "req-free-1")
+	f := cluster.workers[slices.Sorted(maps.Keys(cluster.workers))[3]]
+	cluster.run(5*time.Second, nil) // until heartbeats have announced all reports
+	node := cluster.cores["a"].machines.Get(f.Machine).Node
+	old := cluster.currentReport(f)
 	old.Tasks = nil // as before any task was started
-	copies := map[string]protocol.Report{"duplicate": w.snapshot(f), "older": old, "older session": old}
+	copies := map[string]protocol.Report{"duplicate": cluster.currentReport(f), "older": old, "older epoch": old}
 	for name, change := range map[string]func(r *protocol.Report){
-		"older": func(r *protocol.Report) { r.Seq -= 3 }, "older session": func(r *protocol.Report) { r.Session-- },
+		"older": func(r *protocol.Report) { r.Seq -= 3 }, "older epoch": func(r *protocol.Report) { r.WorkerEpoch-- },
 	} {
 		r := copies[name]
 		change(&r)
 		copies[name] = r
 	}
 	for name, r := range copies {
-		for _, to := range w.names {
-			before := *w.cores[to].machines.Get(f.Machine)
-			a := w.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} })
-			switch orders, _ := a.Body.(protocol.Orders); {
+		for _, to := range cluster.names {
+			before := *cluster.cores[to].machines.Get(f.Machine)
+			a := cluster.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} })
+			switch batch, _ := a.Body.(protocol.CommandBatch); {
 			case to != node && a.Status != http.StatusServiceUnavailable:
 				t.Errorf("%s: %s answered %d, want 503", name, to, a.Status)
-			case to == node && (len(orders.Commands) > 0 || a.Status == http.StatusMisdirectedRequest):
-				t.Errorf("%s: the machine's controller answered %d with %d commands, want no commands and no redirect", name, a.Status, len(orders.Commands))
+			case to == node && (len(batch.Commands) > 0 || a.Status == http.StatusMisdirectedRequest):
+				t.Errorf("%s: the machine's controller answered %d with %d commands, want no commands and no redirect", name, a.Status, len(batch.Commands))
 			}
-			m := w.cores[to].machines.Get(f.Machine)
-			if m.Node != before.Node || m.GrantedToken != before.GrantedToken || m.Session != before.Session || len(m.Tasks) != len(before.Tasks) {
-				t.Errorf("%s: %s now has the machine at %s in session %d with %d tasks, want no change", name, to, m.Node, m.Session, len(m.Tasks))
+			m := cluster.cores[to].machines.Get(f.Machine)
+			if m.Node != before.Node || m.GrantedToken != before.GrantedToken || m.WorkerEpoch != before.WorkerEpoch || len(m.Tasks) != len(before.Tasks) {
+				t.Errorf("%s: %s now has the machine at %s in epoch %d with %d tasks, want no change", name, to, m.Node, m.WorkerEpoch, len(m.Tasks))
 			}
 		}
-		if own := w.cores[node].agents.session(f.Machine); own.epoch != f.Session {
+		if own := cluster.cores[node].agents.session(f.Machine); own.epoch != f.WorkerEpoch {
 			t.Errorf("%s: the machine's controller went back to epoch %d", name, own.epoch)
 		}
 	}
-	w.run(time.Minute, nil)
-	w.startedOnce()
+	cluster.run(time.Minute, nil)
+	cluster.checkStartedOnce()
 }
 
 // A duplicate report does not revive a machine that the cloud has terminated.
 func TestDuplicateReportDoesNotReviveATerminatedMachine(t *testing.T) {
-	w, _ := loadedWorld(t, 10, "req-free-1")
-	id := slices.Sorted(maps.Keys(w.workers))[3]
-	r := w.snapshot(w.workers[id])
-	w.workers[id].dead = true
-	if !w.run(time.Minute, func() bool { return w.workers[id] == nil }) {
+	cluster, _ := newLoadedSimCluster(t, 10, "req-free-1")
+	id := slices.Sorted(maps.Keys(cluster.workers))[3]
+	r := cluster.currentReport(cluster.workers[id])
+	cluster.workers[id].dead = true
+	if !cluster.run(time.Minute, func() bool { return cluster.workers[id] == nil }) {
 		t.Fatal("machine was not returned")
 	}
-	w.run(3*time.Second, nil)
+	cluster.run(3*time.Second, nil)
 	r.Seq += 100 // newer than any report received
-	for _, to := range w.names {
-		if a := w.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusServiceUnavailable {
+	for _, to := range cluster.names {
+		if a := cluster.request(to, func(req uint64) Command { return Heartbeat{Req: req, Report: r} }); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("%s answered %d, want 503", to, a.Status)
 		}
 	}
-	for _, to := range w.names {
-		w.cores[to].applyObservation(Observation{Node: "a", Token: 99, Report: r}) // as if another controller had accepted it
-		if w.cores[to].machines.Get(id) != nil {
+	for _, to := range cluster.names {
+		cluster.cores[to].applyObservation(Observation{Node: "a", Token: 99, Report: r}) // as if another controller had accepted it
+		if cluster.cores[to].machines.Get(id) != nil {
 			t.Errorf("%s has the terminated machine again", to)
 		}
 	}
@@ -78,25 +78,25 @@
 // Controllers that have all restarted know nothing newer than a duplicate report. It must not
 // mislead them.
 func TestDuplicateReportsAfterAllControllersRestarted(t *testing.T) {
-	w := idleWorld(t, 20)
-	w.replayReports = true
+	cluster := newIdleSimCluster(t, 20)
+	cluster.replayReports = true
 	var ids []string
 	for n := range 6 {
 		id := fmt.Sprintf("req-free-%d", n)
-		accepted(t, w.submit(w.nodeWithStore(), id, 30, ""))
+		requireAccepted(t, cluster.submit(cluster.nodeWithStore(), id, 30, ""))
 		ids = append(ids, id)
-		w.run(8*time.Second, func() bool { return len(w.pastReports) > 10 })
-		for _, node := range w.names {
-			w.crash(node)
-			w.expire(node)
+		cluster.run(8*time.Second, func() bool { return len(cluster.pastReports) > 10 })
+		for _, node := range cluster.names {
+			cluster.crash(node)
+			cluster.expire(node)
 		}
-		for _, node := range w.names {
-			w.boot(node)
-			w.send(node, w.pastReports[w.rng.IntN(len(w.pastReports))])
+		for _, node := range cluster.names {
+			cluster.boot(node)
+			cluster.send(node, cluster.pastReports[cluster.rng.IntN(len(cluster.pastReports))])
 		}
-		w.run(5*time.Second, nil)
+		cluster.run(5*time.Second, nil)
 	}
-	if !w.run(3*time.Minute, w.finished(ids...)) {
+	if !cluster.run(3*time.Minute, cluster.allDone(ids...)) {
 		t.Fatal("jobs did not end")
 	}
 }
@@ -104,41 +104,49 @@
 // A report is delayed until its machine has changed controllers, started a new epoch or been
 // returned. It is not a duplicate, and is newer than the reports that most controllers have.
 func TestDelayedReportDoesNotRevertState(t *testing.T) {
-	for name, meanwhile := range map[string]func(w *world, f *fakeWorker){
-		"its controller crashed": func(w *world, f *fakeWorker) { n := w.names[f.node%5]; w.crash(n); w.expire(n) },
-		"new epoch": func(w *world, f *fakeWorker) {
-			w.silentWorkers[f.Machine] = true
-			w.run(w.lease()*5/4, nil)
-			clear(w.silentWorkers)
+	for name, meanwhile := range map[string]func(cluster *simCluster, f *fakeWorker){
+		"its controller crashed": func(cluster *simCluster, f *fakeWorker) {
+			n := cluster.names[f.node%5]
+			cluster.crash(n)
+			cluster.expire(n)
 		},
-		"returned":                  func(w *world, f *fakeWorker) { f.dead = true },
-		"leader changed":            func(w *world, _ *fakeWorker) { n := w.leaderOf("free"); w.crash(n); w.expire(n) },
-		"job cancelled":             func(w *world, _ *fakeWorker) { w.cancelJob("a", "req-free-1") },
-		"all controllers restarted": func(w *world, _ *fakeWorker) { w.stopAllFor(time.Second) },
+		"new epoch": func(cluster *simCluster, f *fakeWorker) {
+			cluster.silentWorkers[f.Machine] = true
+			cluster.run(cluster.workerLease()*5/4, nil)
+			clear(cluster.silentWorkers)
+		},
+		"returned": func(cluster *simCluster, f *fakeWorker) { f.dead = true },
+		"leader changed": func(cluster *simCluster, _ *fakeWorker) {
+			n := cluster.leaderOf("free")
+			cluster.crash(n)
+			cluster.expire(n)
+		},
+		"job cancelled":             func(cluster *simCluster, _ *fakeWorker) { cluster.cancelJob("a", "req-free-1") },
+		"all controllers restarted": func(cluster *simCluster, _ *fakeWorker) { cluster.stopAllFor(time.Second) },
 	} {
 		for _, to := range fiveNodes {
 			t.Run(name+", to "+to, func(t *testing.T) {
 				t.Parallel()
-				w, _ := loadedWorld(t, 10, "req-free-1")
-				w.started("req-free-1", 20)
-				w.run(3*time.Second, nil)
-				f := w.workers[slices.Sorted(maps.Keys(w.workers))[3]]
+				cluster, _ := newLoadedSimCluster(t, 10, "req-free-1")
+				cluster.waitUntilStarted("req-free-1", 20)
+				cluster.run(3*time.Second, nil)
+				f := cluster.workers[slices.Sorted(maps.Keys(cluster.workers))[3]]
 				f.Seq++
-				held := w.snapshot(f)
+				held := cluster.currentReport(f)
 				held.Tasks = held.Tasks[:len(held.Tasks)/2] // as if some tasks had not started
-				meanwhile(w, f)
-				w.run(20*time.Second, nil)
-				if m := w.cores[w.serving()].machines.Get(f.Machine); m != nil && max(m.Seq, m.AnnouncedSeq) <= held.Seq && m.Session == held.Session {
+				meanwhile(cluster, f)
+				cluster.run(20*time.Second, nil)
+				if m := cluster.cores[cluster.serving()].machines.Get(f.Machine); m != nil && max(m.Seq, m.AnnouncedSeq) <= held.Seq && m.WorkerEpoch == held.WorkerEpoch {
 					t.Fatal("no newer report is known")
 				}
-				w.nextReq++
-				w.send(to, Heartbeat{Req: w.nextReq, Report: held})
-				w.run(time.Minute, nil)
-				w.recover()
-				w.run(w.cancelDeadline(), nil) // the simulation checks starts, limits and cancellations
-				for _, node := range w.names {
-					if m := w.cores[node].machines.Get(f.Machine); m != nil && (m.Session < f.Session || w.workers[f.Machine] == nil) {
-						t.Errorf("%s has an outdated or terminated machine in epoch %d", node, m.Session)
+				cluster.nextReq++
+				cluster.send(to, Heartbeat{Req: cluster.nextReq, Report: held})
+				cluster.run(time.Minute, nil)
+				cluster.recover()
+				cluster.run(cluster.cancelDeadline(), nil) // the simulation checks starts, limits and cancellations
+				for _, node := range cluster.names {
+					if m := cluster.cores[node].machines.Get(f.Machine); m != nil && (m.WorkerEpoch < f.WorkerEpoch || cluster.workers[f.Machine] == nil) {
+						t.Errorf("%s has an outdated or terminated machine in epoch %d", node, m.WorkerEpoch)
 					}
 				}
 			})
--- a/internal/core/startforwarding.go
+++ b/internal/core/startforwarding.go
@@ -91,7 +91,7 @@
 		return refusedUnanswered
 	case m != nil && a.reportOverdue(m):
 		return refusedSilent
-	case s.Revision > 0 && a.core.replica.shows(s.Revision) && !a.storeHasBinding(s.Machine, s.taskAttempt()):
+	case s.Revision > 0 && a.core.replica.reflects(s.Revision) && !a.storeHasBinding(s.Machine, s.taskAttempt()):
 		return refusedUnbound
 	case a.belongsToCancelledJob(s.Task):
 		return refusedCancelled
@@ -140,7 +140,7 @@
 // still arrives for one is refused, since the replica is past the revision of the binding.
 func (a *agentController) expireStartDecisions() {
 	isObsolete := func(machine string, attempt taskAttempt, decision startDecision) bool {
-		return a.core.replica.shows(decision.revision) &&
+		return a.core.replica.reflects(decision.revision) &&
 			a.isReplicaCurrent(attempt) &&
 			!a.storeHasBinding(machine, attempt)
 	}
--- a/internal/core/startledger_test.go
+++ b/internal/core/startledger_test.go
@@ -11,26 +11,26 @@
 // started the task from the stored binding and the task has ended. The task must not be started
 // again.
 func TestLateStartIsNotForwardedAgain(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.hold(everyLink)
-	accepted(t, w.submit("a", "req-free-1", 20, ""))
-	if !w.run(45*time.Second, w.finished("req-free-1")) {
+	cluster := newIdleSimCluster(t, 10)
+	cluster.delayLinks(everyLink)
+	requireAccepted(t, cluster.submit("a", "req-free-1", 20, ""))
+	if !cluster.run(45*time.Second, cluster.allDone("req-free-1")) {
 		t.Fatal("job did not end while links were slow")
 	}
 	held := 0
-	for _, ms := range w.heldMessages {
+	for _, ms := range cluster.heldMessages {
 		for _, m := range ms {
 			if m.Start != nil {
 				held++
 			}
 		}
 	}
-	w.restore()
-	w.run(20*time.Second, nil)
+	cluster.restoreLinks()
+	cluster.run(20*time.Second, nil)
 	if held == 0 {
 		t.Error("no start message was delayed")
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // If a job is cancelled while this node reloads the stored state, the decision on a forwarded
@@ -47,7 +47,7 @@
 		"cancelled and ended": {state: protocol.Cancelled, ended: true},
 		"done":                {state: protocol.Done},
 	} {
-		c := newWorld(t).cores["a"]
+		c := newSimCluster(t).cores["a"]
 		c.replica.revision = 9
 		c.agents.add("vm", newAgentSession(1, 0, ""))
 		c.agents.startLedgers.record(&Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Revision: 5}, false, c.now.Steady)
@@ -55,7 +55,7 @@
 			c.rememberFinalState("req-free-1", protocol.JobState{ID: "req-free-1", State: test.state})
 		}
 		if test.ended {
-			c.noteEnd("req-free-1", 8)
+			c.recordEnd("req-free-1", 8)
 		}
 		c.agents.expireStartDecisions()
 		if _, kept := c.agents.startLedgers.find("vm", 1, taskAttempt{"req-free-1/0", 1}); kept != test.kept {
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -38,7 +38,7 @@
 	if m == nil {
 		return
 	}
-	if m.GrantedToken != b.Token || m.Session != b.Epoch {
+	if m.GrantedToken != b.Token || m.WorkerEpoch != b.Epoch {
 		// The start would be refused, but the machine's former controller may start the task
 		// after seeing the binding in the store, so only a report can resolve the binding.
 		r.reconcileBinding(j, i, b, m)
@@ -69,7 +69,7 @@
 	}
 	r.log(Debug, "start refusal received", "task", refusal.Task, "machine", refusal.Machine)
 	if m := r.core.machines.Get(refusal.Machine); m != nil {
-		m.FullAt = r.now.Steady // excludes the machine from placement for a short time
+		m.LastRefusedAt = r.now.Steady // excludes the machine from placement for a short time
 	}
 	r.core.unbind(j, i)
 }
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -11,65 +11,65 @@
 
 // A worker refuses a start that the network delays until the task has been started elsewhere.
 func TestDelayedStartIsRefusedAfterTaskStartedElsewhere(t *testing.T) {
-	w := newWorld(t).ready()
-	w.loseDeliveries = true
-	accepted(t, w.submit("a", "req-blue-1", 2, ""))
-	if !w.run(time.Minute, func() bool {
-		return slices.ContainsFunc(w.heldDeliveries, func(d Deliver) bool { return len(d.Orders.Commands) > 0 })
+	cluster := newSimCluster(t).ready()
+	cluster.loseDeliveries = true
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 2, ""))
+	if !cluster.run(time.Minute, func() bool {
+		return slices.ContainsFunc(cluster.heldDeliveries, func(d Deliver) bool { return len(d.CommandBatch.Commands) > 0 })
 	}) {
 		t.Fatal("no start was sent to a worker")
 	}
-	w.loseDeliveries = false
-	if !w.run(time.Minute, w.finished("req-blue-1")) {
+	cluster.loseDeliveries = false
+	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("job did not end after a lost start")
 	}
-	accepted(t, w.submit("b", "req-blue-2", 2, ""))
-	w.run(3*time.Second, nil)
-	before := len(w.starts)
-	for _, d := range w.heldDeliveries {
-		w.deliver("a", d)
+	requireAccepted(t, cluster.submit("b", "req-blue-2", 2, ""))
+	cluster.run(3*time.Second, nil)
+	before := len(cluster.starts)
+	for _, d := range cluster.heldDeliveries {
+		cluster.deliver("a", d)
 	}
-	w.run(time.Minute, w.finished("req-blue-2"))
-	if len(w.starts) < before {
+	cluster.run(time.Minute, cluster.allDone("req-blue-2"))
+	if len(cluster.starts) < before {
 		t.Error("starts were lost")
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
 
 // Machines that stop reporting are returned, and their tasks run on other machines.
 func TestDeadMachineIsReturnedAndItsTasksRunElsewhere(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 6, ""))
-	w.started("req-blue-1", 3)
-	for _, f := range w.workers {
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 6, ""))
+	cluster.waitUntilStarted("req-blue-1", 3)
+	for _, f := range cluster.workers {
 		f.dead = true
 	}
-	if !w.run(3*time.Minute, w.finished("req-blue-1")) {
+	if !cluster.run(3*time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("job did not end")
 	}
 }
 
 // Starts are refused from an unanswered delivery until the worker's next report.
 func TestStartsAreRefusedWhileWorkerIsUnresponsive(t *testing.T) {
-	w := newWorld(t).ready()
-	c := w.cores["a"]
+	cluster := newSimCluster(t).ready()
+	c := cluster.cores["a"]
 	for range nodeNames {
-		w.addWorker("z1", false)
+		cluster.addWorker("z1", false)
 	}
-	w.run(8*time.Second, func() bool { return len(c.agents.byMachine) > 0 })
+	cluster.run(8*time.Second, func() bool { return len(c.agents.byMachine) > 0 })
 	for id, session := range c.agents.all() {
 		s := Start{Machine: id, Task: "req-blue-1/0", Attempt: 1, Token: session.token, Epoch: session.epoch, Need: job.Resources{CPUs: 1}}
 		if reason := c.agents.refusalReasonFor(&s); reason != "" {
 			t.Errorf("start for a healthy worker is refused: %s", reason)
 		}
-		w.send("a", DeliveryResult{Machine: id, Orders: protocol.Orders{Token: session.token}})
-		w.step("a")
+		cluster.send("a", DeliveryResult{Machine: id, CommandBatch: protocol.CommandBatch{Token: session.token}})
+		cluster.step("a")
 		if reason := c.agents.refusalReasonFor(&s); reason == "" {
 			t.Error("start for a worker that did not answer is not refused")
 		}
 		return
 	}
-	w.workers = nil
+	cluster.workers = nil
 	t.Fatal("no worker reports to a")
 }
 
@@ -85,13 +85,13 @@
 		"former epoch":                {Token: 5, Epoch: 1},
 		"later epoch":                 {Token: 5, Epoch: 3},
 	} {
-		c := newWorld(t).cores["a"]
-		c.handleCatalog(CatalogReceived{Types: newWorld(t).types})
+		c := newSimCluster(t).cores["a"]
+		c.handleCatalog(CatalogReceived{Types: newSimCluster(t).types})
 		c.agents.tokens.acquired[3], c.agents.tokens.acquired[5] = true, true
 		session := newAgentSession(5, 2, "")
 		c.agents.add("vm", session)
 		m := c.addMachine("vm")
-		m.Machine, m.Type, m.Node, m.Session = "vm", "small", "a", 2
+		m.Machine, m.Type, m.Node, m.WorkerEpoch = "vm", "small", "a", 2
 		s.Machine, s.Task, s.Attempt = "vm", "req-free-1/0", 1
 		c.agents.forwardStart("b", s)
 		if queued := len(session.queuedStarts) > 0; queued != (name == "as it is") {
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -45,11 +45,11 @@
 		Rows:              c.stats.Rows(c.now.Steady),
 		LongestUnanswered: c.stats.LongestUnanswered(),
 		Unacknowledged:    c.announcements.unacknowledged(c.peers),
-		Staleness:         c.now.Steady - c.freshness.until(),
+		Staleness:         c.now.Steady - c.freshness.cancellationsKnownUntil(),
 		Pending:           led,
 		Planned:           planned,
-		UnstoredClaims:    c.unstoredClaims(),
-		Counters:          c.counts,
+		UnstoredClaims:    c.countUnstoredClaims(),
+		Counters:          c.counters,
 	}
 }
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -14,14 +14,14 @@
 		return
 	}
 	c.lookups.request(m.ID, func(result lookup.Result) {
-		c.stats.NoteQuery(m.ID, result.Outcome != lookup.Unavailable, c.now.Steady)
+		c.stats.RecordQuery(m.ID, result.Outcome != lookup.Unavailable, c.now.Steady)
 		c.replyLookup(m.Req, result)
 	})
 }
 
 // jobProgress returns the state and progress of a job without a final state.
 func (c *Core) jobProgress(id string) protocol.JobState {
-	state := protocol.JobState{ID: id, State: protocol.Queued, Awaits: c.dependencies.Awaited(id)}
+	state := protocol.JobState{ID: id, State: protocol.Queued, Awaits: c.dependencies.PendingDependencies(id)}
 	if c.isOutgoing(id) {
 		progress := c.handoffs.progressOf(id)
 		state.Done, state.Running = progress.Done, progress.Running
--- a/internal/core/storerefusal_test.go
+++ b/internal/core/storerefusal_test.go
@@ -28,8 +28,8 @@
 	// before, refused and outage inject further faults before the job is submitted, at the refusal
 	// and at the outage. refusedNode is the controller that the store refuses, confirmingNode the
 	// one that confirmed the cancellation.
-	before, refused func(w *world)
-	outage          func(w *world, refusedNode, confirmingNode string)
+	before, refused func(cluster *simCluster)
+	outage          func(cluster *simCluster, refusedNode, confirmingNode string)
 	// stoppedWithin, if set, is the longest time that a task may keep running after the outage
 	// begins.
 	stoppedWithin time.Duration
@@ -38,79 +38,85 @@
 }
 
 // linkFaults inject faults into the links of the controller that the store refuses.
-var linkFaults = map[string]func(w *world, refusedNode string){
-	"well":             func(*world, string) {},
-	"inbound refused":  func(w *world, refusedNode string) { w.refuse(func(_, t string) bool { return t == refusedNode }) },
-	"outbound refused": func(w *world, refusedNode string) { w.refuse(func(f, _ string) bool { return f == refusedNode }) },
-	"inbound slow":     func(w *world, refusedNode string) { w.hold(func(_, t string) bool { return t == refusedNode }) },
-	"inbound and outbound refused": func(w *world, refusedNode string) {
-		w.refuse(func(f, t string) bool { return f == refusedNode || t == refusedNode })
+var linkFaults = map[string]func(cluster *simCluster, refusedNode string){
+	"well": func(*simCluster, string) {},
+	"inbound refused": func(cluster *simCluster, refusedNode string) {
+		cluster.disconnectLinks(func(_, t string) bool { return t == refusedNode })
+	},
+	"outbound refused": func(cluster *simCluster, refusedNode string) {
+		cluster.disconnectLinks(func(f, _ string) bool { return f == refusedNode })
+	},
+	"inbound slow": func(cluster *simCluster, refusedNode string) {
+		cluster.delayLinks(func(_, t string) bool { return t == refusedNode })
+	},
+	"inbound and outbound refused": func(cluster *simCluster, refusedNode string) {
+		cluster.disconnectLinks(func(f, t string) bool { return f == refusedNode || t == refusedNode })
 	},
 	// Controller e still reaches the refused controller and can relay messages to it.
-	"to it over a third": func(w *world, refusedNode string) {
-		w.refuse(func(f, t string) bool { return t == refusedNode && f != "e" })
+	"to it over a third": func(cluster *simCluster, refusedNode string) {
+		cluster.disconnectLinks(func(f, t string) bool { return t == refusedNode && f != "e" })
 	},
-	"gone": func(w *world, _ string) { w.refuse(everyLink) },
+	"gone": func(cluster *simCluster, _ string) { cluster.disconnectLinks(everyLink) },
 }
 
-// cancelledJob is the ID of the job that the scenarios cancel.
-const cancelledJob = "req-free-1"
+// cancelledJobID is the ID of the job that the scenarios cancel.
+const cancelledJobID = "req-free-1"
 
 // run runs the scenario with a job whose tasks take four times the deadline of a cancellation.
 func (d storeRefusal) run(t *testing.T) {
 	machines := max(d.machines, 20)
-	w := idleWorld(t, machines)
-	w.allowRacingStarts, w.taskTime = true, 4*w.cancelDeadline()
-	returns := w.countReturns()
+	cluster := newIdleSimCluster(t, machines)
+	cluster.allowRacingStarts, cluster.taskTime = true, 4*cluster.cancelDeadline()
+	returns := cluster.countReturns()
 	if d.before != nil {
-		d.before(w)
+		d.before(cluster)
 	}
-	accepted(t, w.submit("b", cancelledJob, max(d.tasks, 2*machines), d.extraFields))
-	if w.run(10*time.Second, nil); !w.loseDeliveries {
-		w.started(cancelledJob, max(d.tasks, 2*machines))
+	requireAccepted(t, cluster.submit("b", cancelledJobID, max(d.tasks, 2*machines), d.extraFields))
+	if cluster.run(10*time.Second, nil); !cluster.loseDeliveries {
+		cluster.waitUntilStarted(cancelledJobID, max(d.tasks, 2*machines))
 	}
-	refusedNode, confirmingNode := d.refuseAndCancel(t, w)
-	w.outage = true
+	refusedNode, confirmingNode := d.refuseAndCancel(t, cluster)
+	cluster.outage = true
 	if d.outage != nil {
-		d.outage(w, refusedNode, confirmingNode)
+		d.outage(cluster, refusedNode, confirmingNode)
 	}
-	if d.stoppedWithin > 0 && !w.run(d.stoppedWithin, func() bool { return w.onMachines(cancelledJob) == 0 }) {
-		t.Errorf("%d tasks still run %v after the outage began", w.onMachines(cancelledJob), d.stoppedWithin)
+	if d.stoppedWithin > 0 && !cluster.run(d.stoppedWithin, func() bool { return cluster.onMachines(cancelledJobID) == 0 }) {
+		t.Errorf("%d tasks still run %v after the outage began", cluster.onMachines(cancelledJobID), d.stoppedWithin)
 	}
-	w.run(w.cancelDeadline()*3/2, nil)
+	cluster.run(cluster.cancelDeadline()*3/2, nil)
 	returns.check(t, d.mustKeepMachines)
-	w.endOutage()
-	w.noCloud, w.unreachableNodes = false, map[string]bool{}
-	w.heal()
-	w.run(w.cancelDeadline(), nil)
-	if len(w.cancellationToldAt) > 0 {
+	cluster.endOutage()
+	cluster.cloudDegraded, cluster.unreachableNodes = false, map[string]bool{}
+	cluster.heal()
+	cluster.run(cluster.cancelDeadline(), nil)
+	if len(cluster.cancelConfirmedAt) > 0 {
 		t.Error("the scenario ended before the deadline")
 	}
 }
 
 // refuseAndCancel makes the store refuse a controller and the user cancel the job. It returns that
 // controller and the one that confirmed the cancellation.
-func (d storeRefusal) refuseAndCancel(t *testing.T, w *world) (refusedNode, confirmingNode string) {
+func (d storeRefusal) refuseAndCancel(t *testing.T, cluster *simCluster) (refusedNode, confirmingNode string) {
 	t.Helper()
-	refusedNode = w.cores["b"].teamBy["free"].leader
+	refusedNode = cluster.cores["b"].teamsByName["free"].leader
 	if d.fleetLeader {
-		refusedNode = w.cores["b"].fleet.leader
+		refusedNode = cluster.cores["b"].fleet.leader
 	}
-	linkFaults[d.links](w, refusedNode)
-	w.noCloud = d.cloud != "well"
-	w.refuseStoreTo(refusedNode)
+	linkFaults[d.links](cluster, refusedNode)
+	cluster.cloudDegraded = d.cloud != "well"
+	cluster.refuseStoreTo(refusedNode)
 	if d.refused != nil {
-		d.refused(w)
+		d.refused(cluster)
 	}
-	begin := w.now
+	begin := cluster.now
 	if !d.cancelAtRefusal {
-		w.run(d.outageDelay, nil)
+		cluster.run(d.outageDelay, nil)
 	}
-	if w.onMachines(cancelledJob) == 0 && !w.loseDeliveries {
+	if cluster.onMachines(cancelledJobID) == 0 && !cluster.loseDeliveries {
 		t.Fatal("no task is running when the user cancels")
 	}
-	confirmingNode = w.confirmCancellation()
-	w.run(begin+d.outageDelay-w.now, nil)
+	confirmingNode = cluster.confirmCancellation()
+	cluster.run(begin+d.outageDelay-cluster.now, nil)
 	return refusedNode, confirmingNode
 }
 
@@ -123,15 +129,15 @@
 }
 
 // countReturns starts counting the returns of machines.
-func (w *world) countReturns() *returnCounts {
+func (cluster *simCluster) countReturns() *returnCounts {
 	counts := &returnCounts{released: map[string]int{}}
-	w.onEffect = func(node string, e Effect) {
-		if r, ok := e.(ReleaseMachines); ok && !w.cores[node].fleet.leading && !w.noCloud {
+	cluster.onEffect = func(node string, e Effect) {
+		if r, ok := e.(ReleaseMachines); ok && !cluster.cores[node].fleet.leading && !cluster.cloudDegraded {
 			for _, m := range r.Machines {
 				counts.released[node+m]++
 			}
 		}
-		if l, ok := e.(Log); ok && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && w.workers[l.Attrs[1].(string)] != nil {
+		if l, ok := e.(Log); ok && slices.Contains(l.Attrs, any(reasonTaskNotStopped)) && cluster.workers[l.Attrs[1].(string)] != nil {
 			counts.returned++
 		}
 	}
@@ -154,16 +160,16 @@
 
 // confirmCancellation retries the user's cancellation until a controller confirms it, and returns
 // that controller.
-func (w *world) confirmCancellation() (confirmingNode string) {
-	w.t.Helper()
+func (cluster *simCluster) confirmCancellation() (confirmingNode string) {
+	cluster.t.Helper()
 	for range 20 {
-		confirmingNode = w.nodeWithStore()
-		if a := w.cancelJob(confirmingNode, cancelledJob); a.Status == http.StatusOK {
+		confirmingNode = cluster.nodeWithStore()
+		if a := cluster.cancelJob(confirmingNode, cancelledJobID); a.Status == http.StatusOK {
 			return confirmingNode
 		}
-		w.run(time.Second, nil)
+		cluster.run(time.Second, nil)
 	}
-	w.t.Fatal("cancellation is not confirmed")
+	cluster.t.Fatal("cancellation is not confirmed")
 	return ""
 }
 
@@ -194,9 +200,9 @@
 
 // As above, with a further fault at the refusal or the outage.
 func TestConfirmedCancellationHoldsUnderFurtherFaults(t *testing.T) {
-	eachWorkerOf := func(w *world, refusedNode string, f func(*fakeWorker)) {
-		for _, g := range w.workers {
-			if w.names[g.node%len(w.names)] == refusedNode {
+	eachWorkerOf := func(cluster *simCluster, refusedNode string, f func(*fakeWorker)) {
+		for _, g := range cluster.workers {
+			if cluster.names[g.node%len(cluster.names)] == refusedNode {
 				f(g)
 			}
 		}
@@ -204,103 +210,103 @@
 	for name, d := range map[string]storeRefusal{
 		"the old leader leads the fleet": {fleetLeader: true},
 		"no further fault":               {},
-		"the confirming controller crashes and restarts immediately": {outage: func(w *world, _, confirmingNode string) {
-			w.crash(confirmingNode)
-			w.run(100*time.Millisecond, nil)
-			w.boot(confirmingNode)
+		"the confirming controller crashes and restarts immediately": {outage: func(cluster *simCluster, _, confirmingNode string) {
+			cluster.crash(confirmingNode)
+			cluster.run(100*time.Millisecond, nil)
+			cluster.boot(confirmingNode)
 		}},
 		// Its last messages are lost, and no other controller's watch has delivered the cancellation.
 		"the confirming controller crashes immediately": {
-			refused: func(w *world) {
-				w.watchLag, w.latency = 3*time.Second, true
-				for _, n := range w.names {
-					w.watchedAt[n] = w.now
+			refused: func(cluster *simCluster) {
+				cluster.watchLag, cluster.latency = 3*time.Second, true
+				for _, n := range cluster.names {
+					cluster.watchedAt[n] = cluster.now
 				}
 			},
-			outage: func(w *world, _, confirmingNode string) { w.crash(confirmingNode) }},
-		"the old leader restarts immediately": {outage: func(w *world, refusedNode, _ string) {
-			w.crash(refusedNode)
-			w.boot(refusedNode)
+			outage: func(cluster *simCluster, _, confirmingNode string) { cluster.crash(confirmingNode) }},
+		"the old leader restarts immediately": {outage: func(cluster *simCluster, refusedNode, _ string) {
+			cluster.crash(refusedNode)
+			cluster.boot(refusedNode)
 		}},
-		"the old leader freezes": {outage: func(w *world, refusedNode, _ string) { w.frozen[refusedNode] = true }},
-		"machines hang": {outage: func(w *world, refusedNode, _ string) {
-			eachWorkerOf(w, refusedNode, func(f *fakeWorker) { f.dead = true })
+		"the old leader freezes": {outage: func(cluster *simCluster, refusedNode, _ string) { cluster.frozen[refusedNode] = true }},
+		"machines hang": {outage: func(cluster *simCluster, refusedNode, _ string) {
+			eachWorkerOf(cluster, refusedNode, func(f *fakeWorker) { f.dead = true })
 		}},
-		"machines report but are unreachable": {outage: func(w *world, refusedNode, _ string) {
-			eachWorkerOf(w, refusedNode, func(f *fakeWorker) { w.unreachableWorkers[f.Machine] = true })
+		"machines report but are unreachable": {outage: func(cluster *simCluster, refusedNode, _ string) {
+			eachWorkerOf(cluster, refusedNode, func(f *fakeWorker) { cluster.workersReceivingNothing[f.Machine] = true })
 		}},
-		"machines change controllers": {outage: func(w *world, refusedNode, _ string) { w.unreachableNodes[refusedNode] = true }},
+		"machines change controllers": {outage: func(cluster *simCluster, refusedNode, _ string) { cluster.unreachableNodes[refusedNode] = true }},
 		"machines move to a controller that does not know the job": {
-			before: func(w *world) {
-				w.refuse(func(f, t string) bool { return f == "e" || t == "e" })
-				w.refuseStoreTo("e")
-				w.run(3*time.Second, nil)
+			before: func(cluster *simCluster) {
+				cluster.disconnectLinks(func(f, t string) bool { return f == "e" || t == "e" })
+				cluster.refuseStoreTo("e")
+				cluster.run(3*time.Second, nil)
 			},
-			outage: func(w *world, _, _ string) {
+			outage: func(cluster *simCluster, _, _ string) {
 				for _, n := range []string{"a", "b", "c", "d"} {
-					w.unreachableNodes[n] = true
+					cluster.unreachableNodes[n] = true
 				}
 			}},
 		"starts are in flight": {
-			before: func(w *world) { w.loseDeliveries = true },
-			outage: func(w *world, refusedNode, _ string) {
-				w.run(5*time.Second, nil)
-				w.loseDeliveries = false
-				for _, d := range w.heldDeliveries {
-					w.deliver(refusedNode, d)
+			before: func(cluster *simCluster) { cluster.loseDeliveries = true },
+			outage: func(cluster *simCluster, refusedNode, _ string) {
+				cluster.run(5*time.Second, nil)
+				cluster.loseDeliveries = false
+				for _, d := range cluster.heldDeliveries {
+					cluster.deliver(refusedNode, d)
 				}
 			}},
 		"starts arrive late at machines that then hang": {
-			before: func(w *world) { w.loseDeliveries = true },
-			outage: func(w *world, refusedNode, _ string) {
-				w.loseDeliveries = false
-				for _, d := range w.heldDeliveries {
-					w.deliver(refusedNode, d)
+			before: func(cluster *simCluster) { cluster.loseDeliveries = true },
+			outage: func(cluster *simCluster, refusedNode, _ string) {
+				cluster.loseDeliveries = false
+				for _, d := range cluster.heldDeliveries {
+					cluster.deliver(refusedNode, d)
 				}
-				eachWorkerOf(w, refusedNode, func(f *fakeWorker) { f.dead = true })
+				eachWorkerOf(cluster, refusedNode, func(f *fakeWorker) { f.dead = true })
 			}},
 		"the cancellation is applied late": {
 			outageDelay: 14 * time.Second,
-			refused: func(w *world) {
-				w.lateWrite = func(_ string, e StoreTxn) time.Duration {
-					if !e.Quick {
+			refused: func(cluster *simCluster) {
+				cluster.lateWrite = func(_ string, e StoreTxn) time.Duration {
+					if !e.FailFast {
 						return 0
 					}
-					w.lateWrite = nil
+					cluster.lateWrite = nil
 					return 12 * time.Second
 				}
 			},
 		},
 		"links are restored": {
-			refused: func(w *world) { w.refuse(everyLink) },
-			outage: func(w *world, _, _ string) {
-				w.run(reportIntervals(2), nil)
-				w.restore()
+			refused: func(cluster *simCluster) { cluster.disconnectLinks(everyLink) },
+			outage: func(cluster *simCluster, _, _ string) {
+				cluster.run(reportIntervals(2), nil)
+				cluster.restoreLinks()
 			},
 			stoppedWithin: reportIntervals(2), mustKeepMachines: true},
 		"links are slow for a while": {
-			refused: func(w *world) { w.hold(everyLink) },
-			outage: func(w *world, _, _ string) {
-				w.run(reportIntervals(2), nil)
-				for l := range w.heldMessages {
-					delete(w.heldMessages, l)
+			refused: func(cluster *simCluster) { cluster.delayLinks(everyLink) },
+			outage: func(cluster *simCluster, _, _ string) {
+				cluster.run(reportIntervals(2), nil)
+				for l := range cluster.heldMessages {
+					delete(cluster.heldMessages, l)
 				}
-				clear(w.slowLinks)
+				clear(cluster.slowLinks)
 			},
 			stoppedWithin: reportIntervals(2), mustKeepMachines: true},
 		"the old leader loses its lease and drops its jobs": {
-			refused: func(w *world) { w.hold(everyLink) },
-			outage: func(w *world, refusedNode, _ string) {
-				w.send(refusedNode, LeaseExpired{})
-				w.run(reportIntervals(1), nil)
-				w.restore()
+			refused: func(cluster *simCluster) { cluster.delayLinks(everyLink) },
+			outage: func(cluster *simCluster, refusedNode, _ string) {
+				cluster.send(refusedNode, LeaseExpired{})
+				cluster.run(reportIntervals(1), nil)
+				cluster.restoreLinks()
 			},
 			stoppedWithin: reportIntervals(2), mustKeepMachines: true},
 		"the cloud refuses from half of the deadline on": {
-			refused: func(w *world) { w.refuse(everyLink) },
-			outage: func(w *world, _, _ string) {
-				w.run(w.cancelDeadline()/2-2*time.Second, nil)
-				w.noCloud = true
+			refused: func(cluster *simCluster) { cluster.disconnectLinks(everyLink) },
+			outage: func(cluster *simCluster, _, _ string) {
+				cluster.run(cluster.cancelDeadline()/2-2*time.Second, nil)
+				cluster.cloudDegraded = true
 			}},
 		"gang with checkpoints":   {tasks: 20, extraFields: `,"shape":"group","markEveryS":5.0,"markCostS":3.0`},
 		"service":                 {extraFields: `,"shape":"service","guessS":0.0,"dueS":null`},
@@ -327,33 +333,33 @@
 // not the controllers are connected, and even if the store refused one of them first or one has
 // restarted.
 func TestStoreOutageAloneStopsNoTask(t *testing.T) {
-	for name, injectFault := range map[string]func(w *world){
-		"no further fault":                func(*world) {},
-		"the cloud refuses":               func(w *world) { w.noCloud = true },
-		"one controller is refused first": func(w *world) { w.refuseStoreTo("a"); w.run(5*time.Second, nil) },
-		"no links":                        func(w *world) { w.refuse(everyLink) },
-		"one controller restarts":         func(w *world) { w.crash("a"); w.run(time.Second, nil); w.boot("a") },
+	for name, injectFault := range map[string]func(cluster *simCluster){
+		"no further fault":                func(*simCluster) {},
+		"the cloud refuses":               func(cluster *simCluster) { cluster.cloudDegraded = true },
+		"one controller is refused first": func(cluster *simCluster) { cluster.refuseStoreTo("a"); cluster.run(5*time.Second, nil) },
+		"no links":                        func(cluster *simCluster) { cluster.disconnectLinks(everyLink) },
+		"one controller restarts":         func(cluster *simCluster) { cluster.crash("a"); cluster.run(time.Second, nil); cluster.boot("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := idleWorld(t, 20)
-			w.taskTime = 20 * w.cancelDeadline()
-			accepted(t, w.submit("b", cancelledJob, 40, ""))
-			w.started(cancelledJob, 40)
-			injectFault(w)
-			w.outage = true
-			w.run(3*w.cancelDeadline(), nil)
-			if n := w.onMachines(cancelledJob); n != 40 {
+			cluster := newIdleSimCluster(t, 20)
+			cluster.taskTime = 20 * cluster.cancelDeadline()
+			requireAccepted(t, cluster.submit("b", cancelledJobID, 40, ""))
+			cluster.waitUntilStarted(cancelledJobID, 40)
+			injectFault(cluster)
+			cluster.outage = true
+			cluster.run(3*cluster.cancelDeadline(), nil)
+			if n := cluster.onMachines(cancelledJobID); n != 40 {
 				t.Errorf("%d of 40 tasks run during the outage", n)
 			}
-			w.endOutage()
-			w.noCloud = false
-			w.heal()
-			w.run(w.cancelDeadline(), nil)
-			if n := w.onMachines(cancelledJob); n != 40 {
+			cluster.endOutage()
+			cluster.cloudDegraded = false
+			cluster.heal()
+			cluster.run(cluster.cancelDeadline(), nil)
+			if n := cluster.onMachines(cancelledJobID); n != 40 {
 				t.Errorf("%d of 40 tasks run after the outage", n)
 			}
-			w.startedOnce()
+			cluster.checkStartedOnce()
 		})
 	}
 }
--- a/internal/core/storerelay_test.go
+++ b/internal/core/storerelay_test.go
@@ -16,25 +16,25 @@
 	for _, kb := range []float64{4, 16, 32, 64} {
 		t.Run(fmt.Sprint(kb), func(t *testing.T) {
 			t.Parallel()
-			w := newWorldOf(t, fiveNodes)
-			w.maxMachines = 30
-			for _, cfg := range w.cfg {
+			cluster := newSimClusterOf(t, fiveNodes)
+			cluster.maxMachines = 30
+			for _, cfg := range cluster.cfg {
 				cfg.Params.State.ValueKB = kb
 			}
-			for i := range w.maxMachines {
-				w.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
+			for i := range cluster.maxMachines {
+				cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
-			w.ready().run(10*time.Second, nil)
-			w.allowRacingStarts, w.taskTime = true, 10*time.Minute
-			accepted(t, w.submit("a", "req-free-1", 60, ""))
-			w.started("req-free-1", 60)
-			names := slices.Sorted(maps.Keys(w.workers))
-			w.refuse(everyLink)
-			w.run(40*time.Second, nil)
-			if now := slices.Sorted(maps.Keys(w.workers)); !slices.Equal(names, now) {
+			cluster.ready().run(10*time.Second, nil)
+			cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
+			requireAccepted(t, cluster.submit("a", "req-free-1", 60, ""))
+			cluster.waitUntilStarted("req-free-1", 60)
+			names := slices.Sorted(maps.Keys(cluster.workers))
+			cluster.disconnectLinks(everyLink)
+			cluster.run(40*time.Second, nil)
+			if now := slices.Sorted(maps.Keys(cluster.workers)); !slices.Equal(names, now) {
 				t.Errorf("of %d machines, %d are left after 40 s without links", len(names), len(now))
 			}
-			w.startedOnce()
+			cluster.checkStartedOnce()
 		})
 	}
 }
@@ -43,33 +43,35 @@
 // controllers fail. Otherwise teams could use only the machines that their leaders serve
 // themselves.
 func TestJobsEndWithoutLinksBetweenControllers(t *testing.T) {
-	for name, cut := range map[string]func(w *world){
-		"refused":        func(w *world) { w.refuse(everyLink) },
-		"slow":           func(w *world) { w.hold(everyLink) },
-		"one way":        func(w *world) { w.refuse(func(f, t string) bool { return f < t }) },
-		"two partitions": func(w *world) { w.refuse(func(f, t string) bool { return (f < "c") != (t < "c") }) },
-		"no fault":       func(w *world) {},
+	for name, cut := range map[string]func(cluster *simCluster){
+		"refused": func(cluster *simCluster) { cluster.disconnectLinks(everyLink) },
+		"slow":    func(cluster *simCluster) { cluster.delayLinks(everyLink) },
+		"one way": func(cluster *simCluster) { cluster.disconnectLinks(func(f, t string) bool { return f < t }) },
+		"two partitions": func(cluster *simCluster) {
+			cluster.disconnectLinks(func(f, t string) bool { return (f < "c") != (t < "c") })
+		},
+		"no fault": func(cluster *simCluster) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := idleWorld(t, 30)
-			accepted(t, w.submit("a", "req-free-0", 40, ""))
-			w.run(2*time.Second, nil)
-			cut(w)
-			w.run(5*time.Second, nil)
+			cluster := newIdleSimCluster(t, 30)
+			requireAccepted(t, cluster.submit("a", "req-free-0", 40, ""))
+			cluster.run(2*time.Second, nil)
+			cut(cluster)
+			cluster.run(5*time.Second, nil)
 			ids := []string{"req-free-0"}
 			for i, team := range []string{"red", "blue", "free"} {
 				id := "req-" + team + "-1"
-				accepted(t, w.submit(w.names[i+1], id, 8, ""))
+				requireAccepted(t, cluster.submit(cluster.names[i+1], id, 8, ""))
 				ids = append(ids, id)
 			}
-			if !w.run(45*time.Second, w.finished(ids...)) {
+			if !cluster.run(45*time.Second, cluster.allDone(ids...)) {
 				t.Fatal("jobs did not end without links")
 			}
-			w.restore()
-			w.run(20*time.Second, nil)
-			w.startedOnce()
-			for key := range w.kv {
+			cluster.restoreLinks()
+			cluster.run(20*time.Second, nil)
+			cluster.checkStartedOnce()
+			for key := range cluster.kv {
 				if strings.HasPrefix(key, keyRelay) {
 					t.Errorf("relay page %s is left after all links were restored", key)
 				}
@@ -81,24 +83,24 @@
 // The write of a page is delayed until after newer writes, or until all pages have been deleted
 // because the connections are back. No page may be left behind.
 func TestLateRelayPageIsDeleted(t *testing.T) {
-	w := idleWorld(t, 20)
-	w.taskTime = 10 * time.Minute
-	accepted(t, w.submit("a", "req-free-1", 40, ""))
-	w.started("req-free-1", 40)
-	w.lateWrite = func(_ string, e StoreTxn) time.Duration {
-		if !strings.HasPrefix(e.Txn.Then[0].Put, keyRelay) || w.rng.IntN(3) > 0 {
+	cluster := newIdleSimCluster(t, 20)
+	cluster.taskTime = 10 * time.Minute
+	requireAccepted(t, cluster.submit("a", "req-free-1", 40, ""))
+	cluster.waitUntilStarted("req-free-1", 40)
+	cluster.lateWrite = func(_ string, e StoreTxn) time.Duration {
+		if !strings.HasPrefix(e.Txn.Then[0].Put, keyRelay) || cluster.rng.IntN(3) > 0 {
 			return 0
 		}
-		return time.Duration(2+w.rng.IntN(11)) * time.Second
+		return time.Duration(2+cluster.rng.IntN(11)) * time.Second
 	}
-	w.refuse(everyLink)
-	w.run(20*time.Second, nil)
-	w.restore()
-	w.run(30*time.Second, nil)
-	for key := range w.kv {
+	cluster.disconnectLinks(everyLink)
+	cluster.run(20*time.Second, nil)
+	cluster.restoreLinks()
+	cluster.run(30*time.Second, nil)
+	for key := range cluster.kv {
 		if strings.HasPrefix(key, keyRelay) {
 			t.Errorf("relay page %s is left", key)
 		}
 	}
-	w.startedOnce()
+	cluster.checkStartedOnce()
 }
--- a/internal/core/storerequests.go
+++ b/internal/core/storerequests.go
@@ -36,7 +36,7 @@
 	if !pending {
 		return
 	}
-	c.noteStoreReply(request.sentAt, reply)
+	c.recordStoreReply(request.sentAt, reply)
 	request.handle(reply)
 }
 
