--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -14,8 +14,8 @@
 )
 
 func TestListPagesContainEveryJobOnce(t *testing.T) {
-	const jobs = 2*protocol.JobsPage + 1
-	c := busyCore(10 * jobs)
+	const jobs = 2*protocol.MaxJobsPerPage + 1
+	c := newBusyCore(10 * jobs)
 	var got []string
 	for after, more := "", true; more; {
 		c.effects = nil
@@ -34,21 +34,21 @@
 }
 
 func TestRepeatedSubmissionReturnsCurrentState(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 1, ""))
-	if s := stateOf(t, w.submit("b", "req-blue-1", 1, "")); s.State == protocol.Done {
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
+	if s := requireJobState(t, cluster.submit("b", "req-blue-1", 1, "")); s.State == protocol.Done {
 		t.Errorf("repeated submission before the end: got state %+v, want not done", s)
 	}
-	if !w.run(time.Minute, w.finished("req-blue-1")) {
+	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("the job did not end")
 	}
 	for _, n := range nodeNames {
-		w.crash(n)
-		w.expire(n)
-		w.boot(n)
+		cluster.crash(n)
+		cluster.expire(n)
+		cluster.boot(n)
 	}
-	w.ready()
-	if s := stateOf(t, w.submit("c", "req-blue-1", 1, "")); s.State != protocol.Done {
+	cluster.ready()
+	if s := requireJobState(t, cluster.submit("c", "req-blue-1", 1, "")); s.State != protocol.Done {
 		t.Errorf("repeated submission after the end: got state %+v, want done", s)
 	}
 }
@@ -68,36 +68,36 @@
 		for _, state := range []string{protocol.Queued, protocol.Running, protocol.Done, protocol.Cancelled, "not answered"} {
 			t.Run(name+", "+state, func(t *testing.T) {
 				t.Parallel()
-				w := newWorld(t).ready()
+				cluster := newSimCluster(t).ready()
 				if state == protocol.Running {
-					w.taskTime = time.Hour
+					cluster.taskTime = time.Hour
 				}
 				if state == "not answered" {
-					w.lostReplies = 1
+					cluster.lostReplies = 1
 				}
-				if a := w.submit("a", "req-blue-1", 2, ""); (a.Status == http.StatusCreated) == (state == "not answered") {
+				if a := cluster.submit("a", "req-blue-1", 2, ""); (a.Status == http.StatusCreated) == (state == "not answered") {
 					t.Fatalf("submission: got status %d", a.Status)
 				}
 				switch state {
 				case protocol.Running:
-					w.started("req-blue-1", 2)
+					cluster.waitUntilStarted("req-blue-1", 2)
 				case protocol.Done:
-					w.run(time.Minute, w.finished("req-blue-1"))
+					cluster.run(time.Minute, cluster.allDone("req-blue-1"))
 				case protocol.Cancelled:
-					w.cancelJob("b", "req-blue-1")
+					cluster.cancelJob("b", "req-blue-1")
 				}
-				for _, node := range w.names {
-					a := w.request(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
-					s := stateOf(t, a)
+				for _, node := range cluster.names {
+					a := cluster.request(node, func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+					s := requireJobState(t, a)
 					if a.Status != http.StatusOK || (state == protocol.Done || state == protocol.Cancelled) && s.State != state {
 						t.Errorf("%s: got status %d and state %q, want 200 and the current state", node, a.Status, s.State)
 					}
 				}
 				// During an outage of the store the state may be unknown, but the
 				// answer is neither 400 nor 422.
-				w.outage = true
-				w.run(reportIntervals(2), nil)
-				if a := w.request("c", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
+				cluster.outage = true
+				cluster.run(reportIntervals(2), nil)
+				if a := cluster.request("c", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} }); a.Status != http.StatusOK && a.Status != http.StatusServiceUnavailable {
 					t.Errorf("during an outage: got status %d, want 200 or 503", a.Status)
 				}
 			})
@@ -107,7 +107,7 @@
 
 // A malformed submission of a job that does not exist is answered 400, and no job is accepted.
 func TestMalformedSubmissionsAreRejected(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	valid := submission("req-blue-1", "blue", 2, "")
 	bodies := map[string]string{"truncated": valid[:len(valid)/2], "empty": "", "null": "null", "a list": "[" + valid + "]", "no ID": `{"crew":"blue"}`,
 		"numeric ID": `{"uid":7}`, "invalid ID": submission("req-../1", "blue", 2, ""), "null machine type": submission("req-blue-1", "blue", 2, `,"builds":[null]`),
@@ -134,21 +134,21 @@
 		}
 	}
 	for name, body := range ordered(bodies) {
-		a := w.request("b", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+		a := cluster.request("b", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 		if a.Status != http.StatusBadRequest {
 			t.Errorf("%s: got status %d, want 400", name, a.Status)
 		}
 	}
-	if a := w.status("a", "req-blue-1"); a.Status != http.StatusNotFound {
+	if a := cluster.status("a", "req-blue-1"); a.Status != http.StatusNotFound {
 		t.Errorf("status of the job: got %d, want 404", a.Status)
 	}
 }
 
 func TestJobsThatCanNeverRunAreRejected(t *testing.T) {
-	w := newWorld(t)
-	w.types = append(w.types, protocol.MachineType{Name: "local", CPUs: 4, MemoryGB: 16, Price: 3, SpotPrice: 2, Zones: []string{"z1"}},
+	cluster := newSimCluster(t)
+	cluster.types = append(cluster.types, protocol.MachineType{Name: "local", CPUs: 4, MemoryGB: 16, Price: 3, SpotPrice: 2, Zones: []string{"z1"}},
 		protocol.MachineType{Name: "nowhere", CPUs: 64, MemoryGB: 16, Price: 3, SpotPrice: 2})
-	w.ready()
+	cluster.ready()
 	for name, body := range map[string]string{
 		"unknown team":                      submission("req-x-1", "nobody", 1, ""),
 		"task too large":                    submission("req-x-2", "blue", 1, `,"vcpus":64.0`),
@@ -164,7 +164,7 @@
 		"service with zone, spread":         submission("req-x-12", "blue", 3, `,"shape":"service","yard":"z1","spread":true`),
 		"gang on types of one zone, spread": submission("req-x-13", "blue", 2, `,"shape":"group","spread":true,"builds":["local"]`),
 	} {
-		a := w.request("a", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
+		a := cluster.request("a", func(req uint64) Command { return Submit{Req: req, Body: []byte(body)} })
 		if a.Status != http.StatusUnprocessableEntity {
 			t.Errorf("%s: got status %d, want 422", name, a.Status)
 		}
@@ -174,9 +174,9 @@
 // A job that has to wait for its own tasks to end or for machines to be rented is accepted and
 // runs.
 func TestJobsThatOnlyHaveToWaitAreAccepted(t *testing.T) {
-	w := newWorld(t)
-	w.types = append(w.types, protocol.MachineType{Name: "local", CPUs: 4, MemoryGB: 16, Price: 3, SpotPrice: 2, Zones: []string{"z1"}})
-	w.ready()
+	cluster := newSimCluster(t)
+	cluster.types = append(cluster.types, protocol.MachineType{Name: "local", CPUs: 4, MemoryGB: 16, Price: 3, SpotPrice: 2, Zones: []string{"z1"}})
+	cluster.ready()
 	jobs := map[string]string{
 		"req-blue-1": `,"samePlace":true,"spread":true`,
 		"req-blue-2": `,"yard":"z2","spread":true`,
@@ -187,11 +187,11 @@
 		"req-blue-7": `,"loaners":false,"samePlace":true`,
 	}
 	for id, more := range ordered(jobs) {
-		accepted(t, w.submit("a", id, 5, more))
+		requireAccepted(t, cluster.submit("a", id, 5, more))
 	}
-	if !w.run(5*time.Minute, w.finished(slices.Sorted(maps.Keys(jobs))...)) {
+	if !cluster.run(5*time.Minute, cluster.allDone(slices.Sorted(maps.Keys(jobs))...)) {
 		for id := range ordered(jobs) {
-			s, _ := w.state(id)
+			s, _ := cluster.state(id)
 			t.Errorf("%s: got state %q, want done", id, s.State)
 		}
 	}
@@ -199,36 +199,36 @@
 
 func TestTeamNamesMayContainAnyCharacters(t *testing.T) {
 	for _, team := range []string{"red", "night shift", "a/b", "čuvari%2F~", "x+y"} {
-		part := teamPart(team)
-		if got, err := parseTeamPart(part); strings.ContainsAny(part, " %/") || got != team || err != nil {
+		part := encodeTeamName(team)
+		if got, err := decodeTeamName(part); strings.ContainsAny(part, " %/") || got != team || err != nil {
 			t.Errorf("team %q: got %q from key part %q, error %v", team, got, part, err)
 		}
 	}
 }
 
 func TestUnknownJobIsNotFoundOnlyAfterStoreRead(t *testing.T) {
-	w := newWorld(t).ready()
-	if a := w.status("a", "req-nobody"); a.Status != http.StatusNotFound {
+	cluster := newSimCluster(t).ready()
+	if a := cluster.status("a", "req-nobody"); a.Status != http.StatusNotFound {
 		t.Errorf("got status %d, want 404", a.Status)
 	}
-	w.outage = true
-	if a := w.status("a", "req-nobody"); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+	cluster.outage = true
+	if a := cluster.status("a", "req-nobody"); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("during an outage: got status %d, retry after %d s, want 503 and a delay", a.Status, a.RetryAfter)
 	}
 }
 
 func TestNodeWithoutStoreIsUnhealthyUnlessOthersLackItToo(t *testing.T) {
-	w := newWorld(t).ready()
+	cluster := newSimCluster(t).ready()
 	health := func() int {
-		return w.request("a", func(req uint64) Command { return Health{Req: req} }).Status
+		return cluster.request("a", func(req uint64) Command { return Health{Req: req} }).Status
 	}
-	w.send("a", StoreHealth{OK: false})
-	w.run(time.Second, nil)
+	cluster.send("a", StoreHealth{OK: false})
+	cluster.run(time.Second, nil)
 	if got := health(); got != http.StatusServiceUnavailable {
 		t.Errorf("store unavailable to one node: got status %d, want 503", got)
 	}
-	w.send("b", StoreHealth{OK: false})
-	w.run(2*time.Second, nil)
+	cluster.send("b", StoreHealth{OK: false})
+	cluster.run(2*time.Second, nil)
 	if got := health(); got != http.StatusOK {
 		t.Errorf("store unavailable to several nodes: got status %d, want 200", got)
 	}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -25,7 +25,7 @@
 		c.replyToDuplicate(m.Req, spec.ID)
 		return
 	}
-	t := c.teamBy[spec.Team]
+	t := c.teamsByName[spec.Team]
 	catalogMissing := t != nil && !c.catalog.Loaded()
 	if catalogMissing || !c.replica.loaded || !c.storeOK {
 		c.replyUnavailable(m.Req)
@@ -97,11 +97,11 @@
 	}
 	c.userTxn(txn, func(r StoreReply) {
 		switch r.Outcome {
-		case Applied:
+		case OutcomeApplied:
 			c.logAccepted(t, spec)
 			c.broadcastAccepted(protocol.KeyValue{Key: key, Value: head, Version: r.Revision})
 			c.reply(req, http.StatusCreated, protocol.JobState{ID: spec.ID, State: protocol.Queued})
-		case Conflict:
+		case OutcomeConflict:
 			c.replyToDuplicate(req, spec.ID)
 		default:
 			c.replyUnavailable(req)
--- a/internal/core/submitdependencies_test.go
+++ b/internal/core/submitdependencies_test.go
@@ -16,16 +16,16 @@
 
 // Submissions with dependencies are answered as documented (docs/dependencies.md).
 func TestDependentSubmissionIsAnswered(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.taskTime = time.Minute
-	accepted(t, w.submit("a", "req-free-run", 1, ""))
-	w.started("req-free-run", 1)
-	accepted(t, w.submit("a", "req-free-off", 1, ""))
-	w.cancelJob("a", "req-free-off")
-	accepted(t, w.submit("a", "req-free-svc", 1, `,"shape":"service","guessS":0.0,"dueS":null`))
-	w.taskTime = time.Second
-	accepted(t, w.submit("a", "req-free-end", 1, ""))
-	w.run(time.Minute, w.finished("req-free-end"))
+	cluster := newIdleSimCluster(t, 10)
+	cluster.taskTime = time.Minute
+	requireAccepted(t, cluster.submit("a", "req-free-run", 1, ""))
+	cluster.waitUntilStarted("req-free-run", 1)
+	requireAccepted(t, cluster.submit("a", "req-free-off", 1, ""))
+	cluster.cancelJob("a", "req-free-off")
+	requireAccepted(t, cluster.submit("a", "req-free-svc", 1, `,"shape":"service","guessS":0.0,"dueS":null`))
+	cluster.taskTime = time.Second
+	requireAccepted(t, cluster.submit("a", "req-free-end", 1, ""))
+	cluster.run(time.Minute, cluster.allDone("req-free-end"))
 	names := make([]string, 400)
 	for i := range names {
 		names[i] = fmt.Sprintf("req-free-%d", i)
@@ -48,23 +48,23 @@
 		{"the job itself", awaiting("req-blue-11"), http.StatusUnprocessableEntity},
 		{"too many jobs", awaiting(names...), http.StatusBadRequest},
 	} {
-		node := w.names[i%len(w.names)]
-		if a := w.submit(node, fmt.Sprintf("req-blue-%d", i), 1, c.more); a.Status != c.status {
+		node := cluster.names[i%len(cluster.names)]
+		if a := cluster.submit(node, fmt.Sprintf("req-blue-%d", i), 1, c.more); a.Status != c.status {
 			t.Errorf("%s: got status %d, body %v, want status %d", c.what, a.Status, a.Body, c.status)
 		}
 	}
-	if a := w.submit("b", "req-blue-5", 1, awaiting("req-free-none")); a.Status != http.StatusOK {
+	if a := cluster.submit("b", "req-blue-5", 1, awaiting("req-free-none")); a.Status != http.StatusOK {
 		t.Errorf("repeated submission with an unknown dependency: got status %d, want 200", a.Status)
 	}
-	w.run(5*time.Second, nil)
+	cluster.run(5*time.Second, nil)
 	for id, want := range map[string]string{"req-blue-5": protocol.Queued, "req-blue-8": protocol.Cancelled} {
-		for _, node := range w.names {
-			if got := w.stateSeenBy(node, id); got != want {
+		for _, node := range cluster.names {
+			if got := cluster.stateSeenBy(node, id); got != want {
 				t.Errorf("%s: got state of %s %q, want %s", node, id, got, want)
 			}
 		}
 	}
-	if got := w.status("c", "req-blue-5").Body.(protocol.JobState).Awaits; !slices.Equal(got, []string{"req-free-run"}) {
+	if got := cluster.status("c", "req-blue-5").Body.(protocol.JobState).Awaits; !slices.Equal(got, []string{"req-free-run"}) {
 		t.Errorf("got unfinished dependencies %v, want only the running job", got)
 	}
 }
@@ -72,25 +72,25 @@
 // Jobs with dependencies are rejected while a controller may still run the previous version, which
 // does not support them, and accepted once all controllers have recorded their versions.
 func TestDependenciesAreAcceptedOnceAllControllersAreUpgraded(t *testing.T) {
-	w := newWorld(t)
-	w.notUpgraded["c"] = true
-	w.ready().run(5*time.Second, nil)
-	accepted(t, w.submit("a", "req-free-1", 1, ""))
-	if a := w.submit("a", "req-free-2", 1, awaiting("req-free-1")); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+	cluster := newSimCluster(t)
+	cluster.notUpgraded["c"] = true
+	cluster.ready().run(5*time.Second, nil)
+	requireAccepted(t, cluster.submit("a", "req-free-1", 1, ""))
+	if a := cluster.submit("a", "req-free-2", 1, awaiting("req-free-1")); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("got status %d while one controller runs the previous version, want 503", a.Status)
 	}
-	w.crash("c")
-	w.expire("c")
-	delete(w.notUpgraded, "c")
-	w.boot("c")
-	w.run(10*time.Second, nil)
-	accepted(t, w.submit("a", "req-free-2", 1, awaiting("req-free-1")))
+	cluster.crash("c")
+	cluster.expire("c")
+	delete(cluster.notUpgraded, "c")
+	cluster.boot("c")
+	cluster.run(10*time.Second, nil)
+	requireAccepted(t, cluster.submit("a", "req-free-2", 1, awaiting("req-free-1")))
 	// The versions are stored permanently: the controllers do not have to be live.
-	w.crash("b")
-	w.expire("b")
-	w.run(5*time.Second, nil)
-	accepted(t, w.submit("a", "req-free-3", 1, awaiting("req-free-2")))
-	if !w.run(2*time.Minute, w.finished("req-free-3")) {
+	cluster.crash("b")
+	cluster.expire("b")
+	cluster.run(5*time.Second, nil)
+	requireAccepted(t, cluster.submit("a", "req-free-3", 1, awaiting("req-free-2")))
+	if !cluster.run(2*time.Minute, cluster.allDone("req-free-3")) {
 		t.Error("the chain did not end")
 	}
 }
--- a/internal/core/team.go
+++ b/internal/core/team.go
@@ -15,17 +15,17 @@
 type team struct {
 	settings.Team
 	shard
-	// record is the latest known usage record. ranked is the one last exchanged, which all
+	// record is the latest known usage record. exchangedRecord is the one last exchanged, which all
 	// controllers use so that their rankings agree.
-	record, ranked fairness.Record
-	jobs           map[string]*job.Job
+	record, exchangedRecord fairness.Record
+	jobs                    map[string]*job.Job
 }
 
 // newTeam returns a team without jobs or a leader.
 func newTeam(t settings.Team) *team {
 	return &team{
 		Team:  t,
-		shard: shard{name: t.Name, key: keyLeader + teamPart(t.Name)},
+		shard: shard{name: t.Name, key: keyLeader + encodeTeamName(t.Name)},
 		jobs:  map[string]*job.Job{},
 	}
 }
@@ -33,12 +33,12 @@
 // addTeam registers a team from the settings.
 func (c *Core) addTeam(t *team) {
 	c.teams = append(c.teams, t)
-	c.teamBy[t.Name] = t
+	c.teamsByName[t.Name] = t
 }
 
 // leads reports whether this node leads the job's team.
 func (c *Core) leads(j *job.Job) bool {
-	t := c.teamBy[j.Team]
+	t := c.teamsByName[j.Team]
 	return t != nil && t.leading
 }
 
@@ -46,13 +46,13 @@
 func (t *team) usageTxn() protocol.Txn {
 	return protocol.Txn{
 		If:   []protocol.Condition{t.leaderCondition()},
-		Then: []protocol.Change{putJSON(keyRecord+teamPart(t.Name), usageRecord{Record: t.record})},
+		Then: []protocol.Change{putJSON(keyUsageRecord+encodeTeamName(t.Name), usageRecord{Record: t.record})},
 	}
 }
 
 // onUsageRecordPut applies a usage record that a team's leader has stored.
 func (c *Core) onUsageRecordPut(item protocol.KeyValue) error {
-	name, err := parseTeamPart(strings.TrimPrefix(item.Key, keyRecord))
+	name, err := decodeTeamName(strings.TrimPrefix(item.Key, keyUsageRecord))
 	if err != nil {
 		return err
 	}
@@ -60,8 +60,8 @@
 	if err := json.Unmarshal(item.Value, &stored); err != nil {
 		return err
 	}
-	if t := c.teamBy[name]; t != nil && !t.leading {
-		t.record, t.ranked = stored.Record, stored.Record
+	if t := c.teamsByName[name]; t != nil && !t.leading {
+		t.record, t.exchangedRecord = stored.Record, stored.Record
 	}
 	return nil
 }
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -45,8 +45,8 @@
 	a.get(keyToken, func(r StoreReply) {
 		var counter tokenCounter
 		switch r.Outcome {
-		case Missing:
-		case Applied:
+		case OutcomeMissing:
+		case OutcomeApplied:
 			if err := json.Unmarshal(r.Item.Value, &counter); err != nil {
 				a.tokenUnavailable()
 				return
@@ -69,9 +69,9 @@
 	a.compareAndSwap(txn, true, func(r StoreReply) {
 		a.tokens.acquiring = false
 		switch r.Outcome {
-		case Applied:
+		case OutcomeApplied:
 			a.tokenAcquired(token)
-		case Conflict, Unknown:
+		case OutcomeConflict, OutcomeUnknown:
 			// Another node may hold this token, so try the next one.
 			a.acquireToken()
 		default:
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -10,9 +10,9 @@
 // same number next. It must not be used.
 func TestTokenOfAnUnansweredWriteIsNotUsed(t *testing.T) {
 	for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		w := newWorldOf(t, fiveNodes).ready()
+		cluster := newSimClusterOf(t, fiveNodes).ready()
 		writes := 0
-		w.lateWrite = func(_ string, e StoreTxn) time.Duration {
+		cluster.lateWrite = func(_ string, e StoreTxn) time.Duration {
 			if e.Txn.Then[0].Put != keyToken {
 				return 0
 			}
@@ -22,14 +22,14 @@
 			return delay
 		}
 		for i := range 10 {
-			for _, f := range w.workers {
+			for _, f := range cluster.workers {
 				f.Token += 100 // a controller that sees this token acquires a newer one
 			}
-			w.addWorker("z1", false)
-			w.workers[fmt.Sprintf("vm-%06d", w.rented)].Token = uint64(1000 + i)
-			w.run(2*time.Second, nil)
+			cluster.addWorker("z1", false)
+			cluster.workers[fmt.Sprintf("vm-%06d", cluster.rented)].Token = uint64(1000 + i)
+			cluster.run(2*time.Second, nil)
 		}
-		w.run(20*time.Second, nil) // the simulation checks that each token has one owner
+		cluster.run(20*time.Second, nil) // the simulation checks that each token has one owner
 		if writes < 5 {
 			t.Errorf("got %d token writes, want at least 5", writes)
 		}
@@ -38,24 +38,24 @@
 
 // An unanswered probe leaves no start with an unknown outcome, so it needs no newer token.
 func TestHungMachineCostsOneTokenNotOnePerProbe(t *testing.T) {
-	w := newWorld(t).ready()
-	accepted(t, w.submit("a", "req-blue-1", 2, ""))
-	if !w.run(time.Minute, w.finished("req-blue-1")) {
+	cluster := newSimCluster(t).ready()
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 2, ""))
+	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("job did not end")
 	}
 	highestToken := func() uint64 {
 		token := uint64(0)
-		for _, c := range w.cores {
+		for _, c := range cluster.cores {
 			token = max(token, c.agents.tokens.current)
 		}
 		return token
 	}
-	for _, f := range w.workers {
+	for _, f := range cluster.workers {
 		f.dead = true
 	}
 	before := highestToken()
-	accepted(t, w.submit("b", "req-blue-2", 2, ""))
-	w.run(15*time.Second, nil)
+	requireAccepted(t, cluster.submit("b", "req-blue-2", 2, ""))
+	cluster.run(15*time.Second, nil)
 	if acquiredTokens := highestToken() - before; acquiredTokens == 0 || acquiredTokens > 4 {
 		t.Errorf("%d tokens were acquired, want 1 to 4", acquiredTokens)
 	}
--- a/internal/core/unreachablemachines_test.go
+++ b/internal/core/unreachablemachines_test.go
@@ -13,14 +13,14 @@
 // A machine whose reports arrive while it cannot be reached gets no tasks, since they would be
 // lost when its lease ends (docs/fault-handling.md).
 func TestUnreachableMachineGetsNoTasksUntilReachable(t *testing.T) {
-	w, _ := loadedWorld(t, 10, "req-free-first")
-	w.noCloud, w.taskTime = true, 5*time.Second
-	w.cancelJob("a", "req-free-first")
-	unreachable := slices.Sorted(maps.Keys(w.workers))[:2]
+	cluster, _ := newLoadedSimCluster(t, 10, "req-free-first")
+	cluster.cloudDegraded, cluster.taskTime = true, 5*time.Second
+	cluster.cancelJob("a", "req-free-first")
+	unreachable := slices.Sorted(maps.Keys(cluster.workers))[:2]
 	sent := map[string]int{}
-	w.onEffect = func(_ string, e Effect) {
+	cluster.onEffect = func(_ string, e Effect) {
 		if d, ok := e.(Deliver); ok {
-			for _, cmd := range d.Orders.Commands {
+			for _, cmd := range d.CommandBatch.Commands {
 				if cmd.Op == protocol.OpStart {
 					sent[d.Machine]++
 				}
@@ -29,12 +29,12 @@
 	}
 	submitJobs := func(from, to int) {
 		for n := from; n < to; n++ {
-			accepted(t, w.submit("a", fmt.Sprintf("req-free-%d", n), 20, ""))
-			w.run(4*time.Second, nil)
+			requireAccepted(t, cluster.submit("a", fmt.Sprintf("req-free-%d", n), 20, ""))
+			cluster.run(4*time.Second, nil)
 		}
 	}
 	for _, id := range unreachable {
-		w.unreachableWorkers[id] = true
+		cluster.workersReceivingNothing[id] = true
 	}
 	submitJobs(0, 4) // a machine counts as unreachable after two lost answers
 	clear(sent)
@@ -44,11 +44,11 @@
 			t.Errorf("%s was sent %d starts that cannot reach it", id, sent[id])
 		}
 	}
-	clear(w.unreachableWorkers)
-	w.run(12*time.Second, nil)
+	clear(cluster.workersReceivingNothing)
+	cluster.run(12*time.Second, nil)
 	for _, id := range unreachable {
-		for _, node := range w.names {
-			if w.cores[node].machines.Get(id).IsUnreachable() {
+		for _, node := range cluster.names {
+			if cluster.cores[node].machines.Get(id).IsUnreachable() {
 				t.Errorf("%s considers %s unreachable although it receives its answers", node, id)
 			}
 		}
@@ -57,13 +57,13 @@
 
 // A machine that stays unreachable is returned like an idle one.
 func TestUnreachableMachineIsReturned(t *testing.T) {
-	w, _ := loadedWorld(t, 10, "req-free-1")
-	id := slices.Sorted(maps.Keys(w.workers))[2]
-	w.unreachableWorkers[id] = true
-	if !w.run(time.Minute, func() bool { return w.workers[id] == nil }) {
+	cluster, _ := newLoadedSimCluster(t, 10, "req-free-1")
+	id := slices.Sorted(maps.Keys(cluster.workers))[2]
+	cluster.workersReceivingNothing[id] = true
+	if !cluster.run(time.Minute, func() bool { return cluster.workers[id] == nil }) {
 		t.Error("machine was not returned within a minute")
 	}
-	if len(w.workers) < 9 {
-		t.Errorf("%d machines are left, want at least 9", len(w.workers))
+	if len(cluster.workers) < 9 {
+		t.Errorf("%d machines are left, want at least 9", len(cluster.workers))
 	}
 }
--- a/internal/core/unseenends_test.go
+++ b/internal/core/unseenends_test.go
@@ -13,47 +13,47 @@
 // team, has missed the end of its dependency, considers the job blocked and rents no machines for
 // it.
 func TestMachinesAreRentedForJobsWhoseDependencyEndedUnseen(t *testing.T) {
-	for name, missEnd := range map[string]func(w *world, node string, end func()){
-		"state reloaded": func(w *world, node string, end func()) {
-			w.slowWatcher = node
+	for name, missEnd := range map[string]func(cluster *simCluster, node string, end func()){
+		"state reloaded": func(cluster *simCluster, node string, end func()) {
+			cluster.blockedWatcher = node
 			end()
-			w.slowWatcher = ""
-			w.read(node)
+			cluster.blockedWatcher = ""
+			cluster.sendSnapshotWhenReachable(node)
 		},
-		"restarted": func(w *world, node string, end func()) {
-			w.crash(node)
-			w.expire(node)
+		"restarted": func(cluster *simCluster, node string, end func()) {
+			cluster.crash(node)
+			cluster.expire(node)
 			end()
-			w.boot(node)
+			cluster.boot(node)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := idleWorld(t, 10)
-			fleetLeader := w.cores["a"].fleet.leader
-			if fleetLeader == w.leaderOf("red") {
+			cluster := newIdleSimCluster(t, 10)
+			fleetLeader := cluster.cores["a"].fleet.leader
+			if fleetLeader == cluster.leaderOf("red") {
 				t.Fatal("the fleet leader also leads the team")
 			}
-			w.types = append(w.types, protocol.MachineType{Name: "large", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1,
+			cluster.types = append(cluster.types, protocol.MachineType{Name: "large", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPS: 1,
 				Price: 3, SpotPrice: 1.2, BootS: 5, Zones: []string{"z1", "z2"}})
-			w.run(time.Minute, func() bool { return w.cores[fleetLeader].catalog.Capacity("large").CPUs > 0 })
-			accepted(t, w.submit("a", "req-red-1", 1, ""))
-			accepted(t, w.submit("a", "req-red-2", 2, awaiting("req-red-1")+`,"builds":["large"]`))
-			w.started("req-red-1", 1)
-			missEnd(w, fleetLeader, func() {
-				if !w.run(time.Minute, w.finished("req-red-1")) {
+			cluster.run(time.Minute, func() bool { return cluster.cores[fleetLeader].catalog.Capacity("large").CPUs > 0 })
+			requireAccepted(t, cluster.submit("a", "req-red-1", 1, ""))
+			requireAccepted(t, cluster.submit("a", "req-red-2", 2, awaiting("req-red-1")+`,"builds":["large"]`))
+			cluster.waitUntilStarted("req-red-1", 1)
+			missEnd(cluster, fleetLeader, func() {
+				if !cluster.run(time.Minute, cluster.allDone("req-red-1")) {
 					t.Fatal("the dependency did not end")
 				}
 			})
-			if !w.run(30*time.Second, func() bool { return w.wronglyBlocked(fleetLeader, "req-red-2") }) {
+			if !cluster.run(30*time.Second, func() bool { return cluster.wronglyBlocked(fleetLeader, "req-red-2") }) {
 				t.Fatal("the fleet leader has not missed the end of the dependency")
 			}
-			if !w.run(30*time.Second, func() bool { return w.cores[fleetLeader].fleet.leading }) {
+			if !cluster.run(30*time.Second, func() bool { return cluster.cores[fleetLeader].fleet.leading }) {
 				t.Fatal("the controller no longer leads the fleet")
 			}
-			w.maxMachines += 10
-			if !w.run(2*time.Minute, w.finished("req-red-2")) {
+			cluster.maxMachines += 10
+			if !cluster.run(2*time.Minute, cluster.allDone("req-red-2")) {
 				t.Errorf("the job did not end after its dependency: got %d machines with %d of its tasks",
-					len(w.workers), w.onMachines("req-red-2"))
+					len(cluster.workers), cluster.onMachines("req-red-2"))
 			}
 		})
 	}
@@ -62,46 +62,46 @@
 // Guards against a controller that reloads the stored state and then looks up the dependencies of
 // all teams in one burst, which delays the answers to users.
 func TestMissedEndsOfOtherTeamsAreLookedUpWithinRateLimit(t *testing.T) {
-	w := idleWorld(t, 10)
-	w.taskTime = 10 * time.Minute
-	accepted(t, w.submit("a", "req-red-long", 1, ""))
-	w.started("req-red-long", 1)
-	w.taskTime = time.Second
-	node := w.anotherNode(w.leaderOf("red"))
-	w.slowWatcher = node
+	cluster := newIdleSimCluster(t, 10)
+	cluster.taskTime = 10 * time.Minute
+	requireAccepted(t, cluster.submit("a", "req-red-long", 1, ""))
+	cluster.waitUntilStarted("req-red-long", 1)
+	cluster.taskTime = time.Second
+	node := cluster.anotherNode(cluster.leaderOf("red"))
+	cluster.blockedWatcher = node
 	dependencyIDs := []string{"req-red-long"}
 	for n := range 24 {
 		dependencyIDs = append(dependencyIDs, fmt.Sprintf("req-red-%d", n))
-		accepted(t, w.submit("a", dependencyIDs[n+1], 1, ""))
+		requireAccepted(t, cluster.submit("a", dependencyIDs[n+1], 1, ""))
 	}
-	accepted(t, w.submit("a", "req-red-last", 1, awaiting(dependencyIDs...)))
-	if !w.run(time.Minute, w.finished(dependencyIDs[1:]...)) {
+	requireAccepted(t, cluster.submit("a", "req-red-last", 1, awaiting(dependencyIDs...)))
+	if !cluster.run(time.Minute, cluster.allDone(dependencyIDs[1:]...)) {
 		t.Fatal("the dependencies did not end")
 	}
 	reads := 0
-	w.onEffect = func(from string, e Effect) {
+	cluster.onEffect = func(from string, e Effect) {
 		if get, is := e.(StoreGet); is && from == node && strings.HasPrefix(get.Key, keyState) {
 			reads++
 		}
 	}
-	w.slowWatcher = ""
-	w.read(node)
-	w.run(time.Second, nil)
-	if rate := w.cores[node].lookups.limits().Rate; reads == 0 || float64(reads) > rate {
+	cluster.blockedWatcher = ""
+	cluster.sendSnapshotWhenReachable(node)
+	cluster.run(time.Second, nil)
+	if rate := cluster.cores[node].lookups.limits().Rate; reads == 0 || float64(reads) > rate {
 		t.Errorf("got %d reads of final states in a second, want some and at most %v", reads, rate)
 	}
-	c := w.cores[node]
-	if !w.run(time.Minute, func() bool { return len(c.dependencies.Awaited("req-red-last")) <= 1 }) {
-		t.Errorf("got %d of 25 dependencies not known to have ended, want at most 1", len(c.dependencies.Awaited("req-red-last")))
+	c := cluster.cores[node]
+	if !cluster.run(time.Minute, func() bool { return len(c.dependencies.PendingDependencies("req-red-last")) <= 1 }) {
+		t.Errorf("got %d of 25 dependencies not known to have ended, want at most 1", len(c.dependencies.PendingDependencies("req-red-last")))
 	}
 }
 
 // wronglyBlocked reports whether a job is blocked in a controller's replica but not at its leader.
-func (w *world) wronglyBlocked(node, id string) bool {
-	c := w.cores[node]
+func (cluster *simCluster) wronglyBlocked(node, id string) bool {
+	c := cluster.cores[node]
 	if c == nil || c.jobs[id] == nil {
 		return false
 	}
-	led := w.cores[w.leaderOf(c.jobs[id].Team)].jobs[id]
+	led := cluster.cores[cluster.leaderOf(c.jobs[id].Team)].jobs[id]
 	return c.jobs[id].Blocked && led != nil && !led.Blocked
 }
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -48,11 +48,11 @@
 func (r *machineReturns) isOverdue(j *job.Job, timeout time.Duration) bool {
 	sinceKnown := r.now.Steady - j.CancelledAt
 	sinceRequested := time.Duration(0)
-	if j.CancelRequestedAt > 0 {
-		sinceRequested = time.Duration(r.now.Wall-j.CancelRequestedAt) * time.Millisecond
+	if j.CancelRequestedAtMS > 0 {
+		sinceRequested = time.Duration(r.now.Wall-j.CancelRequestedAtMS) * time.Millisecond
 	}
 	return sinceKnown > timeout ||
-		sinceRequested > timeout*3/2 && sinceKnown > r.core.silenceLimit() ||
+		sinceRequested > timeout*3/2 && sinceKnown > r.core.silenceTimeout() ||
 		sinceRequested > r.times.cancelDeadline()*3/4
 }
 
@@ -70,7 +70,7 @@
 		return true
 	}
 	live := r.core.members.isLive(m.Node)
-	return r.core.leads(j) && (r.core.reach.hasContact(m.Node) || !live)
+	return r.core.leads(j) && (r.core.peerReachability.hasContact(m.Node) || !live)
 }
 
 // fleetLeaderUnavailable reports whether the fleet may have no leader and a cordon for its next
@@ -113,7 +113,7 @@
 	if !dueAgain(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
-	if r.core.fleet.leader != "" && r.core.reach.inDirectContact(r.core.fleet.leader) {
+	if r.core.fleet.leader != "" && r.core.peerReachability.receivesMessagesFrom(r.core.fleet.leader) {
 		r.core.sendTo(r.core.fleet.leader, PeerMessage{ReturnRequest: &ReturnRequest{Machine: machine, Reason: reason}})
 		return
 	}
--- a/internal/core/upgrade.go
+++ b/internal/core/upgrade.go
@@ -20,10 +20,10 @@
 	revisions map[string]uint64
 }
 
-func newUpgradeTracker(env *environment, roster []string) *upgradeTracker {
+func newUpgradeTracker(env *environment, controllers []string) *upgradeTracker {
 	return &upgradeTracker{
 		environment: env,
-		versions:    rollout.New(roster),
+		versions:    rollout.New(controllers),
 		revisions:   map[string]uint64{},
 	}
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// stateVersion records the version of this controller in the store. The record is never withdrawn.
-func (u *upgradeTracker) stateVersion() {
+// recordVersion records the version of this controller in the store. The record is never withdrawn.
+func (u *upgradeTracker) recordVersion() {
 	if u.storing || u.isRecorded(u.cfg.Node) {
 		return
 	}
--- a/internal/core/usagerecords.go
+++ b/internal/core/usagerecords.go
@@ -27,9 +27,9 @@
 			continue
 		}
 		usage := t.usage()
-		demand := usage.Plus(c.waitingResources(t), 1)
+		demand := usage.Plus(c.pendingResources(t), 1)
 		integrated := min(elapsed, usageRecordInterval).Seconds()
-		t.record.Advance(window, integrated, resourceVector(usage), resourceVector(demand), shares[i])
+		t.record.Accumulate(window, integrated, resourceVector(usage), resourceVector(demand), shares[i])
 	}
 }
 
@@ -75,9 +75,9 @@
 	return sum
 }
 
-// waitingResources is the sum of the resources requested by the team's tasks that may be placed
+// pendingResources is the sum of the resources requested by the team's tasks that may be placed
 // now.
-func (c *Core) waitingResources(t *team) job.Resources {
+func (c *Core) pendingResources(t *team) job.Resources {
 	var sum job.Resources
 	for _, j := range t.jobs {
 		sum = sum.Plus(j.Need, float64(c.startAllowance(j)))
--- a/internal/core/wire_test.go
+++ b/internal/core/wire_test.go
@@ -46,7 +46,7 @@
 		protocol.Report{},
 		protocol.Submission{},
 		protocol.MachineList{},
-		protocol.Catalogue{},
+		protocol.Catalog{},
 		protocol.Changes{},
 		protocol.KeyList{},
 	} {
--- a/internal/core/worker/answers.go
+++ b/internal/core/worker/answers.go
@@ -18,7 +18,7 @@
 
 // RecordAnswer records the token that a report carried and the token in the answer to it.
 func (m *Machine) RecordAnswer(reportToken, answerToken uint64) {
-	if m.MissedAnswer(reportToken) {
+	if m.ShowsMissedAnswer(reportToken) {
 		m.answers.consecutiveMisses++
 	} else {
 		m.answers.consecutiveMisses = 0
@@ -26,9 +26,11 @@
 	m.answers.lastToken = answerToken
 }
 
-// MissedAnswer reports whether the token of a report shows that the worker did not receive the
+// ShowsMissedAnswer reports whether the token of a report shows that the worker did not receive the
 // latest answer.
-func (m *Machine) MissedAnswer(reportToken uint64) bool { return reportToken < m.answers.lastToken }
+func (m *Machine) ShowsMissedAnswer(reportToken uint64) bool {
+	return reportToken < m.answers.lastToken
+}
 
 // IsUnreachable reports whether the machine no longer receives the answers to its reports.
 func (m *Machine) IsUnreachable() bool { return m.answers.consecutiveMisses >= unreachableThreshold }
--- a/internal/core/worker/evidence.go
+++ b/internal/core/worker/evidence.go
@@ -25,13 +25,13 @@
 // token and for its epoch. A report that lacks the task therefore proves its absence if it was
 // made with a newer token or in a newer epoch: the worker rejects a start that is still in flight.
 func (m *Machine) Evidence(task string, b *job.Binding) (Evidence, protocol.TaskReport) {
-	if t, ok := m.Find(task, b.Attempt); ok && m.Session == b.Epoch {
+	if t, ok := m.Find(task, b.Attempt); ok && m.WorkerEpoch == b.Epoch {
 		if t.State == protocol.Exited {
 			return Exited, t
 		}
 		return Present, t
 	}
-	if m.Session > b.Epoch || m.Session == b.Epoch && m.Token > b.Token {
+	if m.WorkerEpoch > b.Epoch || m.WorkerEpoch == b.Epoch && m.Token > b.Token {
 		return Absent, protocol.TaskReport{}
 	}
 	return Inconclusive, protocol.TaskReport{}
--- a/internal/core/worker/evidence_test.go
+++ b/internal/core/worker/evidence_test.go
@@ -16,15 +16,15 @@
 		report protocol.Report
 		want   Evidence
 	}{
-		"running":                     {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Running)}, Present},
-		"exited":                      {protocol.Report{Session: 2, Token: 5, Tasks: task(3, protocol.Exited)}, Exited},
-		"not listed, same token":      {protocol.Report{Session: 2, Token: 5}, Inconclusive},
-		"not listed, older token":     {protocol.Report{Session: 2, Token: 4}, Inconclusive},
-		"not listed, newer token":     {protocol.Report{Session: 2, Token: 6}, Absent},
-		"newer epoch":                 {protocol.Report{Session: 3, Token: 5}, Absent},
-		"older epoch, newer token":    {protocol.Report{Session: 1, Token: 9}, Inconclusive},
-		"only another attempt listed": {protocol.Report{Session: 2, Token: 5, Tasks: task(2, protocol.Exited)}, Inconclusive},
-		"running, newer token":        {protocol.Report{Session: 2, Token: 9, Tasks: task(3, protocol.Running)}, Present},
+		"running":                     {protocol.Report{WorkerEpoch: 2, Token: 5, Tasks: task(3, protocol.Running)}, Present},
+		"exited":                      {protocol.Report{WorkerEpoch: 2, Token: 5, Tasks: task(3, protocol.Exited)}, Exited},
+		"not listed, same token":      {protocol.Report{WorkerEpoch: 2, Token: 5}, Inconclusive},
+		"not listed, older token":     {protocol.Report{WorkerEpoch: 2, Token: 4}, Inconclusive},
+		"not listed, newer token":     {protocol.Report{WorkerEpoch: 2, Token: 6}, Absent},
+		"newer epoch":                 {protocol.Report{WorkerEpoch: 3, Token: 5}, Absent},
+		"older epoch, newer token":    {protocol.Report{WorkerEpoch: 1, Token: 9}, Inconclusive},
+		"only another attempt listed": {protocol.Report{WorkerEpoch: 2, Token: 5, Tasks: task(2, protocol.Exited)}, Inconclusive},
+		"running, newer token":        {protocol.Report{WorkerEpoch: 2, Token: 9, Tasks: task(3, protocol.Running)}, Present},
 	} {
 		m := &Machine{}
 		m.Update(c.report, 0)
--- a/internal/core/worker/machine.go
+++ b/internal/core/worker/machine.go
@@ -28,8 +28,8 @@
 	ReclaimAt time.Duration
 	// IdleSince is when the machine was last known to have work.
 	IdleSince time.Duration
-	// FullAt is when the machine last rejected a start for lack of resources.
-	FullAt time.Duration
+	// LastRefusedAt is when the machine last rejected a start for lack of resources.
+	LastRefusedAt time.Duration
 	// ExitedTasks is the number of exited tasks in the latest report.
 	ExitedTasks int
 	// TaskListBytes is the approximate encoded size of the task list in the latest report.
@@ -55,8 +55,8 @@
 
 // IsNewer reports whether r is newer than the stored report.
 func (m *Machine) IsNewer(r *protocol.Report) bool {
-	if r.Session != m.Session {
-		return r.Session > m.Session
+	if r.WorkerEpoch != m.WorkerEpoch {
+		return r.WorkerEpoch > m.WorkerEpoch
 	}
 	return r.Seq > m.Seq
 }
@@ -64,13 +64,13 @@
 // IsOutdated reports whether r is a duplicate of a report that any controller has received, or
 // older than one.
 func (m *Machine) IsOutdated(r *protocol.Report) bool {
-	return !m.IsNewer(r) || r.Session == m.Session && r.Seq <= m.AnnouncedSeq
+	return !m.IsNewer(r) || r.WorkerEpoch == m.WorkerEpoch && r.Seq <= m.AnnouncedSeq
 }
 
 // HasSameContent reports whether r has the same content as the stored report, apart from the
 // sequence number and the remaining time of the termination notice.
 func (m *Machine) HasSameContent(r *protocol.Report) bool {
-	return r.Session == m.Session &&
+	return r.WorkerEpoch == m.WorkerEpoch &&
 		r.Token == m.Token &&
 		r.Address == m.Address &&
 		(r.NoticeS == nil) == (m.NoticeS == nil) &&
@@ -82,7 +82,7 @@
 	if !slices.Equal(r.Tasks, m.Tasks) {
 		m.trackTasks(r.Tasks, now)
 	}
-	if r.Session != m.Session {
+	if r.WorkerEpoch != m.WorkerEpoch {
 		m.AnnouncedSeq = 0
 	}
 	m.Report = r
@@ -100,7 +100,7 @@
 	runningSince := make([]time.Duration, len(tasks))
 	m.ExitedTasks, m.TaskListBytes = 0, 0
 	for i, t := range tasks {
-		m.TaskListBytes += protocol.TaskBytes(t.Task)
+		m.TaskListBytes += protocol.MaxTaskReportBytes(t.Task)
 		switch t.State {
 		case protocol.Running:
 			runningSince[i] = now
--- a/internal/core/worker/registry.go
+++ b/internal/core/worker/registry.go
@@ -98,8 +98,8 @@
 // HasBindings reports whether any task is bound to a machine.
 func (r *Registry) HasBindings(name string) bool { return r.Load(name) != nil }
 
-// HasBindingsOf reports whether a task of any matching job is bound to a machine.
-func (r *Registry) HasBindingsOf(name string, matches func(*job.Job) bool) bool {
+// HasBindingOfJob reports whether a task of any matching job is bound to a machine.
+func (r *Registry) HasBindingOfJob(name string, matches func(*job.Job) bool) bool {
 	load := r.Load(name)
 	if load == nil {
 		return false
@@ -148,7 +148,7 @@
 		return m.TaskListBytes
 	}
 	unreported := max(0, len(load.Tasks)-(len(m.Tasks)-m.ExitedTasks))
-	return m.TaskListBytes + unreported*protocol.TaskBytes(typicalTaskName)
+	return m.TaskListBytes + unreported*protocol.MaxTaskReportBytes(typicalTaskName)
 }
 
 // UsedResources returns the resources that the tasks bound to a machine use. A task that the
@@ -158,10 +158,10 @@
 	if load == nil {
 		return job.Resources{}
 	}
-	if load.UsedCurrent {
+	if load.UsedValid {
 		return load.Used
 	}
-	load.Used, load.UsedCurrent = load.Need, true
+	load.Used, load.UsedValid = load.Need, true
 	if m.ExitedTasks == 0 {
 		return load.Used
 	}
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -12,10 +12,10 @@
 // come first, and each controller gets a share in proportion to how many of those it has, so that
 // many small jobs of one team don't delay the urgent work of other teams.
 type writeBudget struct {
-	// rate is this controller's share in changes per second; level is the number of changes that
-	// may be written now.
-	rate, level float64
-	refilledAt  time.Duration
+	// rate is this controller's share in changes per second; available is the number of changes
+	// that may be written now.
+	rate, available float64
+	refilledAt      time.Duration
 	// due counts the changes that wait to be stored.
 	due changesByRank
 	// pausedUntil is when writes may resume after the store has refused one.
@@ -54,18 +54,18 @@
 // refill adds the changes accrued since the last refill, at a rate in changes per second.
 func (b *writeBudget) refill(now time.Duration, rate float64) {
 	b.rate = rate
-	b.level = min(b.level+b.rate*(now-b.refilledAt).Seconds(), max(burstSeconds*b.rate, 1))
+	b.available = min(b.available+b.rate*(now-b.refilledAt).Seconds(), max(burstSeconds*b.rate, 1))
 	b.refilledAt = now
 }
 
 // exhausted reports whether the budget allows no write now.
-func (b *writeBudget) exhausted() bool { return b.level <= 0 }
+func (b *writeBudget) exhausted() bool { return b.available <= 0 }
 
 // onlyReserveLeft reports whether only the reserved half of the budget is left.
-func (b *writeBudget) onlyReserveLeft() bool { return b.level < burstSeconds*b.rate/2 }
+func (b *writeBudget) onlyReserveLeft() bool { return b.available < burstSeconds*b.rate/2 }
 
 // spend deducts changes from the budget.
-func (b *writeBudget) spend(changes int) { b.level -= float64(changes) }
+func (b *writeBudget) spend(changes int) { b.available -= float64(changes) }
 
 // share returns a controller's share of a write rate, in changes per second. The rate goes to the
 // ranks in order: each gets enough to store the due changes of all controllers within a second,
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -8,9 +8,10 @@
 	"pepperlever/internal/core/job"
 )
 
-// flushedJobs returns the IDs of the jobs that are written when the budget has the given level.
-func flushedJobs(c *Core, level float64) []string {
-	c.effects, c.writer.budget.refilledAt, c.writer.budget.level = nil, c.now.Steady, level
+// flushedJobs returns the IDs of the jobs that are written when the budget has the given number of
+// changes left.
+func flushedJobs(c *Core, available float64) []string {
+	c.effects, c.writer.budget.refilledAt, c.writer.budget.available = nil, c.now.Steady, available
 	c.writer.flushJobs()
 	var out []string
 	for _, e := range c.effects {
@@ -24,7 +25,7 @@
 
 // Starts are stored before finished tasks, which nobody waits for, when the budget is short.
 func TestStartsAreStoredBeforeFinishedTasks(t *testing.T) {
-	c := busyCore(100)
+	c := newBusyCore(100)
 	c.now.Steady = time.Hour
 	ended, started := c.jobs["req-0"], c.jobs["req-10"]
 	ended.Finish(0)
@@ -41,7 +42,7 @@
 
 // Finished tasks of jobs that continue are stored only while more than half of the budget is left.
 func TestFinishedTasksAreNotStoredFromReserve(t *testing.T) {
-	c := busyCore(100)
+	c := newBusyCore(100)
 	c.now.Steady = time.Hour
 	j := c.jobs["req-0"]
 	j.Finish(0)
@@ -58,7 +59,7 @@
 // One leader has hundreds of low-priority starts to store, another has urgent ones. The urgent
 // starts get nearly the whole write rate, and the low-priority starts get it once no others wait.
 func TestLowPriorityStartsYieldWriteRateToUrgentStarts(t *testing.T) {
-	c := busyCore(4)
+	c := newBusyCore(4)
 	all := c.cfg.Params.State.WriteRPS * jobWriteShare
 	other := c.peers.get(c.cfg.Peers[0].Node)
 	other.lastContact, other.pendingWrites = c.now.Steady, changesByRank{4: 500}
--- a/internal/core/zoneoutage_test.go
+++ b/internal/core/zoneoutage_test.go
@@ -16,42 +16,42 @@
 	for _, leases := range []float64{1.3, 2.5} {
 		t.Run(fmt.Sprint(leases, " leases"), func(t *testing.T) {
 			t.Parallel()
-			w := newWorldOf(t, fiveNodes)
-			w.twoZones()
-			w.allowRacingStarts, w.taskTime = true, 4*time.Minute
-			w.ready()
-			accepted(t, w.submit("a", "req-free-1", 8, `,"yard":"z2"`))
-			accepted(t, w.submit("a", "req-blue-2", 4, `,"yard":"z2"`))
-			accepted(t, w.submit("a", "req-free-3", 8, `,"yard":"z1"`))
-			w.started("req-free-1", 8)
-			w.started("req-blue-2", 4)
-			w.run(20*time.Second, nil) // lets each machine settle on a controller, in its zone or another
-			w.cutZone("z2")
-			w.run(5*time.Second, nil)
-			if a := w.cancelJob("a", "req-blue-2"); a.Status != http.StatusOK {
+			cluster := newSimClusterOf(t, fiveNodes)
+			cluster.twoZones()
+			cluster.allowRacingStarts, cluster.taskTime = true, 4*time.Minute
+			cluster.ready()
+			requireAccepted(t, cluster.submit("a", "req-free-1", 8, `,"yard":"z2"`))
+			requireAccepted(t, cluster.submit("a", "req-blue-2", 4, `,"yard":"z2"`))
+			requireAccepted(t, cluster.submit("a", "req-free-3", 8, `,"yard":"z1"`))
+			cluster.waitUntilStarted("req-free-1", 8)
+			cluster.waitUntilStarted("req-blue-2", 4)
+			cluster.run(20*time.Second, nil) // lets each machine settle on a controller, in its zone or another
+			cluster.cutZone("z2")
+			cluster.run(5*time.Second, nil)
+			if a := cluster.cancelJob("a", "req-blue-2"); a.Status != http.StatusOK {
 				t.Fatalf("cancellation got status %d, want 200", a.Status)
 			}
-			accepted(t, w.submit("b", "req-free-4", 4, `,"yard":"z2"`))
-			accepted(t, w.submit("b", "req-free-5", 4, ""))
-			w.run(time.Duration(leases*float64(w.lease())), nil)
-			if w.onMachines("req-free-5") != 4 || w.onMachines("req-free-4") != 0 {
-				t.Errorf("got %d tasks running outside the zone and %d inside, want 4 and 0", w.onMachines("req-free-5"), w.onMachines("req-free-4"))
+			requireAccepted(t, cluster.submit("b", "req-free-4", 4, `,"yard":"z2"`))
+			requireAccepted(t, cluster.submit("b", "req-free-5", 4, ""))
+			cluster.run(time.Duration(leases*float64(cluster.workerLease())), nil)
+			if cluster.onMachines("req-free-5") != 4 || cluster.onMachines("req-free-4") != 0 {
+				t.Errorf("got %d tasks running outside the zone and %d inside, want 4 and 0", cluster.onMachines("req-free-5"), cluster.onMachines("req-free-4"))
 			}
-			w.reconnectZone()
-			w.run(w.cancelDeadline(), nil)
-			if w.onMachines("req-blue-2") > 0 || len(w.cancellationToldAt) > 0 {
+			cluster.reconnectZone()
+			cluster.run(cluster.cancelDeadline(), nil)
+			if cluster.onMachines("req-blue-2") > 0 || len(cluster.cancelConfirmedAt) > 0 {
 				t.Error("cancelled tasks are still running or a cancellation is not complete")
 			}
 			kept := 0
 			for i := range 8 {
-				if w.starts[fmt.Sprintf("req-free-1/%d", i)] == 1 {
+				if cluster.starts[fmt.Sprintf("req-free-1/%d", i)] == 1 {
 					kept++
 				}
 			}
 			if kept < 4 { // others ran on machines that were returned because of the cancelled job
 				t.Errorf("%d of 8 tasks in the zone kept running, want at least 4", kept)
 			}
-			if !w.run(8*time.Minute, w.finished("req-free-1", "req-free-3", "req-free-4", "req-free-5")) {
+			if !cluster.run(8*time.Minute, cluster.allDone("req-free-1", "req-free-3", "req-free-4", "req-free-5")) {
 				t.Error("jobs did not finish")
 			}
 		})
@@ -67,17 +67,17 @@
 	c.cfg.Peers[0].Zone, c.cfg.Peers[1].Zone = "z1", "z2"
 	for i := range 20 {
 		c.applyObservation(Observation{Node: "c", Token: 1, Report: protocol.Report{Machine: fmt.Sprintf("vm-9%03d", i),
-			Type: "small", Zone: fmt.Sprintf("z%d", 1+i/10), Session: 1, Seq: 1}})
+			Type: "small", Zone: fmt.Sprintf("z%d", 1+i/10), WorkerEpoch: 1, Seq: 1}})
 	}
 	return c
 }
 
 // TestMachinesAreKeptDuringZoneOutage checks when machines of a silent zone are returned. The
 // controllers of a partitioned zone still answer its workers: if its machines were returned after
-// the usual silence limit, all of their tasks would run again.
+// the usual silence timeout, all of their tasks would run again.
 func TestMachinesAreKeptDuringZoneOutage(t *testing.T) {
 	const lease = 16 * time.Second
-	silentFor := 2 * lease // longer than the usual silence limit
+	silentFor := 2 * lease // longer than the usual silence timeout
 	for name, tc := range map[string]struct {
 		inContact []string // controllers that can be reached
 		reporting []int    // machines that report
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -65,7 +65,7 @@
 			return err
 		}
 		d.siteLinks = links
-		d.core.Join(config)
+		d.core.EnableFederation(config)
 		d.api.WithGateway(links.Refused.Load)
 	}
 
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -42,14 +42,14 @@
 		requests: newTokenBucket(cfg.Cloud.RPS, 2*cfg.Cloud.RPS)}
 }
 
-// Catalogue returns the available machine types.
-func (c *Cloud) Catalogue() protocol.Catalogue {
-	var catalogue protocol.Catalogue
+// Catalog returns the available machine types.
+func (c *Cloud) Catalog() protocol.Catalog {
+	var catalog protocol.Catalog
 	for _, t := range c.cfg.Types {
-		catalogue.Types = append(catalogue.Types, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB,
+		catalog.Types = append(catalog.Types, protocol.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB,
 			CacheGB: t.CacheGB, FetchGBPS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS / c.cfg.Speed, Zones: c.cfg.Zones})
 	}
-	return catalogue
+	return catalog
 }
 
 // Rent rents up to the requested number of machines. It is idempotent: a repeated request
--- a/internal/emulator/cloudapi.go
+++ b/internal/emulator/cloudapi.go
@@ -19,8 +19,8 @@
 	switch {
 	case !s.cloud.requests.take(now, 1):
 		httpserver.WriteProblem(ctx, fasthttp.StatusTooManyRequests, "too many requests")
-	case path == protocol.PathTypes:
-		httpserver.WriteJSON(ctx, fasthttp.StatusOK, s.cloud.Catalogue())
+	case path == protocol.PathMachineTypes:
+		httpserver.WriteJSON(ctx, fasthttp.StatusOK, s.cloud.Catalog())
 	case path == protocol.PathRelease:
 		s.release(ctx, now)
 	case path == protocol.PathMachines && ctx.IsPost():
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -40,10 +40,10 @@
 	machineType   *MachineType
 	tasks         []*task
 	imagesReadyAt map[string]time.Duration // when the fetch of each image completes
-	// sessionStartedAt is when the worker's current session began, and leaseRenewedAt when the
+	// epochStartedAt is when the worker's current epoch began, and leaseRenewedAt when the
 	// latest report was sent that a controller has responded to.
-	sessionStartedAt, leaseRenewedAt time.Duration
-	changed                          bool // since the last report
+	epochStartedAt, leaseRenewedAt time.Duration
+	changed                        bool // since the last report
 }
 
 // task is one attempt of a task on a worker.
@@ -82,10 +82,10 @@
 	}
 }
 
-// Add registers a machine that has booted and starts its first session.
+// Add registers a machine that has booted and starts its first epoch.
 func (f *Fleet) Add(now time.Duration, id, address string, typ *MachineType, zone string, spot bool) {
-	f.machines[id] = &machine{machineType: typ, imagesReadyAt: map[string]time.Duration{}, sessionStartedAt: now,
-		Report: protocol.Report{Machine: id, Address: address, Type: typ.Name, Zone: zone, Spot: spot, Session: 1}}
+	f.machines[id] = &machine{machineType: typ, imagesReadyAt: map[string]time.Duration{}, epochStartedAt: now,
+		Report: protocol.Report{Machine: id, Address: address, Type: typ.Name, Zone: zone, Spot: spot, WorkerEpoch: 1}}
 }
 
 // Remove removes a machine and kills its tasks.
@@ -144,35 +144,35 @@
 }
 
 // HandleReply renews a worker's lease and executes the commands in the response to a report
-// that was sent at the given time. It ignores a response to an earlier session or with a
+// that was sent at the given time. It ignores a response to an earlier epoch or with a
 // lower fencing token.
-func (f *Fleet) HandleReply(now, sent time.Duration, id string, session uint64, orders protocol.Orders) {
+func (f *Fleet) HandleReply(now, sent time.Duration, id string, epoch uint64, batch protocol.CommandBatch) {
 	m := f.machines[id]
-	if m == nil || m.Session != session || orders.Token < m.Token || orders.Token == 0 {
+	if m == nil || m.WorkerEpoch != epoch || batch.Token < m.Token || batch.Token == 0 {
 		return
 	}
 	m.leaseRenewedAt = max(m.leaseRenewedAt, sent)
-	f.executeCommands(now, m, orders)
+	f.executeCommands(now, m, batch)
 }
 
 // Execute executes the commands of a direct call and reports whether it accepted them. It
-// rejects those for another session or with a lower fencing token.
-func (f *Fleet) Execute(now time.Duration, id string, orders protocol.Orders) (executed bool) {
+// rejects those for another epoch or with a lower fencing token.
+func (f *Fleet) Execute(now time.Duration, id string, batch protocol.CommandBatch) (executed bool) {
 	m := f.machines[id]
-	if m == nil || orders.Token < m.Token || orders.Session != m.Session {
+	if m == nil || batch.Token < m.Token || batch.WorkerEpoch != m.WorkerEpoch {
 		return false
 	}
-	f.executeCommands(now, m, orders)
+	f.executeCommands(now, m, batch)
 	return true
 }
 
-// executeCommands executes commands whose session and token have been checked. Repeated
+// executeCommands executes commands whose epoch and token have been checked. Repeated
 // commands have no effect.
-func (f *Fleet) executeCommands(now time.Duration, m *machine, orders protocol.Orders) {
-	if orders.Token > m.Token {
-		m.Token, m.changed = orders.Token, true
+func (f *Fleet) executeCommands(now time.Duration, m *machine, batch protocol.CommandBatch) {
+	if batch.Token > m.Token {
+		m.Token, m.changed = batch.Token, true
 	}
-	for _, command := range orders.Commands {
+	for _, command := range batch.Commands {
 		index := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == command.Task && t.Attempt == command.Attempt })
 		switch {
 		case command.Op == protocol.OpStart && index < 0:
@@ -203,11 +203,11 @@
 	taskIndex, err := strconv.ParseInt(index, 10, 64)
 	switch {
 	case j == nil || err != nil || taskIndex >= *j.Tasks:
-		f.exitTask(t, protocol.WhyUnknown)
+		f.exitTask(t, protocol.ExitUnknownTask)
 	case slices.ContainsFunc(m.tasks, func(other *task) bool { return other != t && other.Task == t.Task && other.State != protocol.Exited }):
-		f.exitTask(t, protocol.WhyBusy)
+		f.exitTask(t, protocol.ExitBusy)
 	case !m.fitsCapacity():
-		f.exitTask(t, protocol.WhyNoRoom)
+		f.exitTask(t, protocol.ExitNoCapacity)
 	default:
 		if _, requested := m.imagesReadyAt[*j.Image]; !requested {
 			m.imagesReadyAt[*j.Image] = now + f.cfg.scaled(*j.ImageGB/m.machineType.FetchGBPS)
@@ -231,8 +231,8 @@
 // exitTask moves a task to the exited state.
 func (f *Fleet) exitTask(t *task, reason string) {
 	t.kill()
-	t.State, t.Why, t.stateEndsAt = protocol.Exited, reason, 0
-	if reason == protocol.WhyDone {
+	t.State, t.ExitReason, t.stateEndsAt = protocol.Exited, reason, 0
+	if reason == protocol.ExitDone {
 		f.completedTasks[t.Task] = true
 	}
 }
@@ -251,7 +251,7 @@
 		f.saveProgress(t, now)
 		t.State, t.stateSince, t.peerLossNoticedAt, t.stateEndsAt = stateSaving, now, now, now+f.cfg.scaled(*t.job.SaveS)
 	default:
-		f.exitTask(t, protocol.WhyStopped)
+		f.exitTask(t, protocol.ExitStopped)
 	}
 }
 
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -34,7 +34,7 @@
 
 // execute sends one command to a machine and reports whether it was accepted.
 func (h *fleetHarness) execute(machine string, token uint64, op, task string, attempt uint64, grace float64) bool {
-	return h.f.Execute(h.now, machine, protocol.Orders{Token: token, Session: 1,
+	return h.f.Execute(h.now, machine, protocol.CommandBatch{Token: token, WorkerEpoch: 1,
 		Commands: []protocol.Command{{Op: op, Task: task, Attempt: attempt, GraceS: &grace}}})
 }
 
@@ -43,7 +43,7 @@
 	for end := h.now + d; h.now < end; {
 		h.now += 100 * time.Millisecond
 		for id, m := range h.f.machines {
-			h.f.HandleReply(h.now, h.now, id, m.Session, protocol.Orders{Token: max(m.Token, 1)})
+			h.f.HandleReply(h.now, h.now, id, m.WorkerEpoch, protocol.CommandBatch{Token: max(m.Token, 1)})
 		}
 		h.f.Advance(h.now)
 	}
@@ -55,8 +55,8 @@
 	out := ""
 	for _, t := range report.Tasks {
 		out += fmt.Sprintf("%s#%d %s", t.Task, t.Attempt, t.State)
-		if t.Why != "" {
-			out += " " + t.Why
+		if t.ExitReason != "" {
+			out += " " + t.ExitReason
 		}
 		if t.Saved {
 			out += " saved"
--- a/internal/emulator/pair.go
+++ b/internal/emulator/pair.go
@@ -45,7 +45,7 @@
 	if p.dir, err = os.MkdirTemp("", "pepperlever-lab-gateways-"); err != nil {
 		return nil, err
 	}
-	if err := transport.Issue(p.dir, []string{string(pairNames[0]), string(pairNames[1])}, time.Hour, false); err != nil {
+	if err := transport.IssueCredentials(p.dir, []string{string(pairNames[0]), string(pairNames[1])}, time.Hour, false); err != nil {
 		return nil, err
 	}
 	for i := range p.Sites {
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -10,15 +10,15 @@
 )
 
 // Advance moves all machines and tasks to now. A machine whose lease has expired kills its
-// tasks and begins a new session.
+// tasks and begins a new epoch.
 func (f *Fleet) Advance(now time.Duration) {
 	leaseTTL := seconds(f.cfg.Workers.LeaseS)
 	for _, id := range slices.Sorted(maps.Keys(f.machines)) {
 		m := f.machines[id]
-		if now-max(m.leaseRenewedAt, m.sessionStartedAt) > leaseTTL {
+		if now-max(m.leaseRenewedAt, m.epochStartedAt) > leaseTTL {
 			m.killAll()
-			m.Session++
-			m.sessionStartedAt, m.changed = now, true
+			m.WorkerEpoch++
+			m.epochStartedAt, m.changed = now, true
 		}
 		for _, t := range m.tasks {
 			if t.stateEndsAt > 0 && now >= t.stateEndsAt {
@@ -37,7 +37,7 @@
 	case statePulling:
 		switch {
 		case f.completedTasks[t.Task]:
-			f.exitTask(t, protocol.WhyDone)
+			f.exitTask(t, protocol.ExitDone)
 		case *t.job.Kind == protocol.KindGang:
 			t.State, t.stateSince, t.stateEndsAt = stateWaiting, endedAt, endedAt+seconds(f.cfg.Workers.GangWaitS)
 		default:
@@ -47,9 +47,9 @@
 		f.exitTask(t, whyGangIncomplete)
 	case protocol.Running:
 		f.completedRuns++
-		f.exitTask(t, protocol.WhyDone)
+		f.exitTask(t, protocol.ExitDone)
 	case stateSaving:
-		f.exitTask(t, protocol.WhyStopped)
+		f.exitTask(t, protocol.ExitStopped)
 		t.Saved = true
 	}
 }
@@ -76,9 +76,9 @@
 	t.stop = nil
 	if ok {
 		f.completedRuns++
-		f.exitTask(t, protocol.WhyDone)
+		f.exitTask(t, protocol.ExitDone)
 	} else {
-		f.exitTask(t, protocol.WhyError)
+		f.exitTask(t, protocol.ExitError)
 	}
 }
 
@@ -115,7 +115,7 @@
 		countInState := func(state string) int {
 			return len(slices.DeleteFunc(slices.Clone(tasks), func(t *task) bool { return t.State != state }))
 		}
-		anyDone := slices.ContainsFunc(tasks, func(t *task) bool { return t.Why == protocol.WhyDone })
+		anyDone := slices.ContainsFunc(tasks, func(t *task) bool { return t.ExitReason == protocol.ExitDone })
 		switch {
 		case allPresent && countInState(stateWaiting) == len(tasks):
 			for _, t := range tasks {
@@ -123,7 +123,7 @@
 				owner[t].changed = true
 			}
 		case anyDone:
-			f.exitRunning(tasks, owner, protocol.WhyDone)
+			f.exitRunning(tasks, owner, protocol.ExitDone)
 		case countInState(protocol.Running) > 0 && (!allPresent || countInState(protocol.Running)+countInState(stateSaving) < len(tasks)):
 			f.endBrokenGang(now, tasks, owner)
 		}
--- a/internal/emulator/workeragent.go
+++ b/internal/emulator/workeragent.go
@@ -46,12 +46,12 @@
 	defer s.mu.Unlock()
 	status := fasthttp.StatusOK
 	if string(ctx.Path()) == protocol.PathCommands {
-		var orders protocol.Orders
-		if err := json.Unmarshal(ctx.PostBody(), &orders); err != nil || orders.Token == 0 || orders.Session == 0 {
+		var batch protocol.CommandBatch
+		if err := json.Unmarshal(ctx.PostBody(), &batch); err != nil || batch.Token == 0 || batch.WorkerEpoch == 0 {
 			httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "token or session is missing")
 			return
 		}
-		if !s.fleet.Execute(s.now(), w.machine, orders) {
+		if !s.fleet.Execute(s.now(), w.machine, batch) {
 			status = fasthttp.StatusConflict
 		}
 	}
@@ -102,17 +102,17 @@
 	r, found := s.fleet.NextReport(sent, w.machine)
 	s.mu.Unlock()
 	if !found {
-		return protocol.ReportPause
+		return protocol.ReportRetryDelay
 	}
 	var response struct {
-		protocol.Orders
+		protocol.CommandBatch
 		protocol.Redirect
 	}
 	status, err := w.http.Call(fasthttp.MethodPost, s.controllers[w.controller].listenAddress, protocol.PathReport, r, &response)
 	if err == nil && status == http.StatusOK {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.fleet.HandleReply(s.now(), sent, w.machine, r.Session, response.Orders)
+		s.fleet.HandleReply(s.now(), sent, w.machine, r.WorkerEpoch, response.CommandBatch)
 		return 0
 	}
 	if err == nil && status == http.StatusMisdirectedRequest {
@@ -124,7 +124,7 @@
 		}
 	}
 	w.controller = (w.controller + 1) % len(s.controllers)
-	return protocol.ReportPause
+	return protocol.ReportRetryDelay
 }
 
 // sleep waits for d or until ctx ends.
--- a/internal/federation/compare.go
+++ b/internal/federation/compare.go
@@ -110,7 +110,7 @@
 	return !c.records.Incoming[id].Accepted && id.Epoch > c.records.LowWaterMarks[id.Origin]
 }
 
-// suspend suspends hand-offs with a peer until an operator resumes them with Renew.
+// suspend suspends hand-offs with a peer until an operator resumes them with ResumeHandOffs.
 func (c *Coordinator) suspend(peer *peerState, reason string) {
 	peer.suspendedReason = reason
 	c.logError("hand-offs suspended: this site's records are older than its peer's",
@@ -119,16 +119,16 @@
 		"resume_with", "pepperlever gateway renew")
 }
 
-// handleRenew resumes suspended hand-offs on an operator's instruction. From then on this site
-// assigns epochs above those that the peer has seen, and refuses offers of lost epochs with
+// handleResumeHandOffs resumes suspended hand-offs on an operator's instruction. From then on this
+// site assigns epochs above those that the peer has seen, and refuses offers of lost epochs with
 // reasonRecordLost.
-func (c *Coordinator) handleRenew(in Renew) {
+func (c *Coordinator) handleResumeHandOffs(in ResumeHandOffs) {
 	peer := c.peer(in.Site)
 	switch {
 	case peer.suspendedReason == "":
 		c.answerError(in.Req, notSuspendedError{in.Site})
 	case in.Operator == "" || in.Reason == "":
-		c.answerError(in.Req, errRenewUnattributed)
+		c.answerError(in.Req, errResumeUnattributed)
 	default:
 		c.log("hand-offs resumed by operator",
 			"peer", in.Site,
@@ -140,8 +140,8 @@
 	}
 }
 
-// onRenewed ends the suspension after the last epoch has been stored.
-func (c *Coordinator) onRenewed(w SetLastEpoch, req uint64) {
+// onHandOffsResumed ends the suspension after the last epoch has been stored.
+func (c *Coordinator) onHandOffsResumed(w SetLastEpoch, req uint64) {
 	c.records.LastEpochs[w.Site] = max(c.records.LastEpochs[w.Site], w.Epoch)
 	peer := c.peer(w.Site)
 	peer.suspendedReason, peer.recordsCompared, peer.lastEpochAtPeer = "", true, 0
--- a/internal/federation/compare_test.go
+++ b/internal/federation/compare_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("%s: got hand-offs while suspended: %v", name, s.records)
 		}
 		for _, peer := range siteNames {
-			sim.step(tc.restored, Renew{Req: 7, Site: peer, Operator: "ana", Reason: "all machines were returned"})
+			sim.step(tc.restored, ResumeHandOffs{Req: 7, Site: peer, Operator: "ana", Reason: "all machines were returned"})
 		}
 		sim.play(20 * time.Second)
 		if tc.finalState == Cancelled {
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -34,11 +34,11 @@
 	Key         string `toml:"key"`
 	// TicketKeys is the file with the keys that sign tickets.
 	TicketKeys string `toml:"ticket_keys"`
-	// MaxForget is the maximum number of decisions that one write deletes. It follows from the
-	// store's limit on changes per transaction.
-	MaxForget int     `toml:"-"`
-	Peers     []Peer  `toml:"peers"`
-	Classes   []Class `toml:"classes"`
+	// MaxDeletionsPerWrite is the maximum number of decisions that one write deletes. It follows
+	// from the store's limit on changes per transaction.
+	MaxDeletionsPerWrite int     `toml:"-"`
+	Peers                []Peer  `toml:"peers"`
+	Classes              []Class `toml:"classes"`
 }
 
 // Peer is the configuration of another site.
--- a/internal/federation/coordinator.go
+++ b/internal/federation/coordinator.go
@@ -94,8 +94,8 @@
 		c.handleGiveUp(input)
 	case Drain:
 		c.handleDrain(input)
-	case Renew:
-		c.handleRenew(input)
+	case ResumeHandOffs:
+		c.handleResumeHandOffs(input)
 	default:
 		panic(fmt.Sprintf("federation: unknown input %T", input))
 	}
@@ -111,7 +111,7 @@
 		c.answerError(input.Req, errRecordsNotLoaded)
 	case Drain:
 		c.answerError(input.Req, errRecordsNotLoaded)
-	case Renew:
+	case ResumeHandOffs:
 		c.answerError(input.Req, errRecordsNotLoaded)
 	}
 }
--- a/internal/federation/effects.go
+++ b/internal/federation/effects.go
@@ -94,8 +94,8 @@
 		ID         IncomingID
 		FinalState string
 	}
-	// ForgetIncoming deletes decisions on closed epochs and raises the low-water mark.
-	ForgetIncoming struct {
+	// DeleteIncoming deletes decisions on closed epochs and raises the low-water mark.
+	DeleteIncoming struct {
 		Origin       Site
 		LowWaterMark Epoch
 		// IDs are the decisions to delete, none of them above LowWaterMark.
@@ -124,6 +124,6 @@
 func (FinishOutgoing) write()      {}
 func (DecideIncoming) write()      {}
 func (FinishIncoming) write()      {}
-func (ForgetIncoming) write()      {}
+func (DeleteIncoming) write()      {}
 func (SetDrained) write()          {}
 func (SetLastEpoch) write()        {}
--- a/internal/federation/incoming.go
+++ b/internal/federation/incoming.go
@@ -31,7 +31,7 @@
 	if ticket == nil || !c.ticketMatches(*ticket, id) {
 		return
 	}
-	if reason := c.refusalReason(*ticket, in.Infeasible); reason != "" {
+	if reason := c.refusalReason(*ticket, in.InfeasibleReason); reason != "" {
 		c.write(incomingSubject(id), DecideIncoming{ID: id, Incoming: Incoming{Reason: reason}, Ticket: *ticket})
 		return
 	}
--- a/internal/federation/inputs.go
+++ b/internal/federation/inputs.go
@@ -13,8 +13,9 @@
 	// MessageReceived is a message from another site. The sender has been authenticated.
 	MessageReceived struct {
 		Message Message
-		// Infeasible says why the offered job can never run at this site; it is empty if it can.
-		Infeasible string
+		// InfeasibleReason says why the offered job can never run at this site; it is empty if it
+		// can.
+		InfeasibleReason string
 	}
 	// PeerReachable reports that messages can be sent to a site again.
 	PeerReachable struct{ Site Site }
@@ -79,9 +80,9 @@
 		Site    Site
 		Drained bool
 	}
-	// Renew resumes hand-offs with a site after the records of this site turned out to be out of
-	// date. The operator confirms that nothing from the lost records is still running.
-	Renew struct {
+	// ResumeHandOffs resumes hand-offs with a site after the records of this site turned out to be
+	// out of date. The operator confirms that nothing from the lost records is still running.
+	ResumeHandOffs struct {
 		Req      uint64
 		Site     Site
 		Operator string
@@ -94,11 +95,11 @@
 
 // Outcomes of a write.
 const (
-	// Applied means that the write was applied.
-	Applied Outcome = iota
-	// Conflict means that the condition of the write failed and nothing was changed.
-	Conflict
-	// Unknown means that the write may have been applied, may still be applied later, or may
+	// OutcomeApplied means that the write was applied.
+	OutcomeApplied Outcome = iota
+	// OutcomeConflict means that the condition of the write failed and nothing was changed.
+	OutcomeConflict
+	// OutcomeUnknown means that the write may have been applied, may still be applied later, or may
 	// have failed.
-	Unknown
+	OutcomeUnknown
 )
--- a/internal/federation/lowwatermark.go
+++ b/internal/federation/lowwatermark.go
@@ -11,7 +11,7 @@
 }
 
 // handleClosed records which epochs the origin has closed. Their decisions need no more reports
-// and are deleted after forgetDelay, so that one write deletes several.
+// and are deleted after deletionDelay, so that one write deletes several.
 func (c *Coordinator) handleClosed(msg Message) {
 	peer := c.peer(msg.From)
 	if msg.Kind == KindClosed && msg.Epoch > 0 {
@@ -22,13 +22,13 @@
 		return
 	}
 	if peer.lowWaterMark <= stored {
-		peer.forgetAt = c.now + c.forgetDelay()
+		peer.deleteAt = c.now + c.deletionDelay()
 	}
 	peer.lowWaterMark = msg.LowWaterMark
 }
 
-// forgetDelay is how long closed decisions are collected before one write deletes them.
-func (c *Coordinator) forgetDelay() time.Duration { return seconds(c.cfg.RetryS) / 4 }
+// deletionDelay is how long closed decisions are collected before one write deletes them.
+func (c *Coordinator) deletionDelay() time.Duration { return seconds(c.cfg.RetryS) / 4 }
 
 // advanceLowWaterMark raises the stored low-water mark and deletes the decisions below it, as
 // many as one write may. The mark is stored even if there is nothing to delete, so that a
@@ -36,28 +36,28 @@
 func (c *Coordinator) advanceLowWaterMark(peer *peerState) {
 	stored := c.records.LowWaterMarks[peer.site]
 	mark := max(peer.lowWaterMark, stored)
-	if c.now < peer.forgetAt || !c.hasForgettable(peer.site, mark) {
+	if c.now < peer.deleteAt || !c.hasDeletable(peer.site, mark) {
 		return
 	}
-	forgettable, mark := c.forgettable(peer, mark)
-	if mark = max(mark, stored); len(forgettable) > 0 || mark > stored {
-		c.write(lowWaterMarkSubject(peer.site), ForgetIncoming{Origin: peer.site, LowWaterMark: mark, IDs: forgettable})
+	deletable, mark := c.deletable(peer, mark)
+	if mark = max(mark, stored); len(deletable) > 0 || mark > stored {
+		c.write(lowWaterMarkSubject(peer.site), DeleteIncoming{Origin: peer.site, LowWaterMark: mark, IDs: deletable})
 	}
 }
 
-// hasForgettable reports whether the mark rises above the stored one, or whether there are
+// hasDeletable reports whether the mark rises above the stored one, or whether there are
 // decisions at or below the stored one. Such a decision may turn up after its write had an
 // unknown outcome, and is deleted like the others.
-func (c *Coordinator) hasForgettable(origin Site, mark Epoch) bool {
+func (c *Coordinator) hasDeletable(origin Site, mark Epoch) bool {
 	stored := c.records.LowWaterMarks[origin]
 	epochs := c.index.incoming[origin]
 	return mark > stored || len(epochs) > 0 && epochs[0] <= stored
 }
 
-// forgettable returns the decisions up to a mark that one write may delete, and the mark that
+// deletable returns the decisions up to a mark that one write may delete, and the mark that
 // this write may set. If a closed job is still running, its origin has given it up: the job is
 // cancelled, and its decision is deleted after it has ended.
-func (c *Coordinator) forgettable(peer *peerState, mark Epoch) ([]IncomingID, Epoch) {
+func (c *Coordinator) deletable(peer *peerState, mark Epoch) ([]IncomingID, Epoch) {
 	var ids []IncomingID
 	for _, epoch := range c.index.incoming[peer.site] {
 		if epoch > mark {
@@ -66,10 +66,10 @@
 		id := IncomingID{peer.site, epoch}
 		if incoming := c.records.Incoming[id]; incoming.isRunning() {
 			c.emit(CancelLocal{incoming.LocalID})
-			peer.forgetAt = c.now + seconds(c.cfg.RetryS)
+			peer.deleteAt = c.now + seconds(c.cfg.RetryS)
 			return ids, epoch - 1
 		}
-		if len(ids) == max(c.cfg.MaxForget, 1) {
+		if len(ids) == max(c.cfg.MaxDeletionsPerWrite, 1) {
 			return ids, epoch - 1
 		}
 		ids = append(ids, id)
@@ -77,8 +77,8 @@
 	return ids, mark
 }
 
-// onForgotten applies a stored deletion to the records in memory.
-func (c *Coordinator) onForgotten(w ForgetIncoming) {
+// onIncomingDeleted applies a stored deletion to the records in memory.
+func (c *Coordinator) onIncomingDeleted(w DeleteIncoming) {
 	c.records.LowWaterMarks[w.Origin] = max(c.records.LowWaterMarks[w.Origin], w.LowWaterMark)
 	for _, id := range w.IDs {
 		c.removeIncoming(id)
--- a/internal/federation/operators.go
+++ b/internal/federation/operators.go
@@ -9,10 +9,10 @@
 	errNotStored          = errors.New("change was not confirmed, try again")
 	errNotOutgoing        = errors.New("job is not handed off")
 	errGiveUpUnattributed = errors.New("operator and reason are required to give up a hand-off")
-	errRenewUnattributed  = errors.New("operator and reason are required to resume hand-offs")
+	errResumeUnattributed = errors.New("operator and reason are required to resume hand-offs")
 )
 
-// notSuspendedError reports a Renew for a site with which hand-offs are not suspended.
+// notSuspendedError reports a ResumeHandOffs for a site with which hand-offs are not suspended.
 type notSuspendedError struct{ site Site }
 
 // Error returns a message that names the site.
--- a/internal/federation/peers.go
+++ b/internal/federation/peers.go
@@ -20,9 +20,9 @@
 	// loadDueAt is when to report the load of this site to the peer.
 	loadDueAt time.Duration
 	// lowWaterMark is the epoch up to which the peer has closed its hand-offs to this site. It
-	// is stored at forgetAt.
+	// is stored at deleteAt.
 	lowWaterMark Epoch
-	forgetAt     time.Duration
+	deleteAt     time.Duration
 	comparison
 }
 
--- a/internal/federation/recordwrites.go
+++ b/internal/federation/recordwrites.go
@@ -110,13 +110,13 @@
 		return
 	}
 	switch in.Outcome {
-	case Applied:
+	case OutcomeApplied:
 		c.onApplied(pending)
 		return
-	case Conflict:
+	case OutcomeConflict:
 		c.loaded = false
 		c.emit(Reload{})
-	case Unknown:
+	case OutcomeUnknown:
 		c.loaded = false
 		c.reloadAt = c.now + jitter(c.rng, seconds(c.cfg.RetryS))
 	}
@@ -147,11 +147,11 @@
 		incoming.FinalState = write.FinalState
 		c.setIncoming(write.ID, incoming)
 		c.scheduleNow(write.ID.Origin, retryKey{write.ID.Epoch, false})
-	case ForgetIncoming:
-		c.onForgotten(write)
+	case DeleteIncoming:
+		c.onIncomingDeleted(write)
 	case SetDrained:
 		c.onDrained(write, pending.req)
 	case SetLastEpoch:
-		c.onRenewed(write, pending.req)
+		c.onHandOffsResumed(write, pending.req)
 	}
 }
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -155,17 +155,17 @@
 	switch fault {
 	case appliedUnanswered:
 		sim.apply(s, write, s.leaderVersion)
-		return Unknown
+		return OutcomeUnknown
 	case notApplied:
-		return Unknown
+		return OutcomeUnknown
 	case delayed:
 		s.delayed = append(s.delayed, delayedWrite{write, s.leaderVersion})
-		return Unknown
+		return OutcomeUnknown
 	}
 	if sim.apply(s, write, s.leaderVersion) {
-		return Applied
+		return OutcomeApplied
 	}
-	return Conflict
+	return OutcomeConflict
 }
 
 // apply executes a write on the store of a site if the conditions of the write hold.
@@ -223,7 +223,7 @@
 		}
 		incoming.FinalState = write.FinalState
 		s.records.Incoming[write.ID] = incoming
-	case ForgetIncoming:
+	case DeleteIncoming:
 		if write.LowWaterMark < s.records.LowWaterMarks[write.Origin] {
 			return false
 		}
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -120,7 +120,7 @@
 	var deleted []IncomingID
 	for _, effect := range coordinator.Step(3*time.Second, RecordsLoaded{stored}) {
 		if s, ok := effect.(StoreWrite); ok {
-			deleted = append(deleted, s.Write.(ForgetIncoming).IDs...)
+			deleted = append(deleted, s.Write.(DeleteIncoming).IDs...)
 		}
 	}
 	if len(deleted) != 1 || deleted[0] != (IncomingID{"b", 3}) {
--- a/internal/federation/transport/authority.go
+++ b/internal/federation/transport/authority.go
@@ -21,18 +21,18 @@
 	"pepperlever/internal/strictconfig"
 )
 
-// Names of files that Issue writes.
+// Names of files that IssueCredentials writes.
 const (
 	authorityFile    = "authority.pem"
 	authorityKeyFile = "authority-key.pem"
 	ticketKeysFile   = "tickets.toml"
 )
 
-// Issue writes to dir a certificate authority, a certificate and key for each site that are
-// valid for the given duration, and a file with a ticket key. An existing authority and existing
-// ticket keys are kept. If rotate is set, a new ticket key is put in front of the existing ones
-// and signs from then on.
-func Issue(dir string, sites []string, validity time.Duration, rotate bool) error {
+// IssueCredentials writes to dir a certificate authority, a certificate and key for each site that
+// are valid for the given duration, and a file with a ticket key. An existing authority and
+// existing ticket keys are kept. If rotate is set, a new ticket key is put in front of the existing
+// ones and signs from then on.
+func IssueCredentials(dir string, sites []string, validity time.Duration, rotate bool) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
--- a/internal/federation/transport/secrets_test.go
+++ b/internal/federation/transport/secrets_test.go
@@ -15,7 +15,7 @@
 		reason string
 	}{
 		"valid":               {func(string) error { return nil }, ""},
-		"expired certificate": {func(dir string) error { return Issue(dir, []string{"west"}, -time.Minute, false) }, "valid only from"},
+		"expired certificate": {func(dir string) error { return IssueCredentials(dir, []string{"west"}, -time.Minute, false) }, "valid only from"},
 		"no authority":        {func(dir string) error { return os.WriteFile(filepath.Join(dir, authorityFile), nil, 0o600) }, "contains no certificate"},
 		"certificate of another site": {func(dir string) error {
 			return os.Rename(filepath.Join(dir, "east.pem"), filepath.Join(dir, "west.pem"))
--- a/internal/federation/transport/ticketkeys_test.go
+++ b/internal/federation/transport/ticketkeys_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := Issue(filepath.Dir(f.west.generation().cfg.TicketKeys), nil, time.Hour, true); err != nil {
+	if err := IssueCredentials(filepath.Dir(f.west.generation().cfg.TicketKeys), nil, time.Hour, true); err != nil {
 		t.Fatal(err)
 	}
 	peerCount := 0
--- a/internal/federation/transport/transport_test.go
+++ b/internal/federation/transport/transport_test.go
@@ -45,7 +45,7 @@
 func issueKeys(t *testing.T, validity time.Duration) string {
 	t.Helper()
 	dir := t.TempDir()
-	if err := Issue(dir, []string{"east", "west"}, validity, false); err != nil {
+	if err := IssueCredentials(dir, []string{"east", "west"}, validity, false); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -133,7 +133,7 @@
 // reissueCertificate replaces a site's certificate with one from the same authority.
 func reissueCertificate(t *testing.T, dir string, validity time.Duration, name string) string {
 	t.Helper()
-	if err := Issue(dir, []string{name}, validity, false); err != nil {
+	if err := IssueCredentials(dir, []string{name}, validity, false); err != nil {
 		t.Fatal(err)
 	}
 	return dir
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -110,7 +110,7 @@
 	}
 	lines := bufio.NewScanner(r.Body)
 	lines.Buffer(make([]byte, 16<<10), maxLineBytes)
-	lines.Split(stream.WholeLines)
+	lines.Split(stream.ScanCompleteLines)
 	for lines.Scan() {
 		var m core.PeerMessage
 		if err := json.Unmarshal(lines.Bytes(), &m); err != nil {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -7,22 +7,22 @@
 
 // Paths and path elements of the HTTP interfaces.
 const (
-	PathJobs     = "/work"
-	PathCancel   = "withdraw"
-	PathHealth   = "/up"
-	PathReport   = "/agent/beat"
-	PathMetrics  = "/metrics"
-	PathList     = "/jobs"
-	PathGateway  = "/gateway"
-	PathCommands = "/do"
-	PathTypes    = "/catalog"
-	PathMachines = "/rentals"
-	PathRelease  = "/rentals/release"
-	PathKV       = "/kv"
-	PathTxn      = "/multi"
-	PathLeases   = "/holds"
-	PathRenew    = "renew"
-	PathWatch    = "/changes"
+	PathJobs         = "/work"
+	PathCancel       = "withdraw"
+	PathHealth       = "/up"
+	PathReport       = "/agent/beat"
+	PathMetrics      = "/metrics"
+	PathList         = "/jobs"
+	PathGateway      = "/gateway"
+	PathCommands     = "/do"
+	PathMachineTypes = "/catalog"
+	PathMachines     = "/rentals"
+	PathRelease      = "/rentals/release"
+	PathKV           = "/kv"
+	PathTxn          = "/multi"
+	PathLeases       = "/holds"
+	PathRenew        = "renew"
+	PathWatch        = "/changes"
 	// JobPrefix is the prefix of every well-formed job ID.
 	JobPrefix = "req-"
 )
@@ -30,11 +30,11 @@
 // MaxBody is the size in bytes of the largest request body that any interface accepts.
 const MaxBody = 64 << 10
 
-// ReportTimeout is how long a worker waits for the answer to a report, and ReportPause how
+// ReportTimeout is how long a worker waits for the answer to a report, and ReportRetryDelay how
 // long it pauses before it tries the next controller.
 const (
-	ReportTimeout = 4 * time.Second
-	ReportPause   = time.Second
+	ReportTimeout    = 4 * time.Second
+	ReportRetryDelay = time.Second
 	// PollTimeout is how long a user waits for the state of a job.
 	PollTimeout = 2 * time.Second
 )
@@ -115,19 +115,19 @@
 	More bool     `json:"truncated"`
 }
 
-// JobsPage is the maximum number of jobs on a page, which bounds the size of the response.
-const JobsPage = 200
+// MaxJobsPerPage is the maximum number of jobs on a page, which bounds the size of the response.
+const MaxJobsPerPage = 200
 
-// PageAwaitsBytes is the approximate limit in bytes for all dependency lists on a page.
-const PageAwaitsBytes = MaxBody / 4
+// MaxDependencyBytesPerPage is the approximate limit in bytes for all dependency lists on a page.
+const MaxDependencyBytesPerPage = MaxBody / 4
 
 // Problem tells a client what was wrong with its request.
 type Problem struct {
 	Error string `json:"error"`
 }
 
-// TaskBytes returns an approximate upper bound for the size of a task's entry in a report.
-func TaskBytes(task string) int { return len(task) + 80 }
+// MaxTaskReportBytes returns an approximate upper bound for the size of a task's entry in a report.
+func MaxTaskReportBytes(task string) int { return len(task) + 80 }
 
 // Exited is the state of a task that has ended. Of the other task states, only Running
 // matters to controllers.
@@ -135,35 +135,35 @@
 
 // Reasons why a task exited. A task that exited for any other reason is simply restarted.
 const (
-	WhyDone    = "done"
-	WhyStopped = "stopped"
-	WhyError   = "error"
-	WhyNoRoom  = "full"    // the machine has too little free capacity
-	WhyBusy    = "busy"    // another attempt of the task has not ended on the machine
-	WhyUnknown = "no_such" // the worker does not know the job or task
+	ExitDone        = "done"
+	ExitStopped     = "stopped"
+	ExitError       = "error"
+	ExitNoCapacity  = "full"    // the machine has too little free capacity
+	ExitBusy        = "busy"    // another attempt of the task has not ended on the machine
+	ExitUnknownTask = "no_such" // the worker does not know the job or task
 )
 
 // TaskReport is the state of one task on a worker.
 type TaskReport struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"stance"`
-	Why     string `json:"cause,omitempty"`
-	Saved   bool   `json:"stored,omitempty"`
+	Task       string `json:"piece"`
+	Attempt    uint64 `json:"try"`
+	State      string `json:"stance"`
+	ExitReason string `json:"cause,omitempty"`
+	Saved      bool   `json:"stored,omitempty"`
 }
 
 // Report is a worker's heartbeat: the state of its machine and of its tasks.
 type Report struct {
-	Machine string       `json:"hand"`
-	Address string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"yard"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"tick"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"recallInS,omitempty"`
-	Tasks   []TaskReport `json:"pieces"`
+	Machine     string       `json:"hand"`
+	Address     string       `json:"address"`
+	Type        string       `json:"build"`
+	Zone        string       `json:"yard"`
+	Spot        bool         `json:"loaners"`
+	WorkerEpoch uint64       `json:"shift"`
+	Seq         uint64       `json:"tick"`
+	Token       uint64       `json:"baton"`
+	NoticeS     *float64     `json:"recallInS,omitempty"`
+	Tasks       []TaskReport `json:"pieces"`
 }
 
 // Operations that a command can request.
@@ -181,12 +181,12 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// Orders holds commands for a worker. It is the answer to a report and, with Session set, the
-// body of a direct request to the worker.
-type Orders struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"shift,omitempty"`
-	Commands []Command `json:"calls"`
+// CommandBatch holds commands for a worker. It is the answer to a report and, with WorkerEpoch set,
+// the body of a direct request to the worker.
+type CommandBatch struct {
+	Token       uint64    `json:"baton"`
+	WorkerEpoch uint64    `json:"shift,omitempty"`
+	Commands    []Command `json:"calls"`
 }
 
 // Redirect tells a worker to report to another controller.
@@ -208,8 +208,8 @@
 	Zones     []string `json:"yards"`
 }
 
-// Catalogue is the cloud's catalog of machine types.
-type Catalogue struct {
+// Catalog is the cloud's catalog of machine types.
+type Catalog struct {
 	Types []MachineType `json:"builds"`
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,8 +55,9 @@
 	Next StateLimits `toml:"next"`
 }
 
-// Tightest returns limits that are safe both before and after the change.
-func (s State) Tightest() StateLimits {
+// LowestLimits returns the lower of the current and the next value of each limit. They are safe
+// both before and after the change.
+func (s State) LowestLimits() StateLimits {
 	out := s.StateLimits
 	out.RPS = lowerLimit(out.RPS, s.Next.RPS)
 	out.WriteRPS = lowerLimit(out.WriteRPS, s.Next.WriteRPS)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// The next limits may omit those that do not change. The tightest limits are the lower of
+// The next limits may omit those that do not change. The lowest limits are the lower of
 // the current and the next ones.
 func TestNextStateLimits(t *testing.T) {
 	s, err := Load(writeFile(t, "s.toml", validSettings+"[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 99.0\n"))
@@ -120,10 +120,10 @@
 	if s.Params.State.StateLimits != present {
 		t.Errorf("got current limits %+v", s.Params.State.StateLimits)
 	}
-	tightest := present
-	tightest.ValueKB, tightest.TxnOps = 2, 5
-	if got := s.Params.State.Tightest(); got != tightest {
-		t.Errorf("got tightest limits %+v", got)
+	lowest := present
+	lowest.ValueKB, lowest.TxnOps = 2, 5
+	if got := s.Params.State.LowestLimits(); got != lowest {
+		t.Errorf("got lowest limits %+v", got)
 	}
 	if _, err := Load(writeFile(t, "s.toml", validSettings+"[params.state.next]\nvalue_kb = -2.0\n")); err == nil || !strings.Contains(err.Error(), "state.next") {
 		t.Errorf("negative next limit: got %v, want an error on state.next", err)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -40,20 +40,20 @@
 	reply := core.StoreReply{Revision: result.Revision, Failed: result.Failed}
 	switch {
 	case errors.Is(err, httpclient.ErrUnsent):
-		reply.Outcome, reply.Unavailable = core.Refused, true
+		reply.Outcome, reply.Unavailable = core.OutcomeRefused, true
 	case err != nil:
-		reply.Outcome = core.Unknown
+		reply.Outcome = core.OutcomeUnknown
 	case status == fasthttp.StatusOK:
-		reply.Outcome = core.Applied
+		reply.Outcome = core.OutcomeApplied
 	case status == fasthttp.StatusConflict:
-		reply.Outcome = core.Conflict
+		reply.Outcome = core.OutcomeConflict
 	case status == fasthttp.StatusBadRequest && strings.Contains(result.Error, "lease"):
-		reply.Outcome = core.NoLease
+		reply.Outcome = core.OutcomeNoLease
 	case status == fasthttp.StatusBadRequest:
 		logMalformed(t, result.Error)
-		reply.Outcome, reply.Oversized = core.Refused, true
+		reply.Outcome, reply.Oversized = core.OutcomeRefused, true
 	default:
-		reply.Outcome = core.Refused
+		reply.Outcome = core.OutcomeRefused
 		reply.Unavailable = status == fasthttp.StatusServiceUnavailable
 		reply.RateLimited = status == fasthttp.StatusTooManyRequests
 	}
@@ -80,15 +80,15 @@
 func (c *client) get(key string) core.StoreReply {
 	var item protocol.KeyValue
 	status, err := c.call(fasthttp.MethodGet, protocol.PathKV+"/"+key, nil, &item)
-	reply := core.StoreReply{Outcome: core.Refused, Item: item, Revision: item.Revision}
+	reply := core.StoreReply{Outcome: core.OutcomeRefused, Item: item, Revision: item.Revision}
 	switch {
 	case err != nil:
 	case status == fasthttp.StatusServiceUnavailable:
 		reply.Unavailable = true
 	case status == fasthttp.StatusOK:
-		reply.Outcome = core.Applied
+		reply.Outcome = core.OutcomeApplied
 	case status == fasthttp.StatusNotFound:
-		reply.Outcome = core.Missing
+		reply.Outcome = core.OutcomeMissing
 	}
 	return reply
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -45,14 +45,14 @@
 		want   core.Outcome
 		flags  core.StoreReply
 	}{
-		"applied":           {200, `{"ledgerTick":7}`, core.Applied, core.StoreReply{}},
-		"conflict":          {409, `{"failed":["k"],"ledgerTick":6}`, core.Conflict, core.StoreReply{}},
-		"lease expired":     {400, `{"error":"no such lease"}`, core.NoLease, core.StoreReply{}},
-		"malformed":         {400, `{"error":"bad key"}`, core.Refused, core.StoreReply{Oversized: true}},
-		"rate limited":      {429, ``, core.Refused, core.StoreReply{RateLimited: true}},
-		"unavailable":       {503, ``, core.Refused, core.StoreReply{}},
-		"connection closed": {0, ``, core.Unknown, core.StoreReply{}},
-		"truncated body":    {200, `{"ledgerTick":`, core.Unknown, core.StoreReply{}},
+		"applied":           {200, `{"ledgerTick":7}`, core.OutcomeApplied, core.StoreReply{}},
+		"conflict":          {409, `{"failed":["k"],"ledgerTick":6}`, core.OutcomeConflict, core.StoreReply{}},
+		"lease expired":     {400, `{"error":"no such lease"}`, core.OutcomeNoLease, core.StoreReply{}},
+		"malformed":         {400, `{"error":"bad key"}`, core.OutcomeRefused, core.StoreReply{Oversized: true}},
+		"rate limited":      {429, ``, core.OutcomeRefused, core.StoreReply{RateLimited: true}},
+		"unavailable":       {503, ``, core.OutcomeRefused, core.StoreReply{}},
+		"connection closed": {0, ``, core.OutcomeUnknown, core.StoreReply{}},
+		"truncated body":    {200, `{"ledgerTick":`, core.OutcomeUnknown, core.StoreReply{}},
 	} {
 		if got := newFakeStoreClient(t, c.status, c.body).txn(txn); got.Outcome != c.want || got.RateLimited != c.flags.RateLimited || got.Oversized != c.flags.Oversized {
 			t.Errorf("%s: got %+v, want outcome %d with the flags of %+v", name, got, c.want, c.flags)
@@ -67,7 +67,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	if got := newClient(addr, unreachedTimeout).txn(protocol.Txn{}); got.Outcome != core.Refused {
+	if got := newClient(addr, unreachedTimeout).txn(protocol.Txn{}); got.Outcome != core.OutcomeRefused {
 		t.Errorf("got outcome %d, want Refused", got.Outcome)
 	}
 }
@@ -78,11 +78,11 @@
 		body   string
 		want   core.Outcome
 	}{
-		"found":             {200, `{"k":"a","value":{},"lastTick":3}`, core.Applied},
-		"missing":           {404, `{"ledgerTick":9}`, core.Missing},
-		"unavailable":       {503, ``, core.Refused},
-		"connection closed": {0, ``, core.Refused},
-		"truncated body":    {200, `{"k":`, core.Refused},
+		"found":             {200, `{"k":"a","value":{},"lastTick":3}`, core.OutcomeApplied},
+		"missing":           {404, `{"ledgerTick":9}`, core.OutcomeMissing},
+		"unavailable":       {503, ``, core.OutcomeRefused},
+		"connection closed": {0, ``, core.OutcomeRefused},
+		"truncated body":    {200, `{"k":`, core.OutcomeRefused},
 	} {
 		if got := newFakeStoreClient(t, c.status, c.body).get("a"); got.Outcome != c.want {
 			t.Errorf("%s: got outcome %d, want %d", name, got.Outcome, c.want)
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -11,8 +11,8 @@
 // Txn queues a transaction. The reply is passed to the core.
 func (s *Store) Txn(t core.StoreTxn) {
 	changes := len(t.Txn.Then)
-	s.enqueue(t.Urgent || t.Quick, t.ID, func() core.StoreReply {
-		return s.retry(t.Quick, changes, func() core.StoreReply {
+	s.enqueue(t.Urgent || t.FailFast, t.ID, func() core.StoreReply {
+		return s.retry(t.FailFast, changes, func() core.StoreReply {
 			reply := s.requestClient.txn(t.Txn)
 			s.detectLowerLimit(changes, reply)
 			return reply
@@ -23,7 +23,7 @@
 // Get queues a read. The reply is passed to the core.
 func (s *Store) Get(g core.StoreGet) {
 	s.enqueue(true, g.ID, func() core.StoreReply {
-		return s.retry(g.Quick, 0, func() core.StoreReply { return s.requestClient.get(g.Key) })
+		return s.retry(g.FailFast, 0, func() core.StoreReply { return s.requestClient.get(g.Key) })
 	})
 }
 
@@ -31,13 +31,13 @@
 // key-value store show that they are in force. The time of that change is not known.
 func (s *Store) detectLowerLimit(changes int, reply core.StoreReply) {
 	state := s.cfg.Params.State
-	if state.Tightest() == state.StateLimits {
+	if state.LowestLimits() == state.StateLimits {
 		return
 	}
 	if !s.limitDetector.record(time.Now(), changes, reply.RateLimited, reply.Oversized) {
 		return
 	}
-	s.rateLimiter.setChangeRate(state.Tightest().WriteRPS)
+	s.rateLimiter.setChangeRate(state.LowestLimits().WriteRPS)
 	s.emit(core.StoreLimitLowered{})
 }
 
@@ -57,7 +57,7 @@
 	select {
 	case queue <- run:
 	default:
-		go s.emit(core.StoreReply{ID: id, Outcome: core.Refused})
+		go s.emit(core.StoreReply{ID: id, Outcome: core.OutcomeRefused})
 	}
 }
 
@@ -81,23 +81,23 @@
 	}
 }
 
-// retry retries a refused request with exponential backoff until the timeout. A quick request,
+// retry retries a refused request with exponential backoff until the timeout. A fail-fast request,
 // for which a user waits, has a shorter timeout and is not retried while the key-value store
 // is unavailable: the user is asked to retry instead.
-func (s *Store) retry(quick bool, changes int, request func() core.StoreReply) core.StoreReply {
+func (s *Store) retry(failFast bool, changes int, request func() core.StoreReply) core.StoreReply {
 	timeout := s.reportInterval()
-	if quick {
+	if failFast {
 		timeout /= 4
 	}
 	start := time.Now()
 	backoff := s.reportInterval() / 50
 	for {
 		if !s.rateLimiter.wait(changes, timeout-time.Since(start)) {
-			return core.StoreReply{Outcome: core.Refused}
+			return core.StoreReply{Outcome: core.OutcomeRefused}
 		}
 		reply := request()
-		s.health.record(reply.Outcome != core.Refused && reply.Outcome != core.Unknown, s.reportInterval())
-		if reply.Outcome != core.Refused || quick && reply.Unavailable || time.Since(start)+backoff > timeout {
+		s.health.record(reply.Outcome != core.OutcomeRefused && reply.Outcome != core.OutcomeUnknown, s.reportInterval())
+		if reply.Outcome != core.OutcomeRefused || failFast && reply.Unavailable || time.Since(start)+backoff > timeout {
 			return reply
 		}
 		time.Sleep(backoff/2 + rand.N(backoff))
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// WholeLines is a bufio.SplitFunc that returns complete lines only. It discards an incomplete
-// last line, which a sender leaves when it is terminated while writing.
-func WholeLines(data []byte, _ bool) (int, []byte, error) {
+// ScanCompleteLines is a bufio.SplitFunc that returns complete lines only. It discards an
+// incomplete last line, which a sender leaves when it is terminated while writing.
+func ScanCompleteLines(data []byte, _ bool) (int, []byte, error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i], nil
 	}
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -10,7 +10,7 @@
 // peers logged an error.
 func TestIncompleteLineIsDiscarded(t *testing.T) {
 	lines := bufio.NewScanner(strings.NewReader("{\"s\":1}\n{}\n{\"t"))
-	lines.Split(WholeLines)
+	lines.Split(ScanCompleteLines)
 	var got []string
 	for lines.Scan() {
 		got = append(got, lines.Text())
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -31,9 +31,9 @@
 	go func() {
 		c.semaphore <- struct{}{}
 		defer func() { <-c.semaphore }()
-		result := core.DeliveryResult{Machine: d.Machine, Orders: d.Orders}
+		result := core.DeliveryResult{Machine: d.Machine, CommandBatch: d.CommandBatch}
 		var report protocol.Report
-		status, err := c.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.Orders, &report)
+		status, err := c.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.CommandBatch, &report)
 		if err == nil && (status == fasthttp.StatusOK || status == fasthttp.StatusConflict) {
 			result.Executed, result.Report = status == fasthttp.StatusOK, &report
 		}
