--- a/client/client.go
+++ b/client/client.go
@@ -1,8 +1,9 @@
 // Package client submits, monitors and cancels pepperlever jobs.
 //
 // It follows the protocol's retry rules for users: a request without a definite response is
-// retried with the same id for up to a minute, after a second or the delay that the controller
-// asks for. Retrying is safe because a job's id makes its submission idempotent.
+// retried with the same id for up to a minute. The client waits for one second between attempts,
+// or for as long as the controller asks, up to 30 seconds. Retrying is safe because a job's id
+// makes its submission idempotent.
 package client
 
 import (
@@ -54,7 +55,7 @@
 // Error returns the status and the site's reason.
 func (e *RefusedError) Error() string { return fmt.Sprintf("refused (%d): %s", e.Status, e.Reason) }
 
-// UnreachableError reports a request that got no definite response in all attempts. A
+// UnreachableError reports a request that got no definite response in any attempt. A
 // submission or cancellation may have been executed or not; it is safe to repeat it.
 type UnreachableError struct {
 	Tries int
@@ -95,7 +96,7 @@
 		now: func() time.Duration { return time.Since(start) }, sleep: sleep}, nil
 }
 
-// sleep waits for d, or returns the error of ctx if it ends before.
+// sleep waits for d, or returns the error of ctx if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -123,8 +124,8 @@
 	return c.requestJob(ctx, retry.PollPolicy, http.MethodGet, protocol.PathJobs+"/"+url.PathEscape(id), nil)
 }
 
-// Cancel cancels a job. The returned state is cancelled, or done if the job had completed
-// before. It returns the same errors as Status.
+// Cancel cancels a job. The returned state is cancelled, or done if the job was already done. It
+// returns the same errors as Status.
 func (c *Client) Cancel(ctx context.Context, id string) (State, error) {
 	return c.requestJob(ctx, retry.ChangePolicy, http.MethodPost, protocol.PathJobs+"/"+url.PathEscape(id)+"/"+protocol.PathCancel, nil)
 }
@@ -143,7 +144,7 @@
 	Awaits []string `json:"awaits,omitempty"`
 }
 
-// Jobs returns the jobs that have not ended, ordered by id. The pages it reads are no
+// Jobs returns the jobs that have not ended, ordered by id. The pages that it reads are not a
 // consistent snapshot: jobs may start and end in between. It returns the same errors as Status.
 func (c *Client) Jobs(ctx context.Context) ([]Row, error) {
 	out := []Row{}
@@ -249,8 +250,8 @@
 	return State{ID: s.ID, State: s.State, DoneTasks: s.Done, RunningTasks: s.Running, Awaits: s.Awaits}, nil
 }
 
-// attempt sends a request once. The error describes the failure or the response's status,
-// for use if the policy gives up; it is not nil even if the response is a success.
+// attempt sends a request once. The error describes the failure or the response's status.
+// It is for use if the policy gives up, and is not nil even if the response is a success.
 func (c *Client) attempt(ctx context.Context, timeout time.Duration, method, address string, body []byte) (retry.Outcome, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -76,7 +76,7 @@
 		status      int // of the refusal, or 0 if the submission is not refused
 		unreachable bool
 	}{
-		"accepted at once":                      {responses: []string{"201"}},
+		"accepted at the first attempt":         {responses: []string{"201"}},
 		"already known":                         {responses: []string{"200"}},
 		"malformed is not retried":              {responses: []string{"400"}, status: 400},
 		"job that can never run is not retried": {responses: []string{"422"}, status: 422},
@@ -112,7 +112,7 @@
 	states := 0
 	got, err := c.Wait(t.Context(), "req-1", func(State) {
 		if states++; states == 1 {
-			for range 70 { // longer than one request is retried
+			for range 70 { // more attempts than one request makes
 				s.responses = append(s.responses, "cut")
 			}
 			s.responses = append(s.responses, "200")
--- a/client/job.go
+++ b/client/job.go
@@ -23,7 +23,7 @@
 	Service = "service"
 )
 
-// Job describes a job. Fill replaces the zero values of fields that have a default.
+// Job is the spec of a job. Fill replaces the zero values of fields that have a default.
 type Job struct {
 	// ID identifies the job, so that submitting it repeatedly has no further effect. If it is
 	// empty, Fill generates one.
@@ -41,7 +41,7 @@
 	CPUs     float64 `toml:"cpus" json:"cpus"`
 	GPUs     float64 `toml:"gpus" json:"gpus"`
 	MemoryGB float64 `toml:"memory_gb" json:"memory_gb"`
-	// Image is the image that a machine must fetch before a task can start, ImageGB its size.
+	// Image is the image that a machine must fetch before a task can start. ImageGB is its size.
 	Image   string  `toml:"image" json:"image"`
 	ImageGB float64 `toml:"image_gb" json:"image_gb"`
 	// Types lists the allowed machine types and Zone names the only allowed zone; empty allows
@@ -54,14 +54,14 @@
 	// Spot allows spot machines, which the cloud can reclaim at any time.
 	Spot bool `toml:"spot" json:"spot"`
 	// EstimateS is the estimated run time of a task in seconds. DeadlineS is the number of
-	// seconds after submission by which the job should be complete, or 0 for no deadline.
+	// seconds after submission by which the job should be done, or 0 for no deadline.
 	EstimateS float64 `toml:"estimate_s" json:"estimate_s"`
 	DeadlineS float64 `toml:"deadline_s" json:"deadline_s"`
 	// Awaits lists jobs that have to be done before any task of this one starts. If one of
 	// them is cancelled, so is this one.
 	Awaits []string `toml:"awaits" json:"awaits"`
-	// CheckpointS is the seconds of progress between a task's checkpoints, or 0 for none.
-	// SaveS is the time that a task needs to save when it is stopped.
+	// CheckpointS is the number of seconds of progress between a task's checkpoints, or 0 if it
+	// writes none. SaveS is how many seconds a task needs to save its state when it is stopped.
 	CheckpointS float64 `toml:"checkpoint_s" json:"checkpoint_s"`
 	SaveS       float64 `toml:"save_s" json:"save_s"`
 }
--- a/cmd/pepperlever/gateway.go
+++ b/cmd/pepperlever/gateway.go
@@ -29,7 +29,7 @@
 		operatorQuery("handoffs", "List the open hand-offs", printHandOffs),
 		operatorAction(core.ActionGiveUp, "give-up JOB", "Take a job back without confirmation by the other site, where it may have run"),
 		operatorAction(core.ActionDrain, "drain SITE", "Stop new hand-offs with a site, or resume them (--off)"),
-		operatorAction(core.ActionRenew, "renew SITE", "Resume with a site after this site's state was restored from a backup"))
+		operatorAction(core.ActionRenew, "renew SITE", "Resume hand-offs with a site after this site's state was restored from a backup"))
 	return cmd
 }
 
@@ -108,7 +108,8 @@
 	return cmd
 }
 
-// callGateway sends a request to one controller after the other until one accepts it.
+// callGateway tries the controllers in turn until one accepts the request. It returns the
+// response, or the error of the last attempt.
 func (f *jobFlags) callGateway(cmd *cobra.Command, method string, op core.OperatorAction, body []byte) ([]byte, error) {
 	var lastErr error
 	for _, to := range f.to {
--- a/cmd/pepperlever/jobs.go
+++ b/cmd/pepperlever/jobs.go
@@ -117,7 +117,7 @@
 	})
 }
 
-// printStateOf returns a command function that prints the state returned by call.
+// printStateOf returns a function for jobCommand that prints the state returned by call.
 func printStateOf(call func(*client.Client, context.Context, string) (client.State, error)) func(*jobFlags, *cobra.Command, *client.Client, string) error {
 	return func(f *jobFlags, cmd *cobra.Command, c *client.Client, id string) error {
 		s, err := call(c, cmd.Context(), id)
@@ -210,9 +210,10 @@
 	overrides := pflag.NewFlagSet("", pflag.ContinueOnError)
 	merged := client.Job{}
 	addJobFlags(overrides, &merged)
-	merged = job
+	merged = job // only now, since adding a flag resets its field
 	cmd.Flags().Visit(func(changed *pflag.Flag) {
 		if target := overrides.Lookup(changed.Name); target != nil && err == nil {
+			// A list is formatted as [a,b], but set as a,b.
 			err = target.Value.Set(strings.Trim(changed.Value.String(), "[]"))
 		}
 	})
--- a/cmd/pepperlever/lab.go
+++ b/cmd/pepperlever/lab.go
@@ -44,7 +44,7 @@
 	flags.StringVar(&f.dataDir, "data", "", "directory that keeps the state and the tasks' output between runs")
 	flags.StringVar(&f.imagesDir, "images", "", "directory of images, each a directory with an executable named run")
 	flags.StringVar(&f.jobFile, "job", "", "run the job in this file to its end, then stop the site")
-	flags.BoolVar(&f.twoSites, "two-sites", false, "run two sites that hand off jobs of class goes from the first to the second")
+	flags.BoolVar(&f.twoSites, "two-sites", false, "run two sites that hand off jobs of class \"goes\" from the first to the second")
 	flags.DurationVar(&f.linkDelay, "link", 0, "latency of messages between the two sites")
 	flags.BoolVar(&f.cutEveryStage, "cut-every-stage", false, "with two sites: inject every fault at every message of a hand-off, count runs and final answers, then stop")
 	flags.StringVar(&f.onlyFaults, "only", "", "with --cut-every-stage: only faults whose name contains this, such as killed or hanging")
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// runPair runs two sites until the requested test is complete or it is interrupted.
+// runPair runs two sites until the requested test has ended or it is interrupted.
 func (f *labFlags) runPair(cmd *cobra.Command, cfg *emulator.Config) error {
 	pair, err := emulator.OpenPair(cfg, f.dataDir, f.imagesDir, f.linkDelay)
 	if err != nil {
@@ -159,7 +159,8 @@
 	return printOutputs(cmd, site.OutputDir(j.ID))
 }
 
-// printOutputs prints how many output files the tasks of a job have written, and the first.
+// printOutputs prints the number of output files in dir, which the tasks of a job have written,
+// and the content of the first one.
 func printOutputs(cmd *cobra.Command, dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(files) == 0 {
--- a/cmd/pepperlever/main.go
+++ b/cmd/pepperlever/main.go
@@ -67,7 +67,7 @@
 	root.PersistentFlags().StringVar(&f.policy, "policy", os.Getenv("PEPPERLEVER_POLICY"),
 		"the operator's script (Starlark); PEPPERLEVER_POLICY sets the default")
 	root.PersistentFlags().StringVar(&f.gateway, "gateway", os.Getenv("PEPPERLEVER_GATEWAY"),
-		"the gateway's file (TOML), which enables hand-offs between sites; PEPPERLEVER_GATEWAY sets the default")
+		"the federation configuration (TOML), which enables hand-offs between sites; PEPPERLEVER_GATEWAY sets the default")
 	root.AddCommand(
 		versionCommand(),
 		checkCommand(&f),
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -34,7 +34,7 @@
 	tryEnqueue func(core.Command) bool
 	metrics    metrics
 	// refusedFromSites returns how many connections, streams and messages of other sites
-	// were rejected. It is nil without a gateway.
+	// were refused. It is nil without federation.
 	refusedFromSites func() int64
 
 	mu          sync.Mutex
@@ -48,9 +48,9 @@
 	return &API{cfg: cfg, tryEnqueue: tryEnqueue, metrics: newMetrics(), pending: map[uint64]chan core.Answer{}}
 }
 
-// WithGateway enables the gateway's metrics and operator endpoints; refused returns how many
-// connections, streams and messages of other sites were rejected. Call it before Run.
-func (a *API) WithGateway(refused func() int64) { a.refusedFromSites = refused }
+// WithFederation enables the federation's metrics and operator endpoints. refused returns how
+// many connections, streams and messages of other sites were refused. Call it before Run.
+func (a *API) WithFederation(refused func() int64) { a.refusedFromSites = refused }
 
 // Run serves requests until ctx is done.
 func (a *API) Run(ctx context.Context) error {
@@ -89,7 +89,7 @@
 }
 
 // handleMalformedRequest answers 400 to requests that cannot be parsed, including those with
-// an oversized body: on any other status clients would retry the same request.
+// an oversized body: after statuses such as 413, clients would retry the same request.
 func handleMalformedRequest(ctx *fasthttp.RequestCtx, _ error) {
 	httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed request")
 }
@@ -144,13 +144,13 @@
 	}
 }
 
-func (a *API) requireMethod(ctx *fasthttp.RequestCtx, method, want string, f func(*fasthttp.RequestCtx)) {
+func (a *API) requireMethod(ctx *fasthttp.RequestCtx, method, want string, handler func(*fasthttp.RequestCtx)) {
 	if method != want {
 		ctx.Response.Header.Set("Allow", want)
 		httpserver.WriteProblem(ctx, fasthttp.StatusMethodNotAllowed, "method not allowed")
 		return
 	}
-	f(ctx)
+	handler(ctx)
 }
 
 func (a *API) handleReport(ctx *fasthttp.RequestCtx) {
@@ -170,7 +170,7 @@
 }
 
 // forward passes a command to the core, waits for its answer and writes the response. If the
-// core's queue is full, the request is rejected at once.
+// core's queue is full, the request is refused immediately.
 func (a *API) forward(ctx *fasthttp.RequestCtx, newCommand func(req uint64) core.Command) {
 	start := time.Now()
 	ans := a.call(newCommand)
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -31,15 +31,15 @@
 	ctx.Request.Header.SetMethod(method)
 	ctx.Request.SetRequestURI(path)
 	ctx.Request.SetBodyString(body)
-	if gatewayEnabled {
-		a.WithGateway(func() int64 { return 3 })
+	if federationEnabled {
+		a.WithFederation(func() int64 { return 3 })
 	}
 	a.handle(ctx)
 	return a, ctx
 }
 
-// gatewayEnabled makes serve enable the gateway.
-var gatewayEnabled bool
+// federationEnabled makes serve enable the federation.
+var federationEnabled bool
 
 // echo answers every command with success and a body that identifies the command.
 func echo(c core.Command) *core.Answer {
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// The job metrics are always available. Without a gateway, its endpoints and metrics are
-// missing; with one, operators' requests reach the core and the metrics cover the federation.
-func TestGatewayRequestsAndMetrics(t *testing.T) {
-	defer func() { gatewayEnabled = false }()
+// The job metrics are always available. Without federation, its endpoints and metrics are
+// missing. With federation, operators' requests reach the core and its metrics are included.
+func TestFederationRequestsAndMetrics(t *testing.T) {
+	defer func() { federationEnabled = false }()
 	for _, c := range []struct {
 		on                 bool
 		method, path, body string
@@ -103,7 +103,7 @@
 		{true, "GET", "/metrics", "", 200, `pepperlever_gateway_handoffs{peer="far",side="away",stage="offered"} 2`},
 		{true, "GET", "/metrics", "", 200, "pepperlever_gateway_refused 3"},
 	} {
-		gatewayEnabled = c.on
+		federationEnabled = c.on
 		_, ctx := serve(echo, c.method, c.path, c.body)
 		body := string(ctx.Response.Body())
 		if got := ctx.Response.StatusCode(); got != c.status || !strings.Contains(body, c.want) || !c.on && strings.Contains(body, "gateway_") {
@@ -146,7 +146,7 @@
 		t.Errorf("got status %d, want 503 with a Retry-After header", got)
 	}
 	if len(a.pending) != 0 {
-		t.Error("rejected request is still pending")
+		t.Error("refused request is still pending")
 	}
 	if exposition := string(a.metrics.exposition()); !strings.Contains(exposition, `answers{request="status",status="503"} 1`) {
 		t.Errorf("got metrics %s, want one answer with status 503", exposition)
@@ -164,8 +164,8 @@
 	}
 }
 
-// An oversized body counts as malformed: on any other status clients would retry the same
-// request.
+// An oversized body counts as malformed: after statuses such as 413, clients would retry the
+// same request.
 func TestOversizedBodyIsBadRequest(t *testing.T) {
 	ctx := &fasthttp.RequestCtx{}
 	handleMalformedRequest(ctx, fasthttp.ErrBodyTooLarge)
--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -37,7 +37,7 @@
 }
 
 // federationMetrics returns the metrics of the federation. Only the controller that leads the
-// federation has all of them; the others return just the number of rejections.
+// federation has all of them; the others return just the number of refusals.
 func (a *API) federationMetrics() []byte {
 	if a.refusedFromSites == nil {
 		return nil
--- a/internal/client/retry/retry.go
+++ b/internal/client/retry/retry.go
@@ -67,7 +67,7 @@
 )
 
 // Targets selects among several addresses. After a failure it moves on to the next one. An
-// address that fails repeatedly is skipped for a while, unless all are.
+// address that fails repeatedly is skipped for a while, unless all addresses are.
 type Targets struct {
 	addresses    []string
 	failures     []int
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -18,12 +18,13 @@
 // pageSize is the largest page of machines that the cloud returns.
 const pageSize = "500"
 
-// Cloud sends the core's requests one at a time, within the cloud's request limit.
+// Cloud sends the core's requests one at a time, with a pause after each.
 type Cloud struct {
-	cfg             *settings.Settings
-	emit            func(core.Command)
-	http            *httpclient.Client
-	queue           chan func()
+	cfg   *settings.Settings
+	emit  func(core.Command)
+	http  *httpclient.Client
+	queue chan func()
+	// requestInterval is the interval between requests at the cloud's request limit.
 	requestInterval time.Duration
 	// unavailable is set while the cloud refuses requests because of an outage.
 	unavailable bool
@@ -67,9 +68,9 @@
 	return c.http.Call(method, c.cfg.Services.Cloud, path, body, out)
 }
 
-// updateAvailability tells the core when the cloud starts or stops refusing requests because
-// of an outage. Rentals are not counted, since they are also refused for lack of capacity, nor
-// are requests without an answer, since the network may be the cause.
+// updateAvailability notifies the core when the cloud starts or stops refusing requests because
+// of an outage. Rental requests are ignored, since they are also refused for lack of capacity, and
+// so are requests without an answer, since the network may be the cause.
 func (c *Cloud) updateAvailability(status int, err error) {
 	isUnavailable := status == fasthttp.StatusServiceUnavailable
 	if err == nil && isUnavailable != c.unavailable && (isUnavailable || status == fasthttp.StatusOK) {
@@ -130,7 +131,7 @@
 	}
 }
 
-// Rent requests machines. Unless the answer is clear, the outcome is OutcomeUnknown; the request
+// Rent requests machines. Unless the answer is definite, the outcome is OutcomeUnknown; the request
 // can then be retried safely, because its name makes it idempotent.
 func (c *Cloud) Rent(r protocol.Rental) {
 	reply := core.RentalResult{Rental: r, Outcome: core.OutcomeUnknown}
@@ -151,7 +152,7 @@
 	}, func() { c.emit(reply) })
 }
 
-// Release returns machines to the cloud.
+// Release requests the release of machines.
 func (c *Cloud) Release(machines []string) {
 	c.enqueue(func() {
 		status, err := c.call(fasthttp.MethodPost, protocol.PathRelease, protocol.MachineNames{Machines: machines}, nil)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -23,8 +23,8 @@
 	"pepperlever/internal/workerclient"
 )
 
-// queueLength limits the commands that wait for the core, batchLength those that one
-// step processes.
+// queueLength limits the number of commands that wait for the core. batchLength limits the
+// number that one step processes.
 const (
 	queueLength = 8192
 	batchLength = 256
@@ -42,13 +42,13 @@
 	cloud   *cloud.Cloud
 	workers *workerclient.Client
 	peers   *peer.Peers
-	// siteLinks holds the streams to other sites; it is nil without a gateway.
+	// siteLinks holds the streams to other sites; it is nil without federation.
 	siteLinks *transport.Links
 }
 
-// Run runs a controller until ctx is done. gatewayFile is the configuration of the gateway
-// to other sites; if it is empty, the gateway is off.
-func Run(ctx context.Context, cfg *settings.Settings, policy settings.Policy, gatewayFile string) error {
+// Run runs a controller until ctx is done. federationFile is the path of the federation
+// configuration; if it is empty, federation is off.
+func Run(ctx context.Context, cfg *settings.Settings, policy settings.Policy, federationFile string) error {
 	configureRuntime(cfg)
 	d := &Daemon{queue: make(chan core.Command, queueLength), startedAt: time.Now()}
 	d.tickInterval = time.Duration(cfg.Params.Workers.ReportS * float64(time.Second) / 30)
@@ -59,14 +59,14 @@
 	d.cloud = cloud.New(cfg, emit)
 	d.workers = workerclient.New(cfg, emit)
 	d.peers = peer.New(cfg, emit)
-	if gatewayFile != "" {
-		links, config, err := transport.New(gatewayFile, emit)
+	if federationFile != "" {
+		links, config, err := transport.New(federationFile, emit)
 		if err != nil {
 			return err
 		}
 		d.siteLinks = links
 		d.core.EnableFederation(config)
-		d.api.WithGateway(links.Refused.Load)
+		d.api.WithFederation(links.Refused.Load)
 	}
 
 	g, ctx := errgroup.WithContext(ctx)
--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -85,8 +85,9 @@
 	return nil
 }
 
-// undocumentedInSpec returns the exported names of one spec that have no doc comment, neither
-// of their own nor one that they share with their group.
+// undocumentedInSpec returns the exported names of one spec that lack a doc comment. Constants
+// and variables may share the comment of their group or have a comment on their line. A type may
+// use the comment of its group only if it is alone in it.
 func undocumentedInSpec(group *ast.GenDecl, spec ast.Spec) []*ast.Ident {
 	var names []*ast.Ident
 	switch spec := spec.(type) {
--- a/internal/doccheck/pages_test.go
+++ b/internal/doccheck/pages_test.go
@@ -51,7 +51,8 @@
 
 // declarations holds the names that the code declares.
 type declarations struct {
-	// files holds the base names of Go files, tests the names of functions.
+	// files holds the base names of Go files. tests holds the names of functions without a
+	// receiver.
 	files, tests map[string]bool
 	// members holds "Type.method" and "package.Name".
 	members map[string]bool
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -27,9 +27,9 @@
 type instance struct {
 	protocol.ListedMachine
 	machineType                *MachineType
-	requestedAt, upAt, endedAt time.Duration // never if it has not happened or will not
+	requestedAt, upAt, endedAt time.Duration // upAt may be in the future; never if no such time is set
 	reclaimedAt                time.Duration // when the cloud reclaims a spot machine, or never
-	noticeSent, endReported    bool          // whether Advance has returned its reclaim notice and its end
+	noticeSent, endReported    bool          // whether Advance has returned the reclaim notice and the end
 }
 
 // never is the time of an event that is not going to happen.
@@ -82,8 +82,8 @@
 	return names, true
 }
 
-// provision creates an instance and draws whether and when it boots and, for a spot
-// machine, when it is reclaimed.
+// provision creates an instance. It randomly chooses whether and when the instance boots and,
+// for a spot machine, when it is reclaimed.
 func (c *Cloud) provision(now time.Duration, t *MachineType, zone string, spot bool) string {
 	c.namesIssued++
 	inst := &instance{machineType: t, requestedAt: now, endedAt: never, reclaimedAt: never, upAt: never}
@@ -143,7 +143,7 @@
 	return changes
 }
 
-// List returns a page of the machines whose ids follow after. The list is eventually
+// List returns a page of the machines whose ids are greater than after. The list is eventually
 // consistent: it lags by the configured time and sometimes by twice that, so that a page
 // can be older than the one before it.
 func (c *Cloud) List(now time.Duration, after string, limit int) protocol.MachineList {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -15,13 +15,13 @@
 	cfg      *Config
 	machines map[string]*machine
 	jobs     map[string]*protocol.Submission
-	// progressS holds the saved progress of each task in seconds, and completedTasks the
-	// tasks that have completed.
-	progressS      map[string]float64
-	completedTasks map[string]bool
-	runner         Runner
-	// lookUpJob, if not nil, returns the description of a job that was submitted at another
-	// site.
+	// progressS holds the saved progress of each task in seconds. doneTasks holds the tasks
+	// that are done.
+	progressS map[string]float64
+	doneTasks map[string]bool
+	runner    Runner
+	// lookUpJob, if not nil, returns the submission of a job that was handed off from another
+	// site, or nil if the job is unknown.
 	lookUpJob func(id string) *protocol.Submission
 	// completedRuns counts the attempts that ran to completion.
 	completedRuns int
@@ -40,8 +40,8 @@
 	machineType   *MachineType
 	tasks         []*task
 	imagesReadyAt map[string]time.Duration // when the fetch of each image completes
-	// epochStartedAt is when the worker's current epoch began, and leaseRenewedAt when the
-	// latest report was sent that a controller has responded to.
+	// epochStartedAt is when the current worker epoch began. leaseRenewedAt is the time at
+	// which the worker sent the latest report that a controller has responded to.
 	epochStartedAt, leaseRenewedAt time.Duration
 	changed                        bool // since the last report
 }
@@ -50,11 +50,11 @@
 type task struct {
 	protocol.TaskReport
 	job *protocol.Submission
-	// stateSince is when the current state began, and stateEndsAt when it ends by itself, or
-	// 0 if it does not.
+	// stateSince is when the current state began. stateEndsAt is when it ends by itself, or 0
+	// if it does not.
 	stateSince, stateEndsAt time.Duration
-	// peerLossNoticedAt is when a gang's task noticed that another task of its gang was
-	// missing, or when the task began to save.
+	// peerLossNoticedAt is when the task noticed that its gang had lost another task, or when
+	// the task began to save.
 	peerLossNoticedAt time.Duration
 	stop              func() // kills the task's program; nil if none is running
 }
@@ -71,10 +71,10 @@
 // NewFleet returns a fleet without machines. If runner is nil, all tasks are simulated.
 func NewFleet(cfg *Config, runner Runner) *Fleet {
 	return &Fleet{cfg: cfg, machines: map[string]*machine{}, jobs: map[string]*protocol.Submission{},
-		progressS: map[string]float64{}, completedTasks: map[string]bool{}, runner: runner}
+		progressS: map[string]float64{}, doneTasks: map[string]bool{}, runner: runner}
 }
 
-// AddJob stores the description of a job unless there is one already. Workers read it when
+// AddJob stores the submission of a job unless one is already stored. Workers read it when
 // they start a task.
 func (f *Fleet) AddJob(submission *protocol.Submission) {
 	if submission != nil && submission.ID != nil && f.jobs[*submission.ID] == nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Add registers a machine that has booted and starts its first epoch.
+// Add registers a machine that has booted and starts its first worker epoch.
 func (f *Fleet) Add(now time.Duration, id, address string, typ *MachineType, zone string, spot bool) {
 	f.machines[id] = &machine{machineType: typ, imagesReadyAt: map[string]time.Duration{}, epochStartedAt: now,
 		Report: protocol.Report{Machine: id, Address: address, Type: typ.Name, Zone: zone, Spot: spot, WorkerEpoch: 1}}
@@ -96,7 +96,7 @@
 	}
 }
 
-// ReclaimNotice tells a machine how long it has until the cloud reclaims it.
+// ReclaimNotice notifies a machine of the time that remains until the cloud reclaims it.
 func (f *Fleet) ReclaimNotice(id string, remaining time.Duration) {
 	if m := f.machines[id]; m != nil {
 		secs := remaining.Seconds()
@@ -104,7 +104,7 @@
 	}
 }
 
-// killAll kills and forgets all tasks of a machine.
+// killAll kills and removes all tasks of a machine.
 func (m *machine) killAll() {
 	for _, t := range m.tasks {
 		t.kill()
@@ -144,8 +144,8 @@
 }
 
 // HandleReply renews a worker's lease and executes the commands in the response to a report
-// that was sent at the given time. It ignores a response to an earlier epoch or with a
-// lower fencing token.
+// that was sent at the given time. It ignores a response to a report of an earlier epoch or
+// one with a lower fencing token.
 func (f *Fleet) HandleReply(now, sent time.Duration, id string, epoch uint64, batch protocol.CommandBatch) {
 	m := f.machines[id]
 	if m == nil || m.WorkerEpoch != epoch || batch.Token < m.Token || batch.Token == 0 {
@@ -155,7 +155,7 @@
 	f.executeCommands(now, m, batch)
 }
 
-// Execute executes the commands of a direct call and reports whether it accepted them. It
+// Execute executes the commands of a delivery and reports whether it accepted them. It
 // rejects those for another epoch or with a lower fencing token.
 func (f *Fleet) Execute(now time.Duration, id string, batch protocol.CommandBatch) (executed bool) {
 	m := f.machines[id]
@@ -233,7 +233,7 @@
 	t.kill()
 	t.State, t.ExitReason, t.stateEndsAt = protocol.Exited, reason, 0
 	if reason == protocol.ExitDone {
-		f.completedTasks[t.Task] = true
+		f.doneTasks[t.Task] = true
 	}
 }
 
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -11,30 +11,30 @@
 // fleetHarness runs a fleet of two workers with 4 CPUs each, without a network and with a
 // simulated clock.
 type fleetHarness struct {
-	t   *testing.T
-	f   *Fleet
-	now time.Duration
+	t     *testing.T
+	fleet *Fleet
+	now   time.Duration
 }
 
 func newFleetHarness(t *testing.T, runner Runner) *fleetHarness {
 	cfg := Default()
-	h := &fleetHarness{t: t, f: NewFleet(&cfg, runner), now: time.Second}
+	h := &fleetHarness{t: t, fleet: NewFleet(&cfg, runner), now: time.Second}
 	for _, id := range []string{"vm-1", "vm-2"} {
-		h.f.Add(h.now, id, id, &cfg.Types[0], "north", true)
+		h.fleet.Add(h.now, id, id, &cfg.Types[0], "north", true)
 	}
 	return h
 }
 
-// addJob adds the description of a job whose tasks run for ten seconds.
+// addJob adds a job whose tasks run for ten seconds.
 func (h *fleetHarness) addJob(id, kind string, tasks int64, cpus, checkpoint float64) {
 	zero, one, ten, image := 0.0, 1.0, 10.0, "i"
-	h.f.AddJob(&protocol.Submission{ID: &id, Kind: &kind, Tasks: &tasks, CPUs: &cpus, GPUs: &zero, MemoryGB: &one, Image: &image,
+	h.fleet.AddJob(&protocol.Submission{ID: &id, Kind: &kind, Tasks: &tasks, CPUs: &cpus, GPUs: &zero, MemoryGB: &one, Image: &image,
 		ImageGB: &zero, EstimateS: &ten, CheckpointS: &checkpoint, SaveS: &one})
 }
 
 // execute sends one command to a machine and reports whether it was accepted.
 func (h *fleetHarness) execute(machine string, token uint64, op, task string, attempt uint64, grace float64) bool {
-	return h.f.Execute(h.now, machine, protocol.CommandBatch{Token: token, WorkerEpoch: 1,
+	return h.fleet.Execute(h.now, machine, protocol.CommandBatch{Token: token, WorkerEpoch: 1,
 		Commands: []protocol.Command{{Op: op, Task: task, Attempt: attempt, GraceS: &grace}}})
 }
 
@@ -42,16 +42,16 @@
 func (h *fleetHarness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 100 * time.Millisecond
-		for id, m := range h.f.machines {
-			h.f.HandleReply(h.now, h.now, id, m.WorkerEpoch, protocol.CommandBatch{Token: max(m.Token, 1)})
+		for id, m := range h.fleet.machines {
+			h.fleet.HandleReply(h.now, h.now, id, m.WorkerEpoch, protocol.CommandBatch{Token: max(m.Token, 1)})
 		}
-		h.f.Advance(h.now)
+		h.fleet.Advance(h.now)
 	}
 }
 
 // tasks formats the tasks that a machine reports.
 func (h *fleetHarness) tasks(machine string) string {
-	report, _ := h.f.NextReport(h.now, machine)
+	report, _ := h.fleet.NextReport(h.now, machine)
 	out := ""
 	for _, t := range report.Tasks {
 		out += fmt.Sprintf("%s#%d %s", t.Task, t.Attempt, t.State)
@@ -101,7 +101,7 @@
 			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
 			h.execute("vm-1", 1, opStart, "req-a/0", 2, 0)
 		}, "req-a/0#1 running;req-a/0#2 exited busy;"},
-		"no room": {func(h *fleetHarness) {
+		"not enough capacity": {func(h *fleetHarness) {
 			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
 			h.execute("vm-1", 1, opStart, "req-big/0", 1, 0)
 		}, "req-a/0#1 running;req-big/0#1 exited full;"},
@@ -114,7 +114,7 @@
 		"lease expires": {func(h *fleetHarness) {
 			h.execute("vm-1", 1, opStart, "req-a/0", 1, 0)
 			h.now += 9 * time.Second
-			h.f.Advance(h.now)
+			h.fleet.Advance(h.now)
 		}, ""},
 		"stopped without saving": {func(h *fleetHarness) {
 			h.execute("vm-1", 1, opStart, "req-s/0", 1, 0)
@@ -165,7 +165,7 @@
 	h.execute("vm-1", 1, opStart, "req-g/0", 2, 0)
 	h.execute("vm-2", 1, opStart, "req-g/1", 2, 0)
 	h.advance(time.Second)
-	h.f.Remove("vm-2")
+	h.fleet.Remove("vm-2")
 	h.advance(time.Second)
 	h.want("vm-1", "req-g/0#1 exited alone;req-g/0#2 running;")
 	h.advance(2 * time.Second)
--- a/internal/emulator/frontend.go
+++ b/internal/emulator/frontend.go
@@ -33,11 +33,12 @@
 	}
 }
 
-// nextController selects the controller that gets the next request first (round robin).
+// nextController is a round-robin counter. It selects the controller that a request is sent to
+// first.
 var nextController atomic.Uint64
 
-// handleFrontend proxies a user's request to a healthy controller. It also records the
-// descriptions of submitted jobs for the workers, to which users send them as well.
+// handleFrontend proxies a user's request to a healthy controller. It also records
+// submissions for the workers, because users send their submissions to the workers as well.
 func (s *Site) handleFrontend(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == protocol.PathJobs && ctx.IsPost() {
 		s.recordJob(ctx.PostBody())
@@ -63,7 +64,7 @@
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 }
 
-// recordJob stores the description in the body of a submission for the workers.
+// recordJob stores the submission in a request body for the workers.
 func (s *Site) recordJob(body []byte) {
 	var j protocol.Submission
 	if json.Unmarshal(body, &j) != nil || !hasRequiredFields(&j) {
@@ -77,7 +78,7 @@
 	s.fleet.AddJob(&j)
 }
 
-// hasRequiredFields reports whether a job's description has all fields that a worker needs.
+// hasRequiredFields reports whether a submission has all fields that a worker needs.
 func hasRequiredFields(j *protocol.Submission) bool {
 	return j.ID != nil && j.Kind != nil && j.Tasks != nil && j.CPUs != nil && j.GPUs != nil && j.MemoryGB != nil &&
 		j.Image != nil && j.ImageGB != nil && j.EstimateS != nil && j.CheckpointS != nil && j.SaveS != nil
--- a/internal/emulator/handoffbench.go
+++ b/internal/emulator/handoffbench.go
@@ -13,9 +13,9 @@
 	"pepperlever/client"
 )
 
-// Measure prints the latency of local and of handed-off jobs with the state changes per job,
-// and for each number of jobs in inFlight how fast they are handed off and how long the last
-// result takes once a cut link is restored.
+// Measure prints the latency of local and of handed-off jobs and the state changes per job. For
+// each number of jobs in inFlight it prints how fast the jobs are handed off, and how long the
+// last result takes once a cut link is restored.
 func (p *Pair) Measure(ctx context.Context, out io.Writer, inFlight []int) error {
 	c, err := client.New(p.Sites[0].FrontendAddress())
 	if err != nil {
@@ -62,11 +62,11 @@
 	return nil
 }
 
-// measureRecovery hands jobs off, cuts the links until the jobs have completed at the other
-// site, and prints how long the last result takes once the links are restored.
+// measureRecovery hands jobs off, cuts the links until the jobs are done at the other site, and
+// prints how long the last result takes once the links are restored.
 func (p *Pair) measureRecovery(ctx context.Context, out io.Writer, c *client.Client, jobs int) error {
 	start := time.Now()
-	runSeconds := 3 + float64(jobs)/100 // long enough that no job completes before all are handed off
+	runSeconds := 3 + float64(jobs)/100 // long enough that no job is done before all are handed off
 	before := p.Sites[1].CompletedRuns()
 	ids, err := p.submitJobs(ctx, c, jobs, runSeconds)
 	if err != nil {
@@ -78,7 +78,7 @@
 		return err
 	}
 	handedOff := p.Sites[0].State.countKeys("j/ga/")
-	fmt.Fprintf(out, "%5d jobs submitted at once: %d handed off after %.1f s\n", jobs, handedOff, time.Since(start).Seconds())
+	fmt.Fprintf(out, "%5d jobs submitted concurrently: %d handed off after %.1f s\n", jobs, handedOff, time.Since(start).Seconds())
 	if err := p.poll(ctx, func() bool {
 		return p.Sites[1].State.countKeys("j/gt/") >= handedOff || time.Since(start).Seconds() > runSeconds
 	}); err != nil {
@@ -154,7 +154,7 @@
 	return err
 }
 
-// poll waits until condition returns true, which it checks at each tick.
+// poll waits until condition returns true. It calls condition every tickInterval.
 func (p *Pair) poll(ctx context.Context, condition func() bool) error {
 	for !condition() {
 		if ctx.Err() != nil {
--- a/internal/emulator/handofffaults.go
+++ b/internal/emulator/handofffaults.go
@@ -10,8 +10,8 @@
 	"pepperlever/client"
 )
 
-// fault is a failure injected into a hand-off between two sites. It begins when a given
-// message after a job's submission is about to pass a link, and ends after its duration.
+// fault is a failure that is injected into a hand-off between two sites and ends after its
+// duration. The message at which it begins is given by faultCase.
 type fault struct {
 	name     string
 	begin    func(p *Pair)
@@ -50,17 +50,17 @@
 	}
 }
 
-// messagesPerHandoff is the number of messages that a hand-off sends in each direction, at
-// each of which a fault can begin: the offer and the query for the result from the origin, the
+// messagesPerHandoff is the number of messages that a hand-off sends in each direction. A fault
+// can begin at each of them: the offer and the query for the result from the origin, the
 // decision and the result from the peer.
 const messagesPerHandoff = 2
 
-// faultCase is a fault that begins at a message from one side, with or without a concurrent
-// cancellation of the job.
+// faultCase is a fault with the message at which it begins, with or without a concurrent
+// cancellation of the job. The fault begins before the link from side forwards the message.
 type faultCase struct {
 	fault   fault
 	side    int
-	message int
+	message int // number of messages that the link forwards before this one
 	cancel  bool
 }
 
@@ -87,7 +87,8 @@
 	return cases
 }
 
-// faultTotals counts the cases, the final answers, the completed runs and the failed cases.
+// faultTotals counts the cases, the final states received, the completed runs and the failed
+// cases.
 type faultTotals struct {
 	cases, answers, runs, failures int
 }
@@ -119,12 +120,12 @@
 // checkCase runs one case, prints its outcome and adds it to the totals. A job must run at
 // most once, and exactly once if its final state is done.
 func (p *Pair) checkCase(ctx context.Context, out io.Writer, c *client.Client, faultCase faultCase, totals *faultTotals) error {
-	before := p.completedTasks()
+	before := p.completedRuns()
 	final, elapsed, err := p.runCase(ctx, c, faultCase)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	runs := p.completedTasks() - before
+	runs := p.completedRuns() - before
 	totals.cases++
 	totals.runs += runs
 	if err == nil {
@@ -139,8 +140,8 @@
 	return nil
 }
 
-// completedTasks returns the number of attempts that ran to completion at both sites.
-func (p *Pair) completedTasks() int { return p.Sites[0].CompletedRuns() + p.Sites[1].CompletedRuns() }
+// completedRuns returns the number of attempts that ran to completion at both sites.
+func (p *Pair) completedRuns() int { return p.Sites[0].CompletedRuns() + p.Sites[1].CompletedRuns() }
 
 // caseTimeout bounds the duration of one case.
 const caseTimeout = 90 * time.Second
@@ -183,13 +184,13 @@
 			defer close(faultEnded)
 			select {
 			case <-faultStarted:
-			case <-time.After(caseTimeout / 6): // the hand-off does not send that many messages
+			case <-time.After(caseTimeout / 6): // the hand-off has sent fewer messages
 				return
 			case <-ctx.Done():
 				return
 			}
 			if faultCase.cancel {
-				go func() { _, _ = c.Cancel(ctx, id) }() // checkCase judges the final state, not this response
+				go func() { _, _ = c.Cancel(ctx, id) }() // checkCase checks the final state instead of this response
 			}
 			sleep(ctx, faultCase.fault.duration)
 			faultCase.fault.end(p)
--- a/internal/emulator/keyvaluestore.go
+++ b/internal/emulator/keyvaluestore.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// retainedEvents is the minimum number of latest events that are kept for watches once
-// older ones are discarded.
+// retainedEvents is the number of the latest events that are kept for watches when older ones
+// are discarded.
 const retainedEvents = 10_000
 
 // KeyValueStore implements the state service's semantics. It does no I/O; callers pass the
@@ -52,7 +52,7 @@
 	maxPageBytes = 512 << 10
 )
 
-// List returns a page of the keys that begin with prefix and follow after.
+// List returns a page of the keys that begin with prefix and are greater than after.
 func (s *KeyValueStore) List(prefix, after string, limit int) protocol.KeyList {
 	page := protocol.KeyList{Items: []protocol.KeyValue{}, Revision: s.revision}
 	sizeBytes := 0
--- a/internal/emulator/keyvaluestore_test.go
+++ b/internal/emulator/keyvaluestore_test.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// Random operations on the store keep its invariants: a watcher sees what is stored, a
-// transaction is atomic, and a key is deleted with its lease.
+// TestStoreInvariants checks that random operations on the store keep its invariants: a watcher
+// sees what is stored, a transaction is atomic, and a key is deleted with its lease.
 func TestStoreInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewKeyValueStore()
@@ -146,7 +146,7 @@
 	}
 	watcher.list(s)
 	if !watcher.follow(s) {
-		t.Error("a watcher that has just listed the store was told to list it again")
+		t.Error("a watcher that has just listed the store has to list it again")
 	}
 }
 
@@ -187,8 +187,8 @@
 	if _, gone := s.kv.Changes("", revision-1); !gone {
 		t.Error("changes from before the restart were skipped without an error")
 	}
-	// Without the stored job descriptions, accepted jobs would never run again after a
-	// restart; without the machine count, names would be reused.
+	// Without the stored submissions, accepted jobs would never run again after a restart;
+	// without the machine count, names would be reused.
 	if jobs, machines, err := s.file.load(); err != nil || machines != 7 || len(jobs) != 1 || *jobs[0].ID != id {
 		t.Errorf("got %d machines and jobs %v, %v, want 7 and the stored job", machines, jobs, err)
 	}
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -35,7 +35,8 @@
 	// changed is closed and replaced when the mode changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
-	// messagesUntilTrigger is how many more messages pass before trigger is called once.
+	// messagesUntilTrigger is the number of outbound messages that are still forwarded before
+	// trigger is called once.
 	messagesUntilTrigger int
 	trigger              func()
 }
@@ -60,15 +61,16 @@
 	l.changed = make(chan struct{})
 }
 
-// OnMessage arranges for f to be called once, when n more messages have passed and the next
-// one is about to.
+// OnMessage registers a function that is called once, before the link forwards the outbound
+// message that follows the next n. It replaces the function registered before.
 func (l *Link) OnMessage(n int, f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.messagesUntilTrigger, l.trigger = n, f
 }
 
-// minMessageBytes is the size from which a chunk counts as a message; keep-alives are smaller.
+// minMessageBytes is the minimum size of a chunk that counts as a message; keep-alives are
+// smaller.
 const minMessageBytes = 100
 
 // admit blocks while the link holds data, and reports whether a chunk of the given size may
--- a/internal/emulator/pair.go
+++ b/internal/emulator/pair.go
@@ -17,8 +17,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// RemoteClass is the class whose jobs may be handed off to the second site, unless the first
-// one can run them at once. RemoteZone is a zone that only the second site has.
+// RemoteClass is the class of the jobs that may be handed off to the second site. Jobs that the
+// first site can run immediately are not handed off. RemoteZone is a zone that only the second
+// site has.
 const (
 	RemoteClass = "goes"
 	RemoteZone  = "abroad"
@@ -37,7 +38,7 @@
 var pairNames = [2]federation.Site{"east", "west"}
 
 // OpenPair opens two sites with the same configuration, except that the second also has
-// RemoteZone, a seed of its own and, unless dir is set, a free port as its frontend. delay is
+// RemoteZone, a different seed and, unless dir is set, a free port for its frontend. delay is
 // the latency of messages between them.
 func OpenPair(cfg *Config, dir, imagesDir string, delay time.Duration) (*Pair, error) {
 	p := &Pair{}
@@ -80,8 +81,9 @@
 	return p, nil
 }
 
-// storedJob reads a job's description from the controllers' state. The frontend has not
-// recorded the description of a job that was handed off from another site.
+// storedJob returns the submission of a job, rebuilt from the controllers' stored state, or nil
+// if the job is unknown. It is needed for jobs handed off from another site, whose submissions
+// the frontend has not recorded.
 func (s *Site) storedJob(id string) *protocol.Submission {
 	s.State.mu.Lock()
 	kv, found := s.State.kv.Get("j/a/" + id)
@@ -98,7 +100,7 @@
 }
 
 // writeFederationFiles writes the federation files of site i's controllers. The peer's
-// addresses in them are those of site i's link.
+// addresses in them are the listen addresses of site i's link.
 func (p *Pair) writeFederationFiles(i int) error {
 	other := p.Sites[1-i]
 	peer := federation.Peer{Site: pairNames[1-i], MaxOutgoing: federation.MaxJobsPerPeer, MaxIncoming: federation.MaxJobsPerPeer, Zones: other.cfg.Zones}
--- a/internal/emulator/site.go
+++ b/internal/emulator/site.go
@@ -32,8 +32,9 @@
 // tickInterval is how often the state of machines and tasks is advanced.
 const tickInterval = 20 * time.Millisecond
 
-// Open returns a site whose listeners are open. dir is the directory that keeps its state
-// between runs, imagesDir the one with the programs that tasks run; either may be empty.
+// Open returns a site whose listeners are open. The site keeps its state between runs in dir,
+// and tasks run the programs in imagesDir. Either may be empty: the state is then kept only in
+// memory, and tasks are simulated.
 func Open(cfg *Config, dir, imagesDir string) (*Site, error) {
 	s := &Site{cfg: cfg, start: time.Now(), workerCancels: map[string]context.CancelFunc{}, outputRoot: outputRootOf(dir)}
 	var runner Runner
--- a/internal/emulator/statefile.go
+++ b/internal/emulator/statefile.go
@@ -14,7 +14,7 @@
 )
 
 // stateFile persists the emulated state across restarts. Writes are not synced: a crash of the
-// process loses nothing, a crash of the machine may lose the latest writes, which is
+// process loses nothing, but a crash of the machine may lose the latest writes, which is
 // acceptable for an emulator. A nil stateFile keeps nothing.
 type stateFile struct{ db *bbolt.DB }
 
@@ -25,7 +25,7 @@
 	keyCounters = []byte("counters")
 	keyLeases   = []byte("leases")
 	keyMachines = []byte("machines")
-	// bucketJobs holds the job descriptions that the frontend has recorded for the workers.
+	// bucketJobs holds the submissions that the frontend has recorded for the workers.
 	bucketJobs = []byte("jobs")
 )
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// saveJob stores a job's description.
+// saveJob stores a job's submission.
 func (d *stateFile) saveJob(id string, j *protocol.Submission) { d.put(bucketJobs, []byte(id), j) }
 
 // saveMachineCount stores how many machine names have been issued, because a name must never
@@ -133,7 +133,7 @@
 	}
 }
 
-// load returns the jobs and the machine count stored by saveJob and saveMachineCount.
+// load returns the submissions stored by saveJob and the count stored by saveMachineCount.
 func (d *stateFile) load() (jobs []*protocol.Submission, machineCount int, err error) {
 	if d == nil {
 		return nil, 0, nil
--- a/internal/emulator/stateservice.go
+++ b/internal/emulator/stateservice.go
@@ -110,7 +110,7 @@
 	return group.Wait()
 }
 
-// leaseCheckInterval is how often leases are checked, and so how late one may expire.
+// leaseCheckInterval is how often leases are checked, and thus how late a lease may expire.
 const leaseCheckInterval = 50 * time.Millisecond
 
 // expireLeases removes expired leases, but not during an outage, when they cannot be renewed.
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -36,7 +36,7 @@
 	switch t.State {
 	case statePulling:
 		switch {
-		case f.completedTasks[t.Task]:
+		case f.doneTasks[t.Task]:
 			f.exitTask(t, protocol.ExitDone)
 		case *t.job.Kind == protocol.KindGang:
 			t.State, t.stateSince, t.stateEndsAt = stateWaiting, endedAt, endedAt+seconds(f.cfg.Workers.GangWaitS)
@@ -54,8 +54,8 @@
 	}
 }
 
-// runTask starts to run a task: as a program if its image has one, otherwise simulated for its
-// estimated duration, or without end for a service.
+// runTask starts a task. If the image has a program, the task runs that program. Otherwise the
+// run is simulated: it takes the estimated duration, or never ends for a service.
 func (f *Fleet) runTask(m *machine, t *task, startedAt time.Duration) {
 	t.State, t.stateSince, t.stateEndsAt = protocol.Running, startedAt, 0
 	if f.runner != nil && f.runner.HasProgram(*t.job.Image) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// handleProgramExit ends a running task whose program has exited.
+// handleProgramExit moves a running task to the exited state after its program has exited.
 func (f *Fleet) handleProgramExit(m *machine, t *task, ok bool) {
 	if t.State != protocol.Running {
 		return
@@ -83,7 +83,7 @@
 }
 
 // resumableProgress returns the seconds of progress that a task does not have to repeat: what
-// it saved when it was stopped, or whole checkpoints. Without checkpoints it starts over.
+// it saved when it was stopped, or whole checkpoints. A task without checkpoints starts over.
 func (f *Fleet) resumableProgress(t *task) float64 {
 	saved := f.progressS[t.Task]
 	if *t.job.CheckpointS <= 0 {
@@ -92,8 +92,8 @@
 	return min(saved, *t.job.EstimateS)
 }
 
-// advanceGangs starts the gangs whose tasks are all waiting, and ends those that have
-// completed or lost a task.
+// advanceGangs starts the gangs whose tasks are all waiting. It makes the running tasks of a
+// gang exit if another task of the gang is done or lost.
 func (f *Fleet) advanceGangs(now time.Duration) {
 	type gangAttempt struct {
 		job     string
@@ -125,12 +125,12 @@
 		case anyDone:
 			f.exitRunning(tasks, owner, protocol.ExitDone)
 		case countInState(protocol.Running) > 0 && (!allPresent || countInState(protocol.Running)+countInState(stateSaving) < len(tasks)):
-			f.endBrokenGang(now, tasks, owner)
+			f.exitBrokenGang(now, tasks, owner)
 		}
 	}
 }
 
-// exitRunning ends the running tasks of a gang.
+// exitRunning moves the running tasks of a gang to the exited state.
 func (f *Fleet) exitRunning(tasks []*task, owner map[*task]*machine, reason string) {
 	for _, t := range tasks {
 		if t.State == protocol.Running {
@@ -140,9 +140,9 @@
 	}
 }
 
-// endBrokenGang ends the remaining tasks of a gang that has lost one, after the time that
-// they take to notice. Their saved progress falls back to the last checkpoint.
-func (f *Fleet) endBrokenGang(now time.Duration, tasks []*task, owner map[*task]*machine) {
+// exitBrokenGang makes the remaining tasks of a gang that has lost one exit, after the time
+// that they take to notice. Their saved progress falls back to the last checkpoint.
+func (f *Fleet) exitBrokenGang(now time.Duration, tasks []*task, owner map[*task]*machine) {
 	firstNoticedAt := time.Duration(math.MaxInt64)
 	for _, t := range tasks {
 		if t.State == protocol.Running {
--- a/internal/emulator/workeragent.go
+++ b/internal/emulator/workeragent.go
@@ -39,7 +39,7 @@
 	controller int
 }
 
-// handle handles direct calls from controllers and responds with a report.
+// handle handles requests from controllers, such as deliveries, and responds with a report.
 func (w *workerAgent) handle(ctx *fasthttp.RequestCtx) {
 	s := w.site
 	s.mu.Lock()
@@ -63,8 +63,8 @@
 	httpserver.WriteJSON(ctx, status, report)
 }
 
-// reportLoop reports at each interval, with a jitter of a quarter of it either way, and
-// earlier when something has changed.
+// reportLoop reports at each interval, with a jitter of up to a quarter of the interval either
+// way, and earlier when something has changed.
 func (w *workerAgent) reportLoop(ctx context.Context) error {
 	interval := seconds(w.site.cfg.Workers.ReportS)
 	for w.controller = rand.IntN(len(w.site.controllers)); ctx.Err() == nil; {
--- a/internal/federation/breaker_test.go
+++ b/internal/federation/breaker_test.go
@@ -33,6 +33,6 @@
 	}
 	breaker.close()
 	if !breaker.allows(lastRefusal) {
-		t.Error("breaker still open after an answer")
+		t.Error("breaker is still open after an answer")
 	}
 }
--- a/internal/federation/compare.go
+++ b/internal/federation/compare.go
@@ -16,7 +16,8 @@
 type comparison struct {
 	// recordsCompared is set once the records agree.
 	recordsCompared bool
-	// nonce identifies the view requests of this coordinator run, viewRequestCount counts them.
+	// nonce identifies the view requests of this coordinator run. viewRequestCount counts them,
+	// and viewRequestDueAt is when the next one is due.
 	nonce            uint64
 	viewRequestCount int
 	viewRequestDueAt time.Duration
@@ -25,8 +26,8 @@
 	// lastEpochAtPeer is the highest epoch from this site in the peer's records if it is missing
 	// from this site's records, otherwise 0.
 	lastEpochAtPeer Epoch
-	// lostEpochs are the epochs of the peer that it was told were accepted here, but that are
-	// missing from the records.
+	// lostEpochs holds the epochs of the peer whose acceptance was reported to it but is missing
+	// from this site's records.
 	lostEpochs map[Epoch]bool
 }
 
@@ -104,8 +105,8 @@
 	}
 }
 
-// isAcceptanceLost reports whether an acceptance that the origin was told of is missing from the
-// records.
+// isAcceptanceLost reports whether an acceptance that was reported to the origin is missing from
+// the records.
 func (c *Coordinator) isAcceptanceLost(id IncomingID) bool {
 	return !c.records.Incoming[id].Accepted && id.Epoch > c.records.LowWaterMarks[id.Origin]
 }
--- a/internal/federation/compare_test.go
+++ b/internal/federation/compare_test.go
@@ -6,7 +6,8 @@
 )
 
 // A store restored from an old backup lacks epochs or decisions, so that jobs could run twice.
-// The site must suspend hand-offs, log an error, and resume only on an operator's instruction.
+// The site must suspend hand-offs and log an error. It may resume them only on an operator's
+// instruction.
 func TestRestoredStoreSuspendsHandOffs(t *testing.T) {
 	for name, tc := range map[string]struct {
 		class    string
@@ -39,7 +40,7 @@
 			t.Fatalf("%s: job was not accepted by another site", name)
 		}
 		sim.restore(tc.restored, records, jobs)
-		sim.play(20 * time.Second)
+		sim.runFor(20 * time.Second)
 		s := sim.sites[tc.restored]
 		if other := map[Site]Site{"a": "b", "b": "a"}[tc.restored]; s.coordinator.peer(other).suspendedReason == "" || s.loggedErrors == 0 {
 			t.Errorf("%s: hand-offs not suspended or no error logged (%d logged errors)", name, s.loggedErrors)
@@ -50,7 +51,7 @@
 		for _, peer := range siteNames {
 			sim.step(tc.restored, ResumeHandOffs{Req: 7, Site: peer, Operator: "ana", Reason: "all machines were returned"})
 		}
-		sim.play(20 * time.Second)
+		sim.runFor(20 * time.Second)
 		if tc.finalState == Cancelled {
 			if _, isOutgoing := sim.sites["a"].records.Outgoing["req-1"]; !isOutgoing || sim.userJobs["req-1"].finalState != "" {
 				t.Errorf("%s: job is no longer outgoing, or has final state %q, before its user cancels it", name, sim.userJobs["req-1"].finalState)
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -13,13 +13,13 @@
 // Config is the configuration file of the federation. Times are in seconds.
 type Config struct {
 	Site Site `toml:"site"`
-	// RetryS is the first delay between two attempts to send a message, RetryMaxS the longest.
+	// RetryS is the first delay between two attempts to send a message. RetryMaxS is the longest.
 	RetryS    float64 `toml:"retry_s"`
 	RetryMaxS float64 `toml:"retry_max_s"`
 	// RetryRate is the number of retries per second that all hand-offs with one peer share.
 	RetryRate float64 `toml:"retries_per_s"`
-	// BreakerThreshold is the number of consecutive attempts without an answer that opens a
-	// peer's circuit breaker.
+	// BreakerThreshold is the number of consecutive failures that opens a peer's circuit breaker.
+	// A failure is a period of RetryS without an answer.
 	BreakerThreshold int `toml:"break_after"`
 	// MaxHops is the maximum number of sites in the path of a job.
 	MaxHops int `toml:"hops"`
@@ -148,7 +148,7 @@
 // siteName matches valid site names. They become part of store keys and job IDs.
 var siteName = regexp.MustCompile(`^[A-Za-z0-9-]{1,32}$`)
 
-// CanRunElsewhere reports whether a job that needs a zone or machine types which this site lacks
+// CanRunElsewhere reports whether a job that needs a zone or machine types that this site lacks
 // may be handed off to a site that has them.
 func (c *Config) CanRunElsewhere(class, zone string, types []string) bool {
 	return slices.ContainsFunc(c.class(class).To, func(site Site) bool {
@@ -184,13 +184,13 @@
 	return c.Classes[i]
 }
 
-// offersZone reports whether the peer may have the zone that a job asks for.
-func (p Peer) offersZone(zone string) bool {
+// mayHaveZone reports whether the peer may have the zone that a job asks for.
+func (p Peer) mayHaveZone(zone string) bool {
 	return zone == "" || p.Zones == nil || slices.Contains(p.Zones, zone)
 }
 
-// offersTypes reports whether the peer may have one of the machine types that a job asks for.
-func (p Peer) offersTypes(types []string) bool {
+// mayHaveTypes reports whether the peer may have one of the machine types that a job asks for.
+func (p Peer) mayHaveTypes(types []string) bool {
 	return types == nil || p.Types == nil || containsAny(p.Types, types)
 }
 
--- a/internal/federation/coordinator.go
+++ b/internal/federation/coordinator.go
@@ -23,13 +23,14 @@
 	index   *index
 	writes  pendingWrites
 	peers   map[Site]*peerState
-	// waiting holds the jobs that may be handed off.
+	// waiting holds the pending jobs that may be handed off.
 	waiting []WaitingJob
 	// longestWaitS is the longest time in seconds that a job has been waiting at this site.
 	longestWaitS float64
 	// refusals records which sites have refused a job, until the job ends.
 	refusals map[refusalKey]bool
-	// reloadAt is when to read the records again after a write with an unknown outcome, or 0.
+	// reloadAt is when to read the records again after a write with an unknown outcome, or 0 if
+	// no read is scheduled.
 	reloadAt time.Duration
 }
 
@@ -116,9 +117,9 @@
 	}
 }
 
-// handleMessage processes a message from a peer. Only messages of the comparison itself are
-// processed before the two sites have compared their records. A decision or
-// result about an epoch that is not outgoing changes no record.
+// handleMessage processes a message from a peer. Before this site has compared its records with
+// the peer's, only messages of the comparison itself are processed. A decision or result about an
+// epoch that is not outgoing changes no record.
 func (c *Coordinator) handleMessage(in MessageReceived) {
 	msg := in.Message
 	if _, known := c.cfg.peer(msg.From); !known || msg.To != c.cfg.Site {
@@ -150,8 +151,8 @@
 	c.handleClosed(msg)
 }
 
-// advance retries what is unanswered, within the limits of circuit breakers and retry budgets,
-// and hands off waiting jobs.
+// advance retries messages that are unanswered, within the limits of circuit breakers and retry
+// budgets, and hands off pending jobs.
 func (c *Coordinator) advance() {
 	if c.reloadAt > 0 && c.now >= c.reloadAt {
 		c.reloadAt = 0
@@ -166,7 +167,8 @@
 	c.offerWaiting()
 }
 
-// advancePeer sends a peer everything that is due and deletes the decisions that it has closed.
+// advancePeer sends a peer everything that is due and deletes the decisions on epochs that the
+// peer has closed.
 func (c *Coordinator) advancePeer(peer *peerState) {
 	peer.budget.refill(c.now, c.cfg.RetryRate)
 	peer.breaker.checkTimeout(c.now, c.cfg)
--- a/internal/federation/effects.go
+++ b/internal/federation/effects.go
@@ -17,14 +17,14 @@
 	Send struct{ Message Message }
 	// CancelLocal cancels a job that this site has accepted from another site.
 	CancelLocal struct{ LocalID string }
-	// Answer completes a request of a user or operator. An empty State means that the outcome is
-	// not known yet: the API answers 503 with Retry-After.
+	// Answer completes a request of a user or operator. If State and Error are empty, the outcome
+	// is not known yet: the API answers 503 with Retry-After.
 	Answer struct {
 		Req   uint64
 		State string
 		Error string
 	}
-	// Log writes a log line. An error asks the operator to act.
+	// Log writes a log line. IsError marks lines that require an operator to act.
 	Log struct {
 		Text    string
 		Attrs   []any
@@ -32,8 +32,9 @@
 	}
 )
 
-// Write is one transaction on the site's own records. Every write is conditional on this node
-// still being the leader, and on the conditions given with its type.
+// Write is one transaction on the site's own records. Every write is conditional on this
+// controller still being the leader of the federation shard, and on the conditions given with its
+// type.
 type Write interface{ write() }
 
 // Writes that concern outgoing jobs.
@@ -57,13 +58,13 @@
 		JobID string
 		Epoch Epoch
 	}
-	// RevertOutgoing takes back the right to run a job. Condition: the job is outgoing under the
-	// epoch. It is written only after the receiver has reported a stored refusal, or on an
+	// RevertOutgoing returns the right to run a job to this site. Condition: the job is outgoing
+	// under the epoch. It is written only after the receiver has reported a stored refusal, or on an
 	// operator's instruction.
 	RevertOutgoing struct {
 		JobID string
 		Epoch Epoch
-		// Cancelled ends the job at once, because its user has asked to cancel it.
+		// Cancelled ends the job immediately, because its user has asked to cancel it.
 		Cancelled bool
 		// Operator and Reason are set if an operator has given up the hand-off without an answer
 		// from the receiver.
@@ -89,7 +90,8 @@
 		Incoming Incoming
 		Ticket   Ticket
 	}
-	// FinishIncoming stores the final state of an accepted job, so that its origin can be told.
+	// FinishIncoming stores the final state of an accepted job, so that it can be reported to the
+	// job's origin.
 	FinishIncoming struct {
 		ID         IncomingID
 		FinalState string
--- a/internal/federation/incoming.go
+++ b/internal/federation/incoming.go
@@ -11,8 +11,8 @@
 	reasonBusy = "as many are here as may be"
 	// reasonRecordLost refuses an epoch whose record was lost when the store was restored.
 	reasonRecordLost = "its record was lost"
-	// reasonClosed refuses an epoch that its origin has closed but no longer has on record as
-	// closed.
+	// reasonClosed refuses an epoch that its origin has closed, if the origin has lost its record
+	// of that.
 	reasonClosed = "its origin has closed it before"
 )
 
--- a/internal/federation/index.go
+++ b/internal/federation/index.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// index provides lookups into the records without scanning them; there may be thousands.
+// index provides lookups into the records without scanning them, since there may be thousands.
 type index struct {
 	// outgoing maps an epoch to the job that is outgoing under it.
 	outgoing map[outgoingID]string
--- a/internal/federation/inputs.go
+++ b/internal/federation/inputs.go
@@ -33,7 +33,7 @@
 
 // Inputs about jobs at this site.
 type (
-	// JobsWaiting lists the waiting jobs that may be handed off, most urgent first.
+	// JobsWaiting lists the pending jobs that may be handed off, most urgent first.
 	JobsWaiting struct {
 		Jobs []WaitingJob
 		// LongestWaitS is the longest time in seconds that a job has been waiting at this site.
@@ -48,7 +48,7 @@
 	}
 )
 
-// WaitingJob holds what the coordinator needs to know about a waiting job.
+// WaitingJob holds what the coordinator needs to know about a pending job.
 type WaitingJob struct {
 	ID    string
 	Class string
@@ -61,13 +61,14 @@
 	InfeasibleHere bool
 	// Path lists the sites that the job came through if it was handed off to this one.
 	Path []Site
+	// Body is the job's submission for the ticket.
 	Body json.RawMessage
 }
 
 // Instructions from operators.
 type (
-	// GiveUp says that the site which holds a job will not come back, so that the job can run
-	// here again.
+	// GiveUp confirms that the site to which a job was handed off will not return its result, so
+	// that the job can run here again.
 	GiveUp struct {
 		Req      uint64
 		JobID    string
--- a/internal/federation/interleaving_test.go
+++ b/internal/federation/interleaving_test.go
@@ -15,10 +15,10 @@
 // extend the search.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// Three sites with reordered messages, cut links, coordinator restarts, store outages,
-// unanswered and delayed writes, cancellations and give-ups: at most one site may have the right
-// to run a job, a job must have one final state, and all jobs must finish once the faults have
-// ended.
+// TestInterleavingsKeepOneOwnerAndOneFinalState runs three sites with reordered messages, cut
+// links, coordinator restarts, store outages, unanswered and delayed writes, cancellations and
+// give-ups. At most one site may have the right to run a job, a job must have one final state, and
+// all jobs must end once the faults have ended.
 func TestInterleavingsKeepOneOwnerAndOneFinalState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t.Fatalf)
--- a/internal/federation/localid.go
+++ b/internal/federation/localid.go
@@ -15,7 +15,7 @@
 	return fmt.Sprintf("%s%s-%d", LocalIDPrefix, id.Origin, id.Epoch)
 }
 
-// ParseLocalID returns the epoch that a local ID was made from.
+// ParseLocalID returns the origin and the epoch that a local ID was made from.
 func ParseLocalID(text string) (id IncomingID, ok bool) {
 	rest, found := strings.CutPrefix(text, LocalIDPrefix)
 	separator := strings.LastIndexByte(rest, '-')
--- a/internal/federation/lowwatermark.go
+++ b/internal/federation/lowwatermark.go
@@ -10,8 +10,8 @@
 	return c.records.LastEpochs[to]
 }
 
-// handleClosed records which epochs the origin has closed. Their decisions need no more reports
-// and are deleted after deletionDelay, so that one write deletes several.
+// handleClosed records which epochs the origin has closed. The decisions on them are not reported
+// any more and are deleted after deletionDelay, so that one write deletes several.
 func (c *Coordinator) handleClosed(msg Message) {
 	peer := c.peer(msg.From)
 	if msg.Kind == KindClosed && msg.Epoch > 0 {
@@ -27,11 +27,12 @@
 	peer.lowWaterMark = msg.LowWaterMark
 }
 
-// deletionDelay is how long closed decisions are collected before one write deletes them.
+// deletionDelay is how long decisions on closed epochs are collected before one write deletes
+// them.
 func (c *Coordinator) deletionDelay() time.Duration { return seconds(c.cfg.RetryS) / 4 }
 
-// advanceLowWaterMark raises the stored low-water mark and deletes the decisions below it, as
-// many as one write may. The mark is stored even if there is nothing to delete, so that a
+// advanceLowWaterMark raises the stored low-water mark and deletes the decisions up to it, as many
+// as one write may delete. The mark is stored even if there is nothing to delete, so that a
 // delayed offer of a hand-off that was given up finds its epoch closed.
 func (c *Coordinator) advanceLowWaterMark(peer *peerState) {
 	stored := c.records.LowWaterMarks[peer.site]
@@ -54,9 +55,9 @@
 	return mark > stored || len(epochs) > 0 && epochs[0] <= stored
 }
 
-// deletable returns the decisions up to a mark that one write may delete, and the mark that
-// this write may set. If a closed job is still running, its origin has given it up: the job is
-// cancelled, and its decision is deleted after it has ended.
+// deletable returns the decisions up to a mark that one write may delete, and the mark that this
+// write may set. If the job of a closed epoch is still running, its origin has given up the
+// hand-off: deletable cancels the job, and the decision is deleted after the job has ended.
 func (c *Coordinator) deletable(peer *peerState, mark Epoch) ([]IncomingID, Epoch) {
 	var ids []IncomingID
 	for _, epoch := range c.index.incoming[peer.site] {
--- a/internal/federation/operators.go
+++ b/internal/federation/operators.go
@@ -37,7 +37,7 @@
 	c.emit(Answer{Req: req, Error: err.Error()})
 }
 
-// handleGiveUp takes back an outgoing job without an answer from its receiver.
+// handleGiveUp reverts the hand-off of an outgoing job without an answer from its receiver.
 func (c *Coordinator) handleGiveUp(in GiveUp) {
 	outgoing, found := c.records.Outgoing[in.JobID]
 	switch {
--- a/internal/federation/outgoing.go
+++ b/internal/federation/outgoing.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// offerWaiting hands off waiting jobs for which there is an eligible site. Only one epoch per
+// offerWaiting hands off pending jobs for which there is an eligible site. Only one epoch per
 // peer is assigned at a time. Jobs without an eligible site are dropped from the list; the next
 // JobsWaiting lists them again.
 func (c *Coordinator) offerWaiting() {
@@ -85,7 +85,7 @@
 }
 
 // handleDecision processes the receiver's decision. After a stored refusal the job may run here
-// again; after an acceptance only its final state is awaited.
+// again. After an acceptance this site only waits for its final state.
 func (c *Coordinator) handleDecision(msg Message) {
 	job, outgoing, found := c.findOutgoing(msg.Epoch, msg.From)
 	if !found {
@@ -131,7 +131,7 @@
 }
 
 // handleResult stores the final state that the receiver reports for a job. If the job is no
-// longer outgoing under the epoch, the epoch is closed and the receiver is told so.
+// longer outgoing under the epoch, the epoch is closed and the receiver is notified.
 func (c *Coordinator) handleResult(msg Message) {
 	if job, _, found := c.findOutgoing(msg.Epoch, msg.From); found {
 		c.write(outgoingSubject(job), FinishOutgoing{JobID: job, Epoch: msg.Epoch, FinalState: msg.State})
@@ -142,12 +142,12 @@
 	}
 }
 
-// sendClosed tells a receiver that the outcome of an epoch is stored.
+// sendClosed notifies a receiver that the outcome of an epoch is stored.
 func (c *Coordinator) sendClosed(to Site, epoch Epoch) {
 	c.send(Message{To: to, Kind: KindClosed, Epoch: epoch})
 }
 
-// onReverted removes the hand-off of a job that may run here again.
+// onReverted removes a reverted hand-off. The job may run here again, unless it is cancelled.
 func (c *Coordinator) onReverted(w RevertOutgoing, req uint64) {
 	outgoing := c.removeOutgoing(w.JobID)
 	c.sendClosed(outgoing.To, outgoing.Epoch)
@@ -180,9 +180,9 @@
 	}
 }
 
-// handleCancelRequested stores a user's request to cancel an outgoing job. It is answered at
-// once, with 503 until the job has a final state. That state is either the result reported by
-// the receiver or, if the receiver refuses the job, cancelled.
+// handleCancelRequested stores a user's request to cancel an outgoing job. The request is answered
+// immediately, without an outcome. The final state of the job is either the result reported by the
+// receiver or, if the receiver refuses the job, cancelled.
 func (c *Coordinator) handleCancelRequested(in CancelRequested) {
 	c.emit(Answer{Req: in.Req})
 	outgoing, found := c.records.Outgoing[in.JobID]
--- a/internal/federation/peers.go
+++ b/internal/federation/peers.go
@@ -10,8 +10,8 @@
 	retries retryQueue
 	// retryCount is the number of retries sent to the peer.
 	retryCount int
-	// backoffUntil is the end of the period in which the peer accepts no offers, backoff its
-	// length.
+	// backoff is the length of the period for which the peer has asked for no offers.
+	// backoffUntil is the end of that period.
 	backoff, backoffUntil time.Duration
 	// longestWaitS is the longest time in seconds that a job has been waiting at the peer, as
 	// reported at loadReceivedAt.
@@ -19,8 +19,8 @@
 	loadReceivedAt time.Duration
 	// loadDueAt is when to report the load of this site to the peer.
 	loadDueAt time.Duration
-	// lowWaterMark is the epoch up to which the peer has closed its hand-offs to this site. It
-	// is stored at deleteAt.
+	// lowWaterMark is the epoch up to which the peer has closed its hand-offs to this site.
+	// deleteAt is when to store it and to delete the decisions up to it.
 	lowWaterMark Epoch
 	deleteAt     time.Duration
 	comparison
@@ -39,8 +39,8 @@
 }
 
 // onMessage updates the state of a peer from any message that it sends. If a peer asks for a
-// backoff again, the backoff at least doubles. Otherwise a job that is offered repeatedly to
-// sites without room would never stay here long enough to start.
+// backoff again, the backoff at least doubles. Without this, a job that is offered repeatedly to
+// busy sites would never stay here long enough to start.
 func (p *peerState) onMessage(msg Message, now time.Duration, cfg *Config) {
 	p.breaker.close()
 	p.budget.add(retriesPerAnswer)
@@ -52,7 +52,7 @@
 }
 
 // handlePeerReachable retries everything that the peer has not answered, as far as its retry
-// budget allows. Otherwise the first message after a long outage would be delayed by up to
+// budget allows. Without this, the first message after a long outage would be delayed by up to
 // RetryMaxS.
 func (c *Coordinator) handlePeerReachable(site Site) {
 	peer := c.peer(site)
--- a/internal/federation/protocol.go
+++ b/internal/federation/protocol.go
@@ -26,7 +26,8 @@
 	// Path lists the sites that the job came through, starting with the one where it was
 	// submitted.
 	Path []Site `json:"path"`
-	// Body is the job description as the user submitted it.
+	// Body is the job's submission. The origin builds it from the spec, with the remaining time as
+	// the deadline.
 	Body json.RawMessage `json:"body"`
 	// KeyID names the key used for MAC, which authenticates all other fields.
 	KeyID string `json:"key,omitempty"`
--- a/internal/federation/records.go
+++ b/internal/federation/records.go
@@ -7,7 +7,7 @@
 
 // Records holds everything about hand-offs in the site's store.
 type Records struct {
-	// LastEpochs is the highest epoch assigned to hand-offs to each site.
+	// LastEpochs holds, for each site, the highest epoch assigned to hand-offs to it.
 	LastEpochs map[Site]Epoch
 	// Outgoing holds, by job ID, the jobs that another site has the right to run.
 	Outgoing map[string]Outgoing
--- a/internal/federation/recordwrites.go
+++ b/internal/federation/recordwrites.go
@@ -102,8 +102,8 @@
 }
 
 // handleWriteCompleted processes the outcome of a write. After a conflict or an unknown outcome
-// the records are read again. This shows what is stored, because only the leader writes these
-// records.
+// the records are read again. This shows what is stored, because only the leader of the
+// federation shard writes these records.
 func (c *Coordinator) handleWriteCompleted(in WriteCompleted) {
 	pending, found := c.writes.complete(in.ID)
 	if !found {
--- a/internal/federation/retries.go
+++ b/internal/federation/retries.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// isUnacknowledged reports whether a peer still has to be told about an epoch.
+// isUnacknowledged reports whether the message about an epoch must still be sent to a peer.
 func (c *Coordinator) isUnacknowledged(peer Site, key retryKey) bool {
 	if key.outgoing {
 		return c.index.outgoing[outgoingID{peer, key.epoch}] != ""
@@ -33,15 +33,15 @@
 	return c.records.Incoming[IncomingID{peer, key.epoch}].FinalState != ""
 }
 
-// sendDue sends a peer all messages that are due, within the limits of maySend.
+// sendDue sends a peer all messages that are due, within the limits of acquireSend.
 func (c *Coordinator) sendDue(peer *peerState) {
-	for due := peer.retries.next(c.now); due != nil; due = peer.retries.next(c.now) {
-		if !c.maySend(peer, due.attempts > 0) {
+	for due := peer.retries.nextDue(c.now); due != nil; due = peer.retries.nextDue(c.now) {
+		if !c.acquireSend(peer, due.attempts > 0) {
 			return
 		}
 		peer.breaker.onAttempt(c.now, c.cfg)
-		next := c.now + jitter(c.rng, c.retryDelay(due.attempts))
-		peer.retries.schedule(due.retryKey, next, due.attempts+1)
+		nextDue := c.now + jitter(c.rng, c.retryDelay(due.attempts))
+		peer.retries.schedule(due.retryKey, nextDue, due.attempts+1)
 		if due.outgoing {
 			c.sendOutgoing(c.index.outgoing[outgoingID{peer.site, due.epoch}])
 		} else {
@@ -50,9 +50,9 @@
 	}
 }
 
-// maySend reports whether a message may be sent to a peer now. A retry takes a token from the
-// peer's retry budget.
-func (c *Coordinator) maySend(peer *peerState, repeated bool) bool {
+// acquireSend reports whether a message may be sent to a peer now. For a retry it takes a token
+// from the peer's retry budget and counts the retry.
+func (c *Coordinator) acquireSend(peer *peerState, repeated bool) bool {
 	if !peer.breaker.allows(c.now) {
 		return false
 	}
@@ -79,8 +79,8 @@
 const maxDoublings = 16
 
 // retryBudget is a token bucket for retries. It keeps many hand-offs in flight from overloading
-// a peer that has just come back. A few tokens per second are added at a fixed rate and some
-// with each message from the peer, so that the retry rate adapts to the peer's pace.
+// a peer that has just become reachable again. Tokens are added at a fixed rate and with each
+// message from the peer, so that the retry rate adapts to the peer's pace.
 type retryBudget struct {
 	tokens     float64
 	refilledAt time.Duration
--- a/internal/federation/retries_test.go
+++ b/internal/federation/retries_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// After a long outage, the first message must not wait for the remaining retry delay.
+// After a long outage, the first message must be sent without waiting for the rest of the retry
+// delay.
 func TestReachablePeerIsRetriedImmediately(t *testing.T) {
 	coordinator := newRoutingCoordinator(nil, Outgoing{To: "b"})
 	now := 2 * time.Second
--- a/internal/federation/retryqueue.go
+++ b/internal/federation/retryqueue.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// next returns the first entry that is due without removing it, or nil if none is due.
-func (q *retryQueue) next(now time.Duration) *retry {
+// nextDue returns the first entry that is due without removing it, or nil if none is due.
+func (q *retryQueue) nextDue(now time.Duration) *retry {
 	if len(q.heap) == 0 || q.heap[0].due > now {
 		return nil
 	}
--- a/internal/federation/routing.go
+++ b/internal/federation/routing.go
@@ -70,9 +70,9 @@
 		return recordsNotCompared
 	case cfg.Drained || c.records.Drained[site]:
 		return siteDrained
-	case !cfg.offersZone(job.Zone):
+	case !cfg.mayHaveZone(job.Zone):
 		return siteLacksZone
-	case !cfg.offersTypes(job.Types):
+	case !cfg.mayHaveTypes(job.Types):
 		return siteLacksTypes
 	case c.now < peer.backoffUntil:
 		return siteInBackoff
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -24,12 +24,14 @@
 	failedStores map[Site]bool
 }
 
+// userJob records the outcome of a submitted job across all sites.
 type userJob struct {
 	runs       int
 	finalState string // at the origin, empty until the job has ended there
 	givenUp    bool
 }
 
+// simSite is a site with its coordinator and its store.
 type simSite struct {
 	name        Site
 	cfg         *Config
@@ -52,6 +54,7 @@
 	leaderVersion int
 }
 
+// simJob is a job in the store of a site.
 type simJob struct {
 	userJobID, class string
 	finalState       string
@@ -400,8 +403,8 @@
 	}
 }
 
-// runToCompletion ends all faults and runs until every job has its final state and no hand-off
-// is open.
+// runToCompletion ends all faults and runs the simulation until every job has its final state and
+// no hand-off is open.
 func (sim *simulation) runToCompletion() {
 	clear(sim.cutLinks)
 	clear(sim.failedStores)
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -34,18 +34,18 @@
 	"link to receiver cut for less than a retry delay": func(sim *simulation, i int) { msg := sim.inFlight[i]; sim.cutLinkFor(msg.From, msg.To, time.Second) },
 	"receiver's store unavailable":                     func(sim *simulation, i int) { sim.failStoreFor(sim.inFlight[i].To, 20*time.Second) },
 	"sender's store unavailable":                       func(sim *simulation, i int) { sim.failStoreFor(sim.inFlight[i].From, 20*time.Second) },
-	"job cancelled by its user":                        func(sim *simulation, _ int) { sim.cancelAnywhere("req-1") },
+	"job cancelled by its user":                        func(sim *simulation, _ int) { sim.cancelEverywhere("req-1") },
 	"job cancelled and link to receiver cut": func(sim *simulation, i int) {
 		msg := sim.inFlight[i]
-		sim.cancelAnywhere("req-1")
+		sim.cancelEverywhere("req-1")
 		sim.cutLinkFor(msg.From, msg.To, 30*time.Second)
 	},
 	"job runs to its end": func(sim *simulation, _ int) { sim.stepAllJobs(); sim.stepAllJobs() },
 	"receiver drained":    func(sim *simulation, i int) { sim.drainPeersOf(sim.inFlight[i].To) },
 }
 
-// Injects every fault at every message of a hand-off, both for an accepted and for a refused
-// job. Each job must get a final state and run at most once.
+// TestHandOffSurvivesEveryFaultAtEveryMessage injects every fault at every message of a hand-off,
+// both for an accepted and for a refused job. Each job must get a final state and run at most once.
 func TestHandOffSurvivesEveryFaultAtEveryMessage(t *testing.T) {
 	cases, runs, finalStates := 0, 0, 0
 	for _, refused := range []bool{false, true} {
@@ -58,7 +58,7 @@
 					sim.drainPeersOf("b")
 					sim.drainPeersOf("c")
 				}
-				if !sim.playUntilMessage(stage) {
+				if !sim.runUntilMessage(stage) {
 					break
 				}
 				fault(sim, 0)
@@ -128,9 +128,9 @@
 	}
 }
 
-// playUntilMessage runs without faults until n messages have been delivered and another one is
-// in flight. It reports whether there was one.
-func (sim *simulation) playUntilMessage(n int) bool {
+// runUntilMessage runs the simulation without faults until n messages have been delivered and
+// another one is in flight. It reports whether there was one.
+func (sim *simulation) runUntilMessage(n int) bool {
 	for range 60 {
 		sim.now += time.Second
 		for _, site := range siteNames {
@@ -171,19 +171,19 @@
 // cutLinkFor cuts a link for the given duration and restores it.
 func (sim *simulation) cutLinkFor(from, to Site, duration time.Duration) {
 	sim.cutLinks[[2]Site{from, to}] = true
-	sim.play(duration)
+	sim.runFor(duration)
 	delete(sim.cutLinks, [2]Site{from, to})
 }
 
 // failStoreFor makes a site's store unavailable for the given duration.
 func (sim *simulation) failStoreFor(site Site, duration time.Duration) {
 	sim.failedStores[site] = true
-	sim.play(duration)
+	sim.runFor(duration)
 	delete(sim.failedStores, site)
 }
 
-// play runs for the given duration with the current cuts and outages.
-func (sim *simulation) play(duration time.Duration) {
+// runFor runs the simulation for the given duration with the current cuts and outages.
+func (sim *simulation) runFor(duration time.Duration) {
 	for end := sim.now + duration; sim.now < end; {
 		sim.now += time.Second
 		for _, site := range siteNames {
@@ -196,8 +196,8 @@
 	}
 }
 
-// cancelAnywhere cancels a job at every site that has it under the given ID.
-func (sim *simulation) cancelAnywhere(id string) {
+// cancelEverywhere cancels a job at every site that has a job with the given ID.
+func (sim *simulation) cancelEverywhere(id string) {
 	for _, site := range siteNames {
 		if sim.sites[site].jobs[id] != nil {
 			sim.cancel(site, id)
--- a/internal/federation/status.go
+++ b/internal/federation/status.go
@@ -21,8 +21,8 @@
 	Busy            bool    `json:"busy,omitempty"`
 	LongestWaitS    float64 `json:"wait_s"`
 	Retries         int     `json:"retries"`
-	// Outgoing counts the jobs handed off to the peer and Incoming those offered by it, by
-	// stage.
+	// Outgoing counts the jobs handed off to the peer by stage. Incoming counts the jobs that the
+	// peer has offered by stage.
 	Outgoing map[string]int `json:"away"`
 	Incoming map[string]int `json:"taken"`
 	// OldestHandOffAt is the Unix time in milliseconds of the oldest recorded hand-off, or 0 if
--- a/internal/federation/transport/dial.go
+++ b/internal/federation/transport/dial.go
@@ -1,4 +1,4 @@
-//lint:file-ignore SA1019 net/http has no way yet to speak HTTP/2 on one connection that was opened and checked before.
+//lint:file-ignore SA1019 net/http cannot yet speak HTTP/2 on a connection that was opened and verified before.
 
 package transport
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// dial opens a stream and writes to it until it breaks. It reports whether the stream was open
-// at all, and the error that ended it.
+// dial opens a stream and writes to it until it ends. It reports whether the stream was opened,
+// and returns the error that ended it.
 func (l *Links) dial(ctx context.Context, current generation, site federation.Site, address string) (opened bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/federation/transport/links.go
+++ b/internal/federation/transport/links.go
@@ -91,8 +91,8 @@
 	return l.writers[site]
 }
 
-// Send queues a message. If no stream is open, the message is dropped; the coordinator retries
-// it.
+// Send queues a message. Messages queued before a stream opens are dropped; the coordinator sends
+// them again.
 func (l *Links) Send(m federation.Message) {
 	l.mu.Lock()
 	writer, secrets := l.writers[m.To], l.current.secrets
@@ -130,7 +130,8 @@
 	return group.Wait()
 }
 
-// idleTimeout is how long a stream may be silent before its connection is checked with a ping.
+// idleTimeout is how long an outgoing connection may be idle before it is checked with a ping. It
+// also limits handshakes and the wait for the reply to a ping.
 func idleTimeout(cfg *federation.Config) time.Duration {
 	return time.Duration(cfg.RetryS * float64(time.Second))
 }
--- a/internal/federation/transport/listen.go
+++ b/internal/federation/transport/listen.go
@@ -1,4 +1,4 @@
-//lint:file-ignore SA1019 net/http has no way yet to serve HTTP/2 on one connection that was accepted and checked before.
+//lint:file-ignore SA1019 net/http cannot yet serve HTTP/2 on a connection that was accepted and verified before.
 
 package transport
 
@@ -109,8 +109,8 @@
 		return
 	}
 	w.WriteHeader(http.StatusOK)
-	controller := http.NewResponseController(w)
-	if err := controller.Flush(); err != nil {
+	responseController := http.NewResponseController(w)
+	if err := responseController.Flush(); err != nil {
 		return
 	}
 	lines := bufio.NewReaderSize(r.Body, maxLineBytes)
@@ -122,7 +122,7 @@
 		if err == nil {
 			err = l.receiveLine(line, from, current)
 		}
-		if err != nil && l.refuse(w, controller, from, err) != nil {
+		if err != nil && l.refuse(w, responseController, from, err) != nil {
 			return
 		}
 	}
@@ -140,9 +140,9 @@
 
 // refuse reports a refused message and the reason to the sender. The stream stays open for other
 // messages.
-func (l *Links) refuse(w http.ResponseWriter, controller *http.ResponseController, from federation.Site, reason error) error {
+func (l *Links) refuse(w http.ResponseWriter, responseController *http.ResponseController, from federation.Site, reason error) error {
 	l.Refused.Add(1)
 	slog.Error("message from site refused", "site", from, "error", reason)
 	fmt.Fprintln(w, reason)
-	return controller.Flush()
+	return responseController.Flush()
 }
--- a/internal/federation/transport/messages.go
+++ b/internal/federation/transport/messages.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/federation"
 )
 
-// maxLineBytes is the maximum length of a message. The longest messages are a ticket with the
-// longest job description and a view of MaxJobsPerPeer jobs.
+// maxLineBytes is the maximum length of a message. The longest messages are an offer with
+// the longest submission and a view of MaxJobsPerPeer jobs.
 const maxLineBytes = 512 << 10
 
 // errLineTooLong reports a message longer than maxLineBytes, which was skipped.
--- a/internal/federation/transport/reload.go
+++ b/internal/federation/transport/reload.go
@@ -63,12 +63,13 @@
 	l.current = next
 }
 
-// watchedFiles is the number of files in a configuration.
-const watchedFiles = 5
+// watchedFileCount is the number of files that are checked for changes.
+const watchedFileCount = 5
 
-// modificationTimes returns the modification time of each file.
-func modificationTimes(cfg *federation.Config, path string) (times [watchedFiles]time.Time) {
-	files := [watchedFiles]string{path, cfg.Authority, cfg.Certificate, cfg.Key, cfg.TicketKeys}
+// modificationTimes returns the modification times of the configuration file and of the files that
+// it names. The time of a file that cannot be read is zero.
+func modificationTimes(cfg *federation.Config, path string) (times [watchedFileCount]time.Time) {
+	files := [watchedFileCount]string{path, cfg.Authority, cfg.Certificate, cfg.Key, cfg.TicketKeys}
 	for i, file := range files {
 		if info, err := os.Stat(file); err == nil {
 			times[i] = info.ModTime()
--- a/internal/federation/transport/secrets.go
+++ b/internal/federation/transport/secrets.go
@@ -46,8 +46,7 @@
 	return fmt.Sprintf("valid only from %s to %s", e.notBefore.Format(time.RFC3339), e.notAfter.Format(time.RFC3339))
 }
 
-// checkCertificate returns the reason why peers would not accept the certificate as that of the
-// site.
+// checkCertificate returns an error if peers would not accept the certificate as that of the site.
 func (s *secrets) checkCertificate(site federation.Site) error {
 	leaf, err := x509.ParseCertificate(s.certificate.Certificate[0])
 	if err != nil {
--- a/internal/federation/transport/secrets_test.go
+++ b/internal/federation/transport/secrets_test.go
@@ -11,7 +11,7 @@
 // New must reject secrets that peers would not accept, and return the reason.
 func TestNewRejectsInvalidSecrets(t *testing.T) {
 	for name, tc := range map[string]struct {
-		spoil  func(dir string) error
+		modify func(dir string) error
 		reason string
 	}{
 		"valid":               {func(string) error { return nil }, ""},
@@ -26,7 +26,7 @@
 		}, "16 bytes"},
 	} {
 		keys := issueKeys(t, time.Hour)
-		if err := tc.spoil(keys); err != nil {
+		if err := tc.modify(keys); err != nil {
 			t.Fatal(err)
 		}
 		_, _, err := New(writeConfig(t, t.TempDir(), keys, "west", "east"), nil)
--- a/internal/federation/transport/ticketkeys.go
+++ b/internal/federation/transport/ticketkeys.go
@@ -23,8 +23,8 @@
 }
 
 // TicketKeys is the content of a key file. The first key signs and all keys verify, so that keys
-// can be rotated: a new key is distributed before it is used, and an old one stays until no
-// ticket uses it.
+// can be rotated: a new key is distributed before it signs, and an old one stays until no ticket
+// is signed with it.
 type TicketKeys struct {
 	Keys []TicketKey `toml:"keys"`
 }
--- a/internal/federation/transport/transport_test.go
+++ b/internal/federation/transport/transport_test.go
@@ -1,4 +1,4 @@
-//lint:file-ignore SA1019 net/http has no way yet to speak HTTP/2 on one connection that was accepted and checked before.
+//lint:file-ignore SA1019 net/http cannot yet speak HTTP/2 on a connection that was opened before.
 
 package transport
 
--- a/internal/httpclient/httpclient.go
+++ b/internal/httpclient/httpclient.go
@@ -11,14 +11,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrUnsent marks errors after which the request was certainly not sent.
+// ErrUnsent marks errors that show that the request was not sent.
 var ErrUnsent = errors.New("request was not sent")
 
 // Client sends requests to any number of addresses.
 type Client struct{ http *fasthttp.Client }
 
-// New returns a Client whose requests take at most about timeout, with at most connsPerHost
-// connections to each address.
+// New returns a Client with at most connsPerHost connections to each address. timeout applies
+// separately to connecting, waiting for a free connection, writing a request and reading the
+// response.
 func New(timeout time.Duration, connsPerHost int) *Client {
 	return &Client{http: &fasthttp.Client{
 		Dial: func(addr string) (net.Conn, error) {
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -28,7 +28,7 @@
 	ctx.SetBody(raw)
 }
 
-// WriteProblem writes a response that tells the client what is wrong.
+// WriteProblem writes a response with the reason why a request failed.
 func WriteProblem(ctx *fasthttp.RequestCtx, status int, reason string) {
 	WriteJSON(ctx, status, protocol.Problem{Error: reason})
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-//lint:file-ignore SA1019 net/http cannot yet serve HTTP/2 on a single connection that was already accepted and checked.
+//lint:file-ignore SA1019 net/http cannot yet serve HTTP/2 on a single connection that was already accepted.
 
 // Package peer carries messages between controllers over HTTP/2 streams: each controller
 // opens one stream to every other controller and writes JSON lines to it.
@@ -40,7 +40,7 @@
 	streams map[string]*peerStream
 }
 
-// peerStream is the outgoing stream to one controller.
+// peerStream is the outgoing stream to one peer.
 type peerStream struct {
 	node, address string
 	outgoing      *stream.Writer
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -30,10 +30,11 @@
 // MaxBody is the size in bytes of the largest request body that any interface accepts.
 const MaxBody = 64 << 10
 
-// ReportTimeout is how long a worker waits for the answer to a report, and ReportRetryDelay how
-// long it pauses before it tries the next controller.
+// Timeouts and delays of workers and users.
 const (
-	ReportTimeout    = 4 * time.Second
+	// ReportTimeout is how long a worker waits for the answer to a report.
+	ReportTimeout = 4 * time.Second
+	// ReportRetryDelay is how long a worker pauses before it tries the next controller.
 	ReportRetryDelay = time.Second
 	// PollTimeout is how long a user waits for the state of a job.
 	PollTimeout = 2 * time.Second
@@ -45,7 +46,7 @@
 	MaxRelease = 100
 )
 
-// Submission is a user's description of a job. Pointers distinguish a missing field from a
+// Submission is a user's request to submit a job. Pointers distinguish a missing field from a
 // zero value.
 type Submission struct {
 	ID          *string   `json:"uid"`
@@ -121,7 +122,7 @@
 // MaxDependencyBytesPerPage is the approximate limit in bytes for all dependency lists on a page.
 const MaxDependencyBytesPerPage = MaxBody / 4
 
-// Problem tells a client what was wrong with its request.
+// Problem describes why a client's request failed.
 type Problem struct {
 	Error string `json:"error"`
 }
@@ -129,17 +130,17 @@
 // MaxTaskReportBytes returns an approximate upper bound for the size of a task's entry in a report.
 func MaxTaskReportBytes(task string) int { return len(task) + 80 }
 
-// Exited is the state of a task that has ended. Of the other task states, only Running
+// Exited is the state of a task whose attempt has exited. Of the other task states, only Running
 // matters to controllers.
 const Exited = "exited"
 
-// Reasons why a task exited. A task that exited for any other reason is simply restarted.
+// Reasons why an attempt exited. If it exited for any other reason, the task is restarted.
 const (
 	ExitDone        = "done"
 	ExitStopped     = "stopped"
 	ExitError       = "error"
 	ExitNoCapacity  = "full"    // the machine has too little free capacity
-	ExitBusy        = "busy"    // another attempt of the task has not ended on the machine
+	ExitBusy        = "busy"    // another attempt of the task has not exited on the machine
 	ExitUnknownTask = "no_such" // the worker does not know the job or task
 )
 
@@ -152,7 +153,7 @@
 	Saved      bool   `json:"stored,omitempty"`
 }
 
-// Report is a worker's heartbeat: the state of its machine and of its tasks.
+// Report is a worker's periodic message with the state of its machine and of its tasks.
 type Report struct {
 	Machine     string       `json:"hand"`
 	Address     string       `json:"address"`
@@ -182,14 +183,14 @@
 }
 
 // CommandBatch holds commands for a worker. It is the answer to a report and, with WorkerEpoch set,
-// the body of a direct request to the worker.
+// the body of a delivery.
 type CommandBatch struct {
 	Token       uint64    `json:"baton"`
 	WorkerEpoch uint64    `json:"shift,omitempty"`
 	Commands    []Command `json:"calls"`
 }
 
-// Redirect tells a worker to report to another controller.
+// Redirect instructs a worker to report to another controller.
 type Redirect struct {
 	ReportTo string `json:"foreman,omitempty"`
 }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -16,7 +16,7 @@
 	WindowS float64
 	// TimeoutS is how many seconds a job waits before its team takes precedence over others.
 	TimeoutS float64
-	// Spare is the share of the fleet's capacity that is kept free for future work while
+	// Spare is the share of the fleet's CPUs that is kept free for future tasks while
 	// expensive machines with little load are drained.
 	Spare float64
 	// Preemption allows stopping tasks of other teams to free capacity. It is off by
@@ -34,7 +34,7 @@
 // maxScriptSteps limits the execution steps of a script, which runs once at startup.
 const maxScriptSteps = 100_000
 
-// option is a variable that a script may set: either a number within bounds or a flag.
+// option is a variable that a script may set: either a number within bounds or a boolean.
 type option struct {
 	number   *float64
 	flag     *bool
@@ -52,9 +52,9 @@
 	}
 }
 
-// LoadPolicy runs the operator's script at path. If path is empty or the script does not exist
-// or may not be read, the defaults apply. An invalid script is an error that names the file
-// and either the line or the option.
+// LoadPolicy runs the operator's script at path. If path is empty, or the script does not exist
+// or its permissions forbid reading it, the defaults apply. An invalid script is an error that
+// names the file and either the line or the option.
 func LoadPolicy(path string, s *Settings) (Policy, error) {
 	p := DefaultPolicy()
 	if path == "" {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -112,7 +112,7 @@
 
 // InvalidError reports a settings file that cannot be used.
 type InvalidError struct {
-	// Path is the path of the file; Reason says in one line what is wrong with it.
+	// Path is the path of the file. Reason describes in one line what is wrong with it.
 	Path   string
 	Reason error
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -116,11 +116,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	present := StateLimits{RPS: 100, WriteRPS: 10, ValueKB: 4, TxnOps: 8}
-	if s.Params.State.StateLimits != present {
+	current := StateLimits{RPS: 100, WriteRPS: 10, ValueKB: 4, TxnOps: 8}
+	if s.Params.State.StateLimits != current {
 		t.Errorf("got current limits %+v", s.Params.State.StateLimits)
 	}
-	lowest := present
+	lowest := current
 	lowest.ValueKB, lowest.TxnOps = 2, 5
 	if got := s.Params.State.LowestLimits(); got != lowest {
 		t.Errorf("got lowest limits %+v", got)
--- a/internal/store/health.go
+++ b/internal/store/health.go
@@ -8,7 +8,7 @@
 	"pepperlever/internal/core"
 )
 
-// health tells the core when the key-value store becomes unreachable or reachable.
+// health notifies the core when the key-value store becomes unreachable or reachable.
 type health struct {
 	emit func(core.Command)
 
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -14,26 +14,26 @@
 // leaseID identifies a lease; 0 means that there is none.
 type leaseID uint64
 
-// renewal is the outcome of one renewal of a lease.
-type renewal struct {
+// renewalResult is the outcome of one renewal of a lease.
+type renewalResult struct {
 	lease  leaseID
 	status int
 	err    error
 }
 
 // failed reports whether the lease may not have been renewed.
-func (r renewal) failed() bool { return r.err != nil || r.status != fasthttp.StatusOK }
+func (r renewalResult) failed() bool { return r.err != nil || r.status != fasthttp.StatusOK }
 
 // expired reports whether the lease has expired.
-func (r renewal) expired() bool { return r.err == nil && r.status == fasthttp.StatusNotFound }
+func (r renewalResult) expired() bool { return r.err == nil && r.status == fasthttp.StatusNotFound }
 
-// keepLease holds a lease and tells the core of each new one. A renewal is sent every third
-// of the lease's time to live, even if the previous one has not been answered: waiting for
-// the answer of a slow store would let the lease expire, and this node would lose all its
+// keepLease keeps a lease alive and notifies the core of each new one. A renewal is sent every
+// third of the lease's time to live, even if the previous one has not been answered: waiting
+// for the answer of a slow store would let the lease expire, and this node would lose all its
 // leaderships (docs/incidents/inc-5631.md).
 func (s *Store) keepLease(ctx context.Context) error {
 	var lease leaseID
-	results := make(chan renewal, 1)
+	results := make(chan renewalResult, 1)
 	for ctx.Err() == nil {
 		interval := s.leaseTTL() / 3
 		if lease == 0 {
@@ -62,19 +62,19 @@
 }
 
 // renew sends one renewal of a lease and passes its outcome to results.
-func (s *Store) renew(ctx context.Context, lease leaseID, results chan<- renewal) {
+func (s *Store) renew(ctx context.Context, lease leaseID, results chan<- renewalResult) {
 	path := protocol.PathLeases + "/" + strconv.FormatUint(uint64(lease), 10) + "/" + protocol.PathRenew
 	status, err := s.requestClient.call(fasthttp.MethodPost, path, struct{}{}, nil)
 	s.health.record(err == nil && status < fasthttp.StatusTooManyRequests, s.reportInterval())
 	select {
-	case results <- renewal{lease, status, err}:
+	case results <- renewalResult{lease, status, err}:
 	case <-ctx.Done():
 	}
 }
 
-// awaitRenewals handles outcomes until the next renewal is due, which is sooner after a
-// failed one. It returns the lease, or 0 if it has expired.
-func (s *Store) awaitRenewals(ctx context.Context, lease leaseID, interval time.Duration, results <-chan renewal) leaseID {
+// awaitRenewals handles the outcomes of renewals until the next renewal is due, which is sooner
+// after a failed one. It returns the lease, or 0 if it has expired.
+func (s *Store) awaitRenewals(ctx context.Context, lease leaseID, interval time.Duration, results <-chan renewalResult) leaseID {
 	due := time.NewTimer(interval)
 	defer due.Stop()
 	for {
--- a/internal/store/lease_test.go
+++ b/internal/store/lease_test.go
@@ -13,7 +13,7 @@
 )
 
 // An unanswered renewal must not delay the next one, or the lease would expire while the
-// store is slow. An answer that the lease has expired takes effect at once.
+// store is slow. An answer that the lease has expired takes effect immediately.
 func TestRenewalsDoNotWaitForEachOther(t *testing.T) {
 	renewals, release := make(chan struct{}, 64), make(chan struct{})
 	expired := make(chan struct{})
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- New(cfg, "j/", func(c core.Command) { commands <- c }).keepLease(ctx) }()
-	if _, up := (<-commands).(core.LeaseGranted); !up {
+	if _, granted := (<-commands).(core.LeaseGranted); !granted {
 		t.Fatal("no lease was granted")
 	}
 	for range 3 {
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -32,8 +32,8 @@
 	l.changes.tokens = min(l.changes.tokens, l.changes.rate)
 }
 
-// wait waits until one request with that many changes may be sent. It reports false if that
-// is not possible within the timeout.
+// wait waits until one request with the given number of changes may be sent. It reports
+// false if that is not possible within the timeout.
 func (l *limiter) wait(changes int, timeout time.Duration) bool {
 	for {
 		delay := l.reserve(float64(changes))
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -27,8 +27,9 @@
 	})
 }
 
-// detectLowerLimit switches to the limits in State.Next as soon as the replies of the
-// key-value store show that they are in force. The time of that change is not known.
+// detectLowerLimit lowers the limit on changes and notifies the core as soon as a reply of the
+// key-value store shows that the limits in State.Next are in force. The time of that change is
+// not known in advance.
 func (s *Store) detectLowerLimit(changes int, reply core.StoreReply) {
 	state := s.cfg.Params.State
 	if state.LowestLimits() == state.StateLimits {
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -13,7 +13,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// errReload means that the watch cannot continue from its revision.
+// errReload means that the stored state must be loaded again, because the core requested it or
+// the watch cannot continue from its revision.
 var errReload = errors.New("watch cannot continue: stored state must be reloaded")
 
 // statusError is the HTTP status of a list request that the key-value store rejected.
@@ -25,7 +26,7 @@
 // listPageSize is the number of keys that one request lists.
 const listPageSize = "500"
 
-// Reload requests that the stored state is loaded again.
+// Reload requests that the stored state be loaded again.
 func (s *Store) Reload() {
 	select {
 	case s.reloadRequested <- struct{}{}:
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -27,7 +27,7 @@
 
 // StatusError is a response that rejects the stream.
 type StatusError struct {
-	// Status is the HTTP status with its text, Reason the start of the response body.
+	// Status is the HTTP status with its text. Reason is the start of the response body.
 	Status, Reason string
 }
 
@@ -60,7 +60,7 @@
 }
 
 // Run sends one request whose body is the queued lines, and returns the error that ended it.
-// onConnect is called when lines can be sent, onDisconnect when they no longer can;
+// onConnect is called when lines can be sent, and onDisconnect when they no longer can.
 // readResponse, if not nil, reads the response body. Lines queued for an earlier stream are
 // dropped.
 func (w *Writer) Run(transport http.RoundTripper, req *http.Request, onConnect, onDisconnect func(), readResponse func(io.Reader)) error {
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A controller that was killed while writing a line left an incomplete one, for which its
-// peers logged an error.
+// A controller that is killed while it writes a line leaves an incomplete one, for which its
+// peers must not log an error.
 func TestIncompleteLineIsDiscarded(t *testing.T) {
 	lines := bufio.NewScanner(strings.NewReader("{\"s\":1}\n{}\n{\"t"))
 	lines.Split(ScanCompleteLines)
