--- a/internal/core/agentcontroller.go
+++ b/internal/core/agentcontroller.go
@@ -7,16 +7,16 @@
 	"pepperlever/internal/core/worker"
 )
 
-// agentController serves the agents of the machines that report to this node: it answers their
-// heartbeats, delivers commands to them, and fences starts whose outcome is unknown. Everything
-// that it sends to an agent is under the fencing token of the agent's session.
+// agentController serves the workers that report to this node: it answers their reports, delivers
+// commands to them, and fences starts whose outcome is unknown. Everything that it sends to a
+// worker carries the fencing token of the worker's agent session.
 type agentController struct {
 	core *Core
 	*environment
 	agentSessions
 	tokens       fencingTokens
 	startLedgers startLedgers
-	// reportsTakenAt is when takeReported was last called.
+	// reportsTakenAt is the time of the last call of takeReported.
 	reportsTakenAt time.Duration
 }
 
@@ -31,7 +31,7 @@
 }
 
 // ownMachines yields the machines that report to this node, and not to a newer controller, with
-// the sessions of their agents, ordered by machine.
+// their agent sessions, ordered by machine.
 func (a *agentController) ownMachines() iter.Seq2[*agentSession, *worker.Machine] {
 	return func(yield func(*agentSession, *worker.Machine) bool) {
 		for machine, session := range a.all() {
--- a/internal/core/agentsessions.go
+++ b/internal/core/agentsessions.go
@@ -8,10 +8,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// agentSession is the state that this node keeps for an agent that reports to it.
+// agentSession is the state that this node keeps for a worker that reports to it.
 type agentSession struct {
-	// token is the fencing token under which the agent acts. epoch is the agent's own count of
-	// how often it has started over without any tasks.
+	// token is the fencing token under which the worker acts. epoch is the worker epoch: the
+	// worker's count of how often it has started over without any tasks.
 	token   uint64
 	epoch   uint64
 	address string
@@ -27,10 +27,10 @@
 	unanswered bool
 	// probeDue requests a delivery even if nothing is queued, to get the report in its answer.
 	probeDue bool
-	// lastReportAt is when the agent's last report arrived, lastProbeAt when it was last probed
-	// because none arrived.
+	// lastReportAt is when the worker's last report arrived. lastProbeAt is when the worker was
+	// last probed because its report was overdue.
 	lastReportAt, lastProbeAt time.Duration
-	// lastSharedAt is when a report of the agent was last sent to the other controllers.
+	// lastSharedAt is when a report of the worker was last sent to the other controllers.
 	lastSharedAt time.Duration
 }
 
@@ -44,15 +44,15 @@
 	}
 }
 
-// startEpoch moves the agent to a new epoch and drops the starts that were meant for an earlier
-// one.
+// startEpoch moves the session to a new worker epoch and drops the starts that were meant for an
+// earlier one.
 func (s *agentSession) startEpoch(epoch uint64) {
 	s.epoch = epoch
 	s.queuedStarts = nil
 	s.pendingStarts = map[taskAttempt]job.Resources{}
 }
 
-// setToken moves the agent to a newer token and drops the starts under the previous one, which
+// setToken moves the session to a newer token and drops the starts under the previous one, which
 // are void.
 func (s *agentSession) setToken(token uint64) {
 	s.token = token
@@ -78,8 +78,8 @@
 	})
 }
 
-// takeCommands removes and returns the queued stops and forgets. They are idempotent, and are
-// queued again while reports show that they are still needed.
+// takeCommands removes and returns the queued stop and forget commands. They are idempotent, and
+// are queued again while reports show that they are still needed.
 func (s *agentSession) takeCommands() []protocol.Command {
 	commands := make([]protocol.Command, 0, len(s.queuedCommands))
 	for attempt, command := range orderedBy(s.queuedCommands, compareAttempts) {
@@ -89,7 +89,7 @@
 	return commands
 }
 
-// agentSessions holds the sessions of the agents that report to this node.
+// agentSessions holds the sessions of the workers that report to this node.
 type agentSessions struct {
 	byMachine map[string]*agentSession
 	// dueDeliveries holds the machines for which something has been queued that goes out at the
@@ -101,7 +101,7 @@
 	return agentSessions{byMachine: map[string]*agentSession{}, dueDeliveries: map[string]bool{}}
 }
 
-// session returns the session of a machine's agent, or nil if it does not report here.
+// session returns the session of a machine's worker, or nil if the worker does not report here.
 func (a *agentSessions) session(machine string) *agentSession { return a.byMachine[machine] }
 
 // all yields the sessions ordered by machine.
--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// cancellationsPerMessage bounds the size of a message, maxAnnouncements the memory. Beyond
-	// maxAnnouncements the oldest announcements are dropped: peers that have not acknowledged
-	// those learn of the cancellations from their watches.
+	// cancellationsPerMessage bounds the size of a message.
 	cancellationsPerMessage = 256
-	maxAnnouncements        = 4 * maxEndedJobs
+	// maxAnnouncements bounds the memory. Beyond it the oldest announcements are dropped. Peers
+	// that have not acknowledged those learn of the cancellations from their watches.
+	maxAnnouncements = 4 * maxEndedJobs
 	// announcementLifetimeDeadlines is how long a cancellation is announced, in cancellation
 	// deadlines.
 	announcementLifetimeDeadlines = 4
@@ -26,7 +26,8 @@
 	// acknowledgement stays valid if the controller restarts, since it then loads the
 	// stored state, with the cancellation, before it answers a worker.
 	acknowledgedBy map[string]bool
-	// pendingLookups holds the lookups that are resolved once another controller knows.
+	// pendingLookups holds the lookups that are resolved once another controller knows of the
+	// cancellation.
 	pendingLookups []lookup.Request
 }
 
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -45,7 +45,7 @@
 
 // The message that a job was accepted may arrive after the announcement of its cancellation.
 func TestJobAcceptedAfterItsCancellationIsCancelled(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-free-1", 3, ""))
 	c := New(testSettings("a"), cluster.cores["a"].policy, "a")
 	c.announcements.receive("b", []Cancellation{{Job: "req-free-1", Revision: 99}})
@@ -79,7 +79,7 @@
 	c := newSimCluster(t).cores["a"]
 	c.handlePeerMessage(PeerMessageReceived{Node: "b", Message: PeerMessage{From: "stranger", Cancellations: []Cancellation{good}}})
 	if c.cancelled(good.Job) {
-		t.Error("a cancellation from an unknown node was applied")
+		t.Error("a cancellation from an unknown controller was applied")
 	}
 }
 
@@ -136,7 +136,7 @@
 		t.Run(fmt.Sprint(old), func(t *testing.T) {
 			t.Parallel()
 			cluster := newIdleSimCluster(t, 20)
-			cluster.previousRelease = old
+			cluster.previousVersion = old
 			cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
 			requireAccepted(t, cluster.submit("e", "req-free-1", 40, ""))
 			cluster.waitUntilStarted("req-free-1", 40)
@@ -159,9 +159,9 @@
 	}
 }
 
-// Guards against confirming a cancellation that only one controller knows of: the one that stored
-// it has crashed, and the other has learned of it from its watch. No user is told before another
-// controller knows.
+// Guards against confirming a cancellation that only one controller knows of: the controller that
+// stored it has crashed, and another has learned of it from its watch alone. Users get a
+// confirmation only once a second controller knows of the cancellation.
 func TestCancellationKnownByWatchAloneIsNotConfirmed(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -14,7 +14,8 @@
 	*environment
 	core *Core
 	announcementSet
-	// nextStopResend is when stop commands for reported tasks of cancelled jobs are sent again.
+	// nextStopResend is the time at which the stop commands for reported tasks of cancelled jobs
+	// are sent again.
 	nextStopResend time.Duration
 }
 
@@ -63,8 +64,9 @@
 
 // announce broadcasts the cancellation of a job that this node has stored or is asked about.
 // It does not rely on the watches of the other controllers, which may be refused or fail with
-// the store at any moment. No user is told of the cancellation before another controller
-// knows of it: otherwise nobody would if this node and the store failed together.
+// the store at any moment. No user receives a confirmation of the cancellation before another
+// controller knows of it: otherwise the cancellation would be unknown to every running controller
+// if this node and the store failed together.
 func (a *announcer) announce(id string) {
 	announcement := a.find(id)
 	if announcement == nil || a.core.peerReachability.knownToSecondController(announcement) {
@@ -111,9 +113,9 @@
 }
 
 // resend announces cancellations again to the controllers that may not know of them, directly or
-// through an intermediary, until they do. The first announcement and the watches have one
-// report interval before that. Stop commands are resent until reports show that the tasks
-// have ended.
+// through an intermediary, until they do. It leaves the first announcement and the watches one
+// report interval to take effect. Stop commands are sent again until reports show that the tasks
+// have exited.
 func (a *announcer) resend() {
 	c := a.core
 	a.expire(c.now.Steady, announcementLifetimeDeadlines*c.times.cancelDeadline())
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -11,7 +11,8 @@
 type autoscaler struct {
 	// cordoning holds the time since which each machine is being cordoned or returned.
 	cordoning map[string]time.Duration
-	// releasing holds the time of the latest release request to the cloud, by machine.
+	// releasing holds the time of the latest release of each machine, that is, of the call to the
+	// cloud.
 	releasing map[string]time.Duration
 	// inventory is the cloud's latest list of machines, received at inventoryAt.
 	inventory   map[string]protocol.ListedMachine
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -307,7 +307,7 @@
 }
 
 // BenchmarkInventory measures handling the cloud's list of all machines and reconciling the fleet
-// with it, as the leader of the fleet does.
+// with it, as the fleet leader does.
 func BenchmarkInventory(b *testing.B) {
 	benchmarkFleetSizes(b, func(b *testing.B, c *Core, _ int) {
 		c.fleet.leading = true
--- a/internal/core/besteffort.go
+++ b/internal/core/besteffort.go
@@ -25,8 +25,8 @@
 }
 
 // bestEffortTasks is the number of tasks of a best-effort job worth renting capacity for, given a
-// machine's nominal boot time: enough to finish the job within a few boot times, rather than a
-// slot for each of thousands of short tasks.
+// machine's nominal boot time: enough for the job to be done within a few boot times, rather than
+// a slot for each of thousands of short tasks.
 func bestEffortTasks(j *job.Job, tasks int, bootS float64) int {
 	workS := float64(j.PendingTasks()) * j.EstimateS
 	slots := math.Ceil(workS / max(bestEffortTargetBoots*bootS, 1))
--- a/internal/core/bindings.go
+++ b/internal/core/bindings.go
@@ -2,8 +2,8 @@
 
 import "pepperlever/internal/core/job"
 
-// unbind ends the binding of task i. The caller has proof that the task is gone or that its start
-// was never sent.
+// unbind ends the binding of task i. The caller has proof that the task is no longer on its machine
+// or that its start was never sent.
 func (c *Core) unbind(j *job.Job, i int) {
 	j.Unbind(i)
 	j.Urgent = j.Urgent || j.Kind != job.Array
--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// sendBurst sends requests to a node in one step, runs until all are answered, and returns the
-// status of each.
+// sendBurst sends requests to a controller in one step, runs until all are answered, and returns
+// the status of each.
 func (cluster *simCluster) sendBurst(node string, n int, command func(i int, req uint64) Command) map[int]int {
 	cluster.t.Helper()
 	first := cluster.nextReq + 1
@@ -35,7 +35,7 @@
 // answered, and so are their cancellations, and that cancelled tasks leave the machines.
 func TestBurstOfSubmissionsAndCancellations(t *testing.T) {
 	const requestCount = 500
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	cluster.allowRacingStarts = true
 	id := func(i int) string { return fmt.Sprintf("req-free-%d", i) }
 	submitted := cluster.sendBurst("a", requestCount, func(i int, req uint64) Command {
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -10,11 +10,11 @@
 )
 
 // errForeignJob rejects the cancellation of a job that another site has handed off to this one.
-var errForeignJob = &rejection{http.StatusUnprocessableEntity, "job is of another site: cancel it there"}
+var errForeignJob = &rejection{http.StatusUnprocessableEntity, "job was handed off by another site: cancel it there"}
 
-// cancel handles a request to cancel a job. Before it answers, it stores the cancellation together
-// with the job's final state, whose key makes every later write of a binding or of the job's
-// completion fail. Request 0 is used by the federation adapter.
+// cancel handles a request to cancel a job. It stores the cancellation together with the job's
+// final state before it answers. From then on the key of the cancellation makes every write of a
+// new binding, or of the final state done, fail. The federation adapter uses request 0.
 func (c *Core) cancel(m Cancel) {
 	if !job.ValidID(m.ID) {
 		c.replyRejected(m.Req, errUnknownJob)
@@ -55,26 +55,26 @@
 	c.userTxn(txn, func(r StoreReply) {
 		switch r.Outcome {
 		case OutcomeApplied:
-			c.cancelStored(m, r.Revision)
+			c.handleCancelStored(m, r.Revision)
 		case OutcomeConflict:
-			c.cancelConflict(m, r.Failed)
+			c.handleCancelConflict(m, r.Failed)
 		default:
 			c.replyUnavailable(m.Req) // a retry finds out whether the write was applied
 		}
 	})
 }
 
-// cancelStored announces a stored cancellation to the other controllers and answers the user.
-func (c *Core) cancelStored(m Cancel, revision uint64) {
+// handleCancelStored announces a stored cancellation to the other controllers and answers the user.
+func (c *Core) handleCancelStored(m Cancel, revision uint64) {
 	c.log(Debug, "job cancelled", "job", m.ID)
 	c.announcements.apply(Cancellation{Job: m.ID, Revision: revision, RequestedAt: c.now.Wall})
 	c.announcements.announce(m.ID)
 	c.lookups.request(m.ID, func(result lookup.Result) { c.replyLookup(m.Req, result) })
 }
 
-// cancelConflict answers a cancellation that could not be stored because the job has a final state
-// or has been handed off to another site.
-func (c *Core) cancelConflict(m Cancel, failed []string) {
+// handleCancelConflict answers a cancellation that could not be stored because the job has a final
+// state or has been handed off to another site.
+func (c *Core) handleCancelConflict(m Cancel, failed []string) {
 	if slices.Contains(failed, outgoingKey(m.ID)) {
 		c.cancelOutgoing(m)
 		return
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -13,7 +13,8 @@
 // cancelRecord is the stored value of a cancellation.
 type cancelRecord struct {
 	// RequestedAt is the wall-clock time of the user's request in Unix milliseconds. It only
-	// affects how soon a controller that learns of the cancellation late returns machines.
+	// affects how soon machines are returned by a controller that learns of the cancellation
+	// late.
 	RequestedAt int64 `json:"t,omitempty"`
 }
 
@@ -29,8 +30,8 @@
 	return nil
 }
 
-// markCancelled marks a job as cancelled and stops its tasks. A binding is removed only once its
-// task is proven to have ended.
+// markCancelled marks a job as cancelled and stops its tasks. A stored binding is removed only once
+// its task is proven to be no longer on its machine.
 func (c *Core) markCancelled(j *job.Job) {
 	if j == nil || j.Cancelled {
 		return
@@ -88,10 +89,10 @@
 	}
 }
 
-// mayStillRun reports whether a task of a cancelled job may still be on its machine. It is not if
-// that is proven, nor while a controller that is in contact and knows of the cancellation
-// reports the machine without the task: that controller stops the task if a delayed start
-// still arrives.
+// mayStillRun reports whether a task of a cancelled job may still be on its machine. It returns
+// false if there is proof that the task is not, and while a controller that is in contact and knows
+// of the cancellation reports the machine without the task: that controller stops the task if a
+// delayed start still arrives.
 func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
 	if c.cordons.isTerminated(b.Machine) || c.returnTracker.isConfirmed(b.Machine) {
 		return false
--- a/internal/core/cancellations_test.go
+++ b/internal/core/cancellations_test.go
@@ -11,7 +11,7 @@
 // All tasks of a cancelled job end within the deadline, even on a hung machine, and every
 // controller reports the job as cancelled.
 func TestCancelledJobEndsWithinDeadline(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 6, ""))
 	cluster.waitUntilStarted("req-blue-1", 3)
 	// One machine hangs, so stop commands do not reach its tasks.
@@ -37,7 +37,7 @@
 
 // Cancelled tasks on hung machines end within the deadline even if the store becomes unavailable.
 func TestCancelledTasksOnHungMachinesEndDuringOutage(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 2, ""))
 	cluster.waitUntilStarted("req-blue-1", 1)
 	for _, f := range cluster.workers {
@@ -57,7 +57,7 @@
 // Jobs that are cancelled while the bindings of their tasks are being written leave no tasks
 // running.
 func TestCancellationsDuringBindingWrites(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	for i := range 8 {
 		id := fmt.Sprintf("req-free-%d", i)
 		requireAccepted(t, cluster.submit(nodeNames[i%3], id, 6, ""))
--- a/internal/core/cancelpartition_test.go
+++ b/internal/core/cancelpartition_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Cancelled tasks end within the deadline whichever connections or controllers fail or lose the
-// store, for less and for more time than the cancellation deadline (docs/incidents/apart.md).
+// Cancelled tasks end within the deadline whichever connections fail, and whichever controllers
+// fail or lose the store, for shorter and for longer than the cancellation deadline
+// (docs/incidents/apart.md).
 func TestCancelledTasksEndInTimeUnderPartitions(t *testing.T) {
 	const deadline = 30 * time.Second
 	cuts := map[string]func(cluster *simCluster, leader string){
@@ -32,7 +33,7 @@
 		"all links, leader's store": func(cluster *simCluster, leader string) { cluster.disconnectLinks(everyLink); cluster.cutStore(leader) },
 		"all links, another's store": func(cluster *simCluster, leader string) {
 			cluster.disconnectLinks(everyLink)
-			cluster.cutStore(cluster.anotherNode(leader))
+			cluster.cutStore(cluster.anotherController(leader))
 		},
 		"all links, store of three": func(cluster *simCluster, leader string) {
 			cluster.disconnectLinks(everyLink)
@@ -47,7 +48,7 @@
 		},
 		"all links, one freezes": func(cluster *simCluster, leader string) {
 			cluster.disconnectLinks(everyLink)
-			cluster.freeze(cluster.anotherNode(leader))
+			cluster.freeze(cluster.anotherController(leader))
 		},
 		"all links, leader freezes": func(cluster *simCluster, leader string) { cluster.disconnectLinks(everyLink); cluster.freeze(leader) },
 	}
@@ -93,13 +94,13 @@
 	}
 }
 
-// Guards against a deposed leader that reports a cancelled job as done. A leader that was cut off
-// from the store learns at the same time that it was replaced and that the job was cancelled and
-// has ended, and must not mistake the deletion of the job for its completion.
+// Guards against reporting a cancelled job as done: a leader that was cut off from the store learns
+// at the same time that it was replaced and that the job was cancelled and has ended. It must not
+// mistake the deletion of the job for its completion.
 func TestDeposedLeaderReportsCancelledJobAsCancelled(t *testing.T) {
 	cluster := newSimClusterOf(t, fiveNodes)
 	cluster.allowRacingStarts, cluster.taskTime = true, time.Minute
-	cluster.ready()
+	cluster.waitUntilReady()
 	leader := cluster.cores["a"].teamsByName["free"].leader
 	requireAccepted(t, cluster.submit(leader, "req-free-1", 12, ""))
 	cluster.waitUntilStarted("req-free-1", 3)
--- a/internal/core/canceltiming_test.go
+++ b/internal/core/canceltiming_test.go
@@ -21,7 +21,7 @@
 	for i := range machines {
 		cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 	}
-	cluster.ready().run(10*time.Second, nil)
+	cluster.waitUntilReady().run(10*time.Second, nil)
 	return cluster
 }
 
@@ -35,7 +35,7 @@
 		"shorter than the lease":       func(cluster *simCluster) time.Duration { return cluster.workerLease() * 3 / 4 },
 		"just under cancel_s":          func(cluster *simCluster) time.Duration { return cluster.cancelDeadline() - time.Second },
 		"just over cancel_s":           func(cluster *simCluster) time.Duration { return cluster.cancelDeadline() + time.Second },
-		"hang and silent":              func(cluster *simCluster) time.Duration { return cluster.workerLease() / 2 },
+		"hang and do not report":       func(cluster *simCluster) time.Duration { return cluster.workerLease() / 2 },
 		"report to another controller": func(cluster *simCluster) time.Duration { return cluster.workerLease() / 2 },
 	}
 	for hang, duration := range hangs {
@@ -54,7 +54,7 @@
 					for _, id := range slices.Sorted(maps.Keys(cluster.workers)) {
 						if d := duration(cluster); d > 0 && hung < 8 && cluster.loadOf(cluster.workers[id], "").CPUs > 0 {
 							cluster.hang(id, d)
-							cluster.silentWorkers[id] = hang == "hang and silent"
+							cluster.nonReportingWorkers[id] = hang == "hang and do not report"
 							cluster.brokenWorkerLinks[link{leader, id}] = hang == "report to another controller"
 							hung++
 						}
@@ -87,8 +87,8 @@
 type lastTasksEnd struct {
 	name  string
 	tasks int
-	// more contains additional JSON fields of the submission.
-	more string
+	// extraFields contains additional JSON fields of the submission.
+	extraFields string
 	// atLeader selects whether the requests are sent to the job's leader or to another
 	// controller.
 	atLeader bool
@@ -110,8 +110,8 @@
 		{name: "one task", tasks: 1},
 		{name: "two tasks that end in the same report", tasks: 2},
 		{name: "several chunks", tasks: 130},
-		{name: "a gang", tasks: 2, more: `,"shape":"group"`},
-		{name: "a gang in one zone", tasks: 2, more: `,"shape":"group","samePlace":true`},
+		{name: "a gang", tasks: 2, extraFields: `,"shape":"group"`},
+		{name: "a gang in one zone", tasks: 2, extraFields: `,"shape":"group","samePlace":true`},
 	} {
 		outcomes := map[string]int{}
 		for _, atLeader := range []bool{true, false} {
@@ -129,15 +129,15 @@
 // run runs the scenario and returns the state in the answer to the cancellation.
 func (d lastTasksEnd) run(t *testing.T) string {
 	t.Helper()
-	cluster := newSimClusterOf(t, fiveNodes).ready()
+	cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 	cluster.allowRacingStarts, cluster.taskTime, cluster.maxMachines = true, 6*time.Second, 80
 	cluster.watchLag, cluster.latency = 300*time.Millisecond, true
-	requireAccepted(t, cluster.submit("a", endingJob, d.tasks, d.more))
+	requireAccepted(t, cluster.submit("a", endingJob, d.tasks, d.extraFields))
 	cluster.run(time.Minute, func() bool { return cluster.startsOf(endingJob) == d.tasks })
-	d.awaitMoment(cluster)
+	d.runUntilRequestTime(cluster)
 	node := cluster.leaderOf("free")
 	if !d.atLeader {
-		node = cluster.anotherNode(node)
+		node = cluster.anotherController(node)
 	}
 	cancel := d.sendRequests(t, cluster, node)
 	for range 5 {
@@ -153,7 +153,9 @@
 }
 
 // body returns the body of the job's submission.
-func (d lastTasksEnd) body() []byte { return []byte(submission(endingJob, "free", d.tasks, d.more)) }
+func (d lastTasksEnd) body() []byte {
+	return []byte(submission(endingJob, "free", d.tasks, d.extraFields))
+}
 
 // ended reports whether all tasks have ended.
 func (d lastTasksEnd) ended(cluster *simCluster) bool {
@@ -165,8 +167,8 @@
 	return true
 }
 
-// awaitMoment runs the simulation until the requests are to be sent.
-func (d lastTasksEnd) awaitMoment(cluster *simCluster) {
+// runUntilRequestTime runs the simulation until the time at which the scenario sends the requests.
+func (d lastTasksEnd) runUntilRequestTime(cluster *simCluster) {
 	const earliest = 5500 * time.Millisecond
 	begin, offset := cluster.now, time.Duration(d.tenths)*100*time.Millisecond
 	cluster.run(20*time.Second, func() bool {
@@ -234,7 +236,7 @@
 func TestJobIsEitherDoneOrCancelled(t *testing.T) {
 	outcomes := map[string]int{}
 	for tenths := range 16 {
-		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 		cluster.allowRacingStarts = true
 		requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
 		cluster.waitUntilStarted("req-blue-1", 1)
@@ -273,7 +275,7 @@
 // of it before the reply to that write. The job ends after a few more writes.
 func TestCancellationDuringBindingWrite(t *testing.T) {
 	const id = "req-free-1"
-	cluster := newSimClusterOf(t, fiveNodes).ready()
+	cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
 	leader, writes, cancelled := cluster.leaderOf("free"), 0, false
 	cluster.onEffect = func(node string, e Effect) {
@@ -287,7 +289,7 @@
 		cancelled = true
 		r := cluster.commitTxn(protocol.Txn{If: []protocol.Condition{{Key: keyState + id}},
 			Then: []protocol.Change{putJSON(keyState+id, finalStateRecord{State: protocol.Cancelled}), putJSON(cancelKey(id), cancelRecord{})}})
-		cluster.send(leader, PeerMessageReceived{Node: cluster.anotherNode(leader), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
+		cluster.send(leader, PeerMessageReceived{Node: cluster.anotherController(leader), Message: PeerMessage{Cancellations: []Cancellation{{Job: id, Revision: r.Revision}}}})
 	}
 	requireAccepted(t, cluster.submit("a", id, 40, ""))
 	if !cluster.run(20*time.Second, func() bool { return cancelled }) {
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -16,20 +16,20 @@
 const claimLifetimeIntervals = 3
 
 // heldClaims tracks the jobs for which this node holds claims of other leaders. A claim is an
-// announced binding that is not stored yet. The leader renews it until it is stored; it expires
-// if the leader drops the binding, and is void once the job has another leader.
+// announced binding that is not stored yet. The leader renews it until it is stored. It expires if
+// the leader drops the binding, and is void once the job has another leader.
 type heldClaims struct {
 	jobs map[string]bool
-	// nextRenewal is when this node next renews its own claims and checks those of others for
-	// expiry.
+	// nextRenewal is the time at which this node next renews its own claims and checks those of
+	// others for expiry.
 	nextRenewal time.Duration
 }
 
 func newHeldClaims() heldClaims { return heldClaims{jobs: map[string]bool{}} }
 
-// broadcastClaims announces the capacity claimed in this step to the other controllers at once. The
-// store would show it to them only after a write and a watch event; until then they might bind
-// the same capacity and be refused.
+// broadcastClaims immediately announces the capacity claimed in this step to the other controllers.
+// The store would show it to them only after a write and a watch event. Until then they might bind
+// tasks to the same capacity, whose starts would be rejected.
 func (c *Core) broadcastClaims() {
 	for part := range slices.Chunk(c.scheduler.claims, maxClaimsPerMessage) {
 		c.broadcast(PeerMessage{Claims: part})
@@ -130,7 +130,7 @@
 
 // dropConflictingClaims drops the new bindings of a job whose capacity another leader has claimed
 // with precedence. Every leader sees the same claims and decides the same way, so one of two
-// conflicting claims is kept, and the other leader picks another host without a refusal.
+// conflicting claims is kept, and the other leader picks another host before any start is rejected.
 func (c *Core) dropConflictingClaims(j *job.Job) {
 	if j.Kind == job.Gang {
 		return // all or nothing: a gang must not lose single bindings
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -9,7 +9,7 @@
 // TestOneOfTwoConflictingClaimsHolds checks that of two leaders that claim the same capacity at
 // the same time exactly one keeps it.
 func TestOneOfTwoConflictingClaimsHolds(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	cluster.submit("a", "req-red-1", 1, "")
 	cluster.waitUntilStarted("req-red-1", 1) // uses two of the machine's four CPUs
 	c := cluster.cores["a"]
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -53,7 +53,8 @@
 	OutcomeConflict
 	// OutcomeMissing means that the key does not exist.
 	OutcomeMissing
-	// OutcomeNoLease means that the lease of a write has expired and nothing was changed.
+	// OutcomeNoLease means that the controller lease to which a write attaches its key has expired
+	// and nothing was changed.
 	OutcomeNoLease
 	// OutcomeRefused means that the request was certainly not carried out.
 	OutcomeRefused
@@ -89,14 +90,14 @@
 		Revision uint64
 		Events   []protocol.Event
 	}
-	// LeaseGranted reports a new lease of this node.
+	// LeaseGranted reports a new controller lease of this node.
 	LeaseGranted struct{ Lease uint64 }
-	// LeaseExpired reports that the lease of this node has expired.
+	// LeaseExpired reports that the controller lease of this node has expired.
 	LeaseExpired struct{}
 	// StoreHealth reports whether the store answers this node.
 	StoreHealth struct{ OK bool }
-	// StoreLimitLowered reports that the store accepts fewer changes per second than its
-	// limit from before the upgrade.
+	// StoreLimitLowered reports that the store enforces its upcoming, lower limits: it has
+	// refused many changes because of the rate limit, or a transaction as oversized.
 	StoreLimitLowered struct{}
 )
 
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -8,7 +8,7 @@
 )
 
 // cordonRecord is the stored value of a machine that accepts no new bindings. Terminated proves
-// that the machine and everything on it are gone.
+// that the machine, and every task on it, no longer runs.
 type cordonRecord struct {
 	Terminated bool   `json:"g,omitempty"`
 	Reason     string `json:"w,omitempty"`
@@ -25,7 +25,7 @@
 	return cordoned
 }
 
-// isTerminated reports whether a machine is proven to be gone.
+// isTerminated reports whether a machine is proven to be terminated.
 func (c cordons) isTerminated(machine string) bool { return c[machine].Terminated }
 
 // put records a cordon, first seen now, and reports whether it is newer than the known one.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
 // Package core implements the scheduler as a deterministic state machine that performs no I/O:
 // Step takes commands and the current time and returns effects. It uses no clock, socket or
-// goroutine of its own.
+// goroutine of its own. In comments, "this node" is the controller that the state machine runs in.
 package core
 
 import (
@@ -21,10 +21,10 @@
 	*environment
 	*messenger
 
-	// Local replica of the store.
+	// Replica of the stored state.
 
 	replica replica
-	// members holds the controllers of this deployment.
+	// members holds the controllers of this site.
 	members membership
 	// teams lists the teams in the order of the settings. fleet is the shard that covers the
 	// machines.
@@ -176,7 +176,7 @@
 	case StoreHealth:
 		c.storeOK = m.OK
 	case StoreLimitLowered:
-		c.storeLimitLowered()
+		c.handleStoreLimitLowered()
 	case PeerMessageReceived:
 		c.handlePeerMessage(m)
 	case PeerConnected:
@@ -198,7 +198,7 @@
 	case SiteMessageReceived:
 		c.federation.handleSiteMessage(m.Message)
 	case SiteConnected:
-		c.federation.peerReachable(m.Site)
+		c.federation.handleSiteConnected(m.Site)
 	case SiteConfig:
 		c.updateFederationConfig(m.Config)
 	case OperatorRequest:
@@ -220,8 +220,8 @@
 // usageUpdatesPerStore is the number of updates of the usage records between two writes of them.
 const usageUpdatesPerStore = 15
 
-// runPeriodicWork runs the periodic operations that are due. Their order affects the result of
-// a step.
+// runPeriodicWork runs the periodic operations that are due. Their order affects the result of the
+// step.
 func (c *Core) runPeriodicWork() {
 	report := c.reportInterval()
 	c.updateUsageRecords()
@@ -252,14 +252,14 @@
 	}
 	if c.every(&c.timers.reconcile, report/reconcilesPerReport) {
 		c.announcements.resend()
-		c.freshness.check(c.storeOK)
+		c.freshness.refresh(c.storeOK)
 		c.reconciler.reconcileAll()
 		c.agents.retryPendingRaises()
 		c.agents.expireSessions()
 		c.agents.expireStartDecisions()
 	}
 	c.renewClaims()
-	c.dependencies.check()
+	c.dependencies.refresh()
 	c.dependencies.inheritUrgency()
 	c.relay.update()
 	c.checkIsolation()
--- a/internal/core/deferredstatus.go
+++ b/internal/core/deferredstatus.go
@@ -2,15 +2,15 @@
 
 import "pepperlever/internal/core/lookup"
 
-// deferredStatus is a pending answer to requests for the state of a job that, according to the
-// store, has no final state as of a revision. The job may still have been cancelled with one
-// of its dependencies, which the replica shows only once it has reached that revision.
+// deferredStatus is a deferred answer to requests for the state of a job that, according to the
+// store, has no final state as of a revision. The job may still have been cancelled because a
+// dependency was, which the replica shows only once it has reached that revision.
 type deferredStatus struct {
 	group    lookup.Group
 	revision uint64
 }
 
-// resolveActive answers requests for a job that has no final state as of a revision: at once if
+// resolveActive answers requests for a job that has no final state as of a revision: immediately if
 // nothing else can have ended it, or else once the replica has reached the revision.
 func (l *lookupController) resolveActive(group lookup.Group, revision uint64) {
 	j := l.core.jobs[group.JobID]
@@ -56,7 +56,7 @@
 	if l.core.jobs[id] == nil && l.core.replica.reloading {
 		return false
 	}
-	return !l.core.dependencies.lookUpUpstream(id)
+	return !l.core.dependencies.lookUpTransitive(id)
 }
 
 // resolveFromReplica answers requests for a job with the state that the replica shows.
--- a/internal/core/deferredstatus_test.go
+++ b/internal/core/deferredstatus_test.go
@@ -18,8 +18,8 @@
 	cluster := newIdleSimCluster(t, 10)
 	cluster.taskTime = 5 * time.Minute
 	requireAccepted(t, cluster.submit("a", "req-free-1", 2, ""))
-	requireAccepted(t, cluster.submit("b", "req-blue-1", 2, awaiting("req-free-1")))
-	requireAccepted(t, cluster.submit("b", "req-blue-2", 2, awaiting("req-blue-1")))
+	requireAccepted(t, cluster.submit("b", "req-blue-1", 2, dependenciesField("req-free-1")))
+	requireAccepted(t, cluster.submit("b", "req-blue-2", 2, dependenciesField("req-blue-1")))
 	cluster.waitUntilStarted("req-free-1", 2)
 	behind := ""
 	for _, node := range cluster.names {
@@ -73,10 +73,10 @@
 	}
 	cluster.stopAllFor(time.Second)
 	cluster.recover()
-	cluster.ready()
+	cluster.waitUntilReady()
 	for id, want := range map[string]string{"req-free-1": protocol.Cancelled, "req-free-2": protocol.Queued} {
 		dependent := "req-blue-after-" + id
-		s, err := job.Parse([]byte(submission(dependent, "blue", 1, awaiting(id)+`,"vcpus":4.0,"builds":["none"]`)), protocol.MaxBody)
+		s, err := job.Parse([]byte(submission(dependent, "blue", 1, dependenciesField(id)+`,"vcpus":4.0,"builds":["none"]`)), protocol.MaxBody)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// queueCommand queues a stop or forget for an agent. Stops go out at the end of the step.
+// queueCommand queues a stop or forget command for a worker. Stops go out at the end of the step.
 func (a *agentController) queueCommand(o TaskCommand) {
 	session := a.session(o.Machine)
 	if session == nil {
@@ -29,8 +29,7 @@
 	}
 }
 
-// deliverTo sends everything that is queued for an agent. Only one delivery is in flight at a
-// time.
+// deliverTo sends everything that is queued for a worker. Only one delivery is in flight at a time.
 func (a *agentController) deliverTo(machine string, session *agentSession) {
 	idle := len(session.queuedStarts) == 0 && len(session.queuedCommands) == 0 && !session.probeDue
 	if session.delivering || idle {
@@ -48,8 +47,8 @@
 	})
 }
 
-// dropCancelledStarts drops queued starts of jobs that have since been cancelled, because an
-// agent would execute a stop before a start of the same delivery.
+// dropCancelledStarts drops queued starts of jobs that have since been cancelled, because a worker
+// would execute a stop before a start of the same delivery.
 func (a *agentController) dropCancelledStarts(session *agentSession) {
 	session.queuedStarts = slices.DeleteFunc(session.queuedStarts, func(start protocol.Command) bool {
 		drop := a.belongsToCancelledJob(start.Task)
@@ -61,8 +60,8 @@
 }
 
 // handleDelivery processes the outcome of a delivery. If there is no answer, its starts may
-// still be executed, so the agent's token is raised above theirs. Starts that the agent has
-// rejected never are.
+// still be executed, so the worker's token is raised above theirs. Starts that the worker has
+// rejected are never executed.
 func (a *agentController) handleDelivery(d DeliveryResult) {
 	session := a.session(d.Machine)
 	if session == nil {
@@ -78,18 +77,18 @@
 		}
 	}
 	if d.Report == nil {
-		a.deliveryUnanswered(session, d)
+		a.handleUnanswered(session, d)
 		return
 	}
 	if !d.Executed {
-		a.reportRefusedStarts(d)
+		a.reportRejectedStarts(d)
 	}
 	a.deliverTo(d.Machine, session)
 }
 
-// deliveryUnanswered fences the starts of a delivery that got no answer. A delivery without
+// handleUnanswered fences the starts of a delivery that got no answer. A delivery without
 // starts needs no fence, so a hung machine costs one token rather than one per probe.
-func (a *agentController) deliveryUnanswered(session *agentSession, d DeliveryResult) {
+func (a *agentController) handleUnanswered(session *agentSession, d DeliveryResult) {
 	session.unanswered = true
 	a.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.CommandBatch.Commands))
 	if slices.ContainsFunc(d.CommandBatch.Commands, isStart) {
@@ -99,9 +98,9 @@
 
 func isStart(command protocol.Command) bool { return command.Op == protocol.OpStart }
 
-// reportRefusedStarts informs the leaders of starts that the agent has rejected together with
-// the rest of the delivery.
-func (a *agentController) reportRefusedStarts(d DeliveryResult) {
+// reportRejectedStarts informs the leaders of starts that the worker has rejected together
+// with the rest of the delivery.
+func (a *agentController) reportRejectedStarts(d DeliveryResult) {
 	for _, command := range d.CommandBatch.Commands {
 		if !isStart(command) {
 			continue
--- a/internal/core/deliveries_test.go
+++ b/internal/core/deliveries_test.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// The reply to a direct call may be anything. A report that is outdated, belongs to another
-// machine, or refers to tokens, attempts or jobs that never existed changes nothing.
+// The reply to a delivery may be anything. A report that is outdated, belongs to another machine,
+// or refers to tokens, attempts or jobs that never existed changes nothing.
 func TestMalformedDeliveryReportsChangeNothing(t *testing.T) {
 	for name, change := range map[string]func(r *protocol.Report, other *fakeWorker) *protocol.Report{
 		"no report": func(*protocol.Report, *fakeWorker) *protocol.Report { return nil },
@@ -33,20 +33,20 @@
 		},
 		"attempt never issued": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
-			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: silentMachinesJob + "/0", Attempt: 999, State: protocol.Exited, ExitReason: protocol.ExitDone})
+			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: nonReportingMachinesJob + "/0", Attempt: 999, State: protocol.Exited, ExitReason: protocol.ExitDone})
 			return r
 		},
 		"task never submitted": func(r *protocol.Report, _ *fakeWorker) *protocol.Report {
 			r.Seq++
 			r.Tasks = append(r.Tasks, protocol.TaskReport{Task: "req-nobody-1/0", Attempt: 1, State: protocol.Exited, ExitReason: protocol.ExitDone},
-				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: silentMachinesJob + "/99999", Attempt: 1, State: protocol.Exited, ExitReason: protocol.ExitDone})
+				protocol.TaskReport{Task: "../x", Attempt: 1, State: "odd"}, protocol.TaskReport{Task: nonReportingMachinesJob + "/99999", Attempt: 1, State: protocol.Exited, ExitReason: protocol.ExitDone})
 			return r
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			cluster, _ := newLoadedSimCluster(t, 10, silentMachinesJob)
-			cluster.waitUntilStarted(silentMachinesJob, 20)
+			cluster, _ := newLoadedSimCluster(t, 10, nonReportingMachinesJob)
+			cluster.waitUntilStarted(nonReportingMachinesJob, 20)
 			cluster.run(3*time.Second, nil)
 			ids := slices.Sorted(maps.Keys(cluster.workers))
 			f := cluster.workers[ids[3]]
@@ -55,8 +55,8 @@
 			batch := protocol.CommandBatch{Token: f.Token, WorkerEpoch: f.WorkerEpoch}
 			cluster.send(node, DeliveryResult{Machine: f.Machine, CommandBatch: batch, Executed: true, Report: change(&r, cluster.workers[ids[4]])})
 			cluster.run(time.Minute, nil)
-			if a := cluster.status("b", silentMachinesJob); requireJobState(t, a).Done > 0 || cluster.onMachines(silentMachinesJob) != 20 || f.WorkerEpoch != 1 {
-				t.Errorf("got state %v with %d tasks left, want 20 tasks left, none done, and no new epoch", a.Body, cluster.onMachines(silentMachinesJob))
+			if a := cluster.status("b", nonReportingMachinesJob); requireJobState(t, a).Done > 0 || cluster.onMachines(nonReportingMachinesJob) != 20 || f.WorkerEpoch != 1 {
+				t.Errorf("got state %v with %d tasks left, want 20 tasks left, none done, and no new epoch", a.Body, cluster.onMachines(nonReportingMachinesJob))
 			}
 			cluster.checkStartedOnce()
 		})
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -18,8 +18,8 @@
 	lookingUp map[string]bool
 	// inheriting holds the jobs that have inherited the urgency of their dependents.
 	inheriting []*job.Job
-	// nextCheck is when the states of dependencies are looked up again.
-	nextCheck time.Duration
+	// nextLookup is the time at which the states of dependencies are looked up again.
+	nextLookup time.Duration
 }
 
 func newDependencies(c *Core) *dependencies {
@@ -28,7 +28,7 @@
 
 // inheritUrgency makes jobs at least as urgent as those that depend on them.
 func (d *dependencies) inheritUrgency() {
-	if !d.Changed() {
+	if !d.TakeChanged() {
 		return
 	}
 	jobs := d.core.jobs
@@ -68,25 +68,25 @@
 	if j.WasUnblocked() {
 		return
 	}
-	var unfinished []string
+	var remaining []string
 	for _, id := range j.Dependencies {
 		if !d.core.ended.isDone(id) {
-			unfinished = append(unfinished, id)
+			remaining = append(remaining, id)
 		}
 	}
-	d.SetDependencies(j.ID, unfinished)
-	if len(unfinished) == 0 {
-		d.onReady(j)
+	d.SetDependencies(j.ID, remaining)
+	if len(remaining) == 0 {
+		d.unblock(j)
 		return
 	}
 	j.Blocked = true
-	if i := slices.IndexFunc(unfinished, d.core.cancelled); i >= 0 {
-		d.cancelDependent(j, unfinished[i])
+	if i := slices.IndexFunc(remaining, d.core.cancelled); i >= 0 {
+		d.cancelDependent(j, remaining[i])
 	}
 }
 
-// onReady unblocks a job whose last dependency is done.
-func (d *dependencies) onReady(j *job.Job) {
+// unblock unblocks a job whose last dependency is done.
+func (d *dependencies) unblock(j *job.Job) {
 	j.Unblock(d.core.now.Steady, d.core.now.Wall)
 	d.core.requestRound()
 	d.core.log(Debug, "job dependencies done", "job", j.ID)
@@ -95,9 +95,9 @@
 // onEnded applies the final state of a job to its dependents.
 func (d *dependencies) onEnded(id, state string) {
 	if state == protocol.Done {
-		for _, ready := range d.Done(id) {
-			if j := d.core.jobs[ready]; j != nil {
-				d.onReady(j)
+		for _, unblocked := range d.Done(id) {
+			if j := d.core.jobs[unblocked]; j != nil {
+				d.unblock(j)
 			}
 		}
 		return
@@ -108,14 +108,14 @@
 }
 
 // cancelDependent cancels a job because one of its dependencies is cancelled. None of its tasks was
-// ever bound. Every controller derives the cancellation by itself; the job's leader stores it
-// when it next writes the job.
-func (d *dependencies) cancelDependent(j *job.Job, upstream string) {
+// ever bound. Every controller derives the cancellation by itself. The job's leader stores it when
+// it next writes the job.
+func (d *dependencies) cancelDependent(j *job.Job, dependencyID string) {
 	if j == nil {
 		return
 	}
 	if !j.Cancelled {
-		d.core.log(Debug, "job cancelled because a dependency is cancelled", "job", j.ID, "dependency", upstream)
+		d.core.log(Debug, "job cancelled because a dependency is cancelled", "job", j.ID, "dependency", dependencyID)
 		d.core.counters.CascadedCancellations++
 		d.core.markCancelled(j)
 	}
@@ -126,13 +126,13 @@
 // interval.
 const dependencyChecksPerReport = 6
 
-// check looks up the dependencies that the replica does not hold: they ended before this controller
-// loaded the stored state. Every controller does so for all teams, since it plans for all of
-// them and the fleet leader rents machines by its own plan. Dependencies of jobs that this
-// controller leads are looked up at once, the others within the background lookup rate.
-func (d *dependencies) check() {
+// refresh looks up the dependencies that the replica does not hold, because they ended before this
+// controller loaded the stored state. Every controller does so for all teams, since it plans for all
+// of them and the fleet leader rents machines by its own plan. Dependencies of jobs that this
+// controller leads are looked up immediately, the others within the background lookup rate.
+func (d *dependencies) refresh() {
 	interval := d.core.reportInterval() / dependencyChecksPerReport
-	if !d.core.every(&d.nextCheck, interval) {
+	if !d.core.every(&d.nextLookup, interval) {
 		return
 	}
 	for _, id := range d.BlockedJobs() {
@@ -144,9 +144,9 @@
 }
 
 // missingJobs lists up to n dependencies that the replica does not hold and that are not being
-// looked up.
+// looked up yet.
 func (d *dependencies) missingJobs(n int) (ids []string) {
-	for _, id := range d.AwaitedJobs() {
+	for _, id := range d.JobsWithDependents() {
 		if len(ids) == n {
 			break
 		}
@@ -157,14 +157,14 @@
 	return ids
 }
 
-// lookUpUpstream reads the states of those direct and transitive dependencies of a job that the
-// replica does not hold, and reports whether there are any.
-func (d *dependencies) lookUpUpstream(id string) (unknown bool) {
+// lookUpTransitive looks up those direct and transitive dependencies of a job that the replica does
+// not hold, and reports whether there are any.
+func (d *dependencies) lookUpTransitive(id string) (unknown bool) {
 	return d.lookUp(d.TransitiveDependencies(id))
 }
 
-// lookUp reads the states of those of the given jobs that the replica does not hold, and reports
-// whether there are any.
+// lookUp looks up those of the given jobs that the replica does not hold, and reports whether there
+// are any.
 func (d *dependencies) lookUp(ids []string) (unknown bool) {
 	for _, id := range ids {
 		if d.core.jobs[id] != nil {
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -33,11 +33,11 @@
 	teams := []string{"red", "blue", "free"}
 	var ids []string
 	for n := range 10 {
-		id, more := fmt.Sprintf("req-%s-%d", teams[n%3], n), ""
+		id, extraFields := fmt.Sprintf("req-%s-%d", teams[n%3], n), ""
 		if n > 0 {
-			more = awaiting(ids...)
+			extraFields = dependenciesField(ids...)
 		}
-		requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, more))
+		requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, extraFields))
 		ids = append(ids, id)
 	}
 	for n, id := range ids {
@@ -63,7 +63,7 @@
 	cluster := newIdleSimCluster(t, 10)
 	cluster.taskTime = 40 * time.Second
 	requireAccepted(t, cluster.submit("a", "req-red-1", 1, ""))
-	requireAccepted(t, cluster.submit("a", "req-red-2", 30, awaiting("req-red-1")))
+	requireAccepted(t, cluster.submit("a", "req-red-2", 30, dependenciesField("req-red-1")))
 	cluster.run(10*time.Second, nil)
 	c := cluster.cores[cluster.leaderOf("red")]
 	j, team := c.jobs["req-red-2"], c.teamsByName["red"]
@@ -95,7 +95,7 @@
 	cluster := newIdleSimCluster(t, 0)
 	cluster.maxMachines = 0
 	requireAccepted(t, cluster.submit("a", "req-free-1", 4, `,"urgency":"low","dueS":null`))
-	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, `,"urgency":"critical","dueS":30.0`+awaiting("req-free-1")))
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, `,"urgency":"critical","dueS":30.0`+dependenciesField("req-free-1")))
 	cluster.run(2*time.Second, nil)
 	for _, node := range cluster.names {
 		c := cluster.cores[node]
@@ -126,24 +126,24 @@
 	if cluster.cancelJob("b", "req-free-1"); !cluster.run(time.Minute, cluster.allDone("req-free-2")) {
 		t.Fatal("the job did not end")
 	}
-	requireAccepted(t, cluster.submit("a", "req-blue-3", 1, awaiting("req-free-1")))
+	requireAccepted(t, cluster.submit("a", "req-blue-3", 1, dependenciesField("req-free-1")))
 	if a := cluster.cancelJob("b", "req-free-2"); a.Body.(protocol.JobState).State != protocol.Done {
-		t.Fatalf("cancellation of a finished job: got %v, want done", a.Body)
+		t.Fatalf("cancellation of a job that is done: got %v, want done", a.Body)
 	}
 	cluster.run(10*time.Second, nil)
 	cluster.stopAllFor(time.Second)
 	cluster.recover()
-	cluster.ready().run(10*time.Second, nil)
+	cluster.waitUntilReady().run(10*time.Second, nil)
 	for _, node := range cluster.names {
 		if c := cluster.cores[node]; len(c.ended.states) > 1 {
 			t.Fatalf("%s: got cached final states %v, want at most one", node, c.ended.states)
 		}
 	}
-	requireAccepted(t, cluster.submit("c", "req-red-1", 1, awaiting("req-free-1")))
-	requireAccepted(t, cluster.submit("d", "req-red-2", 1, awaiting("req-free-2", "req-red-1")))
-	requireAccepted(t, cluster.submit("e", "req-red-3", 1, awaiting("req-free-2")))
+	requireAccepted(t, cluster.submit("c", "req-red-1", 1, dependenciesField("req-free-1")))
+	requireAccepted(t, cluster.submit("d", "req-red-2", 1, dependenciesField("req-free-2", "req-red-1")))
+	requireAccepted(t, cluster.submit("e", "req-red-3", 1, dependenciesField("req-free-2")))
 	if !cluster.run(time.Minute, cluster.allDone("req-red-3")) {
-		t.Error("the dependent of a finished job did not end")
+		t.Error("the dependent of a job that is done did not end")
 	}
 	for _, id := range []string{"req-red-1", "req-red-2", "req-blue-3"} {
 		if got := cluster.stateSeenBy("a", id); got != protocol.Cancelled {
--- a/internal/core/dependency/graph.go
+++ b/internal/core/dependency/graph.go
@@ -1,6 +1,6 @@
 // Package dependency maintains the dependency graph of jobs and propagates urgency along it. The
-// graph contains only job IDs: the caller reports which jobs are done and is told which jobs become
-// ready.
+// graph contains only job IDs: the caller reports which jobs are done and learns which jobs are no
+// longer blocked.
 package dependency
 
 import (
@@ -13,104 +13,102 @@
 
 func (s jobSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
-// Graph holds the unfinished dependencies of waiting jobs. A job waits until every job that it
-// awaits is known to be done. The graph is acyclic because a job can only await jobs that were
+// Graph holds the remaining dependencies of blocked jobs: those that are not known to be done. A job
+// is blocked while it has any. The graph is acyclic because a job can only depend on jobs that were
 // accepted before it.
 type Graph struct {
-	// awaited maps each waiting job to the jobs that it still awaits; dependents is the
-	// inverse.
-	awaited, dependents map[string]jobSet
-	changed             bool
+	// dependsOn maps each blocked job to its remaining dependencies. dependents is the inverse.
+	dependsOn, dependents map[string]jobSet
+	changed               bool
 }
 
 // New returns an empty Graph.
 func New() *Graph {
-	return &Graph{awaited: map[string]jobSet{}, dependents: map[string]jobSet{}}
+	return &Graph{dependsOn: map[string]jobSet{}, dependents: map[string]jobSet{}}
 }
 
-// SetDependencies sets the jobs that a job awaits, replacing any earlier ones.
-func (g *Graph) SetDependencies(job string, awaited []string) {
+// SetDependencies sets the remaining dependencies of a job, replacing any earlier ones.
+func (g *Graph) SetDependencies(job string, dependsOn []string) {
 	g.RemoveDependencies(job)
-	if len(awaited) == 0 {
+	if len(dependsOn) == 0 {
 		return
 	}
 	g.changed = true
-	g.awaited[job] = jobSet{}
-	for _, upstream := range awaited {
-		g.awaited[job][upstream] = true
-		if g.dependents[upstream] == nil {
-			g.dependents[upstream] = jobSet{}
+	g.dependsOn[job] = jobSet{}
+	for _, dependency := range dependsOn {
+		g.dependsOn[job][dependency] = true
+		if g.dependents[dependency] == nil {
+			g.dependents[dependency] = jobSet{}
 		}
-		g.dependents[upstream][job] = true
+		g.dependents[dependency][job] = true
 	}
 }
 
-// RemoveDependencies removes the dependencies of a job. Jobs that await it keep waiting.
+// RemoveDependencies removes the dependencies of a job. Its dependents stay blocked.
 func (g *Graph) RemoveDependencies(job string) {
-	for upstream := range g.awaited[job] {
-		g.unlink(job, upstream)
+	for dependency := range g.dependsOn[job] {
+		g.unlink(job, dependency)
 	}
-	delete(g.awaited, job)
+	delete(g.dependsOn, job)
 }
 
-// unlink removes a job from the dependents of a job that it awaits.
-func (g *Graph) unlink(job, awaited string) {
+// unlink removes a job from the dependents of one of its dependencies.
+func (g *Graph) unlink(job, dependency string) {
 	g.changed = true
-	delete(g.dependents[awaited], job)
-	if len(g.dependents[awaited]) == 0 {
-		delete(g.dependents, awaited)
+	delete(g.dependents[dependency], job)
+	if len(g.dependents[dependency]) == 0 {
+		delete(g.dependents, dependency)
 	}
 }
 
-// Done removes a completed job from the dependencies of other jobs and returns, sorted, those that
-// have no dependencies left.
-func (g *Graph) Done(job string) (ready []string) {
+// Done removes a job that is done from the dependencies of other jobs and returns, sorted, those of
+// them that have no dependencies left.
+func (g *Graph) Done(job string) (unblocked []string) {
 	for _, dependent := range g.dependents[job].sorted() {
-		delete(g.awaited[dependent], job)
+		delete(g.dependsOn[dependent], job)
 		g.unlink(dependent, job)
-		if len(g.awaited[dependent]) == 0 {
-			delete(g.awaited, dependent)
-			ready = append(ready, dependent)
+		if len(g.dependsOn[dependent]) == 0 {
+			delete(g.dependsOn, dependent)
+			unblocked = append(unblocked, dependent)
 		}
 	}
-	return ready
+	return unblocked
 }
 
-// IsBlocked reports whether a job still awaits others.
-func (g *Graph) IsBlocked(job string) bool { return g.awaited[job] != nil }
+// IsBlocked reports whether a job has remaining dependencies.
+func (g *Graph) IsBlocked(job string) bool { return g.dependsOn[job] != nil }
 
-// BlockedJobs returns the jobs that still await others, sorted.
-func (g *Graph) BlockedJobs() []string { return slices.Sorted(maps.Keys(g.awaited)) }
+// BlockedJobs returns the jobs that have remaining dependencies, sorted.
+func (g *Graph) BlockedJobs() []string { return slices.Sorted(maps.Keys(g.dependsOn)) }
 
-// PendingDependencies returns the jobs that a job still awaits, sorted.
-func (g *Graph) PendingDependencies(job string) []string { return g.awaited[job].sorted() }
+// PendingDependencies returns the remaining dependencies of a job, sorted.
+func (g *Graph) PendingDependencies(job string) []string { return g.dependsOn[job].sorted() }
 
-// Dependents returns the jobs that await a job, sorted.
+// Dependents returns the jobs that depend on a job directly, sorted.
 func (g *Graph) Dependents(job string) []string { return g.dependents[job].sorted() }
 
-// TransitiveDependencies returns the direct and transitive dependencies that a job still awaits,
-// sorted.
+// TransitiveDependencies returns the direct and transitive remaining dependencies of a job, sorted.
 func (g *Graph) TransitiveDependencies(job string) []string {
-	upstream := jobSet{}
+	found := jobSet{}
 	unvisited := []string{job}
 	for len(unvisited) > 0 {
 		last := unvisited[len(unvisited)-1]
 		unvisited = unvisited[:len(unvisited)-1]
-		for awaited := range g.awaited[last] {
-			if !upstream[awaited] {
-				upstream[awaited] = true
-				unvisited = append(unvisited, awaited)
+		for dependsOn := range g.dependsOn[last] {
+			if !found[dependsOn] {
+				found[dependsOn] = true
+				unvisited = append(unvisited, dependsOn)
 			}
 		}
 	}
-	return upstream.sorted()
+	return found.sorted()
 }
 
-// AwaitedJobs returns the jobs that others await, sorted.
-func (g *Graph) AwaitedJobs() []string { return slices.Sorted(maps.Keys(g.dependents)) }
+// JobsWithDependents returns the jobs that are a remaining dependency of another job, sorted.
+func (g *Graph) JobsWithDependents() []string { return slices.Sorted(maps.Keys(g.dependents)) }
 
-// Changed reports whether the graph has changed since the previous call.
-func (g *Graph) Changed() bool {
+// TakeChanged reports whether the graph has changed since the previous call, and resets that.
+func (g *Graph) TakeChanged() bool {
 	changed := g.changed
 	g.changed = false
 	return changed
--- a/internal/core/dependency/graph_test.go
+++ b/internal/core/dependency/graph_test.go
@@ -14,43 +14,44 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// A job becomes ready exactly when its last dependency is done, in whatever order they finish.
-func TestJobIsReadyWhenLastDependencyIsDone(t *testing.T) {
+// A job is unblocked exactly when its last dependency is done, whatever the order in which its
+// dependencies are done.
+func TestJobIsUnblockedWhenLastDependencyIsDone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "jobs")
 		name := func(i int) string { return fmt.Sprintf("req-%02d", i) }
-		awaits := make([][]string, n)
+		dependencies := make([][]string, n)
 		g := New()
 		for i := 1; i < n; i++ {
 			for a := range i {
 				if rapid.IntRange(0, 2).Draw(t, "edge") == 0 {
-					awaits[i] = append(awaits[i], name(a))
+					dependencies[i] = append(dependencies[i], name(a))
 				}
 			}
-			g.SetDependencies(name(i), awaits[i])
+			g.SetDependencies(name(i), dependencies[i])
 		}
 		done := map[string]bool{}
 		remaining := func(i int) []string {
-			return slices.DeleteFunc(slices.Clone(awaits[i]), func(a string) bool { return done[a] })
+			return slices.DeleteFunc(slices.Clone(dependencies[i]), func(a string) bool { return done[a] })
 		}
 		for _, i := range rapid.Permutation(slices.Collect(indices(n))).Draw(t, "order") {
 			for j := range n {
 				if got, want := g.PendingDependencies(name(j)), remaining(j); !slices.Equal(got, want) {
-					t.Fatalf("%s: got awaited jobs %v, want %v", name(j), got, want)
+					t.Fatalf("%s: got remaining dependencies %v, want %v", name(j), got, want)
 				}
 			}
-			var ready []string
+			var unblocked []string
 			for j := range n {
 				if w := remaining(j); len(w) == 1 && w[0] == name(i) {
-					ready = append(ready, name(j))
+					unblocked = append(unblocked, name(j))
 				}
 			}
-			if got := g.Done(name(i)); !slices.Equal(got, ready) {
-				t.Fatalf("after %s is done: got ready jobs %v, want %v", name(i), got, ready)
+			if got := g.Done(name(i)); !slices.Equal(got, unblocked) {
+				t.Fatalf("after %s is done: got unblocked jobs %v, want %v", name(i), got, unblocked)
 			}
 			done[name(i)] = true
 		}
-		if len(g.BlockedJobs())+len(g.AwaitedJobs()) > 0 {
+		if len(g.BlockedJobs())+len(g.JobsWithDependents()) > 0 {
 			t.Fatal("graph is not empty after all jobs are done")
 		}
 	})
@@ -68,7 +69,7 @@
 
 // A job inherits the highest priority and the earliest latest start among its dependents, less the
 // run times of the jobs in between.
-func TestUrgencyPropagatesUpstream(t *testing.T) {
+func TestUrgencyPropagatesToDependencies(t *testing.T) {
 	const lowPriority, latestStart = 3, 90_000
 	jobs := map[string]Estimate{
 		"fetch":   {Urgency{lowPriority, NoDeadline}, 10_000},
@@ -94,8 +95,8 @@
 	if _, known := got["sign"]; known {
 		t.Error("got an inherited urgency for sign, which has no dependents")
 	}
-	if up := g.TransitiveDependencies("sign"); !slices.Equal(up, []string{"docs", "fetch", "gone", "resolve"}) {
-		t.Errorf("got upstream jobs %v of sign, want docs, fetch, gone and resolve", up)
+	if transitive := g.TransitiveDependencies("sign"); !slices.Equal(transitive, []string{"docs", "fetch", "gone", "resolve"}) {
+		t.Errorf("got transitive dependencies %v of sign, want docs, fetch, gone and resolve", transitive)
 	}
 	if g.RemoveDependencies("docs"); slices.Contains(g.Dependents("fetch"), "docs") {
 		t.Error("docs is still a dependent of fetch after RemoveDependencies")
--- a/internal/core/dependency/urgency.go
+++ b/internal/core/dependency/urgency.go
@@ -18,7 +18,7 @@
 var lowestUrgency = Urgency{Priority: math.MaxInt, LatestStartMS: NoDeadline}
 
 // withDependent returns u raised by the urgency of a dependent, which can't start before this job
-// with its run time in milliseconds is done.
+// is done. durationMS is the run time of this job.
 func (u Urgency) withDependent(dependent Urgency, durationMS int64) Urgency {
 	u.Priority = min(u.Priority, dependent.Priority)
 	if dependent.LatestStartMS != NoDeadline {
@@ -34,14 +34,14 @@
 	DurationMS int64
 }
 
-// InheritUrgency returns the inherited urgency of every awaited job. A job inherits the highest
-// priority among its direct and transitive dependents, and its latest start precedes that of each
-// direct dependent by at least its own run time. estimate returns a job's own urgency and run time,
-// and whether the job is known.
+// InheritUrgency returns the inherited urgency of every job that has dependents. A job inherits the
+// highest priority among its direct and transitive dependents, and its latest start precedes that of
+// each direct dependent by at least its own run time. estimate returns a job's own urgency and run
+// time, and whether the job is known.
 func (g *Graph) InheritUrgency(estimate func(job string) (Estimate, bool)) map[string]Urgency {
 	resolver := urgencyResolver{graph: g, estimate: estimate, urgencies: map[string]Urgency{}}
 	inherited := map[string]Urgency{}
-	for _, job := range g.AwaitedJobs() {
+	for _, job := range g.JobsWithDependents() {
 		inherited[job] = resolver.urgency(job)
 	}
 	return inherited
--- a/internal/core/dependencycancel_test.go
+++ b/internal/core/dependencycancel_test.go
@@ -37,12 +37,12 @@
 			ids := []string{"req-free-1"}
 			for n := range 10 {
 				id := fmt.Sprintf("req-%s-%d", []string{"blue", "red"}[n%2], n)
-				requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, awaiting(ids[len(ids)-1])))
+				requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, dependenciesField(ids[len(ids)-1])))
 				ids = append(ids, id)
 			}
 			for n := range directDependents {
 				id := fmt.Sprintf("req-blue-w%d", n)
-				requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, awaiting("req-free-1")))
+				requireAccepted(t, cluster.submit(cluster.names[n%5], id, 2, dependenciesField("req-free-1")))
 				ids = append(ids, id)
 			}
 			cluster.waitUntilStarted("req-free-1", 2)
@@ -88,7 +88,7 @@
 	cluster := newIdleSimCluster(t, 10)
 	cluster.allowRacingStarts, cluster.taskTime = true, 5*time.Minute
 	requireAccepted(t, cluster.submit("a", "req-free-1", 1, ""))
-	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, awaiting("req-free-1")))
+	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, dependenciesField("req-free-1")))
 	cluster.waitUntilStarted("req-free-1", 1)
 	leader := cluster.leaderOf("blue")
 	userCancellation := protocol.Txn{ // as any controller would store it
@@ -130,7 +130,7 @@
 	requireAccepted(t, cluster.submit("a", "req-free-1", 1, ""))
 	const dependents = 300
 	for n := range dependents {
-		requireAccepted(t, cluster.submit(cluster.names[n%5], fmt.Sprintf("req-blue-w%d", n), 1, awaiting("req-free-1")))
+		requireAccepted(t, cluster.submit(cluster.names[n%5], fmt.Sprintf("req-blue-w%d", n), 1, dependenciesField("req-free-1")))
 	}
 	cluster.cancelJob("a", "req-free-1")
 	requireAccepted(t, cluster.submit("b", "req-blue-1", 4, ""))
@@ -160,7 +160,7 @@
 	}
 	cluster.cancelJob("a", "req-free-1")
 	cluster.run(2*time.Second, nil)
-	requireAccepted(t, cluster.submit("c", "req-blue-1", 1, awaiting("req-free-1")))
+	requireAccepted(t, cluster.submit("c", "req-blue-1", 1, dependenciesField("req-free-1")))
 	cluster.run(2*time.Second, nil)
 	for _, node := range cluster.names {
 		if got := cluster.stateSeenBy(node, "req-blue-1"); got != protocol.Cancelled {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -20,8 +20,8 @@
 		// RetryAfter is in seconds.
 		RetryAfter int
 	}
-	// StoreTxn runs a transaction. Urgent and FailFast ones go first. A user waits for
-	// FailFast ones, so they fail early instead of being retried for long.
+	// StoreTxn runs a transaction. Urgent and FailFast transactions go first. A user waits for a
+	// FailFast transaction, so it fails early instead of being retried for long.
 	StoreTxn struct {
 		ID       uint64
 		Txn      protocol.Txn
@@ -41,7 +41,7 @@
 		Nodes   []string
 		Message PeerMessage
 	}
-	// Deliver sends commands directly to a worker, without waiting for its heartbeat.
+	// Deliver sends commands directly to a worker, without waiting for its next report.
 	Deliver struct {
 		Machine, Address string
 		CommandBatch     protocol.CommandBatch
@@ -52,7 +52,7 @@
 	FetchInventory struct{}
 	// RequestRental rents machines from the cloud.
 	RequestRental struct{ Rental protocol.Rental }
-	// ReleaseMachines returns machines to the cloud.
+	// ReleaseMachines calls the cloud to release machines.
 	ReleaseMachines struct{ Machines []string }
 	// Log is a log message.
 	Log struct {
--- a/internal/core/endedjobs.go
+++ b/internal/core/endedjobs.go
@@ -73,8 +73,8 @@
 	c.dependencies.onEnded(id, state.State)
 }
 
-// hasEnded reports whether a job is known to have ended, by its final state or by a cancellation
-// that is not stored yet.
+// hasEnded reports whether a job is known to have ended: its final state is cached, or it is marked
+// as cancelled. In the second case hasEnded records the final state.
 func (c *Core) hasEnded(id string) bool {
 	if j := c.jobs[id]; j != nil && j.Cancelled {
 		c.rememberFinalState(id, protocol.JobState{ID: id, State: protocol.Cancelled})
--- a/internal/core/environment.go
+++ b/internal/core/environment.go
@@ -48,5 +48,5 @@
 	e.emit(Log{Level: level, Text: text, Attrs: attrs})
 }
 
-// reportInterval is the interval between two heartbeats of a worker.
+// reportInterval is the interval between two reports of a worker.
 func (e *environment) reportInterval() time.Duration { return e.times.reportInterval() }
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -6,8 +6,8 @@
 )
 
 // evacuateGPUHosts moves service replicas off the hosts reserved for GPU jobs, one host at a
-// time, while GPU jobs are pending and the replicas fit elsewhere. The replicas may have been
-// placed there before any GPU job was known.
+// time, while GPU jobs are pending and the service replicas fit elsewhere. They may have been placed
+// there before any GPU job was known.
 func (r *round) evacuateGPUHosts() {
 	c := r.core
 	if !r.gpuStarved || !c.every(&c.timers.evacuation, c.reportInterval()) {
@@ -20,12 +20,13 @@
 	}
 }
 
-// evacuate moves the replicas that fit elsewhere off a host, and reports whether it moved any.
+// evacuate moves the service replicas that fit elsewhere off a host, and reports whether it moved
+// any.
 func (r *round) evacuate(h *placement.Host) bool {
 	c := r.core
 	zonesByJob := map[string]placement.Zones{}
 	moved := false
-	c.reconciler.eachLedBinding(h.ID, r.isMovableReplica, func(j *job.Job, index int, b *job.Binding) {
+	c.reconciler.eachLedBinding(h.ID, r.isMovableServiceReplica, func(j *job.Job, index int, b *job.Binding) {
 		if zonesByJob[j.ID] == nil {
 			zonesByJob[j.ID] = r.tasksByZone(j)
 		}
@@ -37,16 +38,16 @@
 		}
 		target.Allocate(&j.Spec)
 		zones[target.Zone]++
-		c.log(Debug, "replica moved off GPU host", "task", j.TaskID(index), "machine", h.ID)
+		c.log(Debug, "service replica moved off GPU host", "task", j.TaskID(index), "machine", h.ID)
 		c.reconciler.stopTask(j, index, b, 0)
 		moved = true
 	})
 	return moved
 }
 
-// isMovableReplica reports whether a task is a service replica that needs no GPUs and has run for
-// longer than the timeout.
-func (r *round) isMovableReplica(ref job.TaskRef, b *job.Binding) bool {
+// isMovableServiceReplica reports whether a task is a service replica that needs no GPUs and has run
+// for longer than the timeout.
+func (r *round) isMovableServiceReplica(ref job.TaskRef, b *job.Binding) bool {
 	c := r.core
 	m := c.machines.Get(b.Machine)
 	if ref.Job.Kind != job.Service || ref.Job.Need.GPUs > 0 || m == nil {
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -8,13 +8,13 @@
 )
 
 // evictBeforeReclaim stops tasks in time to save a checkpoint before their machine is reclaimed,
-// and tasks that would not finish by then. A gang that has lost a task is stopped as a whole, so
-// that its progress is saved, and starts again as a whole.
+// and tasks without checkpoints that would not be done by then. A gang that has lost a task is
+// stopped as a whole, so that its progress is saved, and starts again as a whole.
 func (r *reconciler) evictBeforeReclaim(j *job.Job) {
 	checker := reclaimChecker{machines: r.core.machines, now: r.now.Steady, reportInterval: r.reportInterval()}
 	stopAll := j.Kind == job.Gang && checker.mustRestartGang(j)
 	for i, b := range ordered(j.Bound) {
-		if b.Sent && (stopAll || checker.mustCheckpointNow(j, b) || checker.finishesTooLate(j, i, b)) {
+		if b.Sent && (stopAll || checker.mustCheckpointNow(j, b) || checker.mustRestartElsewhere(j, i, b)) {
 			r.stopTask(j, i, b, j.SaveS)
 		}
 	}
@@ -44,9 +44,9 @@
 // estimateTolerance is the factor by which users' run time estimates may be wrong.
 const estimateTolerance = 2
 
-// finishesTooLate reports whether a task without checkpoints is unlikely to finish before its
-// machine is reclaimed, so that it should restart elsewhere at once.
-func (c reclaimChecker) finishesTooLate(j *job.Job, i int, b *job.Binding) bool {
+// mustRestartElsewhere reports whether a task without checkpoints is unlikely to be done before its
+// machine is reclaimed, so that it should restart elsewhere immediately.
+func (c reclaimChecker) mustRestartElsewhere(j *job.Job, i int, b *job.Binding) bool {
 	m := c.machines.Get(b.Machine)
 	if m == nil || m.ReclaimAt == 0 || j.CheckpointS > 0 || j.Kind != job.Array {
 		return false
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -8,7 +8,7 @@
 // The jobs of teams whose leader has crashed continue under another leader, until only one
 // controller is left.
 func TestTeamsOfACrashedLeaderContinueElsewhere(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
 	for _, id := range ids {
 		requireAccepted(t, cluster.submit("c", id, 10, ""))
@@ -25,7 +25,7 @@
 
 // All controllers crash while the store is down. Tasks that ran before must not run twice.
 func TestNoTaskRunsTwiceAfterAllControllersCrashInAnOutage(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
 	cluster.run(9*time.Second, nil)
 	cluster.outage = true
@@ -45,7 +45,7 @@
 
 // Leaders lose the store one after the other. The starts that they send late must do no harm.
 func TestLateStartsOfLeadersWithoutTheStoreAreHarmless(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-red-1", 12, ""))
 	cluster.run(8*time.Second, nil)
 	for _, n := range nodeNames {
@@ -67,7 +67,7 @@
 // not stop tasks that the new leader has started (docs/incidents/inc-491b.md).
 func TestDeposedLeaderDoesNotStopTasksOfItsSuccessor(t *testing.T) {
 	for name, inFlight := range map[string]bool{"idle": false, "with a write in flight": true} {
-		cluster := newSimCluster(t).ready()
+		cluster := newSimCluster(t).waitUntilReady()
 		leader := cluster.cores["a"].teamsByName["free"].leader
 		requireAccepted(t, cluster.submit(leader, "req-free-1", 6, ""))
 		if !inFlight {
@@ -88,7 +88,7 @@
 
 // The outcome of a transaction whose reply was lost is determined from its nonce.
 func TestUnansweredTransactionsAreResolvedByTheirNonce(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, ""))
 	for range 30 {
 		cluster.lostReplies = 1
@@ -101,9 +101,9 @@
 	cluster.checkStartedOnce()
 }
 
-// A new leader of the fleet keeps machines whose workers have not found it yet.
+// A new fleet leader keeps machines whose workers have not found it yet.
 func TestNewFleetLeaderKeepsMachinesThatHaveNotReportedToIt(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
 	cluster.run(40*time.Second, cluster.allDone("req-blue-1"))
 	requireAccepted(t, cluster.submit("b", "req-blue-2", 12, ""))
@@ -127,9 +127,9 @@
 	}
 }
 
-// Agents that have all switched to one controller are rebalanced once the others are back.
-func TestAgentsAreRebalancedAfterACrash(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+// Workers that have all switched to one controller are rebalanced once the others are back.
+func TestWorkersAreRebalancedAfterACrash(t *testing.T) {
+	cluster := newSimCluster(t).waitUntilReady()
 	for range 12 {
 		cluster.addWorker("z1", false)
 	}
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -9,7 +9,7 @@
 // Most task failures are caused by a faulty machine, some by a faulty job that fails wherever it
 // runs. A job that fails on several machines and succeeds on none is suspected to be faulty;
 // failures of other jobs count against the machine. Every controller evaluates the reports
-// that controllers forward to each other, so a new leader knows what its predecessor did.
+// that controllers forward to each other, so a new leader has the same evidence as its predecessor.
 
 // cordonThreshold is the failure score at which a machine is cordoned.
 const cordonThreshold = 3
@@ -83,7 +83,7 @@
 }
 
 // startAllowance returns how many more tasks of a job may be placed now. A suspected job may have
-// one task at a time unless it is a gang; a job handed off to another site may have none.
+// one task at a time unless it is a gang. A job handed off to another site may have none.
 func (c *Core) startAllowance(j *job.Job) int {
 	if c.isOutgoing(j.ID) {
 		return 0
--- a/internal/core/failures_test.go
+++ b/internal/core/failures_test.go
@@ -20,7 +20,7 @@
 // A faulty job fails wherever it runs. It becomes suspected, runs one task at a time, and no
 // machine is returned because of its failures.
 func TestSuspectedJobDoesNotOccupyOrCordonMachines(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 40, ""))
 	if !cluster.run(2*time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("the job did not end")
@@ -59,7 +59,7 @@
 // A job that is suspected although it is not faulty runs normally once one of its tasks has
 // succeeded.
 func TestSuspicionEndsWithTheFirstSuccess(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	cluster.broken["req-blue-1"] = true
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
 	cluster.run(30*time.Second, nil)
@@ -71,7 +71,7 @@
 
 // Jobs end on other machines although all tasks fail on one of them.
 func TestTasksOfFaultyMachineSucceedElsewhere(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
 	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("the job did not end")
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -22,10 +22,10 @@
 	// unattributedRevisions holds the revisions at which records changed, unless the change is
 	// known to come from a write of this coordinator.
 	unattributedRevisions map[uint64]bool
-	// reloadAt is when all records are to be reloaded into the coordinator, 0 if no reload is
-	// scheduled.
+	// reloadAt is the time at which all records are to be reloaded into the coordinator, 0 if no
+	// reload is scheduled.
 	reloadAt time.Duration
-	// nextStep is the next time at which the coordinator runs even without input; nextJobUpdate is
+	// nextStep is the next time at which the coordinator runs even without input. nextJobUpdate is
 	// the next time at which it gets the waiting and the ended jobs.
 	nextStep, nextJobUpdate time.Duration
 	// pendingLookups holds the IDs of accepted jobs of other sites whose final state is being
@@ -87,8 +87,8 @@
 	return inputs
 }
 
-// peerReachable notifies the coordinator that messages can be sent to a site again.
-func (f *federationAdapter) peerReachable(site federation.Site) {
+// handleSiteConnected notifies the coordinator that messages can be sent to another site again.
+func (f *federationAdapter) handleSiteConnected(site federation.Site) {
 	if f.running() {
 		f.add(federation.PeerReachable{Site: site})
 	}
--- a/internal/core/federation_test.go
+++ b/internal/core/federation_test.go
@@ -12,24 +12,24 @@
 // A controller without a federation configuration would run outgoing jobs. Nothing is handed off
 // while such a controller is live, and one that joins later leads no team.
 func TestControllerWithoutFederationPreventsHandOffs(t *testing.T) {
-	cluster, f := newFederatedSimCluster(t)
+	cluster, remote := newFederatedSimCluster(t)
 	config := cluster.federationConfigs["c"]
 	delete(cluster.federationConfigs, "c")
 	cluster.crash("c")
 	cluster.expire("c")
 	cluster.boot("c")
-	cluster.ready()
-	f.submitRemote("req-red-1")
-	if f.serveUntil(20*time.Second, func() bool { return len(f.answers) > 0 }) {
+	cluster.waitUntilReady()
+	remote.submitRemote("req-red-1")
+	if remote.serveUntil(20*time.Second, func() bool { return len(remote.answers) > 0 }) {
 		t.Error("job was handed off while a controller had no federation configuration")
 	}
 	cluster.crash("c")
 	cluster.expire("c")
-	if !f.serveUntil(time.Minute, func() bool { return len(f.answers) > 0 }) {
+	if !remote.serveUntil(time.Minute, func() bool { return len(remote.answers) > 0 }) {
 		t.Fatal("job was not handed off after that controller had crashed")
 	}
 	cluster.boot("c")
-	f.serveUntil(20*time.Second, func() bool { return false })
+	remote.serveUntil(20*time.Second, func() bool { return false })
 	for _, team := range cluster.cores["c"].teams {
 		if team.leading {
 			t.Errorf("controller without a federation configuration leads team %s", team.Name)
@@ -40,16 +40,16 @@
 
 // The coordinator's records match the store again after replies to its writes were lost.
 func TestCoordinatorRecoversFromUnansweredWrites(t *testing.T) {
-	cluster, f := newFederatedSimCluster(t)
-	f.decide = func(federation.Message) federation.Message {
-		cluster.lostReplies = 1 + len(f.answers)%3 // the next writes of any controller
+	cluster, remote := newFederatedSimCluster(t)
+	remote.decide = func(federation.Message) federation.Message {
+		cluster.lostReplies = 1 + len(remote.answers)%3 // the next writes of any controller
 		return federation.Message{Kind: federation.KindDecision, Accepted: true}
 	}
-	f.finalState = func() string { cluster.lostReplies++; return protocol.Done }
+	remote.finalState = func() string { cluster.lostReplies++; return protocol.Done }
 	for i := range 5 {
-		f.submitRemote(fmt.Sprintf("req-red-%d", i))
+		remote.submitRemote(fmt.Sprintf("req-red-%d", i))
 	}
-	if !f.serveUntil(3*time.Minute, cluster.allDone("req-red-0", "req-red-1", "req-red-2", "req-red-3", "req-red-4")) {
+	if !remote.serveUntil(3*time.Minute, cluster.allDone("req-red-0", "req-red-1", "req-red-2", "req-red-3", "req-red-4")) {
 		t.Errorf("not all jobs ended: %+v", cluster.cores["a"].handoffs.Records)
 	}
 	if len(cluster.starts) > 0 {
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -60,8 +60,8 @@
 }
 
 // canHandOff reports whether a job may be handed off: it is stored, none of its tasks was ever bound,
-// it is neither cancelled nor already handed off, and it has no dependencies, which other sites don't
-// know.
+// it is neither cancelled nor already handed off, and it has no dependencies, since other sites do
+// not know those jobs.
 func (f *federationAdapter) canHandOff(j *job.Job) bool {
 	neverBound := j.Attempt == 0 && len(j.Bound) == 0
 	stored := j.Version > 0 && !j.InFlight
--- a/internal/core/federationmessages.go
+++ b/internal/core/federationmessages.go
@@ -42,7 +42,7 @@
 	ActionRenew    OperatorAction = "renew"
 )
 
-// OperatorReply is the reply to an OperatorRequest, sent to the node that forwarded it.
+// OperatorReply is the reply to an OperatorRequest, sent to the controller that forwarded it.
 type OperatorReply struct {
 	Req    uint64 `json:"q"`
 	Status int    `json:"s"`
--- a/internal/core/federationoperators.go
+++ b/internal/core/federationoperators.go
@@ -8,10 +8,11 @@
 	"pepperlever/internal/protocol"
 )
 
-// errNoFederation rejects operators' requests to a controller without a federation.
-var errNoFederation = &rejection{http.StatusNotFound, "this controller has no gateway"}
+// errNoFederation rejects operators' requests to a controller without a federation configuration.
+var errNoFederation = &rejection{http.StatusNotFound, "this controller has no federation configuration"}
 
-// requestOrigin identifies the node that an operator's request came from, and the request's ID there.
+// requestOrigin identifies the controller that an operator's request came from, and the request's ID
+// there.
 type requestOrigin struct {
 	node string
 	req  uint64
--- a/internal/core/federationrouting.go
+++ b/internal/core/federationrouting.go
@@ -61,9 +61,9 @@
 	return ""
 }
 
-// cancelOutgoing forwards the cancellation of an outgoing job to the other site. The user gets a
-// temporary error and must retry: the cancellation is confirmed only once that site has reported the
-// end of the job.
+// cancelOutgoing forwards the cancellation of an outgoing job to the controller that runs the
+// coordinator. The user gets a temporary error and must retry: the cancellation is confirmed only
+// once the other site has reported the end of the job.
 func (c *Core) cancelOutgoing(m Cancel) {
 	c.replyUnavailable(m.Req)
 	c.federation.forward(FederationMessage{Cancel: m.ID})
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -6,8 +6,7 @@
 )
 
 // executeWrite executes a write of the coordinator as a transaction, on the condition that this
-// node still leads the federation shard and that the records are unchanged since the replica read
-// them.
+// node still leads the federation shard and that the stored records are as the replica has them.
 func (f *federationAdapter) executeWrite(w federation.StoreWrite) {
 	txn, ok := f.handoffTxn(w.Write)
 	if !ok {
@@ -19,7 +18,7 @@
 	coordinator := f.coordinator
 	f.core.compareAndSwap(txn, true, func(r StoreReply) {
 		if f.coordinator != coordinator {
-			return // the leadership was lost meanwhile; the replica is updated by the watch
+			return // the leadership was lost meanwhile, and the watch updates the replica
 		}
 		delete(f.pendingWrites, w.ID)
 		if r.Outcome == OutcomeApplied {
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -10,28 +10,30 @@
 
 // freshnessTracker tracks the time up to which this node knows every cancellation that any
 // controller has confirmed. There are two proofs: a reply from the store to a request from this
-// node, once the replica has reached its revision; and heartbeats from all other controllers that
-// acknowledge a heartbeat of this node and list no cancellations that this node has yet to
-// acknowledge. Neither compares clocks: the time that counts is when this node sent its own
-// request or heartbeat.
+// node, once the replica has reached its revision, and heartbeats from all other controllers that
+// acknowledge a heartbeat of this node and do not list this node among those that have yet to
+// acknowledge a cancellation. Neither compares clocks: the time that counts is the one at which
+// this node sent its own request or heartbeat.
 type freshnessTracker struct {
 	*environment
 	peers *peerTable
-	// storeFreshUntil is when the newest store request was sent that serves as such a proof.
+	// storeFreshUntil is the time at which the newest store request that serves as such a proof
+	// was sent.
 	storeFreshUntil time.Duration
 	// pendingReply is an answered request whose revision the replica has not reached yet.
 	pendingReply struct {
 		sentAt   time.Duration
 		revision uint64
 	}
-	// sent is a ring buffer of this node's newest heartbeats; sentCount counts all of them.
+	// sent is a ring buffer of this node's newest heartbeats. sentCount counts all of them.
 	sent      [retainedHeartbeats]sentHeartbeat
 	sentCount int
 	// cloudOutage is set while the cloud refuses requests because of an outage.
 	cloudOutage bool
 	// stale is set while workers are turned away.
 	stale bool
-	// nextStoreCheck and nextCloudCheck are when the store and the cloud are next queried.
+	// nextStoreCheck and nextCloudCheck are the times at which the store and the cloud are next
+	// queried.
 	nextStoreCheck, nextCloudCheck time.Duration
 }
 
@@ -122,14 +124,15 @@
 	f.log(Error, "cancel_s is shorter than the worker lease and two report intervals",
 		"cancel_s", f.cfg.Params.Workers.CancelS,
 		"lease_s", f.cfg.Params.Workers.LeaseS,
-		"effect", "a partitioned controller turns its workers away at once")
+		"effect", "a partitioned controller turns its workers away immediately")
 }
 
-// check turns workers away while a confirmed cancellation may be unknown here and nobody else
-// can enforce it. Other controllers enforce it by returning the machines to the cloud, so
-// workers are turned away only while the cloud refuses requests. Staleness alone is not enough:
-// in a partitioned zone, turning workers away would end all work there.
-func (f *freshnessTracker) check(storeOK bool) {
+// refresh queries the store and the cloud when this node's knowledge of the confirmed cancellations
+// becomes old. It turns workers away while a confirmed cancellation may be unknown here and no other
+// controller can enforce it. Other controllers enforce it by returning the machines to the cloud, so
+// workers are turned away only while the cloud refuses requests. Staleness alone is not enough: in a
+// partitioned zone, turning workers away would end all work there.
+func (f *freshnessTracker) refresh(storeOK bool) {
 	bound := f.times.stalenessBound()
 	freshUntil := f.cancellationsKnownUntil()
 	staleness := f.now.Steady - freshUntil
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -21,7 +21,7 @@
 	}{
 		"no proof":                            {func(*Core) {}, 0},
 		"acknowledges":                        {heartbeat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "b.1"}, {"a", "a.1"}}}), sent},
-		"acknowledges another node":           {heartbeat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "a.1"}}}), 0},
+		"acknowledges another controller":     {heartbeat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"c", "a.1"}}}), 0},
 		"acknowledges an earlier incarnation": {heartbeat(NodeHeartbeat{Revision: 5, Acknowledgements: []Acknowledgement{{"a", "x.1"}}}), 0},
 		"has unacknowledged cancellations":    {heartbeat(NodeHeartbeat{Revision: 5, Unacknowledged: []string{"a"}, Acknowledgements: []Acknowledgement{{"a", "a.1"}}}), 0},
 		"has not loaded the state":            {heartbeat(NodeHeartbeat{Acknowledgements: []Acknowledgement{{"a", "a.1"}}}), 0},
--- a/internal/core/gangorder_test.go
+++ b/internal/core/gangorder_test.go
@@ -18,10 +18,10 @@
 	requireAccepted(t, cluster.submit("a", "req-red-1", 1, `,"vcpus":1.0`))
 	gangs := map[string]string{"blue": "req-blue-1", "free": "req-free-1"}
 	for _, id := range ordered(gangs) {
-		requireAccepted(t, cluster.submit("a", id, hosts, `,"shape":"group","vcpus":4.0,"dueS":null`+awaiting("req-red-1")))
+		requireAccepted(t, cluster.submit("a", id, hosts, `,"shape":"group","vcpus":4.0,"dueS":null`+dependenciesField("req-red-1")))
 	}
 	if !cluster.run(time.Minute, cluster.allDone("req-red-1")) {
-		t.Fatal("dependency did not finish")
+		t.Fatal("dependency did not end")
 	}
 	cluster.run(time.Second, nil)
 	if n := cluster.onMachines("req-red-2"); n != hosts {
--- a/internal/core/gangquota_test.go
+++ b/internal/core/gangquota_test.go
@@ -10,7 +10,7 @@
 func TestGangAtTeamLimitReservesNothing(t *testing.T) {
 	cluster := newSimClusterOf(t, fiveNodes)
 	cluster.maxMachines, cluster.allowRacingStarts, cluster.taskTime = 8, true, 10*time.Minute
-	cluster.ready()
+	cluster.waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-red-1", 6, ""))
 	cluster.waitUntilStarted("req-red-1", 6)
 	requireAccepted(t, cluster.submit("a", "req-red-2", 6, `,"shape":"group","dueS":null`)) // six more tasks would exceed 16 CPUs
--- a/internal/core/gangreservations.go
+++ b/internal/core/gangreservations.go
@@ -8,8 +8,8 @@
 	"pepperlever/internal/core/placement"
 )
 
-// A gang of four waits for about one timeout before hosts are reserved for it, a gang of eight or
-// more for maxGangTimeouts.
+// Bounds of gangReservationDelay. A gang of four waits for about one timeout before hosts are
+// reserved for it, a gang of seven or more for maxGangTimeouts.
 const (
 	gangSizeDivisor = 16
 	maxGangTimeouts = 3
@@ -17,8 +17,8 @@
 
 // reserveForGangs reserves hosts for gangs that have waited long enough, by priority and then by
 // gangReservationOrder. Hosts that become free, in the zone with the most free hosts if the gang
-// must stay in one zone, are reserved until the gang fits. Otherwise single-task gangs would take
-// every host as it becomes free, and a large gang would never find enough of them.
+// must stay in one zone, are reserved until the gang fits. Otherwise jobs that need fewer hosts would
+// take each host as it becomes free, and a large gang would never find enough of them.
 func (r *round) reserveForGangs() {
 	var eligible []*job.Job
 	for _, queue := range r.queues {
--- a/internal/core/gangreservations_test.go
+++ b/internal/core/gangreservations_test.go
@@ -40,7 +40,7 @@
 		requireAccepted(t, cluster.submit("a", id, 6, gangFields))
 	}
 	if !cluster.run(4*time.Minute, cluster.allDone(ids...)) {
-		t.Fatal("gangs did not finish")
+		t.Fatal("gangs did not end")
 	}
 	cluster.checkStartedOnce()
 }
--- a/internal/core/gangs_test.go
+++ b/internal/core/gangs_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestGangRunsAsOneAttempt(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, `,"shape":"group","samePlace":true`))
 	if !cluster.run(time.Minute, func() bool { return cluster.onMachines("req-blue-1") == 4 }) {
 		t.Fatal("gang did not start all 4 tasks")
@@ -21,12 +21,12 @@
 		t.Errorf("gang has tasks in %d zones with %d attempts, want one zone and one attempt", len(zones), len(attempts))
 	}
 	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
-		t.Fatal("gang did not finish")
+		t.Fatal("gang did not end")
 	}
 }
 
 func TestGangRestartsAsAWholeAfterLosingATask(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 4, `,"shape":"group"`))
 	if !cluster.run(time.Minute, func() bool { return cluster.onMachines("req-blue-1") == 4 }) {
 		t.Fatal("gang did not start all 4 tasks")
@@ -43,6 +43,6 @@
 		}
 	}
 	if !cluster.run(3*time.Minute, cluster.allDone("req-blue-1")) {
-		t.Fatal("gang did not finish")
+		t.Fatal("gang did not end")
 	}
 }
--- a/internal/core/handoffkeys.go
+++ b/internal/core/handoffkeys.go
@@ -12,8 +12,8 @@
 const (
 	keyOutgoing     = keyFederation + "a/" // j/ga/<job>: an outgoing hand-off; another site may run the job
 	keyIncoming     = keyFederation + "t/" // j/gt/<origin>/<epoch>: an incoming hand-off and this site's decision
-	keyLowWaterMark = keyFederation + "f/" // j/gf/<origin>: the epoch up to which all incoming hand-offs are closed
-	keyLastEpoch    = keyFederation + "e/" // j/ge/<site>: the highest epoch used for hand-offs to a site
+	keyLowWaterMark = keyFederation + "f/" // j/gf/<origin>: the hand-off epoch up to which all incoming hand-offs are closed
+	keyLastEpoch    = keyFederation + "e/" // j/ge/<site>: the highest hand-off epoch used for a site
 	keyDrained      = keyFederation + "d/" // j/gd/<site>: the site is drained; no new hand-offs with it
 )
 
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -23,7 +23,7 @@
 	// watch reported them.
 	unwatchedDeletions map[string]uint64
 	// unconfirmed holds the jobs that a failed write has shown to be handed off, but whose records
-	// have not arrived yet, with the time of that write's reply.
+	// have not arrived yet, and the time of the reply to that write.
 	unconfirmed map[string]time.Duration
 	// progress holds the progress of outgoing jobs as reported by other sites. It is only displayed.
 	progress map[string]Progress
@@ -61,7 +61,7 @@
 func (r *handoffReplica) cloneProgress() map[string]Progress { return maps.Clone(r.progress) }
 
 // lacksProgress reports whether the progress of an accepted job at another site is unknown. Any
-// answer about it might then be older than what its user was told before.
+// answer about the job might then be older than one that its user has already received.
 func (r *handoffReplica) lacksProgress(id string) bool {
 	_, known := r.progress[id]
 	return r.Outgoing[id].Accepted && !known
@@ -123,7 +123,7 @@
 	return err
 }
 
-// applyEpoch applies a stored epoch of a site. Epochs never decrease.
+// applyEpoch applies a stored hand-off epoch of a site. These epochs never decrease.
 func applyEpoch(epochs map[federation.Site]federation.Epoch, site federation.Site, value json.RawMessage) error {
 	var epoch federation.Epoch
 	err := json.Unmarshal(value, &epoch)
@@ -171,8 +171,8 @@
 }
 
 // notHandedOff returns the condition that a job is not handed off. A controller without a federation
-// needs none: jobs are handed off only while the node keys of all live controllers show that they
-// have a federation.
+// configuration needs none: jobs are handed off only while the node keys of all live controllers
+// show that they have one.
 func (c *Core) notHandedOff(id string) []protocol.Condition {
 	if c.federation == nil {
 		return nil
--- a/internal/core/handofftxns.go
+++ b/internal/core/handofftxns.go
@@ -37,7 +37,7 @@
 }
 
 // createOutgoingTxn returns the transaction that hands a job off to another site. The condition that
-// the head is unchanged ensures that no task is bound; the write of a later binding fails because of
+// the head is unchanged ensures that no task is bound. The write of a later binding fails because of
 // the hand-off's record.
 func (f *federationAdapter) createOutgoingTxn(w federation.CreateOutgoing) (protocol.Txn, bool) {
 	out := w.Outgoing
@@ -118,7 +118,8 @@
 	return txn, true
 }
 
-// isOutgoingWithEpoch reports whether the replica shows that a job is handed off under an epoch.
+// isOutgoingWithEpoch reports whether the replica shows that a job is handed off under a hand-off
+// epoch.
 func (r *handoffReplica) isOutgoingWithEpoch(id string, epoch federation.Epoch) bool {
 	outgoing, found := r.Outgoing[id]
 	return found && outgoing.Epoch == epoch
@@ -134,7 +135,7 @@
 }
 
 // changeOutgoingTxn returns the transaction that changes the record of a job that is handed off under
-// an epoch.
+// a hand-off epoch.
 func (r *handoffReplica) changeOutgoingTxn(id string, epoch federation.Epoch, change func(*federation.Outgoing)) (protocol.Txn, bool) {
 	outgoing := r.Outgoing[id]
 	change(&outgoing)
--- a/internal/core/headroom/headroom.go
+++ b/internal/core/headroom/headroom.go
@@ -19,7 +19,7 @@
 
 // Class aggregates the jobs of one class that have not reached a final state.
 type Class struct {
-	// Spec is the specification of the newest job.
+	// Spec is the spec of the newest job.
 	Spec *job.Spec
 	// Largest is the highest number of tasks of a single job. Active is the total number of
 	// tasks of all jobs.
--- a/internal/core/headroom/headroom_test.go
+++ b/internal/core/headroom/headroom_test.go
@@ -14,8 +14,8 @@
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // TestHeadroomIsBounded checks that capacity is reserved for at most two jobs as large as the
-// largest and at most a quarter of the active tasks. Without the second bound a single service with
-// thousands of replicas would keep thousands of places idle.
+// largest and at most a quarter of the active tasks. Without the second bound the headroom for a
+// single service with thousands of tasks would keep capacity for thousands more idle.
 func TestHeadroomIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Class
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -2,11 +2,12 @@
 
 import "net/http"
 
-// health answers a load balancer's health check. A node that cannot reach the store is
-// unhealthy while other controllers can. In an outage that at least half of its reachable peers
-// see as well it stays healthy, because refusing requests at once serves users better than an
-// empty list of nodes. A node that reaches neither the store nor any peer counts as partitioned
-// and is unhealthy.
+// health answers a load balancer's health check. A controller that has not loaded the replica and
+// the catalog is unhealthy. A controller that cannot reach the store is unhealthy while most of its
+// peers can. It stays healthy in an outage that at least half of the peers with recent contact
+// report as well, because immediate errors serve users better than an empty list of controllers. A
+// controller that has peers but reaches neither the store nor any of them counts as partitioned and
+// is unhealthy. A controller without peers needs no contact to the store to be healthy.
 func (c *Core) health(m Health) {
 	serves := c.replica.loaded && c.catalog.Loaded() && (c.storeOK || c.peers.reportStoreOutage(c.now.Steady))
 	if !serves {
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -10,7 +10,7 @@
 // store, and healthy if at least half of them do not.
 func TestHealthWhilePeersReachTheStore(t *testing.T) {
 	for cut, healthy := range map[string]bool{"": true, "a": false, "ab": false, "abc": true, "abcd": true, "abcde": true} {
-		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 		cluster.run(10*time.Second, nil)
 		for _, n := range cluster.names {
 			cluster.send(n, StoreHealth{OK: !strings.Contains(cut, n)})
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// handleHeartbeat answers an agent's heartbeat with the commands that are queued for it, or
-// redirects the agent to another controller.
+// handleHeartbeat answers a worker's report with the commands that are queued for the worker, or
+// redirects the worker to another controller.
 func (a *agentController) handleHeartbeat(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	if a.tokens.current == 0 || !a.core.replica.loaded || a.core.freshness.stale {
@@ -40,7 +40,7 @@
 	a.handleReport(session, *report, false)
 	if peer := a.core.lessLoadedPeer(report, session); peer != "" {
 		a.remove(report.Machine)
-		a.log(Info, "agent redirected", "machine", report.Machine, "node", peer)
+		a.log(Info, "worker redirected", "machine", report.Machine, "node", peer)
 		a.reply(heartbeat.Req, http.StatusMisdirectedRequest, protocol.Redirect{ReportTo: peer})
 		return
 	}
@@ -48,14 +48,14 @@
 	a.reply(heartbeat.Req, http.StatusOK, batch)
 }
 
-// openSession opens a session for an agent that has switched to this node.
+// openSession opens a session for a worker that has switched to this node.
 func (a *agentController) openSession(report *protocol.Report) *agentSession {
 	session := newAgentSession(a.tokens.current, report.WorkerEpoch, report.Address)
 	a.add(report.Machine, session)
 	a.log(Info, "agent session opened", "machine", report.Machine, "type", report.Type,
 		"spot", report.Spot, "token", session.token)
 	// A report under this token resolves the starts that the previous controller has not
-	// delivered. The agent is probed for it, since its next report may be a report interval
+	// delivered. The worker is probed for it, since its next report may be a report interval
 	// away.
 	if report.Token < session.token && a.core.machines.HasBindings(report.Machine) {
 		session.probeDue = true
@@ -71,9 +71,9 @@
 	return a.core.cordons.isTerminated(report.Machine) || m != nil && m.IsOutdated(report)
 }
 
-// answerStaleReport answers a report that contains nothing new. The agent may be waiting for
-// the answer, since its reply to a direct call can overtake its report. Nothing is concluded
-// from the report, and queued commands are kept for a newer one.
+// answerStaleReport answers a report that contains nothing new. The worker may be waiting for the
+// answer, since its reply to a delivery can overtake its report. Nothing is concluded from the
+// report, and queued commands are kept for a newer one.
 func (a *agentController) answerStaleReport(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	session := a.session(report.Machine)
@@ -84,8 +84,8 @@
 	a.reply(heartbeat.Req, http.StatusOK, protocol.CommandBatch{Token: session.token})
 }
 
-// handleReport processes a report of an agent of this node, or its reply to a direct call, and
-// shares it with the other controllers if they need it.
+// handleReport processes a report of a worker that reports to this node, or the worker's reply to a
+// delivery, and shares it with the other controllers if they need it.
 func (a *agentController) handleReport(session *agentSession, report protocol.Report, direct bool) {
 	session.unanswered = false
 	for _, t := range report.Tasks {
@@ -126,15 +126,15 @@
 	}
 }
 
-// expireSessions removes the sessions of agents that report elsewhere or have gone silent, and
-// probes agents whose reports are overdue.
+// expireSessions removes the sessions of workers that report to another controller or have stopped
+// reporting, and probes workers whose reports are overdue.
 func (a *agentController) expireSessions() {
 	for machine, session := range a.all() {
 		m := a.core.machines.Get(machine)
-		silence := a.now.Steady - session.lastReportAt
+		sinceReport := a.now.Steady - session.lastReportAt
 		reportsElsewhere := m != nil && m.Node != a.cfg.Node
 		switch {
-		case reportsElsewhere || silence > a.times.lease()+2*a.reportInterval() || a.core.cordons.isTerminated(machine):
+		case reportsElsewhere || sinceReport > a.times.lease()+2*a.reportInterval() || a.core.cordons.isTerminated(machine):
 			a.remove(machine)
 		case m != nil && a.isProbeDue(session, m):
 			session.lastProbeAt = a.now.Steady
@@ -144,8 +144,8 @@
 	}
 }
 
-// isProbeDue reports whether an agent should be probed because its reports are overdue. It is
-// probed no more often than it would report.
+// isProbeDue reports whether a worker should be probed because its reports are overdue. It is probed
+// no more often than it would report.
 func (a *agentController) isProbeDue(session *agentSession, m *worker.Machine) bool {
 	return a.reportOverdue(m) && !session.unanswered && a.now.Steady-session.lastProbeAt >= a.reportInterval()
 }
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -10,7 +10,7 @@
 
 // Reports of tasks with malformed or unknown IDs are answered like any other.
 func TestMalformedReportsAreAnswered(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	for i, task := range []string{"", "x", "req-1/", "req-1/-4", "req-1/99999999999", "req-unknown/0"} {
 		r := protocol.Report{Machine: "vm-odd", Address: "x", Type: "odd", WorkerEpoch: 1, Seq: uint64(i + 1),
 			Tasks: []protocol.TaskReport{{Task: task, Attempt: 1, State: "odd"}}}
@@ -20,9 +20,9 @@
 	}
 }
 
-// Leaders must not bind tasks to the machines of a silent controller: the starts would be lost,
-// and each task would wait for a fence.
-func TestMachinesOfASilentControllerAreNotSchedulable(t *testing.T) {
+// Leaders must not bind tasks to the machines of an unresponsive controller: the starts would be
+// lost, and each task would wait for a fence.
+func TestMachinesOfAnUnresponsiveControllerAreNotSchedulable(t *testing.T) {
 	cluster := newBusySimCluster(t, 6)
 	var lost []string
 	for id := range cluster.cores["c"].agents.all() {
@@ -39,14 +39,14 @@
 	cluster.run(a.reportInterval()+time.Second, nil)
 	for _, id := range lost {
 		if m := a.machines.Get(id); m != nil && a.isSchedulable(m) {
-			t.Errorf("machine %s is schedulable although its controller is silent", id)
+			t.Errorf("machine %s is schedulable although its controller is unresponsive", id)
 		}
 	}
 }
 
-// An agent that switches to another controller is probed at once. Its report under the new
+// A worker that switches to another controller is probed immediately. Its report under the new
 // token proves what was lost with the previous controller.
-func TestAgentIsProbedAfterSwitchingControllers(t *testing.T) {
+func TestWorkerIsProbedAfterSwitchingControllers(t *testing.T) {
 	cluster := newBusySimCluster(t, 1)
 	cluster.crash("c")
 	cluster.expire("c")
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -9,9 +9,9 @@
 	"pepperlever/internal/core/worker"
 )
 
-// listHosts lists the machines that can take tasks. Every controller derives the same list from
-// its copy of the stored state, so their plans differ little. The list is valid until the next
-// call.
+// listHosts lists the machines that can take tasks. Every controller derives nearly the same list
+// from its replica and the shared reports, so their plans differ little. The list is valid until the
+// next call.
 func (r *round) listHosts() []*placement.Host {
 	c := r.core
 	kinds := c.catalog.Kinds()
@@ -59,7 +59,7 @@
 
 // isSchedulable reports whether new tasks may be placed on a machine: the machine and its
 // controller can be reached, its reports arrive in time, it is not cordoned, tasks do not fail on
-// it, and it has not refused a task recently.
+// it, and it has not rejected a start recently.
 func (c *Core) isSchedulable(m *worker.Machine) bool {
 	if c.cordons.has(m.Machine) || m.GrantedToken == 0 {
 		return false
--- a/internal/core/incominghandoffs_test.go
+++ b/internal/core/incominghandoffs_test.go
@@ -14,8 +14,8 @@
 // A job of another site runs here under an ID that users can neither submit nor cancel. Its end is
 // reported until the other site has closed the hand-off.
 func TestIncomingJobRunsAndItsEndIsReported(t *testing.T) {
-	cluster, f := newFederatedSimCluster(t)
-	f.serveUntil(10*time.Second, func() bool { return false })
+	cluster, remote := newFederatedSimCluster(t)
+	remote.serveUntil(10*time.Second, func() bool { return false })
 	offer := func(epoch federation.Epoch, body string) federation.Message {
 		return federation.Message{Kind: federation.KindOffer, Epoch: epoch, Ticket: &federation.Ticket{Origin: "far", To: "near", JobID: "req-x",
 			Class: "k", Epoch: epoch, Path: []federation.Site{"far"}, Body: json.RawMessage(body)}}
@@ -27,10 +27,10 @@
 		}
 		return &cluster.sent[i]
 	}
-	f.send(offer(1, submission("req-x", "red", 2, "")))
-	f.send(offer(2, submission("req-x", "nobody", 2, "")))
-	f.send(offer(3, submission("req-x", "red", 2, remoteZoneOnly)))
-	if !f.serveUntil(time.Minute, func() bool { return sent(federation.KindResult, 1) != nil }) || sent(federation.KindResult, 1).State != protocol.Done {
+	remote.send(offer(1, submission("req-x", "red", 2, "")))
+	remote.send(offer(2, submission("req-x", "nobody", 2, "")))
+	remote.send(offer(3, submission("req-x", "red", 2, remoteZoneOnly)))
+	if !remote.serveUntil(time.Minute, func() bool { return sent(federation.KindResult, 1) != nil }) || sent(federation.KindResult, 1).State != protocol.Done {
 		t.Fatal("the end of the incoming job is not reported as done")
 	}
 	for epoch, reason := range map[federation.Epoch]string{2: "team is unknown", 3: "zone is unknown"} {
@@ -47,10 +47,10 @@
 		t.Errorf("status of a submission with the ID of an incoming job: got %d, want 400", a.Status)
 	}
 	cluster.checkStartedOnce()
-	f.send(federation.Message{Kind: federation.KindClosed, Epoch: 1, LowWaterMark: 3})
-	if !f.serveUntil(time.Minute, func() bool {
+	remote.send(federation.Message{Kind: federation.KindClosed, Epoch: 1, LowWaterMark: 3})
+	if !remote.serveUntil(time.Minute, func() bool {
 		return len(cluster.cores["a"].handoffs.Incoming) == 0 && cluster.cores["b"].handoffs.LowWaterMarks["far"] == 3
 	}) {
-		t.Errorf("closed incoming hand-offs were not forgotten: %v", cluster.cores["a"].handoffs.Incoming)
+		t.Errorf("records of closed incoming hand-offs were not deleted: %v", cluster.cores["a"].handoffs.Incoming)
 	}
 }
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -25,16 +25,16 @@
 	// zoneOutageLeases is how long machines in a zone outage are kept, in worker leases.
 	zoneOutageLeases = 3
 	// unlistedListLags is the number of list lags after which a machine that is missing from the
-	// cloud's list counts as gone.
+	// cloud's list counts as terminated.
 	unlistedListLags = 3
 )
 
-// reconcileInventory returns machines that failed, never booted, or fell silent. A new fleet
+// reconcileInventory returns machines that failed, never booted, or stopped reporting. A new fleet
 // leader first waits for the silence timeout: workers may still be switching to a controller that
-// answers them, and after a restart of all controllers it has not heard from any machine yet.
+// answers them, and after a restart of all controllers no machine has reported to it yet.
 func (c *Core) reconcileInventory() {
 	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceTimeout()
-	c.autoscaler.forgetUnlisted(c.cordons)
+	c.autoscaler.deleteTerminatedTimes(c.cordons)
 	outages := c.updateZoneOutages()
 	for _, listed := range ordered(c.autoscaler.inventory) {
 		c.reconcileListed(listed, settled && !outages[listed.Zone])
@@ -47,8 +47,8 @@
 	}
 }
 
-// forgetUnlisted drops the recorded times of machines that have been terminated.
-func (a *autoscaler) forgetUnlisted(cordoned cordons) {
+// deleteTerminatedTimes drops the recorded times of machines that have been terminated.
+func (a *autoscaler) deleteTerminatedTimes(cordoned cordons) {
 	for name := range a.firstSeen {
 		if !a.isListed(name) && cordoned.isTerminated(name) {
 			delete(a.firstSeen, name)
@@ -58,13 +58,14 @@
 }
 
 // reconcileListed returns a listed machine that the cloud reports as failed, or that has never
-// reported although its silence is conclusive.
-func (c *Core) reconcileListed(l protocol.ListedMachine, silenceConclusive bool) {
+// reported within its provisioning timeout. absenceConclusive is set if missing reports show that a
+// machine has failed.
+func (c *Core) reconcileListed(l protocol.ListedMachine, absenceConclusive bool) {
 	if l.State == protocol.Failed {
 		c.returnMachine(l.ID, reasonProvisioningFailed)
 		return
 	}
-	if !silenceConclusive || c.machines.Get(l.ID) != nil {
+	if !absenceConclusive || c.machines.Get(l.ID) != nil {
 		return
 	}
 	timeout := c.provisioningTimeout(l.Type)
@@ -81,17 +82,17 @@
 	}
 }
 
-// reconcileKnown returns a machine that has reported before but was reclaimed, fell silent, is no
-// longer listed, or fails its tasks.
+// reconcileKnown returns a machine that has reported before but was reclaimed, stopped reporting, is
+// no longer listed, or fails its tasks.
 func (c *Core) reconcileKnown(name string, m *worker.Machine, zoneOutage bool) {
-	silentFor := c.now.Steady - m.LastContact
-	toleratedInOutage := zoneOutage && silentFor < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)
+	sinceContact := c.now.Steady - m.LastContact
+	toleratedInOutage := zoneOutage && sinceContact < zoneOutageLeases*seconds(c.cfg.Params.Workers.LeaseS)
 	switch {
 	case m.ReclaimAt > 0 && c.now.Steady > m.ReclaimAt+c.reportInterval()/4:
 		c.returnMachine(name, reasonReclaimed)
-	case silentFor > c.silenceTimeout() && !toleratedInOutage && c.knowsMachinesOfAllControllers():
+	case sinceContact > c.silenceTimeout() && !toleratedInOutage && c.knowsMachinesOfAllControllers():
 		c.returnMachine(name, reasonSilent)
-	case silentFor > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, c.listTolerance()):
+	case sinceContact > 2*c.reportInterval() && c.autoscaler.isUnlisted(name, c.now.Steady, c.listTolerance()):
 		c.returnMachine(name, reasonUnlisted)
 	}
 	if c.failureScore(m) >= cordonThreshold {
@@ -100,7 +101,7 @@
 }
 
 // knowsMachinesOfAllControllers reports whether this node knows which machines report to each live
-// controller. Only then does a machine's silence mean that the machine itself has failed.
+// controller. Only then do missing reports mean that the machine itself has failed.
 func (c *Core) knowsMachinesOfAllControllers() bool {
 	for node := range c.members.live {
 		if !c.peerReachability.knowsMachinesOf(node) {
@@ -127,9 +128,9 @@
 	return outages
 }
 
-// isZoneOutage reports whether a zone is probably partitioned as a whole: neither its machines
-// nor its controllers are heard from. Tasks in the zone keep running, since its controllers still
-// answer its workers, and come back intact with the zone. If the machines were returned after the
+// isZoneOutage reports whether a zone is probably partitioned as a whole: there is no contact with
+// its machines or its controllers. Tasks in the zone keep running, since its controllers still answer
+// its workers, and are still there when the partition ends. If the machines were returned after the
 // usual silence timeout, all of these tasks would run again.
 func (c *Core) isZoneOutage(zone string) bool {
 	if zone == c.cfg.Zone {
@@ -159,13 +160,13 @@
 	return true
 }
 
-// listTolerance is how far the cloud's list of machines may lag behind.
+// listTolerance is the time by which the cloud's list of machines may lag behind.
 func (c *Core) listTolerance() time.Duration {
 	return unlistedListLags * seconds(c.cfg.Params.Cloud.ListLagS)
 }
 
-// isUnlisted reports whether the cloud has probably taken a machine back. A list may be late or
-// older than the previous one, but a machine stays listed until it is terminated.
+// isUnlisted reports whether a machine has probably been terminated by the cloud. A list may be late
+// or older than the previous one, but a machine stays listed until it is terminated.
 func (a *autoscaler) isUnlisted(name string, now, tolerance time.Duration) bool {
 	return !a.isListed(name) && a.inventoryAt-a.firstSeenAt(name, now) > tolerance
 }
@@ -183,7 +184,7 @@
 
 // evaluatesMachine reports whether the fleet leader itself decides about a machine that another
 // controller does not know: one that has reported to the fleet leader, or that the cloud lists in
-// a zone outage. A controller that starts during an outage hears nothing from the zone's
+// a zone outage. A controller that starts during an outage receives no reports of the zone's
 // machines, which is no reason to terminate them and their tasks.
 func (c *Core) evaluatesMachine(name string) bool {
 	listed, isListed := c.autoscaler.inventory[name]
--- a/internal/core/isolation.go
+++ b/internal/core/isolation.go
@@ -13,7 +13,7 @@
 // second zone show that this is not the case.
 type isolationDetector struct {
 	isolated bool
-	// since is when the isolation began.
+	// since is the time at which the isolation began.
 	since time.Duration
 	// zones holds the zones of the workers that have reported since then.
 	zones map[string]bool
--- a/internal/core/job/chunkkey.go
+++ b/internal/core/job/chunkkey.go
@@ -15,8 +15,8 @@
 	Index int
 }
 
-// chunkSizeSeparator separates the chunk size from the index in a key. Earlier versions, which do
-// not know explicit sizes, do not parse such a key as a chunk.
+// chunkSizeSeparator separates the chunk size from the index in a key. Earlier versions only know
+// keys that consist of an index, so they do not parse a key with a size as that of a chunk.
 const chunkSizeSeparator = "x"
 
 // String returns the last part of the store key.
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -11,7 +11,7 @@
 	// Nonce identifies the update that wrote the head.
 	Nonce     string
 	Cancelled bool
-	// Done holds the indexes of the completed tasks; Bound maps task indexes to bindings.
+	// Done holds the indexes of the tasks that are done. Bound maps task indexes to bindings.
 	Done  Set
 	Bound map[int]*Binding
 	// Attempt is the highest attempt number in use, and StoredAttempt the highest that is known
@@ -23,12 +23,12 @@
 
 	// InFlight is set while a transaction that writes the job is unanswered.
 	InFlight bool
-	// Urgent requests that the job be stored without delay; StoredAt is when it was last
+	// Urgent requests that the job be stored without delay. StoredAt is when it was last
 	// written.
 	Urgent   bool
 	StoredAt time.Duration
 	// UnstoredExits lists the attempts that have exited since the job was last stored. Their
-	// workers are told to forget them once the outcome is stored.
+	// workers receive the command to forget them once the outcome is stored.
 	UnstoredExits []Exit
 
 	// Suspected is set while the job itself, not the machines, is presumed to cause its
@@ -52,8 +52,8 @@
 	CancelRequestedAtMS int64
 	// ClaimedAt is when the newest bindings were created.
 	ClaimedAt time.Duration
-	// PendingSince is when the job began to wait for resources: when it was accepted, was
-	// unblocked, last had tasks bound or had its hand-off record deleted.
+	// PendingSince is the time since which the job waits for resources: when it was accepted or
+	// unblocked, when tasks of it were last bound, or when its hand-off record was deleted.
 	PendingSince time.Duration
 	// PreemptedAt is when other tasks were last preempted for this job.
 	PreemptedAt time.Duration
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -11,7 +11,7 @@
 )
 
 // chunkLayout describes how the state of a job's tasks is divided into chunks and which store keys
-// hold them. Chunk 0 is part of the job's head; every other chunk that has to be stored has its own
+// hold them. Chunk 0 is part of the job's head. Every other chunk that has to be stored has its own
 // key.
 type chunkLayout struct {
 	// ChunkSize is the number of tasks per chunk.
@@ -35,7 +35,7 @@
 	return chunkLayout{ChunkSize: chunkSize, storedKeys: map[ChunkKey]bool{}, dirty: map[int]bool{}}
 }
 
-// SpecBytes returns the size of the stored description in bytes.
+// SpecBytes returns the size of the stored spec in bytes.
 func (j *Job) SpecBytes() int {
 	if j.specBytes == 0 {
 		j.specBytes = j.StoredBytes()
@@ -83,7 +83,7 @@
 		return true
 	}
 	if j.previousSize > 0 {
-		return false // only one previous size can be told apart from the present one
+		return false // the layout can describe only one previous size
 	}
 	size = j.splitSize(size)
 	parts := j.ChunkSize / size
@@ -124,7 +124,7 @@
 }
 
 // TakeChunkWrites returns at most maxWrites chunk writes that are due besides the head, and whether
-// more are left. The chunks no longer count as changed; RevertWrites undoes that if the write
+// more are left. The chunks no longer count as changed. RevertWrites undoes that if the write
 // fails.
 func (j *Job) TakeChunkWrites(maxWrites int) (writes []ChunkWrite, more bool) {
 	for _, c := range slices.Sorted(maps.Keys(j.dirty)) {
--- a/internal/core/job/layout_test.go
+++ b/internal/core/job/layout_test.go
@@ -24,14 +24,14 @@
 	smallChunkSize    = 4
 )
 
-// storedJob is a leader's job together with its stored form.
+// storedJob is a job of a leader together with its stored form.
 type storedJob struct {
 	t         *rapid.T
 	job       *Job
 	head      json.RawMessage
 	chunks    map[ChunkKey]json.RawMessage
 	maxWrites int
-	// stored is the expected stored state of each task.
+	// stored holds the expected stored state of each task.
 	stored map[int]taskState
 }
 
@@ -122,7 +122,7 @@
 	return loaded
 }
 
-// changeTask binds, unbinds or finishes a random task.
+// changeTask binds or unbinds a random task or marks it as done.
 func (s *storedJob) changeTask() {
 	i := rapid.IntRange(0, s.job.Tasks-1).Draw(s.t, "task")
 	switch bound := s.job.Bound[i] != nil; {
--- a/internal/core/job/ledger.go
+++ b/internal/core/job/ledger.go
@@ -19,7 +19,7 @@
 	Need  Resources
 	Tasks map[TaskRef]*Binding
 	// Used is Need without the tasks that have exited. The owner of the ledger computes and
-	// caches it here; UsedValid is cleared whenever the cached value may be out of date.
+	// caches it here. UsedValid is cleared whenever the cached value may be out of date.
 	Used      Resources
 	UsedValid bool
 }
--- a/internal/core/job/ledger_test.go
+++ b/internal/core/job/ledger_test.go
@@ -8,8 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A ledger that diverges from the bindings would overcommit machines or leave them unused. Bindings
-// are changed at random and by loads of stored state, then recounted.
+// A ledger that diverges from the bindings would overcommit machines or leave them unused. The test
+// changes bindings at random, also by loading heads that another leader has stored, and compares the
+// ledger with a recount.
 func TestLedgerMatchesRecountOfBindings(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	ledger, jobs := NewLedger(), []*Job(nil)
--- a/internal/core/job/spec.go
+++ b/internal/core/job/spec.go
@@ -16,7 +16,7 @@
 type Kind uint8
 
 // Kinds of jobs. Tasks of an array run independently of each other, the tasks of a gang start
-// together, and those of a service are long-running replicas.
+// together, and the tasks of a service are long-running service replicas.
 const (
 	Array Kind = iota
 	Gang
@@ -107,15 +107,15 @@
 // AboveNormal reports whether the job's priority is higher than normal.
 func (s *Spec) AboveNormal() bool { return s.Priority < normalPriority }
 
-// marshalWithoutDependencies returns the stored form of the description without the dependencies.
+// marshalWithoutDependencies returns the stored form of the spec without the dependencies.
 func (s *Spec) marshalWithoutDependencies() []byte {
 	bare := *s
 	bare.Dependencies = nil
 	return mustjson.Marshal(bare)
 }
 
-// StoredBytes returns the size of the stored description in bytes. Dependencies don't count: they
-// are dropped from the head when the first task is bound.
+// StoredBytes returns the size of the stored spec in bytes. Dependencies don't count: they are
+// dropped from the head when the first task is bound.
 func (s *Spec) StoredBytes() int { return len(s.marshalWithoutDependencies()) }
 
 // DependencyBytes returns the size of the stored list of dependencies in bytes.
--- a/internal/core/job/stored_test.go
+++ b/internal/core/job/stored_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// The head holds the description and the first chunk. It has to fit into one store value when
-// 50 of the chunk's 64 tasks are bound.
+// The head holds the spec and the first chunk. It has to fit into one store value when 50 of the
+// chunk's 64 tasks are bound.
 func TestHeadWithManyBindingsFitsInOneValue(t *testing.T) {
 	spec, err := Parse([]byte(strings.Replace(validSubmission, `"pieces":3`, `"pieces":100000`, 1)), 1024)
 	if err != nil {
--- a/internal/core/job/submission.go
+++ b/internal/core/job/submission.go
@@ -16,7 +16,7 @@
 var (
 	ErrBodyTooLarge = errors.New("body is too large")
 	ErrNotObject    = errors.New("body is not a JSON object")
-	ErrTooLong      = errors.New("description is too long")
+	ErrTooLong      = errors.New("spec is too long")
 )
 
 // FieldError reports an invalid field of a submission.
@@ -31,8 +31,9 @@
 // maxNumber is the upper bound of every amount and duration in a submission.
 const maxNumber = 1e12
 
-// Parse validates a submission and converts it to a Spec, whose stored form without dependencies
-// may have up to maxBytes. The error is a single line that names the first invalid field.
+// Parse validates a submission and converts it to a Spec. The stored form of the spec without
+// dependencies may have up to maxBytes. The error is a single line that names the first invalid
+// field.
 func Parse(body []byte, maxBytes int) (*Spec, error) {
 	if len(body) > protocol.MaxBody {
 		return nil, ErrBodyTooLarge
@@ -192,7 +193,8 @@
 	return append([]string{}, *p.in.Types...)
 }
 
-// dependencies returns the job IDs that the submission awaits, without duplicates and in its order.
+// dependencies returns the IDs of the jobs that the submission depends on, without duplicates and in
+// its order.
 func (p *parser) dependencies() []string {
 	if p.in.Awaits == nil {
 		return nil
@@ -200,7 +202,7 @@
 	var distinct []string
 	for _, id := range *p.in.Awaits {
 		if !ValidID(id) {
-			p.fail("awaited job id", "is malformed")
+			p.fail("dependency job id", "is malformed")
 		}
 		if !slices.Contains(distinct, id) {
 			distinct = append(distinct, id)
@@ -209,7 +211,7 @@
 	return distinct
 }
 
-// Submission returns the submission that Parse converts to this description.
+// Submission returns the submission that Parse converts to this spec.
 func (s *Spec) Submission() protocol.Submission {
 	tasks := int64(s.Tasks)
 	out := protocol.Submission{
--- a/internal/core/job/submission_test.go
+++ b/internal/core/job/submission_test.go
@@ -27,7 +27,7 @@
 		"fractional task count": {strings.Replace(validSubmission, `"pieces":3`, `"pieces":2.5`, 1), "submission"},
 		"unknown kind":          {strings.Replace(validSubmission, `"batch"`, `"bunch"`, 1), "kind"},
 		"malformed id":          {strings.Replace(validSubmission, `"req-1"`, `"req-1/2"`, 1), "job id"},
-		"long description":      {strings.Replace(validSubmission, `"i"`, `"`+strings.Repeat("i", 2000)+`"`, 1), "too long"},
+		"long spec":             {strings.Replace(validSubmission, `"i"`, `"`+strings.Repeat("i", 2000)+`"`, 1), "too long"},
 		"wrong id prefix":       {strings.Replace(validSubmission, `"req-1"`, `"job-1"`, 1), "job id"},
 	} {
 		if _, err := Parse([]byte(c.body), 1024); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/core/job/urgency.go
+++ b/internal/core/job/urgency.go
@@ -23,7 +23,7 @@
 	inheritedUrgency *dependency.Urgency
 }
 
-// Unblock lets a job start whose dependencies are done. wallMS is the wall-clock time in Unix
+// Unblock lets a job start once its dependencies are done. wallMS is the wall-clock time in Unix
 // milliseconds.
 func (j *Job) Unblock(now time.Duration, wallMS int64) {
 	j.Blocked, j.readyAtMS, j.PendingSince = false, wallMS, now
@@ -83,8 +83,7 @@
 	return j.Accepted + int64(j.DeadlineS*1000) - j.RunTimeMS()
 }
 
-// EffectiveSpec returns the description that placement uses, in which the priority is the job's
-// rank.
+// EffectiveSpec returns the spec that placement uses, in which the priority is the job's rank.
 func (j *Job) EffectiveSpec() *Spec {
 	if j.Rank() == j.Priority {
 		return &j.Spec
--- a/internal/core/jobchunks.go
+++ b/internal/core/jobchunks.go
@@ -6,7 +6,8 @@
 )
 
 // chunkPolicy chooses the chunk size in which jobs are stored. Chunks become smaller only once all
-// controllers are upgraded, because earlier versions derive the size from the settings.
+// controllers are upgraded: earlier versions do not know heads and chunk keys that contain the size,
+// and derive it from the settings.
 type chunkPolicy struct {
 	*environment
 	limits   *storeLimits
--- a/internal/core/jobflush.go
+++ b/internal/core/jobflush.go
@@ -94,13 +94,13 @@
 	return own.share(all, w.core.limits.writeRate()*jobWriteShare, w.core.members.size())
 }
 
-// exitBatchInterval returns for how long the finished tasks of a job are batched before they are
+// exitBatchInterval returns for how long the exits of a job's tasks are batched before they are
 // stored. It grows with the number of jobs.
 func (w *jobWriter) exitBatchInterval() time.Duration {
 	return seconds(float64(len(w.core.jobs)) / (w.core.limits.writeRate() * jobWriteShare * finishedTaskShare))
 }
 
-// isFlushDue reports whether a job's changes are due to be stored. Finished tasks are batched: their
+// isFlushDue reports whether a job's changes are due to be stored. Exits of tasks are batched: the
 // workers keep reporting them until they are stored, so a crash loses nothing.
 func (w *jobWriter) isFlushDue(j *job.Job) bool {
 	if j.Complete() || j.Cancelled {
--- a/internal/core/jobs_test.go
+++ b/internal/core/jobs_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestJobsOfAllTeamsRunExactlyOnce(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	ids := []string{"req-red-1", "req-blue-1", "req-free-1"}
 	for i, id := range ids {
 		requireAccepted(t, cluster.submit(nodeNames[i], id, 12, ""))
@@ -33,7 +33,7 @@
 }
 
 func TestLargestArrayStaysWithinStoreLimits(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", job.MaxTasks, ""))
 	cluster.run(20*time.Second, nil) // the simulation checks every transaction
 	if n := cluster.onMachines("req-blue-1"); n == 0 {
--- a/internal/core/jobstats/jobstats.go
+++ b/internal/core/jobstats/jobstats.go
@@ -36,8 +36,8 @@
 	rows map[rowKey]*Row
 	// active holds the jobs that have not ended.
 	active map[string]*activeJob
-	// unansweredSince is when the first unanswered request for a job's state was made since the
-	// last answered one, by job ID.
+	// unansweredSince holds, by job ID, the time of the first unanswered request for the job's
+	// state since the last answered one.
 	unansweredSince map[string]time.Duration
 	// longestUnanswered is the longest time from such a request to a later request for the same
 	// job.
--- a/internal/core/jobupdate.go
+++ b/internal/core/jobupdate.go
@@ -17,7 +17,7 @@
 	nonce string
 	// attempt is the highest attempt number that the update stores.
 	attempt uint64
-	// chunks are the chunks that the update writes; partial is set if it leaves out other changed
+	// chunks are the chunks that the update writes. partial is set if it leaves out other changed
 	// chunks.
 	chunks  []job.ChunkWrite
 	partial bool
@@ -32,7 +32,7 @@
 }
 
 // flushJob writes a job, on the condition that this node still leads its team and that no other
-// node has changed the job.
+// controller has changed the job.
 func (w *jobWriter) flushJob(t *team, j *job.Job) {
 	update := &jobUpdate{
 		team:    t,
@@ -115,8 +115,8 @@
 }
 
 // addCancelledFinalState adds the remaining changes that end a cancelled job. A cancellation by the
-// user has already stored the final state; a job that was cancelled because of a dependency has
-// none yet.
+// user has already stored the final state. A job that was cancelled because of a dependency has none
+// yet.
 func (w *jobWriter) addCancelledFinalState(u *jobUpdate) {
 	id := u.job.ID
 	if w.core.userCancelled(id) {
--- a/internal/core/jobupdate_test.go
+++ b/internal/core/jobupdate_test.go
@@ -8,10 +8,10 @@
 )
 
 // A leader's write gets no reply and is sent again, and then its condition on the head fails. The
-// nonce tells whether the stored head is from the leader's own first write or from another leader.
+// nonce shows whether the stored head is from the leader's own first write or from another leader.
 func TestConflictingWriteIsAttributedByNonce(t *testing.T) {
 	for name, own := range map[string]bool{"own": true, "another's": false} {
-		cluster := newSimCluster(t).ready()
+		cluster := newSimCluster(t).waitUntilReady()
 		requireAccepted(t, cluster.submit("a", "req-free-1", 3, ""))
 		cluster.waitUntilStarted("req-free-1", 3)
 		c := cluster.cores[cluster.cores["a"].teamsByName["free"].leader]
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// handleApplied applies the effects of an update that the store holds since a revision.
+// handleApplied applies the effects of an update that the store has held since a revision.
 func (w *jobWriter) handleApplied(u *jobUpdate, revision uint64) {
 	j := u.job
 	j.InFlight, j.Version, j.StoredAttempt = false, revision, u.attempt
 	if u.finalState != "" {
-		w.jobEnded(u, revision)
+		w.handleJobEnded(u, revision)
 		return
 	}
 	for _, b := range u.bindings {
@@ -64,8 +64,8 @@
 	w.core.reconciler.forgetEndedTasks(j, u.exits)
 }
 
-// jobEnded drops a job whose final state is stored.
-func (w *jobWriter) jobEnded(u *jobUpdate, revision uint64) {
+// handleJobEnded drops a job whose final state is stored.
+func (w *jobWriter) handleJobEnded(u *jobUpdate, revision uint64) {
 	j := u.job
 	state := protocol.JobState{ID: j.ID, State: u.finalState}
 	if u.finalState == protocol.Done {
@@ -131,8 +131,8 @@
 	w.core.lostLeadership(&u.team.shard)
 }
 
-// readFinalState determines, for a job whose head is gone, whether the stored final state is the
-// one that the update writes.
+// readFinalState determines, for a job whose head has been deleted, whether the stored final state is
+// the one that the update writes.
 func (w *jobWriter) readFinalState(u *jobUpdate) {
 	w.get(keyState+u.job.ID, func(r StoreReply) {
 		if w.isObsolete(u) {
--- a/internal/core/jobzones_test.go
+++ b/internal/core/jobzones_test.go
@@ -26,13 +26,13 @@
 		"spread service":           {`,"spread":true,"shape":"service","guessS":0.0,"dueS":null`, false},
 		"spread array":             {`,"spread":true`, true},
 	} {
-		for _, silent := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, silent %v", name, silent), func(t *testing.T) {
+		for _, stillListed := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, still listed %v", name, stillListed), func(t *testing.T) {
 				t.Parallel()
 				cluster := newSimClusterOf(t, fiveNodes)
 				cluster.twoZones()
 				cluster.allowRacingStarts, cluster.taskTime = true, 30*time.Second
-				cluster.ready()
+				cluster.waitUntilReady()
 				requireAccepted(t, cluster.submit("a", id, 8, c.extraFields))
 				cluster.waitUntilStarted(id, 8)
 				zones := cluster.tasksPerZone(id)
@@ -44,8 +44,8 @@
 				for m, f := range cluster.workers {
 					if f.Zone == zone {
 						lost += len(f.Tasks)
-						if f.dead = true; !silent {
-							delete(cluster.workers, m) // the cloud's list shows it
+						if f.dead = true; !stillListed {
+							delete(cluster.workers, m) // the cloud no longer lists it
 						}
 					}
 				}
@@ -67,14 +67,14 @@
 	}
 }
 
-// The replicas of a spread service get machines in both zones, even if no other job has machines in
-// the second one.
-func TestSpreadReplicasGetMachinesInAllZones(t *testing.T) {
-	cluster := newSimClusterOf(t, fiveNodes).ready()
+// The service replicas of a spread job get machines in both zones, even if no other job has
+// machines in the second one.
+func TestSpreadServiceGetsMachinesInAllZones(t *testing.T) {
+	cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 	cluster.allowRacingStarts = true
 	requireAccepted(t, cluster.submit("b", "req-free-2", 6, serviceFields))
 	cluster.run(40*time.Second, nil)
 	if zones := cluster.tasksPerZone("req-free-2"); zones["z1"] != 3 || zones["z2"] != 3 || cluster.rented > 12 {
-		t.Errorf("got replicas in %v with %d rented machines, want 3 in each zone with at most 12 machines", zones, cluster.rented)
+		t.Errorf("got service replicas in %v with %d rented machines, want 3 in each zone with at most 12 machines", zones, cluster.rented)
 	}
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -15,15 +15,15 @@
 	Root            = "j/"
 	keyJob          = Root + "a/" // j/a/<job>[/<chunk>]: a job that is not final
 	keyCancel       = Root + "c/" // j/c/<job>: the job was cancelled by its user
-	keyLeader       = Root + "h/" // j/h/<team>: the leader of a team, attached to a lease
-	keyFleet        = Root + "f"  // the leader of the fleet, attached to a lease
-	keyNode         = Root + "n/" // j/n/<node>: a live controller, attached to a lease
+	keyLeader       = Root + "h/" // j/h/<team>: the leader of a team, attached to its controller lease
+	keyFleet        = Root + "f"  // the fleet leader, attached to its controller lease
+	keyNode         = Root + "n/" // j/n/<node>: a live controller, attached to its lease
 	keyToken        = Root + "t"  // the counter of fencing tokens
 	keyCordon       = Root + "x/" // j/x/<machine>: the machine is cordoned or terminated
-	keyRentalIntent = Root + "v/" // j/v/<request>: the intent to rent machines
+	keyRentalIntent = Root + "v/" // j/v/<request>: a rental intent
 	keyUsageRecord  = Root + "r/" // j/r/<team>: the usage record of a team
 	keyRelay        = Root + "b/" // j/b/<node>/<page>: messages to controllers that can't be reached directly
-	keyFederation   = Root + "g"  // the leader of the federation, attached to a lease; see also handoffkeys.go
+	keyFederation   = Root + "g"  // the leader of the federation shard, attached to its controller lease; see also handoffkeys.go
 	keyVersion      = Root + "p/" // j/p/<node>: the version of a controller; never deleted
 	keyState        = "u/"        // u/<job>: the final state of a job; never deleted
 )
--- a/internal/core/leaderchange_test.go
+++ b/internal/core/leaderchange_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Leaders change at least ten times within two minutes, with and without an outage in between.
-// Long jobs are started once, a cancelled job stays cancelled, and no job starves afterwards.
+// Leaders change at least ten times within two minutes, with and without an outage in between. Long
+// jobs are started once, a cancelled job stays cancelled, and no job stays pending afterwards.
 func TestRepeatedLeaderChanges(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		t.Run(fmt.Sprintf("outage %v", outage), func(t *testing.T) {
@@ -29,11 +29,11 @@
 				cluster.run(15*time.Second, nil)
 				cluster.endOutage()
 			}
-			if node := cluster.serving(); cluster.cancelJob(node, "req-free-3").Status != http.StatusOK {
+			if node := cluster.servingController(); cluster.cancelJob(node, "req-free-3").Status != http.StatusOK {
 				cluster.run(5*time.Second, nil)
-				cluster.cancelJob(cluster.serving(), "req-free-3")
+				cluster.cancelJob(cluster.servingController(), "req-free-3")
 			}
-			requireAccepted(t, cluster.submit(cluster.serving(), "req-free-9", 3, ""))
+			requireAccepted(t, cluster.submit(cluster.servingController(), "req-free-9", 3, ""))
 			cluster.run(80*time.Second, nil)
 			if n := changes(); n < 10 {
 				t.Fatalf("leader changed %d times, want at least 10", n)
@@ -58,7 +58,7 @@
 	for name, makeUnavailable := range map[string]func(cluster *simCluster, id string){
 		"hang":            func(cluster *simCluster, id string) { cluster.hang(id, 14*time.Second) },
 		"are partitioned": func(cluster *simCluster, id string) { cluster.cutWorkers[id] = true },
-		"are silent":      func(cluster *simCluster, id string) { cluster.silentWorkers[id] = true },
+		"do not report":   func(cluster *simCluster, id string) { cluster.nonReportingWorkers[id] = true },
 		"are unreachable": func(cluster *simCluster, id string) { cluster.workersReceivingNothing[id] = true },
 		"are reclaimed":   func(cluster *simCluster, id string) { delete(cluster.workers, id) },
 	} {
@@ -87,10 +87,10 @@
 				cluster.crash(leader)
 				cluster.expire(leader)
 				cluster.run(time.Second, nil)
-				a := cluster.cancelJob(cluster.serving(), first)
+				a := cluster.cancelJob(cluster.servingController(), first)
 				if a.Status != http.StatusOK {
 					cluster.run(3*time.Second, nil)
-					a = cluster.cancelJob(cluster.serving(), first)
+					a = cluster.cancelJob(cluster.servingController(), first)
 				}
 				if a.Status != http.StatusOK {
 					t.Fatalf("cancellation got status %d, want 200", a.Status)
@@ -115,7 +115,7 @@
 // A team without a leader gets a new one as soon as the key of its controller is deleted, ahead
 // of the next periodic election.
 func TestTeamsFailOverAsSoonAsTheirLeaderExpires(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	cluster.run(5*time.Second, nil)
 	for _, c := range cluster.cores {
 		c.members.nextElection = cluster.now + time.Hour // as if an election had just run
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -20,7 +20,7 @@
 	leaderIncarnation string
 	// leading is set while this incarnation of this node is the leader.
 	leading bool
-	// electing is set while a write of the leader's record awaits its reply.
+	// electing is set while a write of the leader's record has no reply yet.
 	electing bool
 }
 
@@ -141,8 +141,8 @@
 }
 
 // recoverJobs takes over the jobs of a previous leader. That leader may or may not have sent
-// the starts of its bindings, so all starts count as sent and none is repeated; only evidence
-// from the machines shows their outcome.
+// the starts of its bindings, so all starts count as sent and none is repeated. Only evidence from
+// the machines shows their outcome.
 func (c *Core) recoverJobs(jobs map[string]*job.Job) {
 	for _, j := range ordered(jobs) {
 		j.InFlight = false
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -103,8 +103,8 @@
 const relayPagesPerTxn = 4
 
 // relayPageBytes returns the maximum size of a store relay page. Several pages fit into one
-// transaction, because the page with the heartbeat changes every time and must not starve the
-// others.
+// transaction, because the page with the heartbeat changes every time and must not keep the others
+// from being written.
 func (l *storeLimits) relayPageBytes() int {
 	return min(l.valueBytes()*7/8, protocol.MaxBody*3/4/relayPagesPerTxn)
 }
@@ -114,8 +114,8 @@
 	return max(2, min(l.maxChanges(), protocol.MaxBody*3/4/l.relayPageBytes()))
 }
 
-// storeLimitLowered records that the store enforces the upcoming, lower write rate.
-func (c *Core) storeLimitLowered() {
+// handleStoreLimitLowered records that the store enforces the upcoming, lower write rate.
+func (c *Core) handleStoreLimitLowered() {
 	if c.limits.writeRateLowered {
 		return
 	}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -34,8 +34,8 @@
 }
 
 // pageFull reports whether another job does not fit on a page that has the given number of jobs.
-// dependencyBytes is the total size of the dependency lists on the page, that of the other
-// job included. The first job always fits.
+// dependencyBytes is the total size of the dependency lists on the page, including that of the
+// other job. The first job always fits.
 func pageFull(jobs, dependencyBytes int) bool {
 	return jobs == protocol.MaxJobsPerPage || jobs > 0 && dependencyBytes > protocol.MaxDependencyBytesPerPage
 }
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -15,8 +15,8 @@
 // use together.
 const lookupShare = 1.0 / 4
 
-// backgroundLookupShare is the fraction of a node's lookup rate that lookups without a waiting user
-// may use.
+// backgroundLookupShare is the fraction of a controller's lookup rate that lookups without a waiting
+// user may use.
 const backgroundLookupShare = 1.0 / 2
 
 // lookupController looks up the states of jobs: it queues requests, sends them to the store within
@@ -42,7 +42,8 @@
 }
 
 // request looks up the state of a job: in memory if it is final, or else by a read that begins
-// after the request. A request that could not be answered before the user times out fails at once.
+// after the request. A request that could not be answered before the user times out fails
+// immediately.
 func (l *lookupController) request(id string, resolve func(lookup.Result)) {
 	l.enqueue(lookup.Request{JobID: id, Resolve: resolve})
 }
@@ -61,8 +62,8 @@
 	return lookup.Result{Outcome: lookup.Active, State: protocol.JobState{ID: id}}
 }
 
-// enqueue resolves a request at once if the job has ended or the lookup cannot succeed, or else
-// queues it.
+// enqueue resolves a request immediately if the job has ended or the lookup cannot succeed, and
+// queues it otherwise.
 func (l *lookupController) enqueue(request lookup.Request) {
 	request.Since = l.core.now.Steady
 	if l.core.hasEnded(request.JobID) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// sendAcceptanceLookups sends the lookups for submissions at once, regardless of the budget: users
-// wait much less long for these than for the answer to a poll, and such submissions are few.
+// sendAcceptanceLookups sends the lookups for submissions immediately, regardless of the budget:
+// users wait much longer for the answer to a poll than for these, and such submissions are few.
 func (l *lookupController) sendAcceptanceLookups() {
 	for _, batch := range l.queue.TakeAcceptance(l.limits()) {
 		l.sendBatch(batch)
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -9,7 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// poll requests the states of jobs from a node at the same time and returns the answers by job ID.
+// poll requests the states of jobs from a controller at the same time and returns the answers by
+// job ID.
 func (cluster *simCluster) poll(node string, ids []string) map[string]Answer {
 	cluster.t.Helper()
 	reqs := map[string]uint64{}
@@ -32,7 +33,7 @@
 
 // Guards against one store request for each poll, which would exhaust the store's request rate.
 func TestManyPollsShareFewStoreRequests(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	var ids []string
 	for i := range 100 {
 		id := fmt.Sprintf("req-red-%d", i) // most of them wait for the team's limit
@@ -54,7 +55,7 @@
 // unknown nor as unfinished.
 func TestStatusIsNotStale(t *testing.T) {
 	for _, nameOneKey := range []bool{false, true} {
-		cluster := newSimCluster(t).ready()
+		cluster := newSimCluster(t).waitUntilReady()
 		cluster.nameOneFailedKey = nameOneKey
 		ids := []string{"req-blue-1", "req-blue-2", "req-blue-3", "req-free-1"}
 		for _, id := range ids[:3] {
@@ -82,7 +83,7 @@
 }
 
 func TestPollsBeyondTheLookupRateAreRejected(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	c := cluster.cores["a"]
 	limit := int(c.lookups.limits().Rate) * c.limits.maxConditions()
 	cluster.answers = map[uint64]Answer{}
@@ -97,7 +98,7 @@
 		}
 	}
 	if rejected < limit {
-		t.Errorf("got %d of %d polls rejected at once, want at least those beyond the limit", rejected, 6*limit)
+		t.Errorf("got %d of %d polls rejected immediately, want at least those beyond the limit", rejected, 6*limit)
 	}
 	cluster.run(10*time.Second, nil)
 	if accepted, unknown := c.lookups.queue.Len(); accepted+unknown > 0 {
@@ -108,7 +109,7 @@
 // Guards against restoring a job that has ended: the message about its acceptance may be delayed
 // until after its end.
 func TestDelayedAcceptanceMessageDoesNotRestoreEndedJob(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
 	item := cluster.kv[jobKey("req-blue-1")]
 	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
--- a/internal/core/loweredlimits_test.go
+++ b/internal/core/loweredlimits_test.go
@@ -23,7 +23,7 @@
 			for i := range 40 {
 				cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
-			cluster.ready().run(10*time.Second, nil)
+			cluster.waitUntilReady().run(10*time.Second, nil)
 			cluster.taskTime = 20 * time.Second
 			requireAccepted(t, cluster.submit("a", "req-free-1", tasks, `,"vcpus":1.0`))
 			cluster.waitUntilStarted("req-free-1", 100)
--- a/internal/core/machinereturns.go
+++ b/internal/core/machinereturns.go
@@ -3,13 +3,15 @@
 import "time"
 
 // machineReturns tracks the machines that this node wants to return to the cloud because a
-// cancelled task does not end on them, or because no controller knows of them.
+// cancelled task does not end on them, or because tasks are bound to them although they are unknown
+// or out of contact.
 type machineReturns struct {
 	*environment
 	core *Core
-	// requestedAt is when the fleet leader was last asked to return a machine.
+	// requestedAt holds the time at which the return of each machine was last requested from the
+	// fleet leader.
 	requestedAt map[string]time.Duration
-	// releasedAt is when this node last decided to release a machine itself.
+	// releasedAt holds the time at which this node last decided to release each machine itself.
 	releasedAt map[string]time.Duration
 	// confirmed holds the machines in releasedAt whose release the cloud has confirmed.
 	confirmed map[string]bool
@@ -27,9 +29,9 @@
 	}
 }
 
-// dueAgain reports whether an interval has passed since the time recorded for a machine, and if so
-// records the current time.
-func dueAgain(last map[string]time.Duration, machine string, now, interval time.Duration) bool {
+// recordIfDue records the current time for a machine if none is recorded or an interval has passed
+// since, and reports whether it did.
+func recordIfDue(last map[string]time.Duration, machine string, now, interval time.Duration) bool {
 	if at, ok := last[machine]; ok && now-at < interval {
 		return false
 	}
--- a/internal/core/machinereturns_test.go
+++ b/internal/core/machinereturns_test.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// Guards against a leader that reconnects after a partition, learns of a job that was cancelled
-// long ago and returns machines because of outdated information about where the job's tasks are.
+// Guards against returning machines needlessly after a partition: a leader that reconnects learns
+// of a job that was cancelled long ago, and its information about where the job's tasks are is
+// outdated.
 func TestReconnectedLeaderReturnsNoMachines(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
--- a/internal/core/machinetimeouts.go
+++ b/internal/core/machinetimeouts.go
@@ -7,17 +7,17 @@
 	"pepperlever/internal/protocol"
 )
 
-// silenceTimeout returns how long a machine may stay silent before it is given up. A report may
-// be late or lost, and a worker spends a timeout and a pause on each unavailable controller
-// that it tries.
+// silenceTimeout returns how long a machine may go without contact before it is considered lost. A
+// report may be late or lost, and a worker spends a timeout and a pause on each unavailable
+// controller that it tries.
 func (c *Core) silenceTimeout() time.Duration {
 	attempts := 1 + c.members.missing()
 	return 2*c.reportInterval() + time.Duration(attempts)*(protocol.ReportTimeout+protocol.ReportRetryDelay)
 }
 
 // reportOverdue reports whether a machine's own reports have stopped arriving, even though it
-// may still answer direct calls. Such a machine is probed for the outcomes of its tasks, and
-// gets no new ones, since they would be lost when its lease ends (docs/incidents/mute.md).
+// may still answer deliveries. Such a machine is probed for the outcomes of its tasks, and gets
+// no new ones, since they would be lost when its worker lease ends (docs/incidents/mute.md).
 func (e *environment) reportOverdue(m *worker.Machine) bool {
 	return e.now.Steady-m.LastReport >= 2*e.reportInterval()+e.reportInterval()/2
 }
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -21,9 +21,9 @@
 	controllers []string
 	// live holds the registered controllers by name.
 	live map[string]nodeRecord
-	// lease is this node's lease in the store, or 0 if it has none.
+	// lease is this node's controller lease in the store, or 0 if it has none.
 	lease uint64
-	// registering is set while a write of this node's own key awaits its reply; registeredAt is
+	// registering is set while a write of this node's own key awaits its reply. registeredAt is
 	// the revision of the last successful write.
 	registering  bool
 	registeredAt uint64
@@ -81,7 +81,8 @@
 	return live && own.Incarnation == m.incarnation && own.Lease == m.lease
 }
 
-// allSupportFederation reports whether all live controllers leave jobs alone that were handed off.
+// allSupportFederation reports whether all live controllers support federation. A controller
+// without a federation configuration would run jobs that were handed off.
 func (m *membership) allSupportFederation() bool {
 	for _, node := range m.live {
 		if !node.SupportsFederation {
@@ -92,9 +93,9 @@
 }
 
 // preferredLeader returns the controller that should lead the shard with the given index. The
-// choice is stable while that controller is live, so the failure of a controller moves only its
-// own shards. If federation support is required, controllers that do not leave handed-off jobs
-// alone are skipped.
+// choice is stable while that controller is live, so the failure of a controller moves only its own
+// shards. If federation support is required, controllers without it are skipped, since they would
+// run jobs that were handed off.
 func (m *membership) preferredLeader(index int, requiresFederation bool) string {
 	for offset := range m.controllers {
 		name := m.controllers[(index+offset)%len(m.controllers)]
@@ -143,7 +144,8 @@
 	c.register()
 }
 
-// leaseExpired gives up all leaderships, because other leaders may have been elected.
+// leaseExpired gives up the leadership of all shards, because other leaders may have been
+// elected.
 func (c *Core) leaseExpired() {
 	c.members.lease = 0
 	for _, s := range c.allShards() {
--- a/internal/core/messenger.go
+++ b/internal/core/messenger.go
@@ -12,7 +12,7 @@
 	peers *peerTable
 	// pendingObservations holds the observations that wait for the next broadcast.
 	pendingObservations []Observation
-	// nextFlush is when they may be broadcast next.
+	// nextFlush is when the observations may be broadcast next.
 	nextFlush time.Duration
 }
 
--- a/internal/core/messenger_test.go
+++ b/internal/core/messenger_test.go
@@ -41,7 +41,7 @@
 		// receiver.
 		reportDisconnected []string
 		message            PeerMessage
-		// via is the node that the message is sent to, or empty if it is dropped.
+		// via is the controller that the message is sent to, or empty if it is dropped.
 		via string
 	}{
 		"connected":                             {connected: []string{"b", "c"}, via: "b"},
@@ -72,6 +72,6 @@
 	c := newSimClusterOf(t, fiveNodes).cores["a"]
 	c.effects = nil
 	if c.route("stranger", PeerMessage{}); len(c.effects) > 0 {
-		t.Errorf("message to an unknown node was sent: %+v", c.effects)
+		t.Errorf("message to an unknown controller was sent: %+v", c.effects)
 	}
 }
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -14,7 +14,7 @@
 func (c *Core) applyObservation(o Observation) {
 	report := &o.Report
 	if c.cordons.isTerminated(report.Machine) {
-		return // a delayed duplicate: the cloud has taken the machine and everything on it
+		return // a delayed duplicate: the machine has been terminated, with everything on it
 	}
 	m := c.machines.Get(report.Machine)
 	if m == nil {
--- a/internal/core/ordered.go
+++ b/internal/core/ordered.go
@@ -18,6 +18,7 @@
 	return iterate(m, func() []K { return slices.SortedFunc(maps.Keys(m), compare) })
 }
 
+// iterate yields the entries of a map in the order of keys, without those that have been removed.
 func iterate[K comparable, V any](m map[K]V, keys func() []K) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, k := range keys() {
--- a/internal/core/outgoinghandoffs_test.go
+++ b/internal/core/outgoinghandoffs_test.go
@@ -12,12 +12,12 @@
 	"pepperlever/internal/protocol"
 )
 
-// An outgoing job is never bound at this site, every controller shows its progress, and it ends once,
-// as the other site reports, even if every controller of this site restarts meanwhile.
+// An outgoing job is never bound at this site, every controller shows its progress, and it ends
+// once, as the other site reports, even if every controller of this site restarts meanwhile.
 func TestOutgoingJobEndsAsRemoteSiteReports(t *testing.T) {
-	cluster, f := newFederatedSimCluster(t)
-	f.submitRemote("req-red-1")
-	if !f.serveUntil(time.Minute, func() bool {
+	cluster, remote := newFederatedSimCluster(t)
+	remote.submitRemote("req-red-1")
+	if !remote.serveUntil(time.Minute, func() bool {
 		return cmp.Equal(cluster.status("b", "req-red-1").Body, protocol.JobState{ID: "req-red-1", State: protocol.Running, Done: 1, Running: 2})
 	}) {
 		t.Fatal("progress of the outgoing job is not shown")
@@ -26,7 +26,7 @@
 		cluster.crash(n)
 		cluster.expire(n)
 		cluster.boot(n)
-		f.serveUntil(10*time.Second, func() bool {
+		remote.serveUntil(10*time.Second, func() bool {
 			for _, n := range nodeNames {
 				if s, ok := cluster.status(n, "req-red-1").Body.(protocol.JobState); ok && (s.Done != 1 || s.State != protocol.Running) {
 					t.Fatalf("%s: job state is %+v, which is older than the reported progress", n, s)
@@ -35,12 +35,12 @@
 			return false
 		})
 	}
-	cluster.ready()
-	f.finalState = func() string { return protocol.Done }
-	if !f.serveUntil(time.Minute, cluster.allDone("req-red-1")) {
+	cluster.waitUntilReady()
+	remote.finalState = func() string { return protocol.Done }
+	if !remote.serveUntil(time.Minute, cluster.allDone("req-red-1")) {
 		t.Fatal("the end of the job is not stored")
 	}
-	f.serveUntil(5*time.Second, func() bool { return false })
+	remote.serveUntil(5*time.Second, func() bool { return false })
 	for _, n := range nodeNames {
 		if s := cluster.status(n, "req-red-1").Body.(protocol.JobState); s.State != protocol.Done || s.Done != 3 {
 			t.Errorf("%s: got job state %+v, want done with 3 tasks", n, s)
@@ -55,26 +55,26 @@
 // has refused the job.
 func TestOutgoingJobCancellationIsConfirmedByRemoteSite(t *testing.T) {
 	for _, accepted := range []bool{true, false} {
-		cluster, f := newFederatedSimCluster(t)
+		cluster, remote := newFederatedSimCluster(t)
 		if !accepted {
-			f.decide = func(federation.Message) federation.Message { return federation.Message{} } // not a valid answer
+			remote.decide = func(federation.Message) federation.Message { return federation.Message{} } // not a valid answer
 		}
-		f.submitRemote("req-red-1")
-		if !f.serveUntil(time.Minute, func() bool { return len(f.answers) > 0 && cluster.cores["a"].isOutgoing("req-red-1") }) {
+		remote.submitRemote("req-red-1")
+		if !remote.serveUntil(time.Minute, func() bool { return len(remote.answers) > 0 && cluster.cores["a"].isOutgoing("req-red-1") }) {
 			t.Fatal("job is not handed off")
 		}
-		delete(f.answers, 0)
+		delete(remote.answers, 0)
 		if !accepted {
-			clear(f.answers)
+			clear(remote.answers)
 		}
 		if a := cluster.cancelJob("c", "req-red-1"); a.Status != http.StatusServiceUnavailable || a.RetryAfter < 1 {
 			t.Errorf("accepted %v: status of the cancellation: got %d, want 503 with Retry-After", accepted, a.Status)
 		}
-		f.finalState = func() string { return protocol.Cancelled }
-		if !f.serveUntil(time.Minute, func() bool { return cluster.cancelJob("b", "req-red-1").Status == http.StatusOK }) {
+		remote.finalState = func() string { return protocol.Cancelled }
+		if !remote.serveUntil(time.Minute, func() bool { return cluster.cancelJob("b", "req-red-1").Status == http.StatusOK }) {
 			t.Fatalf("accepted %v: cancellation is never confirmed", accepted)
 		}
-		f.serveUntil(5*time.Second, func() bool { return false })
+		remote.serveUntil(5*time.Second, func() bool { return false })
 		if s := cluster.status("a", "req-red-1").Body.(protocol.JobState); s.State != protocol.Cancelled || cluster.kv[jobKey("req-red-1")].Version > 0 {
 			t.Errorf("accepted %v: got job state %+v, want cancelled and no head", accepted, s)
 		}
@@ -83,31 +83,31 @@
 
 // A job that the other site refuses runs at this site.
 func TestRefusedJobRunsLocally(t *testing.T) {
-	cluster, f := newFederatedSimCluster(t)
+	cluster, remote := newFederatedSimCluster(t)
 	for _, n := range nodeNames {
 		cluster.federationConfigs[n].Classes[0].OfferAfterS = 0
 	}
-	f.decide = func(federation.Message) federation.Message {
+	remote.decide = func(federation.Message) federation.Message {
 		return federation.Message{Kind: federation.KindDecision, Reason: "not today"}
 	}
 	if a := cluster.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
-	if !f.serveUntil(2*time.Minute, cluster.allDone("req-red-1")) {
-		t.Fatal("refused job does not finish at this site")
+	if !remote.serveUntil(2*time.Minute, cluster.allDone("req-red-1")) {
+		t.Fatal("refused job does not end at this site")
 	}
 	cluster.checkStartedOnce()
 }
 
 // The scheduler does not place the tasks of an outgoing job.
 func TestOutgoingJobIsNotPlaced(t *testing.T) {
-	cluster, f := newFederatedSimCluster(t)
+	cluster, remote := newFederatedSimCluster(t)
 	cluster.change(protocol.Change{Put: outgoingKey("req-red-1"), Value: mustjson.Marshal(federation.Outgoing{Epoch: 1, To: "far"})})
-	f.serveUntil(time.Second, func() bool { return false })
+	remote.serveUntil(time.Second, func() bool { return false })
 	if a := cluster.submit("a", "req-red-1", 3, ""); a.Status != http.StatusCreated {
 		t.Fatalf("submission got %d", a.Status)
 	}
-	f.serveUntil(15*time.Second, func() bool { return false })
+	remote.serveUntil(15*time.Second, func() bool { return false })
 	for n, c := range cluster.cores {
 		if j := c.jobs["req-red-1"]; j.Attempt > 0 || c.startAllowance(j) > 0 {
 			t.Errorf("%s tried to bind the outgoing job", n)
@@ -138,15 +138,15 @@
 			cluster.change(protocol.Change{Put: drainedKey("far"), Value: mustjson.Marshal(struct{}{})})
 		}, holds: func(cluster *simCluster) bool { return cluster.kv[outgoingKey("req-red-1")].Version == 0 }},
 	} {
-		cluster, f := newFederatedSimCluster(t)
-		f.serveUntil(10*time.Second, func() bool { return false }) // the sites compare their records first
+		cluster, remote := newFederatedSimCluster(t)
+		remote.serveUntil(10*time.Second, func() bool { return false }) // the sites compare their records first
 		cluster.nextReq++
 		cluster.send("a", Submit{Req: cluster.nextReq, Body: []byte(submission("req-red-1", "red", 3, c.extraFields))})
 		if !cluster.run(time.Second, func() bool { _, stored := cluster.kv[jobKey("req-red-1")]; return stored }) {
 			t.Fatalf("%s: job is not accepted", name)
 		}
 		c.before(cluster)
-		f.serveUntil(15*time.Second, func() bool { return false })
+		remote.serveUntil(15*time.Second, func() bool { return false })
 		if !c.holds(cluster) {
 			t.Errorf("%s: starts %v, versions of the hand-off record %d and of the final state %d", name, cluster.starts, cluster.kv[outgoingKey("req-red-1")].Version, cluster.kv[keyState+"req-red-1"].Version)
 		}
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -6,9 +6,11 @@
 	"pepperlever/internal/protocol"
 )
 
-// PeerMessage is a message between controllers. Exactly one field besides the addresses is set.
-// To and From are set when the message passes through an intermediary. Only Cancellations
-// state facts; all other messages are advisory.
+// PeerMessage is a message between controllers. Exactly one field besides the addresses is set. To
+// and From are set when the message passes through an intermediary. Any message may be lost. Most
+// are requests or hints, but the receiver relies on what Accepted, Heartbeat, Cancellations and
+// Acknowledged state, takes Observations as evidence of the tasks on a machine, and ends the
+// binding that a Refusal names.
 type PeerMessage struct {
 	To            string             `json:"to,omitempty"`
 	From          string             `json:"from,omitempty"`
@@ -32,8 +34,8 @@
 	Node   string          `json:"n"`
 	Token  uint64          `json:"t"`
 	Report protocol.Report `json:"r"`
-	// Direct is set if the report is the reply to a delivery: the worker's own heartbeats may
-	// not reach any controller.
+	// Direct is set if the report is the reply to a delivery: the reports that the worker sends
+	// on its own may not reach any controller.
 	Direct bool `json:"d,omitempty"`
 }
 
@@ -77,7 +79,7 @@
 	Above   uint64 `json:"k"`
 }
 
-// ReturnRequest asks the leader of the fleet to return a machine to the cloud, with everything
+// ReturnRequest asks the fleet leader to return a machine to the cloud, with everything
 // that runs on it.
 type ReturnRequest struct {
 	Machine string `json:"m"`
@@ -90,7 +92,7 @@
 	// up to then.
 	Revision uint64 `json:"v,omitempty"`
 	StoreOK  bool   `json:"s"`
-	// PendingWrites counts the job changes that wait to be stored, by rank.
+	// PendingWrites counts the job changes that wait to be stored, by write rank.
 	PendingWrites changesByRank `json:"d"`
 	// Records are the usage records of the teams that the sender leads.
 	Records map[string]fairness.Record `json:"r,omitempty"`
@@ -118,7 +120,7 @@
 }
 
 // Cancellation states that the store holds the cancellation of a job. This is final, so the
-// receiver acts on it at once, whatever its own replica shows.
+// receiver acts on it immediately, whatever its own replica shows.
 type Cancellation struct {
 	Job string `json:"j"`
 	// Revision is a store revision at which the cancellation existed.
--- a/internal/core/peertable.go
+++ b/internal/core/peertable.go
@@ -30,14 +30,14 @@
 	pendingWrites changesByRank
 	// revision is the newest revision that the peer's replica is known to have reached.
 	revision uint64
-	// lastHeartbeatID is the ID of the peer's newest heartbeat. It is empty for releases that
-	// do not acknowledge heartbeats.
+	// lastHeartbeatID is the ID of the peer's newest heartbeat. It is empty for a peer of an
+	// earlier version that neither identifies nor acknowledges heartbeats.
 	lastHeartbeatID string
-	// freshUntil is the time up to which the peer has passed on every cancellation that it knew
-	// of.
+	// freshUntil is the time up to which the peer has announced to this node every cancellation
+	// that it knew of.
 	freshUntil time.Duration
-	// unreachable lists the controllers whose messages do not reach the peer, disconnected
-	// those that it cannot send to.
+	// unreachable lists the controllers whose messages do not reach the peer. disconnected lists
+	// the controllers that it has no connection to.
 	unreachable, disconnected []string
 }
 
@@ -162,8 +162,8 @@
 	return len(t.states) == 0 || withoutStore > 0 && 2*withoutStore >= recent
 }
 
-// freshUntil returns the time up to which all peers have passed on every cancellation that they
-// knew of, or now if there are no peers.
+// freshUntil returns the time up to which all peers have announced to this node every cancellation
+// that they knew of, or now if there are no peers.
 func (t *peerTable) freshUntil(now time.Duration) time.Duration {
 	for _, p := range t.states {
 		now = min(now, p.freshUntil)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -47,8 +47,8 @@
 	Images interface{ HasImage(name string) bool }
 	// Penalty lowers the score of unreliable or surplus hosts.
 	Penalty float64
-	// RemainingS is the number of seconds until the host is reclaimed; negative if no reclaim is
-	// scheduled.
+	// RemainingS is the number of seconds until the host is reclaimed. It is negative if no reclaim
+	// is scheduled.
 	RemainingS float64
 	// Empty is set while no task is bound to the host.
 	Empty bool
@@ -70,8 +70,8 @@
 	// PriorReservation is the resource need that the host was reserved for in the previous
 	// scheduling round. It keeps smaller tasks that are placed earlier in this round off the host.
 	PriorReservation job.Resources
-	// GPUOnly is set while the host accepts only tasks that request GPUs, ServicesOnly while it
-	// accepts only services.
+	// GPUOnly is set while the host accepts only tasks that request GPUs. ServicesOnly is set while
+	// it accepts only services.
 	GPUOnly, ServicesOnly bool
 	// ReservedForGang is the ID of the gang job that the host is reserved for, or "".
 	ReservedForGang string
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -14,7 +14,7 @@
 	return &Host{ID: id, Type: "t", Zone: zone, Free: r, Capacity: r, RemainingS: -1}
 }
 
-// spec returns the specification of a job whose tasks need 1 GB of memory each.
+// spec returns the spec of a job whose tasks need 1 GB of memory each.
 func spec(cpus float64, tasks int) *job.Spec {
 	return &job.Spec{Tasks: tasks, Need: job.Resources{CPUs: cpus, MemoryGB: 1}}
 }
@@ -86,7 +86,7 @@
 	long, short := spec(1, 1), spec(1, 1)
 	long.EstimateS, short.EstimateS = 20, 5
 	if Choose(long, []*Host{h}, nil) != nil || Choose(short, []*Host{h}, nil) == nil {
-		t.Error("the termination notice is ignored")
+		t.Error("the reclaim notice is ignored")
 	}
 }
 
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -80,7 +80,7 @@
 	}
 	chosen := p.choose(j, tasks, r.unplacedTasks(j, p), r.openHosts)
 	if chosen == nil {
-		r.handleUnplaceable(queue, j, p)
+		r.handleUnplaced(queue, j, p)
 		return job.Resources{}, false
 	}
 	queue.usage = queue.usage.Plus(need, 1)
@@ -93,11 +93,11 @@
 const reservedConditions = 4
 
 // mayPlace reports whether an allocation is within the team's limit, which counts every binding
-// until its task is proven gone. It also bounds the number of machines with unstored bindings by
-// the number of conditions that one transaction may have.
+// until its task has exited or is proven absent. It also bounds the number of machines with
+// unstored bindings by the number of conditions that one transaction may have.
 func (r *round) mayPlace(queue *teamQueue, j *job.Job, p *jobPlacement, need job.Resources) bool {
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
-		return false // every task of the previous attempt must be gone first
+		return false // every binding of the previous attempt must have ended first
 	}
 	maxUnstored := r.core.limits.maxConditions() - reservedConditions
 	return withinLimit(queue.team, queue.usage.Plus(need, 1)) && len(p.unstoredMachines) < maxUnstored
@@ -151,10 +151,10 @@
 	j.PendingSince, j.ClaimedAt = c.now.Steady, c.now.Steady
 }
 
-// handleUnplaceable records that no host has capacity for a job. A suspected job runs one canary
+// handleUnplaced records that no host has capacity for a job. A suspected job runs one canary
 // task at a time and causes no rentals or reservations, unless no existing host could hold the
 // task.
-func (r *round) handleUnplaceable(queue *teamQueue, j *job.Job, p *jobPlacement) {
+func (r *round) handleUnplaced(queue *teamQueue, j *job.Job, p *jobPlacement) {
 	if j.Suspected && fitsAnyWhenEmpty(&j.Spec, r.openHosts) {
 		return
 	}
@@ -164,10 +164,10 @@
 }
 
 // requestReservation reserves a host for a job that could not be placed. A job whose tasks need
-// more than any reservation made so far in this round gets one host at once: otherwise small
+// more than any reservation made so far in this round gets one host immediately: otherwise small
 // tasks would fill every gap before it is large enough for a large task. A job older than the
-// timeout, unless it is best-effort, also gets as many hosts as it has unplaced tasks at the end
-// of the round. Its age is based on stored wall-clock times, so that all controllers agree on it.
+// timeout, unless it is best-effort, also gets as many hosts as it has unplaced tasks at the end of
+// the round. Its age is based on stored wall-clock times, so that all controllers agree on it.
 func (r *round) requestReservation(j *job.Job, tasks int) {
 	if j.Kind == job.Gang {
 		return // reserveForGangs handles gangs
@@ -186,7 +186,7 @@
 	}
 }
 
-// reserveForOverdue reserves hosts for demand older than the timeout, largest tasks first.
+// reserveForOverdue reserves hosts for demand older than the timeout, the largest tasks first.
 func (r *round) reserveForOverdue() {
 	slices.SortStableFunc(r.overdueDemand, func(a, b scaling.Demand) int {
 		return cmp.Compare(b.Spec.Need.CPUs, a.Spec.Need.CPUs)
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -12,9 +12,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// candidatesPerReplica is the number of hosts per zone that are evaluated for each pending
-// replica.
-const candidatesPerReplica = 4
+// candidatesPerServiceReplica is the number of hosts per zone that are evaluated for each pending
+// service replica.
+const candidatesPerServiceReplica = 4
 
 // minCPUsForLoss keeps the loss per CPU finite for tasks that request almost no CPU.
 const minCPUsForLoss = 1e-3
@@ -131,15 +131,15 @@
 	return chosen
 }
 
-// preemptionOptions lists the hosts where capacity for a task of a job can be freed. The work
-// lost must be less than the work of the task itself, except for services, which run
-// indefinitely. For services only a few candidate hosts per zone and replica are evaluated, to
-// avoid scanning a large fleet for each of many jobs.
+// preemptionOptions lists the hosts where capacity for a task of a job can be freed. The work lost
+// must be less than the work of the task itself, except for services, which run indefinitely. For
+// services only a few candidate hosts per zone and service replica are evaluated, to avoid scanning
+// a large fleet for each of many jobs.
 func (r *round) preemptionOptions(j *job.Job, hosts []*placement.Host) []preemptionOption {
 	c := r.core
 	maxLoss, maxPerZone := j.Need.CPUs*j.EstimateS, math.MaxInt
 	if j.Kind == job.Service {
-		maxLoss, maxPerZone = math.Inf(1), candidatesPerReplica*c.startAllowance(j)
+		maxLoss, maxPerZone = math.Inf(1), candidatesPerServiceReplica*c.startAllowance(j)
 	}
 	var options []preemptionOption
 	perZone := map[string]int{}
@@ -226,7 +226,7 @@
 
 // preemptibleBestEffortHosts lists the machines that run best-effort tasks, with the capacity
 // that is free once these are preempted and the work lost by preempting them. Other jobs get that
-// capacity through preemption, so machines rented for them would arrive to stand idle.
+// capacity through preemption, so machines rented for them would stand idle.
 func (c *Core) preemptibleBestEffortHosts() []*placement.Host {
 	var hosts []*placement.Host
 	for name, m := range c.machines.All() {
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -23,9 +23,9 @@
 	r.preempt()
 }
 
-// TestBestEffortWorkIsPreemptedForStarvedWork checks that long best-effort tasks, and no others,
+// TestBestEffortWorkIsPreemptedForUnplacedWork checks that long best-effort tasks, and no others,
 // are preempted for jobs of higher priority that could not be placed.
-func TestBestEffortWorkIsPreemptedForStarvedWork(t *testing.T) {
+func TestBestEffortWorkIsPreemptedForUnplacedWork(t *testing.T) {
 	for name, tc := range map[string]struct {
 		victims, waiting, want int
 	}{
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestArraysArePreemptedForUnplacedReplicas checks that arrays are preempted where no capacity
-// could be reserved for replicas, and no more of them than necessary.
-func TestArraysArePreemptedForUnplacedReplicas(t *testing.T) {
+// TestArraysArePreemptedForUnplacedServiceReplicas checks that arrays are preempted where no
+// capacity could be reserved for service replicas, and no more of them than necessary.
+func TestArraysArePreemptedForUnplacedServiceReplicas(t *testing.T) {
 	cluster := newGPUSimCluster(t, 8, 0)
 	cluster.taskTime = time.Hour
 	requireAccepted(t, cluster.submit("b", "req-free-batch", 60, `,"vcpus":1.0`))
@@ -70,7 +70,7 @@
 	requireAccepted(t, cluster.submit("c", "req-free-watch", 6, serviceFields))
 	cluster.run(4*time.Second, nil)
 	if got := cluster.onMachines("req-free-watch"); got != 6 {
-		t.Errorf("%d of 6 replicas are running after 4 s", got)
+		t.Errorf("%d of 6 service replicas are running after 4 s", got)
 	}
 	if got := cluster.onMachines("req-free-batch"); got < 16 {
 		t.Errorf("got %d running tasks of the array, want at least 16", got)
--- a/internal/core/production_test.go
+++ b/internal/core/production_test.go
@@ -44,8 +44,8 @@
 	return s
 }
 
-// sharedTypes returns the types that controllers store and send, by their names in fields.txt. Stored
-// jobs are missing: the samples cover them.
+// sharedTypes returns the types that controllers store and send, by their names in fields.txt.
+// Stored jobs are missing: the samples cover them.
 func sharedTypes() map[string]any {
 	return map[string]any{
 		"message":      PeerMessage{},
@@ -211,7 +211,7 @@
 	for i := range 40 {
 		cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), i%3 == 0)
 	}
-	cluster.ready().run(10*time.Second, nil)
+	cluster.waitUntilReady().run(10*time.Second, nil)
 	requireAccepted(t, cluster.submit("a", "req-free-1", 40, `,"vcpus":0.5`))
 	requireAccepted(t, cluster.submit("b", "req-red-1", 4, `,"shape":"group","samePlace":true`))
 	cluster.run(5*time.Second, nil)
@@ -263,7 +263,7 @@
 	return cmp.Equal(decodeJSON(t, a), decodeJSON(t, b))
 }
 
-// keyKind returns the kind of a key, which leaves out the names of jobs, nodes and machines.
+// keyKind returns the kind of a key, which leaves out the names of jobs, controllers and machines.
 func keyKind(key string) string {
 	if strings.HasPrefix(key, keyState) {
 		return keyState
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -17,8 +17,8 @@
 	// maxProvisioningFactor bounds the typical provisioning time, in nominal boot times. Machines
 	// that take longer are assumed never to boot.
 	maxProvisioningFactor = 4
-	// maxProvisioningFailures is the number of consecutive machines of an offer that may fail to
-	// boot before the offer is backed off.
+	// maxProvisioningFailures is the number of machines of an offer that fail to boot in a row
+	// after which the offer is backed off.
 	maxProvisioningFailures = 3
 	// maxBackoffBoots is the longest backoff of an offer whose machines fail to boot, in nominal
 	// boot times.
@@ -29,8 +29,8 @@
 // to first report. The catalog states nominal boot times, but at times all machines take several
 // times as long, or some never boot.
 type provisioningTimes struct {
-	// observed holds the provisioning time of each machine, typical the derived estimate for each
-	// type.
+	// observed holds the provisioning time of each machine. typical holds the estimate for each
+	// type that is derived from them.
 	observed map[string]time.Duration
 	typical  map[string]time.Duration
 	// failures counts the machines of an offer that failed to boot since the last success.
@@ -56,8 +56,8 @@
 	return true
 }
 
-// provisioningSample is a rented machine: when it was rented, and how long it took to boot or has
-// taken so far.
+// provisioningSample states when a machine was rented and how long it took to boot, or how long it
+// has taken so far.
 type provisioningSample struct{ rentedAt, elapsed time.Duration }
 
 // recordProvisioned records the time from a machine's rental to its first report.
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -12,7 +12,7 @@
 // and are still booting.
 func newFleetLeader(t *testing.T, n int, age time.Duration) *Core {
 	t.Helper()
-	c := newSimCluster(t).ready().cores[nodeNames[0]]
+	c := newSimCluster(t).waitUntilReady().cores[nodeNames[0]]
 	c.fleet.leading = true
 	c.autoscaler.reset(c.now.Steady)
 	c.now.Steady += time.Hour
--- a/internal/core/quota_test.go
+++ b/internal/core/quota_test.go
@@ -12,9 +12,9 @@
 )
 
 // TestTeamLimitCountsUnresolvedBindings checks that every binding counts towards the team's limit
-// until its task is known to be gone.
+// until its task is known to no longer run.
 func TestTeamLimitCountsUnresolvedBindings(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-red-1", 30, ""))
 	peak := 0.0
 	for range 40 {
@@ -27,10 +27,10 @@
 }
 
 func TestZeroTeamLimitMeansUnlimited(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-free-1", 30, ""))
 	if !cluster.run(3*time.Minute, cluster.allDone("req-free-1")) {
-		t.Fatal("job of a team without a limit did not finish")
+		t.Fatal("job of a team without a limit did not end")
 	}
 }
 
@@ -51,8 +51,8 @@
 	urgent, normal := newJob("free", priorityNormal-1, 0), newJob("free", priorityNormal, 1)
 	within, above := newJob("red", priorityNormal, 3), newJob("blue", priorityNormal-1, 5)
 	for name, tc := range map[string]struct {
-		starved, victim *job.Job
-		want            bool
+		unplaced, victim *job.Job
+		want             bool
 	}{
 		"higher priority": {urgent, normal, true},
 		"lower priority":  {normal, urgent, false},
@@ -60,7 +60,7 @@
 		"without guarantee":                        {normal, above, false},
 		"equal priority in the same team":          {normal, normal, false},
 	} {
-		if got := newRound(c).mayPreempt(tc.starved, tc.victim); got != tc.want {
+		if got := newRound(c).mayPreempt(tc.unplaced, tc.victim); got != tc.want {
 			t.Errorf("%s: got mayPreempt %v", name, got)
 		}
 	}
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// answerChecker returns a check for the answer to a request about a job that is sent now. The answer
-// must not be older than what the user was told before the request, and a job has only one final
-// state. The job must not be queued or running if the cancellation of a dependency was reported more
-// than cancel_s before the request.
+// answerChecker returns a check for the answer to a request about a job that is sent now. The
+// answer must not be older than what had been reported to users before the request, and a job has
+// only one final state. The job must not be queued or running if the cancellation of a dependency
+// was reported more than cancel_s before the request.
 func (r *randomScenario) answerChecker(id string) func(Answer) {
 	reportedBefore, askedAt := r.reportedFinalStates[id], r.now
 	return func(a Answer) {
--- a/internal/core/randomfaults_test.go
+++ b/internal/core/randomfaults_test.go
@@ -106,16 +106,16 @@
 		r.after(30*time.Second, func() { r.cloudDegraded = false })
 	},
 	"mute machines": func(r *randomScenario, _, _ string) {
-		r.forRandomMachines(5, func(id string) { r.silentWorkers[id] = true })
-		r.after(time.Duration(4+r.rng.IntN(40))*time.Second, func() { clear(r.silentWorkers) })
+		r.forRandomMachines(5, func(id string) { r.nonReportingWorkers[id] = true })
+		r.after(time.Duration(4+r.rng.IntN(40))*time.Second, func() { clear(r.nonReportingWorkers) })
 	},
 	"a mute zone": func(r *randomScenario, _, _ string) {
 		for id, f := range r.workers {
 			if f.Zone == "z2" {
-				r.silentWorkers[id] = true
+				r.nonReportingWorkers[id] = true
 			}
 		}
-		r.after(time.Duration(4+r.rng.IntN(30))*time.Second, func() { clear(r.silentWorkers) })
+		r.after(time.Duration(4+r.rng.IntN(30))*time.Second, func() { clear(r.nonReportingWorkers) })
 	},
 	"machines hang": func(r *randomScenario, _, _ string) {
 		r.forRandomMachines(10, func(id string) { r.hang(id, time.Duration(2+r.rng.IntN(30))*time.Second) })
--- a/internal/core/randomscenarios_test.go
+++ b/internal/core/randomscenarios_test.go
@@ -33,8 +33,9 @@
 	Node, Other int
 	Seed        uint64
 	Pause       time.Duration
-	// Tasks is the number of tasks of each new job, 0 to submit none; LongTasks gives all tasks a
-	// long run time; Cancel is the number of the open job to cancel, counted from 1, 0 for none.
+	// Tasks is the number of tasks of each new job, or 0 to submit none. LongTasks gives all tasks
+	// a long run time. Cancel is the number of the open job to cancel, counted from 1, or 0 for
+	// none.
 	Tasks     int
 	LongTasks bool
 	Cancel    int
@@ -44,8 +45,8 @@
 	Dependencies int
 }
 
-// drawScenarioStep returns a generator of steps. About one step in three has the fault in focus, the
-// others have any fault.
+// drawScenarioStep returns a generator of steps. About one step in three has the fault in focus;
+// the others have a random fault.
 func drawScenarioStep(focus string) *rapid.Generator[scenarioStep] {
 	names := slices.Sorted(maps.Keys(faults))
 	return rapid.Custom(func(t *rapid.T) scenarioStep {
@@ -65,8 +66,9 @@
 	})
 }
 
-// TestInvariantsHoldUnderRandomFaults runs random scenarios in which two or more faults overlap while
-// jobs are submitted, queried and cancelled at any time. A failing scenario is shrunk to a short one.
+// TestInvariantsHoldUnderRandomFaults runs random scenarios in which two or more faults overlap
+// while jobs are submitted, queried and cancelled at any time. A failing scenario is shrunk to a
+// short one.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	for fault := range faults {
 		t.Run(fault, func(t *testing.T) {
@@ -78,18 +80,19 @@
 	}
 }
 
-// randomScenario is a simulated cluster with random faults, and what its users have been told.
+// randomScenario is a simulated cluster with random faults, and the answers that its users have
+// received.
 type randomScenario struct {
 	*simCluster
 	// acceptedJobs are all jobs that were accepted; openJobs are those that must complete, which
 	// excludes jobs that may be cancelled.
 	openJobs, acceptedJobs []string
-	// reportedFinalStates holds the newest final state that any user of a job was told.
+	// reportedFinalStates holds the newest final state that was reported to any user of a job.
 	reportedFinalStates map[string]string
 	// replyHandlers holds the handlers of outstanding answers by request.
 	replyHandlers map[uint64]func(Answer)
 	// cancelRequested holds the jobs whose cancellation a user has requested; firstCancelReports
-	// is when a user was first told that a job is cancelled.
+	// holds the times at which a user was first notified that a job is cancelled.
 	cancelRequested    map[string]bool
 	firstCancelReports map[string]time.Duration
 	// cancelAtEndUntil is the time until which jobs are cancelled as their last task completes.
@@ -121,7 +124,7 @@
 			cluster.workers[id].Type = "large"
 		}
 	}
-	cluster.ready().run(10*time.Second, nil)
+	cluster.waitUntilReady().run(10*time.Second, nil)
 	r := &randomScenario{simCluster: cluster, reportedFinalStates: map[string]string{}, replyHandlers: map[uint64]func(Answer){}, cancelRequested: map[string]bool{}, firstCancelReports: map[string]time.Duration{}}
 	recorder := newEffectRecorder()
 	r.recorder = recorder
@@ -148,7 +151,7 @@
 		faults[step.Fault](r, r.names[step.Node], r.names[step.Other])
 		r.pollRandomJobs()
 		r.run(step.Pause, nil)
-		if node := r.serving(); node != "" && step.Cancel > 0 && step.Cancel <= len(r.openJobs) {
+		if node := r.servingController(); node != "" && step.Cancel > 0 && step.Cancel <= len(r.openJobs) {
 			id := r.openJobs[step.Cancel-1]
 			checkAnswer := r.answerChecker(id)
 			r.expectCancelled(id)
--- a/internal/core/randomusers_test.go
+++ b/internal/core/randomusers_test.go
@@ -36,7 +36,7 @@
 		r.taskTime = 60 * time.Second
 	}
 	for _, team := range []string{"red", "blue", "free"} {
-		node := r.serving()
+		node := r.servingController()
 		if node == "" || step.Tasks == 0 {
 			return
 		}
@@ -70,7 +70,7 @@
 // pollRandomJobs requests the state of some jobs from a controller that may lag behind others, and
 // of a job that was never submitted.
 func (r *randomScenario) pollRandomJobs() {
-	node := r.serving()
+	node := r.servingController()
 	if node == "" {
 		return
 	}
@@ -101,7 +101,7 @@
 // sendRequest sends a request to a serving controller, if there is one, and does not wait:
 // handleAnswer is called when the answer arrives.
 func (r *randomScenario) sendRequest(newCommand func(req uint64) Command, handleAnswer func(Answer)) {
-	node := r.serving()
+	node := r.servingController()
 	if node == "" {
 		return
 	}
@@ -117,8 +117,8 @@
 	r.sendRequest(func(req uint64) Command { return Status{Req: req, ID: id} }, r.answerChecker(id))
 }
 
-// expectCancelled records that a user requests the cancellation of a job. The job and all that depend
-// on it are no longer open: whatever the answer, they may end cancelled.
+// expectCancelled records that a user requests the cancellation of a job. The job and all that
+// depend on it are no longer open: whatever the answer, they may end cancelled.
 func (r *randomScenario) expectCancelled(id string) {
 	r.cancelRequested[id] = true
 	r.openJobs = slices.DeleteFunc(r.openJobs, func(openJob string) bool { return r.mayBeCancelled(openJob) })
@@ -130,7 +130,7 @@
 	return r.cancelRequested[id] || slices.ContainsFunc(r.specs[id].Dependencies, r.mayBeCancelled)
 }
 
-// dependencyCancelReportedAt returns when a user was first told that any direct or indirect
+// dependencyCancelReportedAt returns when a user was first notified that any direct or indirect
 // dependency of a job is cancelled, if one was.
 func (r *randomScenario) dependencyCancelReportedAt(id string) (reportedAt time.Duration, reported bool) {
 	for _, dependency := range r.specs[id].Dependencies {
@@ -143,7 +143,7 @@
 	return reportedAt, reported
 }
 
-// cancelReportedAt returns when a user was first told that a job is cancelled, if one was.
+// cancelReportedAt returns when a user was first notified that a job is cancelled, if one was.
 func (r *randomScenario) cancelReportedAt(id string) (time.Duration, bool) {
 	reportedAt, reported := r.firstCancelReports[id]
 	return reportedAt, reported
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -16,8 +16,8 @@
 }
 
 // receivesMessagesFrom reports whether a message from a controller has arrived recently, over a
-// connection or through an intermediary. Starts for the machines of a silent controller are
-// lost, and its workers need seconds to switch to another one.
+// connection or through an intermediary. Starts for the machines of a controller that has stopped
+// sending are lost, and its workers need seconds to switch to another one.
 func (r *reachability) receivesMessagesFrom(node string) bool {
 	return r.peers.inContact(node, r.now.Steady)
 }
@@ -58,8 +58,8 @@
 	return false
 }
 
-// isolated reports whether no messages from any peer arrive here. A node without peers is not
-// isolated.
+// isolated reports whether no messages from any peer arrive here. A controller without peers is
+// not isolated.
 func (r *reachability) isolated() bool {
 	for _, node := range r.peers.names {
 		if r.receivesMessagesFrom(node) {
@@ -70,8 +70,8 @@
 }
 
 // hasContact reports whether heartbeats from a controller arrive here, as messages or through the
-// store relay. Tasks that are bound to machines of a controller without contact are not
-// started.
+// store relay. Tasks bound to the machines of a controller without contact might not be started,
+// so none are placed there.
 func (r *reachability) hasContact(node string) bool {
 	return r.receivesMessagesFrom(node) ||
 		r.isUnreachable(node) && r.relay.heartbeatWithin(node, r.now.Steady, r.relayTimeout())
@@ -83,16 +83,16 @@
 	return r.reportInterval() + 2*r.relay.interval()
 }
 
-// knowsMachinesOf reports whether this node knows which machines a controller serves. For a
-// controller that is known only through the store relay, it does once that controller's pages
-// list them.
+// knowsMachinesOf reports whether this node knows which machines a controller serves. If only the
+// store relay connects it to that controller, it knows them once one of the controller's pages
+// lists machines.
 func (r *reachability) knowsMachinesOf(node string) bool {
 	return r.receivesMessagesFrom(node) || r.hasContact(node) && r.relay.listsMachines(node)
 }
 
 // knownToSecondController reports whether a second controller knows of a cancellation, or there is
-// no second one. A controller of an older release cannot report what it knows and is trusted to
-// learn of the cancellation from its watch.
+// no second one. A controller of an earlier version does not acknowledge cancellations and is
+// trusted to learn of them from its watch.
 func (r *reachability) knownToSecondController(a *cancelAnnouncement) bool {
 	onlyLiveNode := true
 	for node, peer := range r.peers.states {
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -16,9 +16,9 @@
 type rebalancer struct {
 	// nextRedirect is when a worker may be redirected next.
 	nextRedirect time.Duration
-	// countsValidUntil is when the counts have to be refreshed.
+	// countsValidUntil is the time at which the counts have to be refreshed.
 	countsValidUntil time.Duration
-	// workers counts the workers of each controller; zones holds the zones that they are in.
+	// workers counts the workers of each controller. zones holds the zones that they are in.
 	workers map[string]int
 	zones   map[nodeZone]bool
 	// redirected maps machines to the controllers that their workers were redirected to, until
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -10,7 +10,7 @@
 // enough tasks to keep all of them busy.
 func newBusySimCluster(t *testing.T, workers int) *simCluster {
 	t.Helper()
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	for range workers {
 		cluster.addWorker("z1", false)
 	}
