--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -8,8 +8,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// reconcileMachine compares the newest report of a machine with the bindings on it. It has unwanted
-// tasks stopped and forgotten, and ends the bindings of tasks that are proven gone.
+// reconcileMachine compares the newest report of a machine with the bindings on it. It requests
+// that unwanted tasks be stopped or forgotten, and ends the bindings of tasks that have exited or
+// are proven absent.
 func (r *reconciler) reconcileMachine(m *worker.Machine) {
 	for _, t := range m.Tasks {
 		r.reconcileTask(m, t)
@@ -70,15 +71,15 @@
 	case worker.Present:
 		b.State = t.State
 	case worker.Absent:
-		r.log(Debug, "task is gone", "task", j.TaskID(i), "machine", m.Machine, "state", b.State)
+		r.log(Debug, "task is absent from its machine", "task", j.TaskID(i), "machine", m.Machine, "state", b.State)
 		r.core.unbind(j, i)
 	case worker.Exited:
 		r.taskEnded(j, i, m, t)
 	}
 }
 
-// taskEnded records the end of a task. Its resources are free immediately; the worker is told to
-// forget the task only after the end is stored.
+// taskEnded records the end of a task. Its resources are free immediately. The worker receives the
+// command to forget the task only after the end is stored.
 func (r *reconciler) taskEnded(j *job.Job, i int, m *worker.Machine, t protocol.TaskReport) {
 	j.UnstoredExits = append(j.UnstoredExits, job.Exit{Machine: m.Machine, Index: i, Attempt: t.Attempt})
 	switch t.ExitReason {
@@ -128,8 +129,8 @@
 	}
 }
 
-// checkBinding resolves one binding if there is evidence for it. Otherwise it fences the binding once
-// its start is overdue, so that a later report provides the evidence.
+// checkBinding resolves one binding if there is evidence for it. Otherwise it fences the binding
+// once its start is overdue, so that a later report provides the evidence.
 func (r *reconciler) checkBinding(j *job.Job, i int, b *job.Binding) {
 	if r.core.cordons.isTerminated(b.Machine) {
 		r.core.unbind(j, i)
@@ -141,7 +142,7 @@
 		b.Sent, b.Since = true, r.now.Steady
 	}
 	m := r.core.machines.Get(b.Machine)
-	if r.isSilent(m, b) {
+	if r.isUnresponsive(m, b) {
 		r.core.returnTracker.request(b.Machine, reasonUnknownMachine)
 	}
 	if m == nil {
@@ -154,9 +155,9 @@
 	}
 }
 
-// isFenceDue reports whether a start has gone unreported for so long that the start, its reply or the
-// report of the task may be lost. Once the machine has a newer fencing token, its next report proves
-// whether the task is there.
+// isFenceDue reports whether a start has gone unreported for so long that the start, its reply or
+// the report of the task may be lost. Once the machine has a newer fencing token, its next report
+// proves whether the task is there.
 func isFenceDue(m *worker.Machine, task string, b *job.Binding, now, reportInterval time.Duration) bool {
 	_, reported := m.Find(task, b.Attempt)
 	if reported && b.State != "" && m.WorkerEpoch == b.Epoch {
@@ -166,10 +167,10 @@
 	return b.Sent && waited > reportInterval
 }
 
-// isSilent reports whether a binding's machine has been silent for so long that the autoscaler must
-// decide whether to return it. A node that became leader after the machine's last report does not
-// know the machine.
-func (r *reconciler) isSilent(m *worker.Machine, b *job.Binding) bool {
+// isUnresponsive reports whether a binding's machine has been out of contact for so long that the
+// autoscaler must decide whether to return it. A node that became leader after the machine's last
+// report does not know the machine.
+func (r *reconciler) isUnresponsive(m *worker.Machine, b *job.Binding) bool {
 	if m == nil {
 		return r.now.Steady-b.Since > r.core.silenceTimeout()
 	}
--- a/internal/core/reconciler.go
+++ b/internal/core/reconciler.go
@@ -1,8 +1,8 @@
 package core
 
 // reconciler reconciles the tasks that run on machines with the bindings of the jobs that this node
-// leads. It sends starts, ends the bindings of tasks that are proven gone, fences bindings that the
-// reports don't resolve, and stops tasks that must not run.
+// leads. It sends starts, ends the bindings of tasks that have exited or are proven absent, fences
+// bindings that the reports don't resolve, and stops tasks that must not run.
 type reconciler struct {
 	core *Core
 	*environment
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -38,10 +38,12 @@
 
 // rentalIntent is the intent to rent machines. It is stored before the cloud is asked for them.
 type rentalIntent struct {
-	Rental   protocol.Rental `json:"r"`
-	Machines []string        `json:"m,omitempty"`
+	Rental protocol.Rental `json:"r"`
+	// Machines lists the machines that the cloud has supplied. It is nil until the cloud answers.
+	Machines []string `json:"m,omitempty"`
 	version  uint64
-	pending  bool
+	// pending is set while a request to the cloud or the store for this intent is unanswered.
+	pending bool
 }
 
 // usageRecord is the stored record of a team's resource usage.
--- a/internal/core/registration_test.go
+++ b/internal/core/registration_test.go
@@ -13,7 +13,7 @@
 // anything.
 func TestDelayedWriteOfAnEarlierIncarnationDoesNotReplaceTheNodeKey(t *testing.T) {
 	for _, delay := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 12 * time.Second} {
-		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 		cluster.crash("a")
 		cluster.expire("a")
 		cluster.run(time.Second, nil)
--- a/internal/core/relay/relay.go
+++ b/internal/core/relay/relay.go
@@ -31,7 +31,7 @@
 
 // MachineKind holds what the machines of a group have in common: their type and zone, the fencing
 // token and the worker epoch that start commands to them have to carry, and the number of seconds
-// until they are reclaimed, 0 without a termination notice.
+// until they are reclaimed, 0 without a reclaim notice.
 type MachineKind struct {
 	Type    string `json:"t"`
 	Zone    string `json:"z"`
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -9,7 +9,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// noticeStepSeconds is the step to which the remaining time of a termination notice is rounded.
+// noticeStepSeconds is the step to which the remaining time of a reclaim notice is rounded down.
 // Without rounding a page would change every second, and be written as often.
 const noticeStepSeconds = 5
 
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -58,7 +58,7 @@
 }
 
 // applyMachines records which machines another controller serves. This proves nothing about the
-// tasks on them; only reports and entries do.
+// tasks on them: only reports and entries are evidence of tasks.
 func (r *storeRelay) applyMachines(node string, p *relay.Page) {
 	for _, group := range p.Machines {
 		for _, id := range group.Machines {
--- a/internal/core/relaystarts.go
+++ b/internal/core/relaystarts.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// forgetForUnreachableLeaders makes a machine forget exited tasks whose end their leaders have
-// already stored.
+// forgetForUnreachableLeaders commands a machine's worker to forget exited tasks whose end their
+// leaders have already stored.
 func (r *storeRelay) forgetForUnreachableLeaders(m *worker.Machine) {
 	if m.ExitedTasks == 0 {
 		return
--- a/internal/core/remotesite_test.go
+++ b/internal/core/remotesite_test.go
@@ -14,8 +14,8 @@
 // lost for good: the coordinator sends every message again until it is answered.
 type remoteSite struct {
 	cluster *simCluster
-	// decide answers an offer; finalState returns the final state of the accepted jobs, "" until they
-	// have ended.
+	// decide answers an offer; finalState returns the final state of the accepted jobs, or "" until
+	// they have ended.
 	decide     func(m federation.Message) federation.Message
 	finalState func() string
 	handled    int // number of messages in cluster.sent that were handled
@@ -41,7 +41,7 @@
 	f.decide = func(m federation.Message) federation.Message {
 		return federation.Message{Kind: federation.KindDecision, Accepted: true, Done: 1, Running: 2}
 	}
-	cluster.ready()
+	cluster.waitUntilReady()
 	return cluster, f
 }
 
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// rentalIntents holds the rentals that are not complete, by name.
+// rentalIntents holds the intents of rentals that are not complete, by name.
 type rentalIntents map[string]*rentalIntent
 
 // hasUnanswered reports whether the cloud has yet to answer a rental.
@@ -20,8 +20,8 @@
 	return false
 }
 
-// put applies a rental read from the store. The fleet leader knows its rentals before the store
-// does, so a rental that is unknown to it has been deleted.
+// put applies a rental intent read from the store. The fleet leader knows its rental intents before
+// the store does, so one that is unknown to it has been deleted.
 func (r rentalIntents) put(name string, intent *rentalIntent, version uint64, leading bool) {
 	if known := r[name]; known != nil {
 		if known.version < version {
@@ -35,8 +35,8 @@
 	}
 }
 
-// startRental stores the rental before it is requested from the cloud, so that a later fleet
-// leader can retry it under the same name.
+// startRental stores the intent to rent machines before it requests them from the cloud, so that a
+// later fleet leader can retry the rental under the same name.
 func (c *Core) startRental(order scaling.Order) {
 	name := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.members.incarnation, c.ids.next())
 	intent := &rentalIntent{
@@ -71,7 +71,8 @@
 	}
 	intent.pending = false
 	if result.Outcome != OutcomeUnknown {
-		// Request what is still missing at once, unless the cloud has trouble answering.
+		// Request what is still missing immediately, unless it is unknown whether the cloud
+		// has received the request.
 		c.timers.autoscaler = 0
 	}
 	switch result.Outcome {
@@ -114,8 +115,8 @@
 	c.log(Info, "cloud has no capacity", "type", key.typ, "zone", key.zone, "spot", key.spot)
 }
 
-// checkIntents retries unanswered rentals under the same name, and deletes rentals whose machines
-// have all appeared.
+// checkIntents retries unanswered rentals under the same name, and deletes the intents of rentals
+// whose machines have all appeared.
 func (c *Core) checkIntents() {
 	for name, intent := range ordered(c.intents) {
 		switch {
@@ -151,7 +152,7 @@
 	}, false, func(StoreReply) { intent.pending = false })
 }
 
-// deleteIntent deletes a rental that is complete or was refused.
+// deleteIntent deletes the intent of a rental that is complete or was refused.
 func (c *Core) deleteIntent(name string, intent *rentalIntent) {
 	c.compareAndSwap(protocol.Txn{
 		If:   []protocol.Condition{c.fleet.leaderCondition()},
--- a/internal/core/rentals_test.go
+++ b/internal/core/rentals_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestLargeDemandIsRentedFromCheapestOfferWithoutDelay checks that expensive offers are not used
-// while cheap machines are available, and that further requests follow each reply at once.
+// while cheap machines are available, and that further requests follow each reply immediately.
 func TestLargeDemandIsRentedFromCheapestOfferWithoutDelay(t *testing.T) {
 	c := newFleetLeader(t, 0, 0)
 	c.handleCatalog(CatalogReceived{Types: []protocol.MachineType{
@@ -68,7 +68,7 @@
 		c.timers.autoscaler = c.now.Steady + time.Second
 		c.handleRental(RentalResult{Rental: protocol.Rental{Request: "r", Type: "small", Zone: "z1", Count: 1}, Outcome: outcome, Machines: []string{"vm-1"}})
 		if (c.timers.autoscaler == 0) != wantImmediate {
-			t.Errorf("outcome %v: autoscaler runs again at once: %v", outcome, !wantImmediate)
+			t.Errorf("outcome %v: autoscaler runs again immediately: %v", outcome, !wantImmediate)
 		}
 	}
 }
--- a/internal/core/repeat_test.go
+++ b/internal/core/repeat_test.go
@@ -8,9 +8,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// TestSameCommandsGiveTheSameEffects checks that the core is deterministic: the same commands produce
-// the same effects in the same order. Otherwise a failed simulation could not be replayed to find
-// its cause.
+// TestSameCommandsGiveTheSameEffects checks that the core is deterministic: the same commands
+// produce the same effects in the same order. Otherwise a failed simulation could not be replayed
+// to find its cause.
 func TestSameCommandsGiveTheSameEffects(t *testing.T) {
 	script := func() []string {
 		cluster := newSimCluster(t)
@@ -22,7 +22,7 @@
 			}
 			out = append(out, fmt.Sprintf("%v %s %T %s", cluster.now, node, e, raw))
 		}
-		cluster.ready()
+		cluster.waitUntilReady()
 		for i := range 6 {
 			cluster.submit(nodeNames[i%3], fmt.Sprintf("req-%s-%d", []string{"red", "blue", "free"}[i%3], i), 5+7*i, "")
 		}
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -59,7 +59,7 @@
 }
 
 // applySnapshot replaces the replica with the stored state. Jobs of teams that this node leads
-// are kept as they are, because no other node writes them.
+// are kept as they are, because no other controller writes them.
 func (c *Core) applySnapshot(m SnapshotLoaded) {
 	stored := make(map[string]bool, len(m.Items))
 	for _, item := range m.Items {
--- a/internal/core/replica_test.go
+++ b/internal/core/replica_test.go
@@ -10,7 +10,7 @@
 // A watch may fall too far behind during a series of machine losses. The stored state is then read
 // again and must not replace the newer state of jobs that this node leads.
 func TestSnapshotDuringMachineLossesKeepsLocalState(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	var ids []string
 	for _, team := range []string{"red", "blue", "free"} {
 		id := "req-" + team + "-1"
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -23,7 +23,7 @@
 // All controllers compute the same reservations, since they replicate the same jobs and machines.
 type reservations struct {
 	// gpuMachines is the peak number of machines of each type needed by GPU jobs. gpuSpotAllowed
-	// tells whether they may be spot machines. gpuPeaks tracks the peak of each type.
+	// holds whether they may be spot machines. gpuPeaks tracks the peak of each type.
 	gpuMachines    map[string]int
 	gpuSpotAllowed map[string]bool
 	gpuPeaks       map[string]*headroom.Peak
@@ -162,13 +162,13 @@
 	return h.Capacity.CPUs - h.Free.CPUs
 }
 
-// reserveForServices reserves capacity for the next replicas of a class: for two of its largest
-// jobs, and for its largest job on hosts that cache each of its images, since a replica has no
-// time to fetch one. Hosts occupied by arrays are used, and drained of them, only if there is too
-// little free capacity. It returns the number of replicas for which there is no free capacity
-// now.
+// reserveForServices reserves capacity for the next service replicas of a class: for two of its
+// largest jobs, and for its largest job on hosts that cache each of its images, since a service
+// replica has no time to fetch one. Hosts occupied by arrays are used, and drained of them, only if
+// there is too little free capacity. It returns the number of service replicas for which there is
+// no free capacity now.
 func (r *reservations) reserveForServices(class *serviceClass, hosts []*placement.Host, machines *worker.Registry) int {
-	wanted := class.Headroom() + replicasOnGPUHosts(class.Spec.Class, hosts, machines)
+	wanted := class.Headroom() + serviceReplicasOnGPUHosts(class.Spec.Class, hosts, machines)
 	usable := serviceHosts(class.Spec, hosts, machines)
 	freeNow := slices.DeleteFunc(slices.Clone(usable), func(h serviceHost) bool { return h.arrayMilliCPUs > 0 })
 	r.reserveByImage(class, wanted, freeNow)
@@ -191,10 +191,10 @@
 	}
 }
 
-// replicasOnGPUHosts counts the replicas of a class on hosts reserved for GPU jobs. They need
-// capacity elsewhere before they can be moved.
-func replicasOnGPUHosts(class string, hosts []*placement.Host, machines *worker.Registry) int {
-	replicas := 0
+// serviceReplicasOnGPUHosts counts the service replicas of a class on hosts reserved for GPU jobs.
+// They need capacity elsewhere before they can be moved.
+func serviceReplicasOnGPUHosts(class string, hosts []*placement.Host, machines *worker.Registry) int {
+	serviceReplicas := 0
 	for _, h := range hosts {
 		load := machines.Load(h.ID)
 		if !h.GPUOnly || load == nil {
@@ -202,15 +202,15 @@
 		}
 		for ref := range load.Tasks {
 			if ref.Job.Class == class {
-				replicas++
+				serviceReplicas++
 			}
 		}
 	}
-	return replicas
+	return serviceReplicas
 }
 
-// serviceHost is a host with capacity for replicas, either now or once the arrays on it have
-// ended.
+// serviceHost is a host with capacity for service replicas, either now or once the arrays on it
+// have ended. slots is the number of service replicas that fit.
 type serviceHost struct {
 	*placement.Host
 	slots int
@@ -237,7 +237,7 @@
 	return out
 }
 
-// serviceHostOf computes the capacity for replicas on a host.
+// serviceHostOf computes the capacity for service replicas on a host.
 func serviceHostOf(s *job.Spec, h *placement.Host, load *job.Load) serviceHost {
 	out := serviceHost{Host: h, slots: placement.FitCount(s.Need, h.Free)}
 	if out.slots > 0 || load == nil {
@@ -254,10 +254,10 @@
 	return out
 }
 
-// reserveSlots reserves hosts for a number of replicas, round-robin across zones, and returns how
-// many replicas remain without capacity. Hosts that are already reserved count. Arrays on a
-// reserved host run to completion but are not replaced: each gap that a finished task leaves is
-// too small for a replica.
+// reserveSlots reserves hosts for a number of service replicas, round-robin across zones, and
+// returns how many of them remain without capacity. Hosts that are already reserved count. The
+// tasks of arrays on a reserved host run to completion but are not replaced: the gap that each
+// leaves is too small for a service replica, and new tasks would fill it again.
 func (r *reservations) reserveSlots(wanted int, hosts []serviceHost) int {
 	byZone := map[string][]serviceHost{}
 	for _, h := range hosts {
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// newGPUSimCluster has five controllers and machines of two types: small ones, and large ones with
-// GPUs that each hold one task of a gang.
+// newGPUSimCluster returns a simulated cluster of five controllers and machines of two types: small
+// ones, and large ones with GPUs that each hold one task of a gang.
 func newGPUSimCluster(t *testing.T, small, large int) *simCluster {
 	t.Helper()
 	cluster := newSimClusterOf(t, fiveNodes)
@@ -24,7 +24,7 @@
 			cluster.workers[id].Type = "large"
 		}
 	}
-	cluster.ready().run(3*time.Second, nil)
+	cluster.waitUntilReady().run(3*time.Second, nil)
 	return cluster
 }
 
@@ -59,16 +59,16 @@
 	requireAccepted(t, cluster.submit("b", "req-free-watch", 24, serviceFields))
 	cluster.run(20*time.Second, nil)
 	if n := cluster.onMachineType("req-free-watch", "large"); n != 0 {
-		t.Errorf("%d replicas are on machines with GPUs, want 0", n)
+		t.Errorf("%d service replicas are on machines with GPUs, want 0", n)
 	}
 	if n := cluster.onMachineType("req-free-watch", "small"); n < 20 {
-		t.Errorf("%d of 24 replicas are running, want at least 20", n)
+		t.Errorf("%d of 24 service replicas are running, want at least 20", n)
 	}
 }
 
-// TestReplicasAreEvacuatedFromGPUHostsForAGang checks that replicas placed on GPU hosts before
-// the first gang was known are moved, except those that do not fit elsewhere.
-func TestReplicasAreEvacuatedFromGPUHostsForAGang(t *testing.T) {
+// TestServiceReplicasAreEvacuatedFromGPUHostsForAGang checks that service replicas placed on GPU
+// hosts before the first gang was known are moved, except those that do not fit elsewhere.
+func TestServiceReplicasAreEvacuatedFromGPUHostsForAGang(t *testing.T) {
 	cluster := newGPUSimCluster(t, 8, 2)
 	cluster.taskTime = time.Hour
 	requireAccepted(t, cluster.submit("a", "req-free-batch", 16, `,"memoryGb":7.0`)) // fills the small machines
@@ -76,7 +76,7 @@
 	requireAccepted(t, cluster.submit("b", "req-free-watch", 8, serviceFields))
 	cluster.run(time.Minute, nil)
 	if n := cluster.onMachineType("req-free-watch", "large"); n != 8 {
-		t.Fatalf("%d of 8 replicas are on GPU hosts before the gang is submitted", n)
+		t.Fatalf("%d of 8 service replicas are on GPU hosts before the gang is submitted", n)
 	}
 	cluster.maxMachines = 0 // the cloud has no more machines
 	cluster.cancelJob("a", "req-free-batch")
@@ -86,13 +86,14 @@
 	}
 	cluster.run(10*time.Second, nil)
 	if n := cluster.onMachines("req-free-watch"); n != 8 {
-		t.Errorf("%d of 8 replicas are running", n)
+		t.Errorf("%d of 8 service replicas are running", n)
 	}
 }
 
-// TestReplicasStartImmediatelyUnderArrayLoad checks that capacity for replicas is reserved on
-// hosts that have their image, while arrays of lower priority fill the remaining capacity.
-func TestReplicasStartImmediatelyUnderArrayLoad(t *testing.T) {
+// TestServiceReplicasStartImmediatelyUnderArrayLoad checks that capacity for service replicas is
+// reserved on hosts that have their image, while arrays of lower priority fill the remaining
+// capacity.
+func TestServiceReplicasStartImmediatelyUnderArrayLoad(t *testing.T) {
 	cluster := newGPUSimCluster(t, 32, 0)
 	cluster.taskTime = time.Hour
 	requireAccepted(t, cluster.submit("a", "req-free-first", 32, serviceFields))
@@ -108,7 +109,7 @@
 		requireAccepted(t, cluster.submit("c", id, 6, serviceFields))
 		cluster.run(600*time.Millisecond, nil)
 		if got := cluster.onMachines(id); got != 6 {
-			t.Errorf("%s: %d of 6 replicas are running after 0.6 s", id, got)
+			t.Errorf("%s: %d of 6 service replicas are running after 0.6 s", id, got)
 		}
 	}
 	if cluster.startsOf("req-free-00") == 0 {
@@ -116,9 +117,9 @@
 	}
 }
 
-// TestServicesStaySpreadWhileLeadersRestart crashes the leader while replicas are starting, and
-// all controllers right after. A restarted leader knows the replicas but not yet the zones of
-// their machines, and must not place more than half of a service in one zone.
+// TestServicesStaySpreadWhileLeadersRestart crashes the leader while service replicas are starting,
+// and all controllers right after. A restarted leader knows the service replicas but not yet the
+// zones of their machines, and must not place more than half of a service in one zone.
 func TestServicesStaySpreadWhileLeadersRestart(t *testing.T) {
 	cluster := newGPUSimCluster(t, 30, 0)
 	cluster.taskTime = time.Hour
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -16,7 +16,7 @@
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	for name, injectFault := range map[string]func(cluster *simCluster){
 		"no further fault": func(*simCluster) {},
-		"machines taken": func(cluster *simCluster) {
+		"machines reclaimed": func(cluster *simCluster) {
 			cluster.forRandomMachines(3, func(id string) { delete(cluster.workers, id) })
 		},
 		"late reports": func(cluster *simCluster) { cluster.replayReports = true },
@@ -51,8 +51,8 @@
 	}
 }
 
-// The lease, leadership, starts and claims of a controller's former run still exist when the next run
-// begins, and messages that the former run had sent arrive after that.
+// The lease, leadership, starts and claims of a controller's former run still exist when the next
+// run begins, and messages that the former run had sent arrive after that.
 func TestRestartedControllerIgnoresStateOfFormerRun(t *testing.T) {
 	for _, pause := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(fmt.Sprint(pause), func(t *testing.T) {
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -4,8 +4,8 @@
 
 import "slices"
 
-// Version numbers the stored and wire formats that a controller understands. Each version also
-// understands those of all lower versions.
+// Version identifies the stored and wire formats that a controller understands. Each version also
+// understands the formats of all lower versions.
 type Version int
 
 // Dependencies is the first version that supports job dependencies and job heads that contain their
@@ -21,7 +21,7 @@
 	Version Version `json:"v"`
 }
 
-// Tracker tracks the versions of the controllers of one deployment.
+// Tracker tracks the versions of the controllers of one site.
 type Tracker struct {
 	nodes    []string
 	versions map[string]Version
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -19,7 +19,7 @@
 	queues []*teamQueue
 	// ranking holds the fairness record of each queue's team, in the order of queues.
 	ranking []fairness.Team
-	// hosts are all schedulable machines; openHosts are those with free CPUs.
+	// hosts are all schedulable machines. openHosts are those with free CPUs.
 	hosts, openHosts []*placement.Host
 	// priorReservations is the set of resource needs that hosts were reserved for in the previous
 	// round.
@@ -157,13 +157,13 @@
 
 // schedulingKey is the sort key among jobs of equal priority: the latest start time, or for gangs
 // without a deadline the time at which hosts are first reserved for them. A job that has waited
-// for starvationTimeouts without any bound or completed task comes first until it gets one.
+// for starvationTimeouts without any bound or done task comes first until it has one.
 func (r *round) schedulingKey(j *job.Job) int64 {
 	timeoutS := r.core.policy.TimeoutS
-	gotNothing := len(j.Bound)+j.Done.Len() == 0
+	noneBoundOrDone := len(j.Bound)+j.Done.Len() == 0
 	waitedMillis := float64(r.core.now.Wall - j.EligibleSinceMS())
 	switch {
-	case gotNothing && waitedMillis > starvationTimeouts*timeoutS*1000:
+	case noneBoundOrDone && waitedMillis > starvationTimeouts*timeoutS*1000:
 		return 0
 	case j.Kind == job.Gang && !j.HasDeadline():
 		return gangReservationTime(j, timeoutS)
--- a/internal/core/round_test.go
+++ b/internal/core/round_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestLargeTasksAreNotStarvedBySmallTasks checks that small tasks do not fill every gap before it
+// TestLargeTasksStartDespiteSmallTasks checks that small tasks do not fill every gap before it
 // is large enough for a large task.
-func TestLargeTasksAreNotStarvedBySmallTasks(t *testing.T) {
+func TestLargeTasksStartDespiteSmallTasks(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	submitSmallTasks := func(n int) {
 		for _, team := range []string{"blue", "free"} {
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -40,7 +40,7 @@
 }
 
 // cordonMachine stores a cordon, after which no new binding to the machine can be stored. Once
-// the local copy of the state shows the cordon, it also shows every earlier binding.
+// the replica shows the cordon, it also shows every earlier binding.
 func (c *Core) cordonMachine(name, reason string) {
 	if c.cordons.has(name) {
 		return
--- a/internal/core/schedule.go
+++ b/internal/core/schedule.go
@@ -10,7 +10,7 @@
 
 // scheduler is the scheduling state that is kept between rounds.
 type scheduler struct {
-	// roundRequested is set when something has changed that a round may act on. nextRoundAt is the
+	// roundRequested is set when something that a round may act on has changed. nextRoundAt is the
 	// earliest time of the next round.
 	roundRequested bool
 	nextRoundAt    time.Duration
--- a/internal/core/sharedreports_test.go
+++ b/internal/core/sharedreports_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Guards against a job that never ends. Its tasks were lost with their machine's lease, and the
-// only controller that had seen this dropped the agent's session while it was partitioned from
-// all others. The next report contained nothing new for that controller and was not shared, so
-// the leader still considered the tasks running.
+// Guards against a job that never ends: its tasks were lost when their worker's lease expired, and
+// the only controller that had seen this dropped the worker's agent session while it was
+// partitioned from all others. The next report contained nothing new for that controller and was
+// not shared, so the leader still considered the tasks running.
 func TestFirstReportOfASessionIsSharedEvenIfUnchanged(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.cloudDegraded, cluster.allowRacingStarts, cluster.taskTime = true, true, 10*time.Minute
@@ -18,21 +18,21 @@
 	node, machine := cluster.machineServedBy(func(node string) bool { return node != leader && node != cluster.cores["a"].fleet.leader })
 	leaderView := func() uint64 { return cluster.cores[leader].machines.Get(machine).WorkerEpoch }
 
-	cluster.silentWorkers[machine] = true
+	cluster.nonReportingWorkers[machine] = true
 	cluster.disconnectLinks(func(from, to string) bool { return from == node || to == node })
-	cluster.withoutStore[node] = true // its lease stays live
+	cluster.withoutStore[node] = true // its controller lease stays live
 	if !cluster.run(cluster.workerLease()+reportIntervals(4), func() bool { return cluster.cores[node].agents.session(machine) == nil }) {
-		t.Fatal("session of a silent agent was not dropped")
+		t.Fatal("agent session of a worker that stopped reporting was not dropped")
 	}
 	if held := cluster.cores[node].machines.Get(machine).WorkerEpoch; held != 2 || leaderView() != 1 {
-		t.Fatalf("agent's controller knows epoch %d and the leader epoch %d, want 2 and 1", held, leaderView())
+		t.Fatalf("worker's controller knows epoch %d and the leader epoch %d, want 2 and 1", held, leaderView())
 	}
 	cluster.restoreLinks()
 	delete(cluster.withoutStore, node)
 	cluster.run(time.Second, nil)
 	cluster.reportTo(machine, node)
 	if !cluster.run(reportIntervals(3), func() bool { return cluster.cores[node].agents.session(machine) != nil }) {
-		t.Fatal("agent did not open a session")
+		t.Fatal("worker did not open an agent session")
 	}
 	cluster.run(reportIntervals(1), nil)
 	if leaderView() < 2 {
@@ -58,9 +58,9 @@
 	return "", ""
 }
 
-// reportTo makes a silent machine report again, to the given controller.
+// reportTo makes a machine that stopped reporting report again, to the given controller.
 func (cluster *simCluster) reportTo(machine, node string) {
-	delete(cluster.silentWorkers, machine)
+	delete(cluster.nonReportingWorkers, machine)
 	for cluster.names[cluster.workers[machine].node%len(cluster.names)] != node {
 		cluster.workers[machine].node++
 	}
--- a/internal/core/silentmachines_test.go
+++ b/internal/core/silentmachines_test.go
@@ -11,22 +11,22 @@
 	"pepperlever/internal/protocol"
 )
 
-// silentMachinesJob is the job that is running when machines fall silent.
-const silentMachinesJob = "req-free-1"
+// nonReportingMachinesJob is the job that is running when machines stop reporting.
+const nonReportingMachinesJob = "req-free-1"
 
 // workerLease is the duration of a worker's lease.
 func (cluster *simCluster) workerLease() time.Duration {
 	return seconds(cluster.cfg[cluster.names[0]].Params.Workers.LeaseS)
 }
 
-// silenceEvery cuts every nth machine's reports off from all controllers, and returns these
+// stopReportsOfEvery cuts every nth machine's reports off from all controllers, and returns these
 // machines.
-func (cluster *simCluster) silenceEvery(nth int) []string {
+func (cluster *simCluster) stopReportsOfEvery(nth int) []string {
 	cluster.t.Helper()
 	var out []string
 	for i, id := range slices.Sorted(maps.Keys(cluster.workers)) {
 		if i%nth == 0 {
-			cluster.silentWorkers[id] = true
+			cluster.nonReportingWorkers[id] = true
 			out = append(out, id)
 		}
 	}
@@ -53,20 +53,20 @@
 	return slices.ContainsFunc(machines, func(id string) bool { return cluster.workers[id] != nil && cluster.workers[id].WorkerEpoch > 1 })
 }
 
-// TestSilentMachineGetsNoNewTasks checks that a machine whose reports reach no controller, but
-// which answers direct calls, gets no starts: they would be lost when its lease expires.
-func TestSilentMachineGetsNoNewTasks(t *testing.T) {
+// TestNonReportingMachineGetsNoNewTasks checks that a machine whose reports reach no controller, but
+// which answers deliveries, gets no starts: they would be lost when its lease expires.
+func TestNonReportingMachineGetsNoNewTasks(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.cloudDegraded, cluster.taskTime = true, 10*time.Minute
-	requireAccepted(t, cluster.submit("a", silentMachinesJob, 10, `,"vcpus":3.0`)) // leaves one CPU free on each machine
-	cluster.waitUntilStarted(silentMachinesJob, 10)
-	silent := cluster.silenceEvery(3)
+	requireAccepted(t, cluster.submit("a", nonReportingMachinesJob, 10, `,"vcpus":3.0`)) // leaves one CPU free on each machine
+	cluster.waitUntilStarted(nonReportingMachinesJob, 10)
+	nonReporting := cluster.stopReportsOfEvery(3)
 	cluster.run(reportIntervals(3), nil) // a missing report is detected after more than two intervals
 	misdirected := 0
 	cluster.onEffect = func(_ string, e Effect) {
 		switch e := e.(type) {
 		case Deliver:
-			if cluster.silentWorkers[e.Machine] && slices.ContainsFunc(e.CommandBatch.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart }) {
+			if cluster.nonReportingWorkers[e.Machine] && slices.ContainsFunc(e.CommandBatch.Commands, func(c protocol.Command) bool { return c.Op == protocol.OpStart }) {
 				misdirected++
 			}
 		case Log:
@@ -79,78 +79,78 @@
 	for n := range 6 {
 		requireAccepted(t, cluster.submit("a", fmt.Sprintf("req-free-2-%d", n), 10, `,"vcpus":1.0`))
 		cluster.run(reportIntervals(1), nil)
-		if n == 3 && cluster.anyNewWorkerEpoch(silent) {
+		if n == 3 && cluster.anyNewWorkerEpoch(nonReporting) {
 			t.Fatal("a lease expired before the new jobs were submitted")
 		}
 	}
 	if misdirected > 0 {
-		t.Errorf("got %d starts for silent machines, want 0", misdirected)
+		t.Errorf("got %d starts for non-reporting machines, want 0", misdirected)
 	}
 	cluster.run(cluster.workerLease(), nil)
-	if !cluster.anyNewWorkerEpoch(silent) {
+	if !cluster.anyNewWorkerEpoch(nonReporting) {
 		t.Fatal("no lease expired")
 	}
-	clear(cluster.silentWorkers)
+	clear(cluster.nonReportingWorkers)
 	if !cluster.run(2*time.Minute, cluster.allDone("req-free-2-0", "req-free-2-5")) {
-		t.Error("jobs did not finish")
+		t.Error("jobs did not end")
 	}
 }
 
-// TestSilentMachineKeepsTasksUntilLeaseExpires checks that a machine that cannot reach any
+// TestNonReportingMachineKeepsTasksUntilLeaseExpires checks that a machine that cannot reach any
 // controller for less than its lease loses no tasks: the controllers poll it for reports.
-func TestSilentMachineKeepsTasksUntilLeaseExpires(t *testing.T) {
-	cluster, _ := newLoadedSimCluster(t, 20, silentMachinesJob)
-	cluster.waitUntilStarted(silentMachinesJob, 40)
-	silent := cluster.silenceEvery(5)
-	before := cluster.tasksOn(silent)
+func TestNonReportingMachineKeepsTasksUntilLeaseExpires(t *testing.T) {
+	cluster, _ := newLoadedSimCluster(t, 20, nonReportingMachinesJob)
+	cluster.waitUntilStarted(nonReportingMachinesJob, 40)
+	nonReporting := cluster.stopReportsOfEvery(5)
+	before := cluster.tasksOn(nonReporting)
 	cluster.run(cluster.workerLease()-reportIntervals(2), nil)
-	clear(cluster.silentWorkers)
+	clear(cluster.nonReportingWorkers)
 	cluster.run(reportIntervals(4), nil)
-	if after := cluster.tasksOn(silent); before == 0 || after != before || cluster.anyNewWorkerEpoch(silent) {
+	if after := cluster.tasksOn(nonReporting); before == 0 || after != before || cluster.anyNewWorkerEpoch(nonReporting) {
 		t.Errorf("had %d tasks, got %d left", before, after)
 	}
 	cluster.checkStartedOnce()
 }
 
-// TestExitsOnSilentMachinesAreDetected checks that controllers learn of task exits on silent
-// machines by polling them, and tell them to forget the exited tasks.
-func TestExitsOnSilentMachinesAreDetected(t *testing.T) {
+// TestExitsOnNonReportingMachinesAreDetected checks that controllers learn of task exits on
+// non-reporting machines by polling them, and send them forget commands for the exited tasks.
+func TestExitsOnNonReportingMachinesAreDetected(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.taskTime = 9 * time.Second
-	requireAccepted(t, cluster.submit("a", silentMachinesJob, 40, ""))
-	cluster.waitUntilStarted(silentMachinesJob, 40)
-	silent := cluster.silenceEvery(4)
-	if cluster.tasksOn(silent) == 0 {
-		t.Fatal("no task is running on a silent machine")
+	requireAccepted(t, cluster.submit("a", nonReportingMachinesJob, 40, ""))
+	cluster.waitUntilStarted(nonReportingMachinesJob, 40)
+	nonReporting := cluster.stopReportsOfEvery(4)
+	if cluster.tasksOn(nonReporting) == 0 {
+		t.Fatal("no task is running on a non-reporting machine")
 	}
-	if !cluster.run(cluster.workerLease()-reportIntervals(1), cluster.allDone(silentMachinesJob)) || cluster.anyNewWorkerEpoch(silent) {
-		t.Error("job did not finish within the lease, or a lease expired")
+	if !cluster.run(cluster.workerLease()-reportIntervals(1), cluster.allDone(nonReportingMachinesJob)) || cluster.anyNewWorkerEpoch(nonReporting) {
+		t.Error("job did not end within the lease, or a lease expired")
 	}
 	cluster.checkStartedOnce()
 	cluster.run(reportIntervals(2), nil)
-	for _, id := range silent {
+	for _, id := range nonReporting {
 		if f := cluster.workers[id]; f != nil && f.WorkerEpoch == 1 && len(f.Tasks) > 0 {
 			t.Errorf("%s still reports %v", id, f.Tasks)
 		}
 	}
 }
 
-// TestCancelledTasksOnSilentMachinesAreStoppedImmediately checks that cancelled tasks on silent
-// machines are stopped by direct calls, without returning any machine.
-func TestCancelledTasksOnSilentMachinesAreStoppedImmediately(t *testing.T) {
-	for name, wait := range map[string]time.Duration{"just silent": 0, "silent for a while": reportIntervals(3)} {
-		cluster, _ := newLoadedSimCluster(t, 20, silentMachinesJob)
-		silent := cluster.silenceEvery(4)
+// TestCancelledTasksOnNonReportingMachinesAreStoppedImmediately checks that cancelled tasks on
+// non-reporting machines are stopped by deliveries, without returning any machine.
+func TestCancelledTasksOnNonReportingMachinesAreStoppedImmediately(t *testing.T) {
+	for name, wait := range map[string]time.Duration{"just stopped reporting": 0, "not reporting for a while": reportIntervals(3)} {
+		cluster, _ := newLoadedSimCluster(t, 20, nonReportingMachinesJob)
+		nonReporting := cluster.stopReportsOfEvery(4)
 		cluster.run(wait, nil)
-		if cluster.tasksOn(silent) == 0 {
-			t.Fatal("no task is running on a silent machine")
+		if cluster.tasksOn(nonReporting) == 0 {
+			t.Fatal("no task is running on a non-reporting machine")
 		}
 		machines := len(cluster.workers)
-		if a := cluster.cancelJob("b", silentMachinesJob); a.Status != http.StatusOK {
+		if a := cluster.cancelJob("b", nonReportingMachinesJob); a.Status != http.StatusOK {
 			t.Fatalf("cancellation got status %d, want 200", a.Status)
 		}
-		if !cluster.run(reportIntervals(2), func() bool { return cluster.onMachines(silentMachinesJob) == 0 }) {
-			t.Errorf("%s: %d tasks are still running", name, cluster.onMachines(silentMachinesJob))
+		if !cluster.run(reportIntervals(2), func() bool { return cluster.onMachines(nonReportingMachinesJob) == 0 }) {
+			t.Errorf("%s: %d tasks are still running", name, cluster.onMachines(nonReportingMachinesJob))
 		}
 		if len(cluster.workers) != machines {
 			t.Errorf("%s: %d machines were returned, want 0", name, machines-len(cluster.workers))
@@ -158,11 +158,11 @@
 	}
 }
 
-// TestTasksOfSilentMachinesAreRecovered checks that, whichever machines fall silent, for however
-// long and in combination with other faults, no task runs twice, cancelled tasks stop in time,
-// and all jobs finish soon afterwards.
-func TestTasksOfSilentMachinesAreRecovered(t *testing.T) {
-	silentEveryNth := map[string]int{"all": 1, "half": 2, "a fifth": 5}
+// TestTasksOfNonReportingMachinesAreRecovered checks that, whichever machines stop reporting, for
+// however long and in combination with other faults, no task runs twice, cancelled tasks stop in
+// time, and all jobs end soon afterwards.
+func TestTasksOfNonReportingMachinesAreRecovered(t *testing.T) {
+	nonReportingEveryNth := map[string]int{"all": 1, "half": 2, "a fifth": 5}
 	faults := map[string]func(cluster *simCluster, leader string){
 		"nothing": func(*simCluster, string) {},
 		"two controllers crash": func(cluster *simCluster, _ string) {
@@ -178,7 +178,7 @@
 		},
 		"no links between controllers": func(cluster *simCluster, _ string) { cluster.disconnectLinks(everyLink) },
 		"late reports":                 func(cluster *simCluster, _ string) { cluster.replayReports = true },
-		"all controllers restart at once": func(cluster *simCluster, _ string) {
+		"all controllers restart together": func(cluster *simCluster, _ string) {
 			for _, n := range cluster.names {
 				cluster.crash(n)
 				cluster.expire(n)
@@ -186,7 +186,7 @@
 			}
 		},
 	}
-	for machines, nth := range silentEveryNth {
+	for machines, nth := range nonReportingEveryNth {
 		for fault, inject := range faults {
 			for _, leases := range []float64{0.6, 1.7} {
 				t.Run(fmt.Sprintf("%s, %s, for %v leases", machines, fault, leases), func(t *testing.T) {
@@ -198,25 +198,25 @@
 					requireAccepted(t, cluster.submit("a", "req-free-3", 6, ""))
 					cluster.run(time.Minute, func() bool { return cluster.onMachines("req-free-1") == 30 && cluster.onMachines("req-free-3") == 6 })
 					leader := cluster.cores["a"].teamsByName["free"].leader
-					silent := cluster.silenceEvery(nth)
-					if cluster.tasksOn(silent) == 0 {
-						t.Fatal("no task is running on a silent machine")
+					nonReporting := cluster.stopReportsOfEvery(nth)
+					if cluster.tasksOn(nonReporting) == 0 {
+						t.Fatal("no task is running on a non-reporting machine")
 					}
 					inject(cluster, leader)
 					cluster.run(reportIntervals(2), nil)
 					if !cluster.outage {
-						cluster.cancelJob(cluster.serving(), "req-free-3")
+						cluster.cancelJob(cluster.servingController(), "req-free-3")
 					}
 					cluster.run(time.Duration(leases*float64(cluster.workerLease())), nil)
-					if left := cluster.tasksOn(silent); fault == "nothing" && (left > 0) != (leases < 1) {
-						t.Errorf("%d tasks are left on silent machines, want some only if silence is shorter than the lease", left)
+					if left := cluster.tasksOn(nonReporting); fault == "nothing" && (left > 0) != (leases < 1) {
+						t.Errorf("%d tasks are left on non-reporting machines, want some only if they report again before the lease expires", left)
 					}
 					if leases < 1 && fault == "nothing" {
 						cluster.checkStartedOnce()
 					}
 					cluster.recover()
 					if !cluster.run(3*time.Minute, cluster.allDone("req-free-1", "req-blue-2")) {
-						t.Error("jobs did not finish")
+						t.Error("jobs did not end")
 					}
 				})
 			}
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// checkCancelDeadlines checks that no task of a job still runs cancel_s after its user was told
-// that it is cancelled.
+// checkCancelDeadlines checks that no task of a job still runs cancel_s after the cancellation was
+// confirmed to its user.
 func (cluster *simCluster) checkCancelDeadlines() {
 	for id, at := range cluster.cancelConfirmedAt {
 		if cluster.now-at > seconds(cluster.cfg[cluster.names[0]].Params.Workers.CancelS) {
@@ -113,8 +113,8 @@
 	return sum
 }
 
-// hasCapacityFor reports whether the machines have free capacity for the tasks that a job needs
-// to run at once, and its team's limit allows them.
+// hasCapacityFor reports whether the machines have free capacity for the tasks that a job needs to
+// run simultaneously, and its team's limit allows them.
 func (cluster *simCluster) hasCapacityFor(s *job.Spec) bool {
 	needed, zones := s.MinConcurrency(), cluster.tasksPerZone(s.ID)
 	for _, t := range cluster.cfg[cluster.names[0]].Params.Teams {
@@ -190,7 +190,8 @@
 	return n
 }
 
-// leaderOf returns the leader of a team according to the store, or "".
+// leaderOf returns the leader of a team according to the replica of a controller that can reach the
+// store, or "".
 func (cluster *simCluster) leaderOf(team string) string {
 	for _, n := range cluster.names {
 		if c := cluster.cores[n]; c != nil && !cluster.withoutStore[n] && c.replica.loaded {
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -19,15 +19,15 @@
 	rng          *rand.Rand
 	now          time.Duration
 	tick         time.Duration        // the time between two steps of each controller
-	cores        map[string]*Core     // running controllers by node
-	inbox        map[string][]Command // commands for the next step of each node
-	withoutStore map[string]bool      // nodes that cannot reach the store
+	cores        map[string]*Core     // running controllers by name
+	inbox        map[string][]Command // commands for the next step of each controller
+	withoutStore map[string]bool      // controllers that cannot reach the store
 
 	kv       map[string]protocol.KeyValue
 	revision uint64
 	events   []protocol.Event
-	seen     map[string]uint64 // the number of events that each node has received
-	leases   map[uint64]string // the node that holds each lease
+	seen     map[string]uint64 // the number of events that each controller has received
+	leases   map[uint64]string // the controller that holds each lease
 	outage   bool              // the store is unavailable to all controllers
 
 	workers map[string]*fakeWorker
@@ -37,8 +37,8 @@
 	heldDeliveries []Deliver
 	// delayDeliveries makes one delivery in four run seconds later, without a reply.
 	delayDeliveries bool
-	// lateWrite returns the delay after which a transaction with changes is executed, its
-	// outcome unknown to the sender. Zero executes it at once.
+	// lateWrite returns the delay after which a transaction with changes is executed. The sender
+	// does not learn its outcome. Zero executes it immediately.
 	lateWrite func(node string, e StoreTxn) time.Duration
 	// lostReplies is the number of coming transactions whose reply is lost.
 	lostReplies int
@@ -59,10 +59,11 @@
 	redirected       map[string]int
 	// allowRacingStarts permits starts that were already in flight when their job was cancelled.
 	allowRacingStarts bool
-	// broken holds jobs whose tasks fail on any machine, faulty machines on which any task fails.
+	// broken holds jobs whose tasks fail on any machine. faulty holds machines on which any task
+	// fails.
 	broken, faulty map[string]bool
-	// federationConfigs holds the federation configuration of each node that has one; sent holds
-	// the messages to other sites.
+	// federationConfigs holds the federation configuration of each controller that has one; sent
+	// holds the messages to other sites.
 	federationConfigs map[string]*federation.Config
 	sent              []federation.Message
 	// onEffect, if set, is called with every effect of a controller.
@@ -79,7 +80,7 @@
 	// slowLinks holds the links that queue messages in heldMessages until they are restored.
 	slowLinks    map[link]bool
 	heldMessages map[link][]PeerMessage
-	// frozen holds the controllers whose process is paused, cutWorkers the machines without a
+	// frozen holds the controllers whose process is paused. cutWorkers holds the machines without a
 	// network.
 	frozen     map[string]bool
 	cutWorkers map[string]bool
@@ -87,26 +88,26 @@
 	// brokenWorkerLinks holds broken links from a controller to a machine.
 	workersReceivingNothing map[string]bool
 	brokenWorkerLinks       map[link]bool
-	// silentWorkers are the machines whose reports reach no controller, while deliveries to them
-	// succeed.
-	silentWorkers map[string]bool
+	// nonReportingWorkers are the machines whose reports reach no controller, while deliveries to
+	// them succeed.
+	nonReportingWorkers map[string]bool
 	// replayReports sends late duplicates of reports from pastReports to random controllers.
 	replayReports bool
 	pastReports   []Heartbeat
 	// cloudDegraded makes the cloud return no catalog and release no machines.
 	cloudDegraded bool
-	// storeUnavailableSince is when a controller lost the store. It is told so after a report
-	// interval; storeLossReported holds the controllers that have been told.
+	// storeUnavailableSince holds the time at which each controller lost the store. A controller is
+	// notified after a report interval; storeLossReported holds those that have been notified.
 	storeUnavailableSince map[string]time.Duration
 	storeLossReported     map[string]bool
-	// watchLag is the minimum interval between watch events for a controller, watchedAt the time
-	// of its last ones.
+	// watchLag is the minimum interval between watch events for a controller. watchedAt holds the
+	// time of its last ones.
 	watchLag  time.Duration
 	watchedAt map[string]time.Duration
 	// blockedWatcher is a controller whose watch delivers no events.
 	blockedWatcher string
-	// awaitingSnapshot holds the controllers that wait for a snapshot of the store, awaitingLease
-	// those that wait for a lease.
+	// awaitingSnapshot holds the controllers that wait for a snapshot of the store. awaitingLease
+	// holds those that wait for a lease.
 	awaitingSnapshot, awaitingLease map[string]bool
 	// scheduledActions are called on every tick until they return true.
 	scheduledActions []func() bool
@@ -114,9 +115,9 @@
 	// those in flight.
 	latency          bool
 	messagesInFlight []inFlightMessage
-	// previousRelease lists controllers of the previous release, which do not know the newer
-	// message fields.
-	previousRelease []string
+	// previousVersion lists the controllers that run the previous version, which does not know the
+	// newer message fields.
+	previousVersion []string
 	// unevenRunTimes makes every second task of a job run three times as long; recoveryCount
 	// counts the calls of recover.
 	unevenRunTimes bool
@@ -125,9 +126,10 @@
 	tokenOwners map[uint64]string
 	// completed holds the tasks that ran to their end.
 	completed map[string]bool
-	// cancelConfirmedAt is when a controller told the user of a job that it is cancelled.
+	// cancelConfirmedAt holds the time at which the cancellation of each job was confirmed to its
+	// user.
 	cancelConfirmedAt map[string]time.Duration
-	// specs holds the specification of each submitted job.
+	// specs holds the spec of each submitted job.
 	specs map[string]*job.Spec
 	// adjustSettings, if set, changes the settings of each controller before it starts.
 	adjustSettings func(*settings.Settings)
@@ -138,17 +140,18 @@
 	isolatedZone      string
 	// fullZone is a zone in which the cloud has no capacity left.
 	fullZone string
-	// hungUntil is when a machine that hangs continues.
+	// hungUntil holds the time at which each hung machine resumes.
 	hungUntil map[string]time.Duration
-	// completeGangs holds the gang attempts all of whose tasks have been on machines at once.
+	// completeGangs holds the gang attempts all of whose tasks have been on machines at the same
+	// time.
 	completeGangs map[taskAttempt]bool
-	// allRestarted is set once all controllers have stopped at the same time. From then on only
-	// the store knows which cancellations users were told of. If the store is unavailable for
+	// allRestarted is set once all controllers have stopped at the same time. From then on only the
+	// store knows which cancellations were confirmed to users. If the store is unavailable for
 	// longer than cancel_s, only the expiry of its lease ends the tasks of a hung machine.
 	allRestarted bool
 	// delayReports makes some reports get no answer and arrive much later, at any controller.
 	delayReports bool
-	// endedAt is when the final state of each job was stored.
+	// endedAt holds the time at which the final state of each job was stored.
 	endedAt map[string]time.Duration
 	// notUpgraded holds the controllers that run the previous version, which does not store its
 	// version.
@@ -211,7 +214,7 @@
 		frozen:                  map[string]bool{},
 		cutWorkers:              map[string]bool{},
 		workersReceivingNothing: map[string]bool{},
-		silentWorkers:           map[string]bool{},
+		nonReportingWorkers:     map[string]bool{},
 		brokenWorkerLinks:       map[link]bool{},
 		storeUnavailableSince:   map[string]time.Duration{},
 		storeLossReported:       map[string]bool{},
@@ -353,8 +356,8 @@
 	}
 }
 
-// ready runs the simulation until every node can take requests.
-func (cluster *simCluster) ready() *simCluster {
+// waitUntilReady runs the simulation until every controller can answer requests.
+func (cluster *simCluster) waitUntilReady() *simCluster {
 	cluster.t.Helper()
 	if !cluster.run(20*time.Second, func() bool {
 		for _, n := range cluster.names {
@@ -406,13 +409,13 @@
 
 // sendPeer sends a message to other controllers, as the state of each link allows.
 func (cluster *simCluster) sendPeer(node string, e SendPeer) {
-	if slices.Contains(cluster.previousRelease, node) {
-		e.Message = asPreviousRelease(e.Message)
+	if slices.Contains(cluster.previousVersion, node) {
+		e.Message = asPreviousVersion(e.Message)
 	}
 	for _, to := range e.Nodes {
 		msg := e.Message
-		if slices.Contains(cluster.previousRelease, to) {
-			msg = asPreviousRelease(msg)
+		if slices.Contains(cluster.previousVersion, to) {
+			msg = asPreviousVersion(msg)
 		}
 		switch messageLink := (link{node, to}); {
 		case cluster.cores[to] == nil || cluster.refusedLinks[messageLink]:
@@ -426,7 +429,7 @@
 	}
 }
 
-// startDelivery executes a delivery at once, delays it or loses it.
+// startDelivery executes a delivery immediately, delays it or loses it.
 func (cluster *simCluster) startDelivery(node string, delivery Deliver) {
 	if cluster.loseDeliveries {
 		cluster.heldDeliveries = append(cluster.heldDeliveries, delivery)
@@ -455,7 +458,7 @@
 	cluster.send(node, RentalResult{Rental: e.Rental, Outcome: OutcomeApplied, Machines: names})
 }
 
-// releaseMachines returns machines to the cloud.
+// releaseMachines removes released machines, or fails while the cloud is degraded.
 func (cluster *simCluster) releaseMachines(node string, e ReleaseMachines) {
 	if cluster.cloudDegraded {
 		cluster.send(node, ReleaseResult{Machines: e.Machines})
@@ -467,8 +470,8 @@
 	cluster.send(node, ReleaseResult{Machines: e.Machines, OK: true})
 }
 
-// asPreviousRelease removes the message fields that the previous release does not know.
-func asPreviousRelease(m PeerMessage) PeerMessage {
+// asPreviousVersion removes the message fields that the previous version does not know.
+func asPreviousVersion(m PeerMessage) PeerMessage {
 	m.Cancellations, m.Acknowledged = nil, nil
 	if heartbeat := m.Heartbeat; heartbeat != nil {
 		m.Heartbeat = &NodeHeartbeat{StoreOK: heartbeat.StoreOK, PendingWrites: heartbeat.PendingWrites, Records: heartbeat.Records, ReportingMachines: heartbeat.ReportingMachines, ReportSeqs: heartbeat.ReportSeqs, Unreachable: heartbeat.Unreachable}
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -98,8 +98,8 @@
 	cluster.after(controllerLease, func() { cluster.endLeases(previousLeases) })
 }
 
-// recover ends all faults, except that a machine that hangs continues at its own time and lowered
-// limits stay.
+// recover ends all faults, except that hung machines resume at their own time and lowered limits
+// stay.
 func (cluster *simCluster) recover() {
 	cluster.recoveryCount++
 	cluster.endOutage()
--- a/internal/core/simnetwork_test.go
+++ b/internal/core/simnetwork_test.go
@@ -10,7 +10,7 @@
 	message PeerMessage
 }
 
-// connect tells a controller that it can send to another, unless the link between them is down.
+// connect notifies a controller that it can send to another, unless the link between them is down.
 func (cluster *simCluster) connect(from, to string) {
 	if !cluster.refusedLinks[link{from, to}] {
 		cluster.send(from, PeerConnected{Node: to})
--- a/internal/core/simpartitions_test.go
+++ b/internal/core/simpartitions_test.go
@@ -20,7 +20,7 @@
 	for i := range machines {
 		cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 	}
-	cluster.ready().run(10*time.Second, nil)
+	cluster.waitUntilReady().run(10*time.Second, nil)
 	return cluster
 }
 
@@ -49,8 +49,8 @@
 // everyLink matches all links between controllers.
 func everyLink(string, string) bool { return true }
 
-// anotherNode returns a controller other than the given one.
-func (cluster *simCluster) anotherNode(node string) string {
+// anotherController returns a controller other than the given one.
+func (cluster *simCluster) anotherController(node string) string {
 	return cluster.names[(slices.Index(cluster.names, node)+1)%len(cluster.names)]
 }
 
@@ -65,7 +65,7 @@
 func (cluster *simCluster) heal() {
 	cluster.restoreLinks()
 	clear(cluster.workersReceivingNothing)
-	clear(cluster.silentWorkers)
+	clear(cluster.nonReportingWorkers)
 	clear(cluster.brokenWorkerLinks)
 	cluster.replayReports = false
 	for _, n := range cluster.names {
--- a/internal/core/simstore_test.go
+++ b/internal/core/simstore_test.go
@@ -85,8 +85,8 @@
 	cluster.send(node, snapshot)
 }
 
-// updateStoreHealth tells a controller when it has lost the store for a report interval, and when
-// it reaches it again.
+// updateStoreHealth notifies a controller when it has lost the store for a report interval, and
+// when it reaches it again.
 func (cluster *simCluster) updateStoreHealth(node string) {
 	switch since, unavailable := cluster.storeUnavailableSince[node]; {
 	case !cluster.outage && !cluster.withoutStore[node]:
@@ -228,8 +228,8 @@
 	})
 }
 
-// executeTxnLate executes a transaction after delay. Its sender is told after at most a second that
-// the outcome is unknown.
+// executeTxnLate executes a transaction after delay. Its sender is notified after at most a second
+// that the outcome is unknown.
 func (cluster *simCluster) executeTxnLate(node string, e StoreTxn, delay time.Duration) {
 	sentAt, sender := cluster.now, cluster.cores[node]
 	cluster.scheduledActions = append(cluster.scheduledActions, func() bool {
@@ -252,7 +252,7 @@
 	})
 }
 
-// checkFenced checks that a transaction would have no effect if it was executed after newer ones
+// checkFenced checks that a transaction would have no effect if it were executed after newer ones
 // of the same controller: it must have a condition on a key that it changes, so that any newer
 // change of that key makes it fail.
 func (cluster *simCluster) checkFenced(txn protocol.Txn) {
--- a/internal/core/simusers_test.go
+++ b/internal/core/simusers_test.go
@@ -13,7 +13,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// request sends a user's request to a node and runs the simulation until it is answered.
+// request sends a user's request to a controller and runs the simulation until it is answered.
 func (cluster *simCluster) request(node string, newCommand func(req uint64) Command) Answer {
 	cluster.t.Helper()
 	cluster.nextReq++
@@ -25,8 +25,8 @@
 	return cluster.answers[req]
 }
 
-// submit submits an array for the team that the job's id names. extraFields is JSON that is appended
-// to the submission and overrides its fields.
+// submit submits an array for the team that the job's ID names. extraFields is JSON that is
+// appended to the submission and overrides its fields.
 func (cluster *simCluster) submit(node, id string, tasks int, extraFields string) Answer {
 	cluster.t.Helper()
 	team := strings.TrimPrefix(id, protocol.JobPrefix)
@@ -42,13 +42,13 @@
 	"spread":false,"loaners":true,"guessS":5.0,"markEveryS":0.0,"markCostS":0.0,"dueS":60.0%s}`, id, team, tasks, extraFields)
 }
 
-// status asks a node for the state of a job.
+// status requests the state of a job from a controller.
 func (cluster *simCluster) status(node, id string) Answer {
 	cluster.t.Helper()
 	return cluster.request(node, func(req uint64) Command { return Status{Req: req, ID: id} })
 }
 
-// cancelJob cancels a job at a node and records when its user was told so.
+// cancelJob requests the cancellation of a job from a controller and records when it was confirmed.
 func (cluster *simCluster) cancelJob(node, id string) Answer {
 	cluster.t.Helper()
 	a := cluster.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
@@ -70,7 +70,7 @@
 	return s, ok
 }
 
-// recordSubmission records the specification of a submitted job, accepted or not.
+// recordSubmission records the spec of a submitted job, accepted or not.
 func (cluster *simCluster) recordSubmission(body []byte) {
 	if s, err := job.Parse(body, protocol.MaxBody); err == nil && cluster.specs[s.ID] == nil {
 		cluster.specs[s.ID] = s
@@ -95,8 +95,8 @@
 	return s
 }
 
-// serving returns a random controller that can answer users, or "".
-func (cluster *simCluster) serving() string {
+// servingController returns a random controller that can answer users, or "".
+func (cluster *simCluster) servingController() string {
 	for _, i := range cluster.rng.Perm(len(cluster.names)) {
 		if n := cluster.names[i]; cluster.cores[n] != nil && !cluster.withoutStore[n] && !cluster.frozen[n] && !cluster.outage {
 			return n
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -40,11 +40,11 @@
 		f := cluster.workers[id]
 		if f == nil || f.dead || cluster.isHung(id) {
 			if f != nil && cluster.allRestarted {
-				cluster.expireWorkerLease(f) // its tasks may run on only within its lease
+				cluster.expireWorkerLease(f) // its tasks continue to run only until its lease expires
 			}
 			continue
 		}
-		changed := cluster.checkGangPeers(f)
+		changed := cluster.exitGangTasksWithoutPeers(f)
 		for i, task := range f.Tasks {
 			end, ok := f.running[taskAttempt{task.Task, task.Attempt}]
 			if ok && task.State == protocol.Running && cluster.now >= end {
@@ -63,12 +63,12 @@
 	}
 }
 
-// report sends a worker's report to its controller and handles the answer at once.
+// report sends a worker's report to its controller and handles the answer immediately.
 func (cluster *simCluster) report(f *fakeWorker) {
 	f.nextReportAt = cluster.now + 2*time.Second
 	node := cluster.names[f.node%len(cluster.names)]
 	c := cluster.cores[node]
-	if c == nil || cluster.unreachableNodes[node] || cluster.frozen[node] || cluster.cutWorkers[f.Machine] || cluster.silentWorkers[f.Machine] || cluster.crossesZonePartition(node, f) {
+	if c == nil || cluster.unreachableNodes[node] || cluster.frozen[node] || cluster.cutWorkers[f.Machine] || cluster.nonReportingWorkers[f.Machine] || cluster.crossesZonePartition(node, f) {
 		f.node++
 		return
 	}
@@ -144,7 +144,7 @@
 	f := cluster.workers[delivery.Machine]
 	result := DeliveryResult{Machine: delivery.Machine, CommandBatch: delivery.CommandBatch}
 	if f != nil && cluster.isHung(f.Machine) && !cluster.crossesZonePartition(node, f) {
-		// Executed when the machine continues, unless its lease has expired by then.
+		// Executed when the machine resumes, unless its lease has expired by then.
 		cluster.delayDelivery(node, delivery, cluster.hungUntil[f.Machine]-cluster.now+2*cluster.tick)
 		return
 	}
@@ -272,9 +272,9 @@
 	return cluster.taskTime
 }
 
-// checkGangPeers makes gang tasks on a machine exit that have lacked a peer for too long:
+// exitGangTasksWithoutPeers makes gang tasks on a machine exit that have lacked a peer for too long:
 // gang_peer_s if the gang has been complete before, else gang_wait_s.
-func (cluster *simCluster) checkGangPeers(f *fakeWorker) (changed bool) {
+func (cluster *simCluster) exitGangTasksWithoutPeers(f *fakeWorker) (changed bool) {
 	p := cluster.cfg[cluster.names[0]].Params.Workers
 	for i, t := range f.Tasks {
 		id, _, _ := job.ParseTaskID(t.Task)
--- a/internal/core/slowlinks_test.go
+++ b/internal/core/slowlinks_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	delayed := 0
-	for range 30 { // links delay all messages for three seconds and deliver them during the next
+	for range 30 { // links delay all messages for three seconds and deliver them during the following second
 		cluster.delayLinks(everyLink)
 		cluster.run(3*time.Second, nil)
 		for _, held := range cluster.heldMessages {
--- a/internal/core/spot_test.go
+++ b/internal/core/spot_test.go
@@ -9,7 +9,7 @@
 // took until the task was started again.
 func restartDelay(t *testing.T, loseMachine func(cluster *simCluster, f *fakeWorker)) time.Duration {
 	t.Helper()
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	cluster.submit("a", "req-blue-1", 1, `,"guessS":400.0`)
 	cluster.waitUntilStarted("req-blue-1", 1)
 	cluster.run(15*time.Second, nil) // longer than the cloud's list lag
@@ -59,15 +59,16 @@
 	}
 }
 
-// TestUnlistedSilentMachineIsReturnedSooner checks that without a reclaim notice a silent machine
-// that is missing from the cloud's list is returned sooner than one that is still listed.
-func TestUnlistedSilentMachineIsReturnedSooner(t *testing.T) {
+// TestUnlistedUnresponsiveMachineIsReturnedSooner checks that without a reclaim notice an
+// unresponsive machine that is missing from the cloud's list is returned sooner than one that is
+// still listed.
+func TestUnlistedUnresponsiveMachineIsReturnedSooner(t *testing.T) {
 	hung := restartDelay(t, func(_ *simCluster, f *fakeWorker) { f.dead = true })
-	taken := restartDelay(t, func(cluster *simCluster, f *fakeWorker) {
+	reclaimed := restartDelay(t, func(cluster *simCluster, f *fakeWorker) {
 		f.dead = true
 		cluster.unlistedMachine = f.Machine
 	})
-	if taken >= hung {
-		t.Errorf("restart took %v for a reclaimed machine, want less than the %v for a hanging one", taken, hung)
+	if reclaimed >= hung {
+		t.Errorf("restart took %v for a reclaimed machine, want less than the %v for a hung one", reclaimed, hung)
 	}
 }
--- a/internal/core/staleclaims_test.go
+++ b/internal/core/staleclaims_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// newSimClusterWithUnstoredClaims has five controllers and no machines. The fleet leader holds
-// claims from the leader of team red that use up the team's limit; none of them is stored.
+// newSimClusterWithUnstoredClaims returns a simulated cluster of five controllers without machines.
+// The fleet leader holds claims from the leader of team red that use up the team's limit; none of
+// them is stored.
 func newSimClusterWithUnstoredClaims(t *testing.T) (cluster *simCluster, leader, fleetLeader string) {
 	t.Helper()
 	cluster = newIdleSimCluster(t, 10)
@@ -43,7 +44,7 @@
 	}
 	cluster.maxMachines = 20
 	if !cluster.run(2*time.Minute, cluster.allDone("req-red-1")) {
-		t.Errorf("job whose claims are void did not finish: %d machines", len(cluster.workers))
+		t.Errorf("job whose claims are void did not end: %d machines", len(cluster.workers))
 	}
 }
 
--- a/internal/core/stalereports_test.go
+++ b/internal/core/stalereports_test.go
@@ -111,9 +111,9 @@
 			cluster.expire(n)
 		},
 		"new epoch": func(cluster *simCluster, f *fakeWorker) {
-			cluster.silentWorkers[f.Machine] = true
+			cluster.nonReportingWorkers[f.Machine] = true
 			cluster.run(cluster.workerLease()*5/4, nil)
-			clear(cluster.silentWorkers)
+			clear(cluster.nonReportingWorkers)
 		},
 		"returned": func(cluster *simCluster, f *fakeWorker) { f.dead = true },
 		"leader changed": func(cluster *simCluster, _ *fakeWorker) {
@@ -136,7 +136,7 @@
 				held.Tasks = held.Tasks[:len(held.Tasks)/2] // as if some tasks had not started
 				meanwhile(cluster, f)
 				cluster.run(20*time.Second, nil)
-				if m := cluster.cores[cluster.serving()].machines.Get(f.Machine); m != nil && max(m.Seq, m.AnnouncedSeq) <= held.Seq && m.WorkerEpoch == held.WorkerEpoch {
+				if m := cluster.cores[cluster.servingController()].machines.Get(f.Machine); m != nil && max(m.Seq, m.AnnouncedSeq) <= held.Seq && m.WorkerEpoch == held.WorkerEpoch {
 					t.Fatal("no newer report is known")
 				}
 				cluster.nextReq++
--- a/internal/core/staletasks.go
+++ b/internal/core/staletasks.go
@@ -37,7 +37,7 @@
 	r.core.lookups.request(id, func(lookup.Result) { delete(r.orphanLookups, id) })
 }
 
-// forgetEndedTasks tells workers to forget exited tasks whose end is stored.
+// forgetEndedTasks commands workers to forget exited tasks whose end is stored.
 func (r *reconciler) forgetEndedTasks(j *job.Job, exits []job.Exit) {
 	for _, exit := range exits {
 		m := r.core.machines.Get(exit.Machine)
--- a/internal/core/startforwarding.go
+++ b/internal/core/startforwarding.go
@@ -25,9 +25,9 @@
 // taskAttempt returns the attempt that is to be started.
 func (s *Start) taskAttempt() taskAttempt { return taskAttempt{s.Task, s.Attempt} }
 
-// forwardStart forwards the start of a bound task to its agent, or refuses it permanently. A
-// start is decided only once: the request may arrive over a slow link long after this node has
-// started the task from the stored binding.
+// forwardStart forwards the start of a bound task to the worker of its machine, or refuses it
+// permanently. A start is decided only once: the request may arrive over a slow link long after
+// this node has started the task from the stored binding.
 func (a *agentController) forwardStart(from string, s Start) {
 	reason, decided := a.earlierDecision(&s)
 	if !decided {
@@ -150,10 +150,10 @@
 	a.startLedgers.expire(isObsolete, isKnown)
 }
 
-// isReplicaCurrent reports whether the replica shows a task's job as it is stored, or that none
-// of the job's tasks is bound any more. A user's cancellation does not show that, because the
-// tasks run until they are stopped. A job that is missing from the replica may be about to be
-// reloaded.
+// isReplicaCurrent reports whether the replica shows a task's job as it is stored, or the job is
+// known to have no bound tasks any more. A job that is missing from the replica may be about to be
+// reloaded, so it counts only if it is done or its head was deleted. A user's cancellation alone
+// is not enough, because the tasks run until they are stopped.
 func (a *agentController) isReplicaCurrent(attempt taskAttempt) bool {
 	id, _, _ := job.ParseTaskID(attempt.task)
 	j := a.core.jobs[id]
--- a/internal/core/startledger.go
+++ b/internal/core/startledger.go
@@ -28,7 +28,7 @@
 }
 
 // record stores a decision, unless its token is superseded. A refusal is final even if the
-// agent returns under the same token.
+// worker reports here again under the same token.
 func (l *startLedgers) record(s *Start, refused bool, now time.Duration) {
 	ledger := l.byMachine[s.Machine]
 	if ledger == nil || s.Token > ledger.token {
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -5,8 +5,8 @@
 )
 
 // After a binding is stored, the leader of the job asks the controller of the machine exactly once
-// to start the task. That controller either forwards the start to the machine's agent or refuses it
-// permanently.
+// to start the task. That controller either forwards the start to the machine's worker or refuses
+// it permanently.
 
 // sendStarts sends the starts of a job's stored bindings. The tasks of a gang start together, once
 // all their bindings are stored.
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -9,9 +9,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// A worker refuses a start that the network delays until the task has been started elsewhere.
-func TestDelayedStartIsRefusedAfterTaskStartedElsewhere(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+// A worker rejects a start that the network delays until the task has been started elsewhere.
+func TestDelayedStartIsRejectedAfterTaskStartedElsewhere(t *testing.T) {
+	cluster := newSimCluster(t).waitUntilReady()
 	cluster.loseDeliveries = true
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 2, ""))
 	if !cluster.run(time.Minute, func() bool {
@@ -38,7 +38,7 @@
 
 // Machines that stop reporting are returned, and their tasks run on other machines.
 func TestDeadMachineIsReturnedAndItsTasksRunElsewhere(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 6, ""))
 	cluster.waitUntilStarted("req-blue-1", 3)
 	for _, f := range cluster.workers {
@@ -51,7 +51,7 @@
 
 // Starts are refused from an unanswered delivery until the worker's next report.
 func TestStartsAreRefusedWhileWorkerIsUnresponsive(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	c := cluster.cores["a"]
 	for range nodeNames {
 		cluster.addWorker("z1", false)
@@ -74,8 +74,8 @@
 }
 
 // A start that arrives after the token of its machine was raised, or after its epoch has ended, is
-// refused: a report has already proven the task absent, so it may run elsewhere. The worker would not
-// refuse the start, because queued starts are delivered under the current epoch.
+// refused: a report has already proven the task absent, so it may run elsewhere. The worker would
+// not reject the start, because queued starts are delivered under the current epoch.
 func TestStartUnderAnotherTokenOrEpochIsRefused(t *testing.T) {
 	for name, s := range map[string]Start{
 		"as it is":                    {Token: 5, Epoch: 2},
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -18,8 +18,8 @@
 	// Staleness is the maximum age of a confirmed cancellation that this controller may not
 	// know of.
 	Staleness time.Duration
-	// Pending counts the pending tasks of the teams that this controller leads, Planned those
-	// of all teams in this controller's plan, which should be the same on all controllers.
+	// Pending counts the pending tasks of the teams that this controller leads. Planned counts
+	// those of all teams in this controller's plan, which should be the same on all controllers.
 	Pending, Planned PendingTasks
 	// UnstoredClaims is the number of bindings that other controllers have announced and that
 	// the store does not show yet.
@@ -56,8 +56,8 @@
 // reportIntervalsPerStatistics is the interval at which statistics are logged, in report intervals.
 const reportIntervalsPerStatistics = 15
 
-// logStatistics logs the job statistics. Only the fleet leader does so, since its replica holds the
-// jobs of all teams.
+// logStatistics logs the job statistics. Only the fleet leader does so: the replica of every
+// controller holds the jobs of all teams, so one controller is enough.
 func (c *Core) logStatistics() {
 	report := c.statisticsReport()
 	c.log(Info, "pending tasks",
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// stopOrForgetTask tells the worker to forget a task that has exited, or to stop one that has not.
+// stopOrForgetTask commands the worker to forget a task that has exited, or to stop one that has
+// not.
 func (r *reconciler) stopOrForgetTask(m *worker.Machine, t protocol.TaskReport) {
 	command := stopCommand(t.Task, t.Attempt, 0)
 	if t.State == protocol.Exited {
--- a/internal/core/storerefusal_test.go
+++ b/internal/core/storerefusal_test.go
@@ -12,14 +12,14 @@
 // controller then confirms a cancellation, and finally the store is down for all.
 type storeRefusal struct {
 	// links names the link faults that begin with the refusal, see linkFaults. Unless cloud is
-	// "well", the cloud refuses to take machines back.
+	// "healthy", the cloud refuses to release machines.
 	links, cloud string
 	// outageDelay is the time from the refusal to the outage.
 	outageDelay time.Duration
 	// cancelAtRefusal makes the user cancel at the time of the refusal instead of right before the
 	// outage.
 	cancelAtRefusal bool
-	// fleetLeader makes the store refuse the leader of the fleet instead of the leader of the team.
+	// fleetLeader makes the store refuse the fleet leader instead of the leader of the team.
 	fleetLeader bool
 	// machines is the number of machines; tasks and extraFields describe the job, which by default
 	// fills them.
@@ -39,7 +39,7 @@
 
 // linkFaults inject faults into the links of the controller that the store refuses.
 var linkFaults = map[string]func(cluster *simCluster, refusedNode string){
-	"well": func(*simCluster, string) {},
+	"healthy": func(*simCluster, string) {},
 	"inbound refused": func(cluster *simCluster, refusedNode string) {
 		cluster.disconnectLinks(func(_, t string) bool { return t == refusedNode })
 	},
@@ -53,10 +53,10 @@
 		cluster.disconnectLinks(func(f, t string) bool { return f == refusedNode || t == refusedNode })
 	},
 	// Controller e still reaches the refused controller and can relay messages to it.
-	"to it over a third": func(cluster *simCluster, refusedNode string) {
+	"inbound through a third controller": func(cluster *simCluster, refusedNode string) {
 		cluster.disconnectLinks(func(f, t string) bool { return t == refusedNode && f != "e" })
 	},
-	"gone": func(cluster *simCluster, _ string) { cluster.disconnectLinks(everyLink) },
+	"all refused": func(cluster *simCluster, _ string) { cluster.disconnectLinks(everyLink) },
 }
 
 // cancelledJobID is the ID of the job that the scenarios cancel.
@@ -103,7 +103,7 @@
 		refusedNode = cluster.cores["b"].fleet.leader
 	}
 	linkFaults[d.links](cluster, refusedNode)
-	cluster.cloudDegraded = d.cloud != "well"
+	cluster.cloudDegraded = d.cloud != "healthy"
 	cluster.refuseStoreTo(refusedNode)
 	if d.refused != nil {
 		d.refused(cluster)
@@ -123,7 +123,7 @@
 // returnCounts counts the machines that are returned because cancelled tasks do not end.
 type returnCounts struct {
 	// returned counts the returns of machines that still exist; released counts the releases by
-	// controllers other than the fleet's leader, by controller and machine.
+	// controllers other than the fleet leader, by controller and machine.
 	returned int
 	released map[string]int
 }
@@ -144,8 +144,8 @@
 	return counts
 }
 
-// check fails the test if a controller has released a machine twice, or, with mustKeepMachines, if
-// any machine was returned.
+// check fails the test if a controller has released a machine twice, or, with
+// mustKeepMachines, if any machine was returned.
 func (r *returnCounts) check(t *testing.T, mustKeepMachines bool) {
 	t.Helper()
 	if mustKeepMachines && r.returned > 0 {
@@ -178,16 +178,16 @@
 // (docs/cancel.md).
 func TestConfirmedCancellationHoldsThroughStoreOutage(t *testing.T) {
 	for links := range linkFaults {
-		for _, cloud := range []string{"well", "refusing"} {
+		for _, cloud := range []string{"healthy", "refusing"} {
 			for _, leases := range []float64{0, 0.1, 1, 3} {
 				for _, cancelAtRefusal := range []bool{true, false} {
-					t.Run(fmt.Sprintf("links %s, cloud %s, outage after %v leases, cancelled at the refusal %v", links, cloud, leases, cancelAtRefusal), func(t *testing.T) {
+					t.Run(fmt.Sprintf("links %s, cloud %s, outage after %v controller leases, cancelled at the refusal %v", links, cloud, leases, cancelAtRefusal), func(t *testing.T) {
 						t.Parallel()
 						d := storeRefusal{links: links, cloud: cloud, outageDelay: time.Duration(leases * float64(controllerLease)), cancelAtRefusal: cancelAtRefusal}
 						switch links {
-						case "well":
+						case "healthy":
 							d.stoppedWithin, d.mustKeepMachines = reportIntervals(1), true
-						case "to it over a third":
+						case "inbound through a third controller":
 							d.stoppedWithin, d.mustKeepMachines = reportIntervals(3), true
 						}
 						d.run(t)
@@ -215,7 +215,8 @@
 			cluster.run(100*time.Millisecond, nil)
 			cluster.boot(confirmingNode)
 		}},
-		// Its last messages are lost, and no other controller's watch has delivered the cancellation.
+		// Its last messages are lost, and no other controller's watch has delivered the
+		// cancellation.
 		"the confirming controller crashes immediately": {
 			refused: func(cluster *simCluster) {
 				cluster.watchLag, cluster.latency = 3*time.Second, true
@@ -312,12 +313,12 @@
 		"service":                 {extraFields: `,"shape":"service","guessS":0.0,"dueS":null`},
 		"array of several chunks": {machines: 70},
 	} {
-		for _, links := range []string{"well", "gone"} {
+		for _, links := range []string{"healthy", "all refused"} {
 			t.Run(name+", links "+links, func(t *testing.T) {
 				t.Parallel()
 				d := d
-				d.links, d.cloud, d.cancelAtRefusal = links, "well", true
-				if links == "gone" {
+				d.links, d.cloud, d.cancelAtRefusal = links, "healthy", true
+				if links == "all refused" {
 					d.stoppedWithin, d.mustKeepMachines = 0, false
 				}
 				if d.outageDelay == 0 {
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -21,7 +21,7 @@
 type storeRelay struct {
 	*environment
 	core *Core
-	// nextPublish is when the pages are next compared with the store, nextStartCheck when
+	// nextPublish is when the pages are next compared with the store. nextStartCheck is when the
 	// bindings of unreachable leaders are next checked.
 	nextPublish, nextStartCheck time.Duration
 	publication                 relay.Publication
--- a/internal/core/storerelay_test.go
+++ b/internal/core/storerelay_test.go
@@ -10,8 +10,8 @@
 )
 
 // The page with the heartbeat leaves room in a transaction for the pages that list machines,
-// whatever the limit on value sizes. Otherwise machines would be returned as silent while
-// controllers have no connections (docs/incidents/pages.md).
+// whatever the limit on value sizes. Otherwise machines would be returned because no reports of
+// them seem to arrive while controllers have no connections (docs/incidents/pages.md).
 func TestNoMachineIsReturnedWithoutLinksAtAnyValueLimit(t *testing.T) {
 	for _, kb := range []float64{4, 16, 32, 64} {
 		t.Run(fmt.Sprint(kb), func(t *testing.T) {
@@ -24,7 +24,7 @@
 			for i := range cluster.maxMachines {
 				cluster.addWorker(fmt.Sprintf("z%d", 1+i%2), false)
 			}
-			cluster.ready().run(10*time.Second, nil)
+			cluster.waitUntilReady().run(10*time.Second, nil)
 			cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
 			requireAccepted(t, cluster.submit("a", "req-free-1", 60, ""))
 			cluster.waitUntilStarted("req-free-1", 60)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestRepeatedSubmissionReturnsCurrentState(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
 	if s := requireJobState(t, cluster.submit("b", "req-blue-1", 1, "")); s.State == protocol.Done {
 		t.Errorf("repeated submission before the end: got state %+v, want not done", s)
@@ -47,7 +47,7 @@
 		cluster.expire(n)
 		cluster.boot(n)
 	}
-	cluster.ready()
+	cluster.waitUntilReady()
 	if s := requireJobState(t, cluster.submit("c", "req-blue-1", 1, "")); s.State != protocol.Done {
 		t.Errorf("repeated submission after the end: got state %+v, want done", s)
 	}
@@ -68,7 +68,7 @@
 		for _, state := range []string{protocol.Queued, protocol.Running, protocol.Done, protocol.Cancelled, "not answered"} {
 			t.Run(name+", "+state, func(t *testing.T) {
 				t.Parallel()
-				cluster := newSimCluster(t).ready()
+				cluster := newSimCluster(t).waitUntilReady()
 				if state == protocol.Running {
 					cluster.taskTime = time.Hour
 				}
@@ -107,7 +107,7 @@
 
 // A malformed submission of a job that does not exist is answered 400, and no job is accepted.
 func TestMalformedSubmissionsAreRejected(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	valid := submission("req-blue-1", "blue", 2, "")
 	bodies := map[string]string{"truncated": valid[:len(valid)/2], "empty": "", "null": "null", "a list": "[" + valid + "]", "no ID": `{"crew":"blue"}`,
 		"numeric ID": `{"uid":7}`, "invalid ID": submission("req-../1", "blue", 2, ""), "null machine type": submission("req-blue-1", "blue", 2, `,"builds":[null]`),
@@ -148,7 +148,7 @@
 	cluster := newSimCluster(t)
 	cluster.types = append(cluster.types, protocol.MachineType{Name: "local", CPUs: 4, MemoryGB: 16, Price: 3, SpotPrice: 2, Zones: []string{"z1"}},
 		protocol.MachineType{Name: "nowhere", CPUs: 64, MemoryGB: 16, Price: 3, SpotPrice: 2})
-	cluster.ready()
+	cluster.waitUntilReady()
 	for name, body := range map[string]string{
 		"unknown team":                      submission("req-x-1", "nobody", 1, ""),
 		"task too large":                    submission("req-x-2", "blue", 1, `,"vcpus":64.0`),
@@ -176,7 +176,7 @@
 func TestJobsThatOnlyHaveToWaitAreAccepted(t *testing.T) {
 	cluster := newSimCluster(t)
 	cluster.types = append(cluster.types, protocol.MachineType{Name: "local", CPUs: 4, MemoryGB: 16, Price: 3, SpotPrice: 2, Zones: []string{"z1"}})
-	cluster.ready()
+	cluster.waitUntilReady()
 	jobs := map[string]string{
 		"req-blue-1": `,"samePlace":true,"spread":true`,
 		"req-blue-2": `,"yard":"z2","spread":true`,
@@ -186,8 +186,8 @@
 		"req-blue-6": `,"shape":"group","pieces":1,"samePlace":true,"spread":true`,
 		"req-blue-7": `,"loaners":false,"samePlace":true`,
 	}
-	for id, more := range ordered(jobs) {
-		requireAccepted(t, cluster.submit("a", id, 5, more))
+	for id, extraFields := range ordered(jobs) {
+		requireAccepted(t, cluster.submit("a", id, 5, extraFields))
 	}
 	if !cluster.run(5*time.Minute, cluster.allDone(slices.Sorted(maps.Keys(jobs))...)) {
 		for id := range ordered(jobs) {
@@ -207,7 +207,7 @@
 }
 
 func TestUnknownJobIsNotFoundOnlyAfterStoreRead(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	if a := cluster.status("a", "req-nobody"); a.Status != http.StatusNotFound {
 		t.Errorf("got status %d, want 404", a.Status)
 	}
@@ -217,19 +217,19 @@
 	}
 }
 
-func TestNodeWithoutStoreIsUnhealthyUnlessOthersLackItToo(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+func TestControllerWithoutStoreIsUnhealthyUnlessOthersLackItToo(t *testing.T) {
+	cluster := newSimCluster(t).waitUntilReady()
 	health := func() int {
 		return cluster.request("a", func(req uint64) Command { return Health{Req: req} }).Status
 	}
 	cluster.send("a", StoreHealth{OK: false})
 	cluster.run(time.Second, nil)
 	if got := health(); got != http.StatusServiceUnavailable {
-		t.Errorf("store unavailable to one node: got status %d, want 503", got)
+		t.Errorf("store unavailable to one controller: got status %d, want 503", got)
 	}
 	cluster.send("b", StoreHealth{OK: false})
 	cluster.run(2*time.Second, nil)
 	if got := health(); got != http.StatusOK {
-		t.Errorf("store unavailable to several nodes: got status %d, want 200", got)
+		t.Errorf("store unavailable to several controllers: got status %d, want 200", got)
 	}
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -121,8 +121,8 @@
 		"awaits", spec.Dependencies)
 }
 
-// broadcastAccepted announces an accepted job to every controller at once instead of leaving it to
-// their watches: the team's leader starts it, and any other may receive a submission that
+// broadcastAccepted announces an accepted job to every controller immediately instead of leaving it
+// to their watches: the team's leader starts it, and any other may receive a submission that
 // depends on it a moment later.
 func (c *Core) broadcastAccepted(item protocol.KeyValue) {
 	c.onPut(item)
--- a/internal/core/submitdependencies.go
+++ b/internal/core/submitdependencies.go
@@ -29,7 +29,7 @@
 	case spec.DependencyBytes() > c.limits.maxDependencyBytes():
 		c.rejectSubmission(req, spec.ID, errTooManyDependencies)
 	case !c.upgrade.complete():
-		c.replyUnavailable(req) // a leader of the previous version would start the job at once
+		c.replyUnavailable(req) // a leader of an earlier version would ignore the dependencies
 	default:
 		check := &dependencyCheck{core: c, req: req, team: t, spec: spec, unresolved: len(spec.Dependencies)}
 		for _, id := range slices.Clone(spec.Dependencies) {
@@ -55,7 +55,7 @@
 // lookUp looks up one dependency. A job that the replica holds is known to have been accepted;
 // for any other the store has to be asked.
 func (d *dependencyCheck) lookUp(id string) {
-	if upstream := d.core.jobs[id]; upstream != nil && upstream.Kind == job.Service {
+	if dependency := d.core.jobs[id]; dependency != nil && dependency.Kind == job.Service {
 		d.rejected = errServiceDependency
 	}
 	d.core.lookups.requestAcceptance(id, func(result lookup.Result) {
--- a/internal/core/submitdependencies_test.go
+++ b/internal/core/submitdependencies_test.go
@@ -11,8 +11,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// awaiting returns the JSON field of a submission that lists its dependencies.
-func awaiting(ids ...string) string { return `,"awaits":["` + strings.Join(ids, `","`) + `"]` }
+// dependenciesField returns the JSON field of a submission that lists its dependencies.
+func dependenciesField(ids ...string) string { return `,"awaits":["` + strings.Join(ids, `","`) + `"]` }
 
 // Submissions with dependencies are answered as documented (docs/dependencies.md).
 func TestDependentSubmissionIsAnswered(t *testing.T) {
@@ -31,29 +31,29 @@
 		names[i] = fmt.Sprintf("req-free-%d", i)
 	}
 	for i, c := range []struct {
-		what, more string
-		status     int
+		what, extraFields string
+		status            int
 	}{
 		{"null", `,"awaits":null`, http.StatusCreated},
 		{"empty list", `,"awaits":[]`, http.StatusCreated},
 		{"not a list", `,"awaits":"req-free-run"`, http.StatusBadRequest},
-		{"malformed ID", awaiting("run"), http.StatusBadRequest},
+		{"malformed ID", dependenciesField("run"), http.StatusBadRequest},
 		{"number", `,"awaits":[4]`, http.StatusBadRequest},
-		{"running job", awaiting("req-free-run"), http.StatusCreated},
-		{"duplicate", awaiting("req-free-run", "req-free-run"), http.StatusCreated},
-		{"finished job", awaiting("req-free-end"), http.StatusCreated},
-		{"cancelled job", awaiting("req-free-off"), http.StatusCreated},
-		{"unknown job", awaiting("req-free-run", "req-free-none"), http.StatusUnprocessableEntity},
-		{"service", awaiting("req-free-svc"), http.StatusUnprocessableEntity},
-		{"the job itself", awaiting("req-blue-11"), http.StatusUnprocessableEntity},
-		{"too many jobs", awaiting(names...), http.StatusBadRequest},
+		{"running job", dependenciesField("req-free-run"), http.StatusCreated},
+		{"duplicate", dependenciesField("req-free-run", "req-free-run"), http.StatusCreated},
+		{"job that is done", dependenciesField("req-free-end"), http.StatusCreated},
+		{"cancelled job", dependenciesField("req-free-off"), http.StatusCreated},
+		{"unknown job", dependenciesField("req-free-run", "req-free-none"), http.StatusUnprocessableEntity},
+		{"service", dependenciesField("req-free-svc"), http.StatusUnprocessableEntity},
+		{"the job itself", dependenciesField("req-blue-11"), http.StatusUnprocessableEntity},
+		{"too many jobs", dependenciesField(names...), http.StatusBadRequest},
 	} {
 		node := cluster.names[i%len(cluster.names)]
-		if a := cluster.submit(node, fmt.Sprintf("req-blue-%d", i), 1, c.more); a.Status != c.status {
+		if a := cluster.submit(node, fmt.Sprintf("req-blue-%d", i), 1, c.extraFields); a.Status != c.status {
 			t.Errorf("%s: got status %d, body %v, want status %d", c.what, a.Status, a.Body, c.status)
 		}
 	}
-	if a := cluster.submit("b", "req-blue-5", 1, awaiting("req-free-none")); a.Status != http.StatusOK {
+	if a := cluster.submit("b", "req-blue-5", 1, dependenciesField("req-free-none")); a.Status != http.StatusOK {
 		t.Errorf("repeated submission with an unknown dependency: got status %d, want 200", a.Status)
 	}
 	cluster.run(5*time.Second, nil)
@@ -74,9 +74,9 @@
 func TestDependenciesAreAcceptedOnceAllControllersAreUpgraded(t *testing.T) {
 	cluster := newSimCluster(t)
 	cluster.notUpgraded["c"] = true
-	cluster.ready().run(5*time.Second, nil)
+	cluster.waitUntilReady().run(5*time.Second, nil)
 	requireAccepted(t, cluster.submit("a", "req-free-1", 1, ""))
-	if a := cluster.submit("a", "req-free-2", 1, awaiting("req-free-1")); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
+	if a := cluster.submit("a", "req-free-2", 1, dependenciesField("req-free-1")); a.Status != http.StatusServiceUnavailable || a.RetryAfter == 0 {
 		t.Errorf("got status %d while one controller runs the previous version, want 503", a.Status)
 	}
 	cluster.crash("c")
@@ -84,12 +84,12 @@
 	delete(cluster.notUpgraded, "c")
 	cluster.boot("c")
 	cluster.run(10*time.Second, nil)
-	requireAccepted(t, cluster.submit("a", "req-free-2", 1, awaiting("req-free-1")))
+	requireAccepted(t, cluster.submit("a", "req-free-2", 1, dependenciesField("req-free-1")))
 	// The versions are stored permanently: the controllers do not have to be live.
 	cluster.crash("b")
 	cluster.expire("b")
 	cluster.run(5*time.Second, nil)
-	requireAccepted(t, cluster.submit("a", "req-free-3", 1, awaiting("req-free-2")))
+	requireAccepted(t, cluster.submit("a", "req-free-3", 1, dependenciesField("req-free-2")))
 	if !cluster.run(2*time.Minute, cluster.allDone("req-free-3")) {
 		t.Error("the chain did not end")
 	}
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -6,9 +6,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// fencingTokens holds this node's fencing token and the requests that wait for a newer one.
-// Tokens come from a counter in the store. A worker obeys only commands under the highest token
-// that it has seen, so raising an agent's token voids all starts under lower ones.
+// fencingTokens holds this node's fencing token and the requests that wait for a newer one. Tokens
+// come from a counter in the store. A worker obeys only commands under the highest token that it
+// has seen, so raising a worker's token voids all starts under lower ones.
 type fencingTokens struct {
 	// current is the newest token of this node, or 0 before the first.
 	current uint64
@@ -16,10 +16,10 @@
 	acquired map[uint64]bool
 	// acquiring is set while a token is being taken from the counter.
 	acquiring bool
-	// waitingHeartbeats holds the heartbeats of agents that have seen a newer token than the
+	// waitingHeartbeats holds the reports of workers that have seen a newer token than the
 	// current one.
 	waitingHeartbeats []Heartbeat
-	// pendingRaises maps machines to the token above which their agent's token has to be
+	// pendingRaises maps machines to the token above which their worker's token has to be
 	// raised.
 	pendingRaises map[string]uint64
 }
@@ -28,7 +28,7 @@
 	return fencingTokens{acquired: map[uint64]bool{}, pendingRaises: map[string]uint64{}}
 }
 
-// takeWaitingHeartbeats removes and returns the heartbeats that wait for a newer token.
+// takeWaitingHeartbeats removes and returns the reports that wait for a newer token.
 func (t *fencingTokens) takeWaitingHeartbeats() []Heartbeat {
 	waiting := t.waitingHeartbeats
 	t.waitingHeartbeats = nil
@@ -36,7 +36,7 @@
 }
 
 // acquireToken takes the next token from the counter in the store with a conditional write. All
-// agents that wait for a newer token share it.
+// workers that wait for a newer token share it.
 func (a *agentController) acquireToken() {
 	if a.tokens.acquiring {
 		return
@@ -72,7 +72,7 @@
 		case OutcomeApplied:
 			a.tokenAcquired(token)
 		case OutcomeConflict, OutcomeUnknown:
-			// Another node may hold this token, so try the next one.
+			// Another controller may hold this token, so try the next one.
 			a.acquireToken()
 		default:
 			a.tokenUnavailable()
@@ -80,7 +80,7 @@
 	})
 }
 
-// tokenUnavailable refuses the waiting heartbeats, so that their agents turn to other
+// tokenUnavailable refuses the waiting reports, so that their workers switch to other
 // controllers.
 func (a *agentController) tokenUnavailable() {
 	a.tokens.acquiring = false
@@ -89,7 +89,7 @@
 	}
 }
 
-// tokenAcquired makes a token the current one, and applies it to all agents that wait for it.
+// tokenAcquired makes a token the current one, and applies it to all workers that wait for it.
 func (a *agentController) tokenAcquired(token uint64) {
 	a.tokens.current = token
 	a.tokens.acquired[token] = true
@@ -106,7 +106,7 @@
 	}
 }
 
-// raiseToken moves an agent to the current token and delivers that token at once.
+// raiseToken moves a worker to the current token and delivers that token immediately.
 func (a *agentController) raiseToken(machine string, session *agentSession) {
 	session.setToken(a.tokens.current)
 	session.probeDue = true
@@ -117,7 +117,7 @@
 	a.deliverTo(machine, session)
 }
 
-// fence raises an agent's token above one under which the outcome of a start is unknown.
+// fence raises a worker's token above one under which the outcome of a start is unknown.
 func (a *agentController) fence(f Fence) {
 	session := a.session(f.Machine)
 	if session == nil || session.token > f.Above {
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -10,7 +10,7 @@
 // same number next. It must not be used.
 func TestTokenOfAnUnansweredWriteIsNotUsed(t *testing.T) {
 	for _, delay := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		cluster := newSimClusterOf(t, fiveNodes).ready()
+		cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
 		writes := 0
 		cluster.lateWrite = func(_ string, e StoreTxn) time.Duration {
 			if e.Txn.Then[0].Put != keyToken {
@@ -38,7 +38,7 @@
 
 // An unanswered probe leaves no start with an unknown outcome, so it needs no newer token.
 func TestHungMachineCostsOneTokenNotOnePerProbe(t *testing.T) {
-	cluster := newSimCluster(t).ready()
+	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 2, ""))
 	if !cluster.run(time.Minute, cluster.allDone("req-blue-1")) {
 		t.Fatal("job did not end")
--- a/internal/core/unreachablemachines_test.go
+++ b/internal/core/unreachablemachines_test.go
@@ -10,8 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// A machine whose reports arrive while it cannot be reached gets no tasks, since they would be
-// lost when its lease ends (docs/fault-handling.md).
+// A machine whose reports arrive while it cannot be reached gets no tasks, since they would be lost
+// when its lease expires (docs/fault-handling.md).
 func TestUnreachableMachineGetsNoTasksUntilReachable(t *testing.T) {
 	cluster, _ := newLoadedSimCluster(t, 10, "req-free-first")
 	cluster.cloudDegraded, cluster.taskTime = true, 5*time.Second
--- a/internal/core/unschedulable_test.go
+++ b/internal/core/unschedulable_test.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// TestUnschedulableSetCovers checks which jobs are considered unplaceable because another job
-// could not be placed.
+// TestUnschedulableSetCovers checks which jobs are considered impossible to place because another
+// job could not be placed.
 func TestUnschedulableSetCovers(t *testing.T) {
 	base := job.Spec{Need: job.Resources{CPUs: 2, MemoryGB: 4}, Spot: true, EstimateS: 10}
 	var s unschedulableSet
--- a/internal/core/unseenends_test.go
+++ b/internal/core/unseenends_test.go
@@ -37,7 +37,7 @@
 				Price: 3, SpotPrice: 1.2, BootS: 5, Zones: []string{"z1", "z2"}})
 			cluster.run(time.Minute, func() bool { return cluster.cores[fleetLeader].catalog.Capacity("large").CPUs > 0 })
 			requireAccepted(t, cluster.submit("a", "req-red-1", 1, ""))
-			requireAccepted(t, cluster.submit("a", "req-red-2", 2, awaiting("req-red-1")+`,"builds":["large"]`))
+			requireAccepted(t, cluster.submit("a", "req-red-2", 2, dependenciesField("req-red-1")+`,"builds":["large"]`))
 			cluster.waitUntilStarted("req-red-1", 1)
 			missEnd(cluster, fleetLeader, func() {
 				if !cluster.run(time.Minute, cluster.allDone("req-red-1")) {
@@ -59,22 +59,22 @@
 	}
 }
 
-// Guards against a controller that reloads the stored state and then looks up the dependencies of
-// all teams in one burst, which delays the answers to users.
+// Guards against delayed answers to users: a controller that has reloaded the stored state must not
+// look up the dependencies of all teams in one burst.
 func TestMissedEndsOfOtherTeamsAreLookedUpWithinRateLimit(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.taskTime = 10 * time.Minute
 	requireAccepted(t, cluster.submit("a", "req-red-long", 1, ""))
 	cluster.waitUntilStarted("req-red-long", 1)
 	cluster.taskTime = time.Second
-	node := cluster.anotherNode(cluster.leaderOf("red"))
+	node := cluster.anotherController(cluster.leaderOf("red"))
 	cluster.blockedWatcher = node
 	dependencyIDs := []string{"req-red-long"}
 	for n := range 24 {
 		dependencyIDs = append(dependencyIDs, fmt.Sprintf("req-red-%d", n))
 		requireAccepted(t, cluster.submit("a", dependencyIDs[n+1], 1, ""))
 	}
-	requireAccepted(t, cluster.submit("a", "req-red-last", 1, awaiting(dependencyIDs...)))
+	requireAccepted(t, cluster.submit("a", "req-red-last", 1, dependenciesField(dependencyIDs...)))
 	if !cluster.run(time.Minute, cluster.allDone(dependencyIDs[1:]...)) {
 		t.Fatal("the dependencies did not end")
 	}
--- a/internal/core/unseenstatistics_test.go
+++ b/internal/core/unseenstatistics_test.go
@@ -12,9 +12,9 @@
 	cluster.allowRacingStarts, cluster.taskTime = true, 20*time.Second
 	requireAccepted(t, cluster.submit("a", "req-red-1", 1, ""))
 	cluster.waitUntilStarted("req-red-1", 1)
-	requireAccepted(t, cluster.submit("a", "req-free-1", 1, awaiting("req-red-1")))
+	requireAccepted(t, cluster.submit("a", "req-free-1", 1, dependenciesField("req-red-1")))
 	cluster.run(time.Second, nil)
-	node := cluster.anotherNode(cluster.leaderOf("free"))
+	node := cluster.anotherController(cluster.leaderOf("free"))
 	cluster.blockedWatcher = node
 	cluster.disconnectLinks(func(from, to string) bool { return from == node || to == node })
 	if !cluster.run(2*time.Minute, cluster.allDone("req-free-1")) {
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -12,12 +12,13 @@
 // end.
 const reasonTaskNotStopped = "cancelled task does not end"
 
-// returnUnstopped returns a machine to the cloud on which a task of a cancelled job does not end in
-// time. It asks the fleet leader, directly or by a cordon, and releases the machine itself
-// while the fleet may have no leader.
+// returnUnstopped returns to the cloud a machine on which a task of a cancelled job does not end in
+// time. It asks the fleet leader, directly or by a cordon, and releases the machine itself while
+// the fleet may have no leader.
 //
 // The age of the user's request only counts for the machines that this node is responsible for:
-// a node that has just learned of the cancellation may have outdated information on the others.
+// a controller that has just learned of the cancellation may have outdated information on the
+// others.
 func (r *machineReturns) returnUnstopped(j *job.Job, machine string) {
 	unaware := r.core.announcements.controllerMayBeUnaware(j.ID, machine)
 	timeout := r.times.cancelDeadline() / 2
@@ -58,9 +59,9 @@
 
 // isResponsibleFor reports whether this node is responsible for returning a machine because of a
 // task of a cancelled job. The controller that serves the machine is, since it sees which tasks
-// remain there. The job's leader is too if it is in contact with that controller, or if no live
-// controller serves the machine. It leaves alone the machines of a live controller that it has no
-// contact with: their tasks may have ended long ago.
+// remain there. The job's leader is responsible too if it is in contact with that controller, or
+// if no live controller serves the machine. It does not act on the machines of a live controller
+// that it has no contact with: their tasks may have ended long ago.
 func (r *machineReturns) isResponsibleFor(j *job.Job, machine string) bool {
 	m := r.core.machines.Get(machine)
 	if m == nil {
@@ -73,17 +74,18 @@
 	return r.core.leads(j) && (r.core.peerReachability.hasContact(m.Node) || !live)
 }
 
-// fleetLeaderUnavailable reports whether the fleet may have no leader and a cordon for its next
-// leader may not be stored. Every controller that knows of a cancellation then releases machines
-// itself. To the other controllers this looks as if the cloud had reclaimed the machines without
-// notice; the fleet leader detects it from the inventory.
+// fleetLeaderUnavailable reports whether the replica shows no fleet leader or the store does not
+// answer this node. Without the store the leader may have lost its leadership, and a cordon may not
+// be stored. In both cases every controller that knows of a cancellation releases machines itself.
+// To the other controllers this looks as if the cloud had reclaimed the machines without notice;
+// the fleet leader detects it from the inventory.
 func (r *machineReturns) fleetLeaderUnavailable() bool {
 	return !r.core.storeOK || r.core.fleet.leader == ""
 }
 
-// releaseDelay staggers the controllers, so that they do not all release the same machine at once:
-// the cloud accepts few requests. The delays are spread over a sixteenth of the cancellation
-// deadline.
+// releaseDelay staggers the controllers, so that they do not all release the same machine
+// simultaneously: the cloud accepts few requests. The delays are spread over a sixteenth of the
+// cancellation deadline.
 func (r *machineReturns) releaseDelay() time.Duration {
 	position := r.core.members.position()
 	return r.times.cancelDeadline() / 16 * time.Duration(position) / time.Duration(r.core.members.size())
@@ -91,7 +93,7 @@
 
 // releaseWithoutLeader queues the release of a machine without asking the fleet leader.
 func (r *machineReturns) releaseWithoutLeader(machine string) {
-	if !dueAgain(r.releasedAt, machine, r.now.Steady, r.reportInterval()) {
+	if !recordIfDue(r.releasedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
 	r.log(Info, "machine released without the fleet leader", "machine", machine, "reason", reasonTaskNotStopped)
@@ -107,10 +109,10 @@
 }
 
 // request asks the fleet leader to return a machine with everything that runs on it. If the leader
-// cannot be reached, a cordon in the store informs it, but only of a cancelled task. Any
-// controller may write a cordon, since it costs no more than the machine.
+// cannot be reached, a cordon in the store replaces the request, except for an unknown machine. Any
+// controller may write a cordon: the most that an unnecessary one can cost is the machine.
 func (r *machineReturns) request(machine, reason string) {
-	if !dueAgain(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
+	if !recordIfDue(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
 	}
 	if r.core.fleet.leader != "" && r.core.peerReachability.receivesMessagesFrom(r.core.fleet.leader) {
--- a/internal/core/worker/machine.go
+++ b/internal/core/worker/machine.go
@@ -17,18 +17,21 @@
 	// GrantedToken is the fencing token that the controller has issued to the machine. The token
 	// in the report is the highest one that the worker had seen when it made the report.
 	GrantedToken uint64
-	// AnnouncedSeq is the highest sequence number that the controller has announced, of reports
-	// that contained no changes and so were not forwarded to the other controllers.
+	// AnnouncedSeq is the highest sequence number that the controller has announced in a heartbeat.
+	// It covers reports without changes, which are not forwarded to the other controllers.
 	AnnouncedSeq uint64
-	// LastContact is when the machine was last heard from: by a report or a reply to a direct call.
+	// LastContact is when a report or a reply to a delivery of the machine was last received, by any
+	// controller.
 	LastContact time.Duration
-	// LastReport is when the latest report was received.
+	// LastReport is the same without replies to deliveries.
 	LastReport time.Duration
-	// ReclaimAt is when the cloud reclaims the machine; zero without a termination notice.
+	// ReclaimAt is when the cloud reclaims the machine. It is 0 without a reclaim notice.
 	ReclaimAt time.Duration
-	// IdleSince is when the machine was last known to have work.
+	// IdleSince is the start of the current idle time: when a task was last known to use the
+	// machine, or when the machine was added.
 	IdleSince time.Duration
-	// LastRefusedAt is when the machine last rejected a start for lack of resources.
+	// LastRefusedAt is when a start on the machine was last rejected by its worker or refused by its
+	// controller.
 	LastRefusedAt time.Duration
 	// ExitedTasks is the number of exited tasks in the latest report.
 	ExitedTasks int
@@ -40,7 +43,7 @@
 	failures map[string]int
 	// runningSince is when each task of the report was first seen running.
 	runningSince []time.Duration
-	// positions is an index of the tasks in the report; nil for a short report.
+	// positions is an index of the tasks in the report. It is nil for a short report.
 	positions map[attemptKey]int
 }
 
@@ -68,7 +71,7 @@
 }
 
 // HasSameContent reports whether r has the same content as the stored report, apart from the
-// sequence number and the remaining time of the termination notice.
+// sequence number and the remaining time of the reclaim notice.
 func (m *Machine) HasSameContent(r *protocol.Report) bool {
 	return r.WorkerEpoch == m.WorkerEpoch &&
 		r.Token == m.Token &&
--- a/internal/core/worker/registry.go
+++ b/internal/core/worker/registry.go
@@ -18,7 +18,7 @@
 	bindings *job.Ledger
 	// longestName is the length in bytes of the longest machine name ever added.
 	longestName int
-	// lastContactByZone is when any machine in each zone was last heard from.
+	// lastContactByZone holds the time of the last contact with any machine in each zone.
 	lastContactByZone map[string]time.Duration
 }
 
@@ -62,7 +62,7 @@
 	return m
 }
 
-// Remove removes a machine that has gone permanently.
+// Remove removes a machine that is permanently gone.
 func (r *Registry) Remove(name string) {
 	delete(r.byName, name)
 	if position, found := slices.BinarySearch(r.names, name); found {
@@ -70,8 +70,7 @@
 	}
 }
 
-// RecordContact records that a machine was heard from: by a report, or, if direct, by a reply to
-// a direct call.
+// RecordContact records contact with a machine: a report, or, if direct, a reply to a delivery.
 func (r *Registry) RecordContact(m *Machine, direct bool, now time.Duration) {
 	m.LastContact = now
 	r.lastContactByZone[m.Zone] = now
@@ -80,7 +79,7 @@
 	}
 }
 
-// LastZoneContact returns when any machine in a zone was last heard from.
+// LastZoneContact returns the time of the last contact with any machine in a zone.
 func (r *Registry) LastZoneContact(zone string) time.Duration { return r.lastContactByZone[zone] }
 
 // TrackBindings adds a job's bindings and tracks later changes to them.
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -7,12 +7,12 @@
 )
 
 // writeBudget is a token bucket that limits the rate of this controller's job writes. Submissions,
-// fencing tokens and machine records are written immediately; the controllers divide a fixed part
-// of the store's write rate among them for running jobs. The most urgent changes of all controllers
-// come first, and each controller gets a share in proportion to how many of those it has, so that
-// many small jobs of one team don't delay the urgent work of other teams.
+// fencing tokens, cordons and rental intents are written immediately. The controllers divide a
+// fixed part of the store's write rate among them for changes of accepted jobs. The most urgent
+// changes of all controllers come first, and each controller gets a share in proportion to how many
+// of those it has, so that many small jobs of one team don't delay the urgent work of other teams.
 type writeBudget struct {
-	// rate is this controller's share in changes per second; available is the number of changes
+	// rate is this controller's share in changes per second. available is the number of changes
 	// that may be written now.
 	rate, available float64
 	refilledAt      time.Duration
@@ -39,9 +39,9 @@
 
 // Fractions of the store's write rate.
 const (
-	// jobWriteShare is the fraction of the write rate for starts and ends.
+	// jobWriteShare is the fraction of the write rate for changes of accepted jobs.
 	jobWriteShare = 0.6
-	// finishedTaskShare is the fraction of jobWriteShare for finished tasks of jobs that continue.
+	// finishedTaskShare is the fraction of jobWriteShare for exited tasks of jobs that continue.
 	finishedTaskShare = 1.0 / 3
 	// guaranteedShare is the fraction of an equal share that each controller is guaranteed.
 	guaranteedShare = 1.0 / 4
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -23,8 +23,9 @@
 	return out
 }
 
-// Starts are stored before finished tasks, which nobody waits for, when the budget is short.
-func TestStartsAreStoredBeforeFinishedTasks(t *testing.T) {
+// When the budget is short, starts are stored before tasks that are done, whose writes nothing
+// waits for.
+func TestStartsAreStoredBeforeDoneTasks(t *testing.T) {
 	c := newBusyCore(100)
 	c.now.Steady = time.Hour
 	ended, started := c.jobs["req-0"], c.jobs["req-10"]
@@ -40,8 +41,8 @@
 	}
 }
 
-// Finished tasks of jobs that continue are stored only while more than half of the budget is left.
-func TestFinishedTasksAreNotStoredFromReserve(t *testing.T) {
+// Done tasks of jobs that continue are stored only while more than half of the budget is left.
+func TestDoneTasksAreNotStoredFromReserve(t *testing.T) {
 	c := newBusyCore(100)
 	c.now.Steady = time.Hour
 	j := c.jobs["req-0"]
--- a/internal/core/zoneoutage_test.go
+++ b/internal/core/zoneoutage_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestZonePartitionedWithItsControllers partitions a zone with workers and controllers for longer
-// than a lease. Its tasks must keep running without being restarted or lost, jobs constrained to
-// the zone must wait, and jobs cancelled from outside must end in time.
+// than a worker lease. Its tasks must keep running without being restarted or lost, jobs
+// constrained to the zone must wait, and jobs cancelled from outside must end in time.
 func TestZonePartitionedWithItsControllers(t *testing.T) {
 	for _, leases := range []float64{1.3, 2.5} {
 		t.Run(fmt.Sprint(leases, " leases"), func(t *testing.T) {
@@ -19,7 +19,7 @@
 			cluster := newSimClusterOf(t, fiveNodes)
 			cluster.twoZones()
 			cluster.allowRacingStarts, cluster.taskTime = true, 4*time.Minute
-			cluster.ready()
+			cluster.waitUntilReady()
 			requireAccepted(t, cluster.submit("a", "req-free-1", 8, `,"yard":"z2"`))
 			requireAccepted(t, cluster.submit("a", "req-blue-2", 4, `,"yard":"z2"`))
 			requireAccepted(t, cluster.submit("a", "req-free-3", 8, `,"yard":"z1"`))
@@ -52,7 +52,7 @@
 				t.Errorf("%d of 8 tasks in the zone kept running, want at least 4", kept)
 			}
 			if !cluster.run(8*time.Minute, cluster.allDone("req-free-1", "req-free-3", "req-free-4", "req-free-5")) {
-				t.Error("jobs did not finish")
+				t.Error("jobs did not end")
 			}
 		})
 	}
@@ -72,9 +72,9 @@
 	return c
 }
 
-// TestMachinesAreKeptDuringZoneOutage checks when machines of a silent zone are returned. The
-// controllers of a partitioned zone still answer its workers: if its machines were returned after
-// the usual silence timeout, all of their tasks would run again.
+// TestMachinesAreKeptDuringZoneOutage checks when machines of an unresponsive zone are returned.
+// The controllers of a partitioned zone still answer its workers: if its machines were returned
+// after the usual silence timeout, all of their tasks would run again.
 func TestMachinesAreKeptDuringZoneOutage(t *testing.T) {
 	const lease = 16 * time.Second
 	silentFor := 2 * lease // longer than the usual silence timeout
@@ -95,7 +95,7 @@
 		for _, n := range tc.inContact {
 			c.peers.get(n).lastContact = c.now.Steady
 		}
-		delete(c.members.live, "b") // a controller that cannot be reached has lost its lease
+		delete(c.members.live, "b") // a controller that cannot be reached has lost its controller lease
 		delete(c.members.live, "c")
 		for _, i := range tc.reporting {
 			c.machines.RecordContact(c.machines.Get(fmt.Sprintf("vm-9%03d", i)), false, c.now.Steady)
