--- a/internal/core/agentcontroller.go
+++ b/internal/core/agentcontroller.go
@@ -8,8 +8,8 @@
 )
 
 // agentController serves the workers that report to this node: it answers their reports, delivers
-// commands to them, and fences starts whose outcome is unknown. Everything that it sends to a
-// worker carries the fencing token of the worker's agent session.
+// commands to them, and raises a worker's fencing token if the outcome of a start command is unknown.
+// Everything that it sends to a worker carries the fencing token of the worker's agent session.
 type agentController struct {
 	core *Core
 	*environment
--- a/internal/core/agentsessions.go
+++ b/internal/core/agentsessions.go
@@ -15,14 +15,15 @@
 	token   uint64
 	epoch   uint64
 	address string
-	// pendingStarts holds the resources of the started tasks that no report has shown yet.
+	// pendingStarts holds the resources of the tasks whose start is queued or sent, and that no
+	// report has shown yet.
 	pendingStarts map[taskAttempt]job.Resources
-	// queuedStarts go out with the next delivery, queuedCommands with the next delivery or
-	// answer to a heartbeat.
+	// queuedStarts holds start commands for the next delivery. queuedCommands holds stop and forget
+	// commands for the next delivery or the next answer to a heartbeat.
 	queuedStarts   []protocol.Command
 	queuedCommands map[taskAttempt]protocol.Command
-	// delivering is set while a delivery is in flight. unanswered is set by a delivery that
-	// gets no answer and cleared by the next report.
+	// delivering is set while a delivery is in flight. unanswered is set when a delivery gets no
+	// answer, and cleared by the worker's next report.
 	delivering bool
 	unanswered bool
 	// probeDue requests a delivery even if nothing is queued, to get the report in its answer.
@@ -52,8 +53,8 @@
 	s.pendingStarts = map[taskAttempt]job.Resources{}
 }
 
-// setToken moves the session to a newer token and drops the starts under the previous one, which
-// are void.
+// setToken moves the session to a newer token and drops the starts under the previous one, which are
+// no longer valid.
 func (s *agentSession) setToken(token uint64) {
 	s.token = token
 	s.queuedStarts = nil
--- a/internal/core/announcements.go
+++ b/internal/core/announcements.go
@@ -9,8 +9,8 @@
 const (
 	// cancellationsPerMessage bounds the size of a message.
 	cancellationsPerMessage = 256
-	// maxAnnouncements bounds the memory. Beyond it the oldest announcements are dropped. Peers
-	// that have not acknowledged those learn of the cancellations from their watches.
+	// maxAnnouncements bounds the memory for announcements. Beyond it the oldest ones are dropped.
+	// A peer that has not acknowledged a dropped one learns of its cancellation from the watch.
 	maxAnnouncements = 4 * maxEndedJobs
 	// announcementLifetimeDeadlines is how long a cancellation is announced, in cancellation
 	// deadlines.
--- a/internal/core/announcements_test.go
+++ b/internal/core/announcements_test.go
@@ -10,8 +10,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// An announced cancellation blocks the starts of the job's tasks, whether a start is already queued
-// for delivery or arrives after the announcement, and even if the job is not in the replica.
+// An announced cancellation blocks the start commands for the job's tasks, whether a command is
+// already queued for delivery or arrives after the announcement, and even if the job is not in the
+// replica.
 func TestAnnouncedCancellationBlocksStarts(t *testing.T) {
 	announced := Cancellation{Job: "req-free-1", Revision: 3}
 	start := Start{Machine: "vm", Task: "req-free-1/0", Attempt: 1, Token: 1, Epoch: 1}
@@ -105,7 +106,8 @@
 	}
 }
 
-// Without faults a cancellation takes one message to each controller, and no machine is returned.
+// Without faults a cancellation takes one message to each other controller, and no machine is
+// returned.
 func TestAnnouncementSendsOneMessagePerPeer(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
@@ -159,9 +161,10 @@
 	}
 }
 
-// Guards against confirming a cancellation that only one controller knows of: the controller that
-// stored it has crashed, and another has learned of it from its watch alone. Users get a
-// confirmation only once a second controller knows of the cancellation.
+// A controller must not confirm a cancellation that no other running controller knows of. Here the
+// controller that stored the cancellation has crashed, and only controller b has learned of it,
+// from its watch. Users get a confirmation from b only once another controller knows of the
+// cancellation.
 func TestCancellationKnownByWatchAloneIsNotConfirmed(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
--- a/internal/core/announcer.go
+++ b/internal/core/announcer.go
@@ -9,7 +9,8 @@
 )
 
 // announcer announces cancellations to the other controllers and applies those that they
-// announce. It delays the answers to users until a second controller knows of a cancellation.
+// announce. It delays the confirmation of a cancellation to users until a second controller knows of
+// the cancellation.
 type announcer struct {
 	*environment
 	core *Core
@@ -23,8 +24,9 @@
 	return &announcer{environment: core.environment, core: core, announcementSet: newAnnouncementSet()}
 }
 
-// apply applies a cancellation that the store holds, whatever its source: a write of this node, its
-// watch, a reply of the store or another controller.
+// apply applies a stored cancellation, regardless of how this node learned of it: from its own write,
+// its watch, a reply of the store or another controller. A cancellation of a job that is known to
+// have another final state is ignored.
 func (a *announcer) apply(cancellation Cancellation) {
 	c := a.core
 	if s, known := c.ended.state(cancellation.Job); known && s.State != protocol.Cancelled {
@@ -62,11 +64,11 @@
 	}
 }
 
-// announce broadcasts the cancellation of a job that this node has stored or is asked about.
-// It does not rely on the watches of the other controllers, which may be refused or fail with
-// the store at any moment. No user receives a confirmation of the cancellation before another
-// controller knows of it: otherwise the cancellation would be unknown to every running controller
-// if this node and the store failed together.
+// announce broadcasts a cancellation that this node has stored or is asked about, unless a second
+// controller knows of it. It does not rely on the watches of the other controllers, which may be
+// refused or fail with the store at any moment. No user receives a confirmation of the cancellation
+// before another controller knows of it: otherwise, if this node and the store failed together, no
+// running controller would know of the confirmed cancellation.
 func (a *announcer) announce(id string) {
 	announcement := a.find(id)
 	if announcement == nil || a.core.peerReachability.knownToSecondController(announcement) {
@@ -90,8 +92,8 @@
 	return true
 }
 
-// resolveLookups resolves the deferred lookups of cancellations that another controller now knows
-// of, and fails the others before their users time out.
+// resolveLookups resolves the deferred lookups of jobs whose cancellation another controller now
+// knows of, and fails the other lookups before their users time out.
 func (a *announcer) resolveLookups() {
 	for id, announcement := range ordered(a.unconfirmed) {
 		outcome := lookup.Unavailable
@@ -113,9 +115,9 @@
 }
 
 // resend announces cancellations again to the controllers that may not know of them, directly or
-// through an intermediary, until they do. It leaves the first announcement and the watches one
-// report interval to take effect. Stop commands are sent again until reports show that the tasks
-// have exited.
+// through an intermediary, until they do or the announcement expires. The first announcement and the
+// watches are given one report interval before that. Stop commands are sent again until reports show
+// that the tasks have exited.
 func (a *announcer) resend() {
 	c := a.core
 	a.expire(c.now.Steady, announcementLifetimeDeadlines*c.times.cancelDeadline())
--- a/internal/core/autoscaler.go
+++ b/internal/core/autoscaler.go
@@ -17,9 +17,11 @@
 	// inventory is the cloud's latest list of machines, received at inventoryAt.
 	inventory   map[string]protocol.ListedMachine
 	inventoryAt time.Duration
-	// firstSeen holds the time at which each machine was first listed or rented.
+	// firstSeen holds the time at which each machine was rented. It is derived from the machine's age
+	// in the list, or is the time of the first call of firstSeenAt for the machine.
 	firstSeen map[string]time.Duration
-	// backoffs holds the offers that are backed off because the cloud could not supply them.
+	// backoffs holds the backoffs of offers that the cloud could not supply, or whose machines
+	// repeatedly failed to boot. Nothing is rented from an offer in backoff.
 	backoffs map[offerKey]backoff
 	// returnReasons holds the machines that are to be returned to the cloud together with
 	// everything that runs on them, and the reason for each.
@@ -31,7 +33,8 @@
 	leaderSince time.Duration
 }
 
-// offerKey identifies a kind of machine in a zone, which the cloud may or may not have available.
+// offerKey identifies an offer of the cloud: a machine type in a zone, either spot or on-demand. The
+// cloud may or may not have capacity for it.
 type offerKey struct {
 	typ, zone string
 	spot      bool
@@ -67,7 +70,8 @@
 	}
 }
 
-// firstSeenAt returns when a machine was first listed or rented, which is now for a new machine.
+// firstSeenAt returns when a machine was rented, as far as known. For a machine that is not known yet,
+// it records and returns the current time.
 func (a *autoscaler) firstSeenAt(machine string, now time.Duration) time.Duration {
 	if _, known := a.firstSeen[machine]; !known {
 		a.firstSeen[machine] = now
@@ -106,13 +110,13 @@
 	delete(a.returnReasons, machine)
 }
 
-// isBackedOff reports whether an offer is backed off, so that nothing is rented from it for now.
+// isBackedOff reports whether an offer is in backoff: nothing is rented from it for now.
 func (a *autoscaler) isBackedOff(key offerKey, now time.Duration) bool {
 	return now < a.backoffs[key].until
 }
 
-// backOff backs off an offer, each time for twice as long as before and within the given bounds,
-// and returns the duration.
+// backOff puts an offer in backoff for twice as long as the last time, within the given bounds, and
+// returns the duration.
 func (a *autoscaler) backOff(key offerKey, now, least, most time.Duration) time.Duration {
 	a.backoffs[key] = a.backoffs[key].grow(now, least, most)
 	return a.backoffs[key].lastPause
@@ -132,7 +136,8 @@
 	c.autoscaler.setInventory(m.Machines, c.now.Steady)
 }
 
-// runAutoscaler rents machines for unplaced demand and returns machines that are idle or lost.
+// runAutoscaler rents machines for unplaced demand and returns machines that are idle, lost, reclaimed
+// or faulty.
 func (c *Core) runAutoscaler() {
 	if !c.catalog.Loaded() {
 		return
--- a/internal/core/besteffort.go
+++ b/internal/core/besteffort.go
@@ -24,24 +24,24 @@
 	return j.Rank() == len(protocol.Priorities)-1 && !j.HasDeadline()
 }
 
-// bestEffortTasks is the number of tasks of a best-effort job worth renting capacity for, given a
-// machine's nominal boot time: enough for the job to be done within a few boot times, rather than
-// a slot for each of thousands of short tasks.
+// bestEffortTasks is the number of further tasks of a best-effort job that are worth renting capacity
+// for, given a machine's nominal boot time: enough for the job to be done within a few boot times,
+// rather than capacity for each of thousands of short tasks at once.
 func bestEffortTasks(j *job.Job, tasks int, bootS float64) int {
 	workS := float64(j.PendingTasks()) * j.EstimateS
 	slots := math.Ceil(workS / max(bestEffortTargetBoots*bootS, 1))
 	return max(0, min(tasks, int(slots)-len(j.Bound)))
 }
 
-// isSpotOnly reports whether a job may not use on-demand machines of a type that has a spot
-// discount.
+// isSpotOnly reports whether a job must not use on-demand machines of types with a spot discount,
+// except for gaps next to other jobs (see hostsFor).
 func (r *round) isSpotOnly(queue *teamQueue, j *job.Job) bool {
 	return j.Spot && r.core.policy.Spot && r.entitlement(queue, j) == scaling.BestEffort
 }
 
 // hostsFor lists the hosts for a job. A best-effort job that may use spot machines is kept off
-// on-demand machines: it would keep them from becoming idle, at several times the price. Its
-// short tasks may still fill gaps next to other jobs.
+// on-demand machines of types with a spot discount: it would keep them from becoming idle, at several
+// times the price. Its short tasks may still fill gaps next to other jobs.
 func (r *round) hostsFor(queue *teamQueue, j *job.Job) []*placement.Host {
 	if !r.isSpotOnly(queue, j) {
 		return r.openHosts
@@ -55,8 +55,8 @@
 	return r.bestEffortHosts[short]
 }
 
-// acceptsBestEffort reports whether a host may take best-effort tasks, either short or longer
-// ones.
+// acceptsBestEffort reports whether a host may take tasks of a spot-only job. Short tasks may also use
+// on-demand machines that run other work.
 func (r *round) acceptsBestEffort(h *placement.Host, short bool) bool {
 	if h.Spot || !r.core.catalog.HasSpotDiscount(h.Type) {
 		return true
--- a/internal/core/bindings.go
+++ b/internal/core/bindings.go
@@ -2,15 +2,15 @@
 
 import "pepperlever/internal/core/job"
 
-// unbind ends the binding of task i. The caller has proof that the task is no longer on its machine
-// or that its start was never sent.
+// unbind removes the binding of task i. The caller has proof that the task is no longer on its machine
+// or that its start command was never sent.
 func (c *Core) unbind(j *job.Job, i int) {
 	j.Unbind(i)
 	j.Urgent = j.Urgent || j.Kind != job.Array
 	c.requestRound()
 }
 
-// unbindUnstored ends the bindings that are not stored yet.
+// unbindUnstored removes the bindings of a job that are not stored yet.
 func (c *Core) unbindUnstored(j *job.Job) {
 	for i, b := range ordered(j.Bound) {
 		if !b.Stored {
--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// sendBurst sends requests to a controller in one step, runs until all are answered, and returns
-// the status of each.
+// sendBurst sends requests to a controller in one step, runs for up to 10 s until all are answered,
+// and returns the statuses of the answers by the index of the request.
 func (cluster *simCluster) sendBurst(node string, n int, command func(i int, req uint64) Command) map[int]int {
 	cluster.t.Helper()
 	first := cluster.nextReq + 1
@@ -18,7 +18,7 @@
 		cluster.nextReq++
 		cluster.send(node, command(i, cluster.nextReq))
 	}
-	cluster.nextReq += 1 << 20 // keeps the IDs of the workers' requests apart
+	cluster.nextReq += 1 << 20 // a gap between the IDs of the burst and those of later requests
 	statuses := map[int]int{}
 	cluster.run(10*time.Second, func() bool {
 		for i := range n {
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -13,8 +13,8 @@
 var errForeignJob = &rejection{http.StatusUnprocessableEntity, "job was handed off by another site: cancel it there"}
 
 // cancel handles a request to cancel a job. It stores the cancellation together with the job's
-// final state before it answers. From then on the key of the cancellation makes every write of a
-// new binding, or of the final state done, fail. The federation adapter uses request 0.
+// final state before it answers. Once the cancellation's key is stored, every write of a new binding
+// or of the final state "done" fails. The federation adapter calls cancel with request ID 0.
 func (c *Core) cancel(m Cancel) {
 	if !job.ValidID(m.ID) {
 		c.replyRejected(m.Req, errUnknownJob)
@@ -37,8 +37,9 @@
 	})
 }
 
-// storeCancel stores the cancellation of an accepted job. The absence of a final state is the only
-// condition on the job, since it stays accepted until it has one.
+// storeCancel stores the cancellation of an accepted job, or forwards it if the job is handed off.
+// The write does not check that the job exists: an accepted job exists until it has a final state, and
+// the absence of a final state is a condition of the write.
 func (c *Core) storeCancel(m Cancel) {
 	if c.isOutgoing(m.ID) {
 		c.cancelOutgoing(m)
--- a/internal/core/cancellations.go
+++ b/internal/core/cancellations.go
@@ -13,8 +13,7 @@
 // cancelRecord is the stored value of a cancellation.
 type cancelRecord struct {
 	// RequestedAt is the wall-clock time of the user's request in Unix milliseconds. It only
-	// affects how soon machines are returned by a controller that learns of the cancellation
-	// late.
+	// affects how soon a controller that learns of the cancellation late returns machines.
 	RequestedAt int64 `json:"t,omitempty"`
 }
 
@@ -89,10 +88,10 @@
 	}
 }
 
-// mayStillRun reports whether a task of a cancelled job may still be on its machine. It returns
-// false if there is proof that the task is not, and while a controller that is in contact and knows
-// of the cancellation reports the machine without the task: that controller stops the task if a
-// delayed start still arrives.
+// mayStillRun reports whether a task of a cancelled job may still be on its machine. It returns false
+// if there is proof that the task has exited or is not on the machine. Without proof, it also returns
+// false while the machine's reports lack the task and arrive through a controller that knows of the
+// cancellation: that controller stops the task if a delayed start command still reaches the machine.
 func (c *Core) mayStillRun(j *job.Job, i int, b *job.Binding) bool {
 	if c.cordons.isTerminated(b.Machine) || c.returnTracker.isConfirmed(b.Machine) {
 		return false
--- a/internal/core/cancelpartition_test.go
+++ b/internal/core/cancelpartition_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Cancelled tasks end within the deadline whichever connections fail, and whichever controllers
-// fail or lose the store, for shorter and for longer than the cancellation deadline
-// (docs/incidents/apart.md).
+// Cancelled tasks end within the deadline while controllers are disconnected from each other, and
+// also if some of them crash, freeze or lose the store. The faults last for a shorter or a longer
+// time than the deadline (docs/incidents/apart.md).
 func TestCancelledTasksEndInTimeUnderPartitions(t *testing.T) {
 	const deadline = 30 * time.Second
 	cuts := map[string]func(cluster *simCluster, leader string){
@@ -94,9 +94,9 @@
 	}
 }
 
-// Guards against reporting a cancelled job as done: a leader that was cut off from the store learns
-// at the same time that it was replaced and that the job was cancelled and has ended. It must not
-// mistake the deletion of the job for its completion.
+// A leader that has lost the store must not report a cancelled job as done. Once it is reconnected
+// it learns at the same time that it was replaced and that the job was cancelled and has ended, and
+// must not mistake the deletion of the job for its completion.
 func TestDeposedLeaderReportsCancelledJobAsCancelled(t *testing.T) {
 	cluster := newSimClusterOf(t, fiveNodes)
 	cluster.allowRacingStarts, cluster.taskTime = true, time.Minute
--- a/internal/core/canceltiming_test.go
+++ b/internal/core/canceltiming_test.go
@@ -216,8 +216,8 @@
 	return cancel
 }
 
-// checkState checks that every controller reports the given state, with which the cancellation was
-// answered.
+// checkState checks that every controller reports the state that the answer to the cancellation
+// contained.
 func (d lastTasksEnd) checkState(t *testing.T, cluster *simCluster, want string) {
 	t.Helper()
 	for _, n := range cluster.names {
@@ -248,7 +248,7 @@
 		cluster.blockedWatcher = leader
 		cluster.delayLinks(everyLink)
 		var a Answer
-		for range 5 { // the answer waits until another controller knows
+		for range 5 { // the cancellation is confirmed only once another controller knows of it
 			if a = cluster.request("a", func(req uint64) Command { return Cancel{Req: req, ID: "req-blue-1"} }); a.Status == http.StatusOK {
 				break
 			}
@@ -271,8 +271,9 @@
 	}
 }
 
-// A cancellation is stored before a write that binds more tasks of the job, and the leader learns
-// of it before the reply to that write. The job ends after a few more writes.
+// A cancellation is stored right before the leader's write that binds more tasks of the job, and
+// the leader learns of the cancellation before the reply to its write. The job ends after at most
+// five more writes.
 func TestCancellationDuringBindingWrite(t *testing.T) {
 	const id = "req-free-1"
 	cluster := newSimClusterOf(t, fiveNodes).waitUntilReady()
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -123,9 +123,9 @@
 	Capacity job.Resources
 	// PricePremium is the relative excess of the price per CPU over the cheapest kind, at most 1.
 	PricePremium float64
-	// RelativeSize is the number of CPUs relative to the largest type.
+	// RelativeSize is the number of CPUs divided by that of the largest type.
 	RelativeSize float64
-	// GPUShare is the number of GPUs relative to the type with the most.
+	// GPUShare is the number of GPUs divided by that of the type with the most GPUs.
 	GPUShare float64
 }
 
@@ -151,7 +151,7 @@
 	return kinds
 }
 
-// pricePerCPU returns the price per hour and CPU of a kind of machine.
+// pricePerCPU returns the price per hour and CPU of a spot or an on-demand machine of a type.
 func pricePerCPU(t protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice / max(t.CPUs, 1)
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -16,8 +16,8 @@
 const claimLifetimeIntervals = 3
 
 // heldClaims tracks the jobs for which this node holds claims of other leaders. A claim is an
-// announced binding that is not stored yet. The leader renews it until it is stored. It expires if
-// the leader drops the binding, and is void once the job has another leader.
+// announced binding that is not stored yet. The leader renews the claim until the binding is stored.
+// The claim expires if the leader drops the binding, and is dropped once the job has another leader.
 type heldClaims struct {
 	jobs map[string]bool
 	// nextRenewal is the time at which this node next renews its own claims and checks those of
@@ -28,8 +28,8 @@
 func newHeldClaims() heldClaims { return heldClaims{jobs: map[string]bool{}} }
 
 // broadcastClaims immediately announces the capacity claimed in this step to the other controllers.
-// The store would show it to them only after a write and a watch event. Until then they might bind
-// tasks to the same capacity, whose starts would be rejected.
+// They would otherwise learn of it only after a write to the store and a watch event. Until then they
+// might bind tasks to the same capacity, and the starts of these tasks would be rejected.
 func (c *Core) broadcastClaims() {
 	for part := range slices.Chunk(c.scheduler.claims, maxClaimsPerMessage) {
 		c.broadcast(PeerMessage{Claims: part})
@@ -113,8 +113,8 @@
 	return Claim{Machine: b.Machine, Task: j.TaskID(index), Attempt: b.Attempt}
 }
 
-// countUnstoredClaims counts the bindings that other leaders have announced but that the store does
-// not show yet.
+// countUnstoredClaims counts the bindings that other leaders have announced but that are not yet
+// stored, as far as this node knows.
 func (c *Core) countUnstoredClaims() (claims int) {
 	for _, j := range c.jobs {
 		if !c.leads(j) {
@@ -124,13 +124,14 @@
 	return claims
 }
 
-// claimSettleTime is how long a new binding waits for concurrent claims of other leaders on the
-// same capacity.
+// claimSettleTime is how long a leader waits before it stores a new binding, so that concurrent claims
+// of other leaders on the same capacity can arrive.
 func (c *Core) claimSettleTime() time.Duration { return c.reportInterval() / 60 }
 
-// dropConflictingClaims drops the new bindings of a job whose capacity another leader has claimed
-// with precedence. Every leader sees the same claims and decides the same way, so one of two
-// conflicting claims is kept, and the other leader picks another host before any start is rejected.
+// dropConflictingClaims drops the new bindings of a job that do not fit on their machines next to
+// claims with precedence. Every leader sees the same claims and decides the same way, so one of two
+// conflicting claims is kept, and the leader that made the other one picks another host before any
+// start is rejected. Gangs keep their bindings.
 func (c *Core) dropConflictingClaims(j *job.Job) {
 	if j.Kind == job.Gang {
 		return // all or nothing: a gang must not lose single bindings
@@ -142,8 +143,8 @@
 	}
 }
 
-// claimHolds reports whether a new binding fits on its machine next to everything that takes
-// precedence over it.
+// claimHolds reports whether a new binding fits on its machine next to the stored bindings and the
+// claims that take precedence over it.
 func (c *Core) claimHolds(j *job.Job, index int, b *job.Binding) bool {
 	m := c.machines.Get(b.Machine)
 	if m == nil {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -71,7 +71,7 @@
 		// Unavailable marks a refusal for a reason other than the rate limit: an
 		// immediate retry would fail too.
 		Unavailable bool
-		// RateLimited marks a refusal because of the rate limit. Oversized marks one
+		// RateLimited marks a refusal because of the rate limit. Oversized marks a refusal
 		// because the transaction exceeds the store's limits or is malformed.
 		RateLimited, Oversized bool
 		Revision               uint64
@@ -123,7 +123,7 @@
 	CatalogReceived struct{ Types []protocol.MachineType }
 	// InventoryReceived contains the cloud's complete list of rented machines.
 	InventoryReceived struct{ Machines []protocol.ListedMachine }
-	// CloudHealth reports whether the cloud carries out requests. It does not during an outage.
+	// CloudHealth reports whether the cloud carries out requests. OK is false during an outage.
 	CloudHealth struct{ OK bool }
 	// RentalResult answers RequestRental. Outcome is OutcomeApplied, OutcomeRefused (no
 	// capacity) or OutcomeUnknown.
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// cordonRecord is the stored value of a machine that accepts no new bindings. Terminated proves
-// that the machine, and every task on it, no longer runs.
+// cordonRecord is the stored record of a cordoned machine: it gets no new bindings. If Terminated is
+// set, the machine and every task on it no longer run.
 type cordonRecord struct {
 	Terminated bool   `json:"g,omitempty"`
 	Reason     string `json:"w,omitempty"`
@@ -25,7 +25,7 @@
 	return cordoned
 }
 
-// isTerminated reports whether a machine is proven to be terminated.
+// isTerminated reports whether the stored cordon of a machine marks it as terminated.
 func (c cordons) isTerminated(machine string) bool { return c[machine].Terminated }
 
 // put records a cordon, first seen now, and reports whether it is newer than the known one.
@@ -38,7 +38,8 @@
 	return true
 }
 
-// onCordonPut handles a stored cordon. If the machine is terminated, every binding on it ends.
+// onCordonPut handles a stored cordon. If the machine is terminated, the machine is removed, and so is
+// every binding on it of a job that this node leads.
 func (c *Core) onCordonPut(machine string, record cordonRecord) {
 	if !c.cordons.put(machine, record, c.now.Steady) {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -129,8 +129,8 @@
 	return c
 }
 
-// Step processes a batch of commands, runs the periodic work that is due and returns the
-// resulting effects in order.
+// Step processes a batch of commands, runs the periodic work that is due, places pending tasks,
+// writes changed jobs and returns the resulting effects in order.
 func (c *Core) Step(now Now, commands []Command) []Effect {
 	c.now = now
 	c.effects = nil
@@ -208,7 +208,7 @@
 	}
 }
 
-// How often periodic work runs in each report interval.
+// Number of times that periodic work runs in each report interval.
 const (
 	heartbeatsPerReport   = 3
 	observationsPerReport = 30
--- a/internal/core/deferredstatus.go
+++ b/internal/core/deferredstatus.go
@@ -2,16 +2,17 @@
 
 import "pepperlever/internal/core/lookup"
 
-// deferredStatus is a deferred answer to requests for the state of a job that, according to the
-// store, has no final state as of a revision. The job may still have been cancelled because a
-// dependency was, which the replica shows only once it has reached that revision.
+// deferredStatus is a deferred answer to requests for the state of a job that had no stored final
+// state at the given revision. The job may nevertheless have been cancelled because a dependency was.
+// Only a replica that has reached the revision can show that.
 type deferredStatus struct {
 	group    lookup.Group
 	revision uint64
 }
 
-// resolveActive answers requests for a job that has no final state as of a revision: immediately if
-// nothing else can have ended it, or else once the replica has reached the revision.
+// resolveActive answers requests for a job that had no stored final state at a revision. It answers
+// immediately if the job is in the replica and neither cancelled nor blocked on dependencies, and
+// otherwise defers the answer until the replica covers the revision.
 func (l *lookupController) resolveActive(group lookup.Group, revision uint64) {
 	j := l.core.jobs[group.JobID]
 	if j != nil && !j.Cancelled && !l.core.dependencies.IsBlocked(group.JobID) {
@@ -26,8 +27,8 @@
 	group.ResolveAll(lookup.Result{Outcome: lookup.Active, State: l.core.jobProgress(group.JobID)})
 }
 
-// answerDeferred answers the requests whose revision the replica has reached and fails those
-// whose users are about to time out.
+// answerDeferred answers the deferred requests that the replica now covers, and fails those whose
+// users are about to time out.
 func (l *lookupController) answerDeferred() {
 	pending := l.deferred
 	l.deferred = nil
@@ -43,8 +44,9 @@
 	}
 }
 
-// replicaCovers reports whether the replica shows every cancellation that may have ended a job up
-// to the revision at which its state was read.
+// replicaCovers reports whether the replica shows every cancellation that may have ended a job by the
+// revision at which the job's state was read. This requires that the states of its direct and
+// transitive dependencies are known.
 func (l *lookupController) replicaCovers(status deferredStatus) bool {
 	id := status.group.JobID
 	if l.core.hasEnded(id) {
--- a/internal/core/deferredstatus_test.go
+++ b/internal/core/deferredstatus_test.go
@@ -11,9 +11,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// Guards against a stale status of a blocked job: a controller that is partitioned from all others
-// and whose replica lags must not report a job as queued if another controller may already have
-// reported it as cancelled because a dependency was cancelled.
+// A controller that is partitioned from all others and whose replica lags must not report a job as
+// queued if another controller may already have reported it as cancelled because a dependency was
+// cancelled.
 func TestStatusOfBlockedJobIsNotStale(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.taskTime = 5 * time.Minute
--- a/internal/core/deliveries.go
+++ b/internal/core/deliveries.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// dropCancelledStarts drops queued starts of jobs that have since been cancelled, because a worker
-// would execute a stop before a start of the same delivery.
+// dropCancelledStarts drops queued starts of jobs that have since been cancelled. A worker executes the
+// stop commands of a delivery before its start commands, so it would start the tasks nevertheless.
 func (a *agentController) dropCancelledStarts(session *agentSession) {
 	session.queuedStarts = slices.DeleteFunc(session.queuedStarts, func(start protocol.Command) bool {
 		drop := a.belongsToCancelledJob(start.Task)
@@ -59,9 +59,9 @@
 	})
 }
 
-// handleDelivery processes the outcome of a delivery. If there is no answer, its starts may
-// still be executed, so the worker's token is raised above theirs. Starts that the worker has
-// rejected are never executed.
+// handleDelivery processes the outcome of a delivery. If the worker did not answer, it may still
+// execute the start commands, so its token is raised above theirs. Start commands that the worker has
+// rejected are never executed: the leaders of their jobs are informed.
 func (a *agentController) handleDelivery(d DeliveryResult) {
 	session := a.session(d.Machine)
 	if session == nil {
@@ -86,8 +86,8 @@
 	a.deliverTo(d.Machine, session)
 }
 
-// handleUnanswered fences the starts of a delivery that got no answer. A delivery without
-// starts needs no fence, so a hung machine costs one token rather than one per probe.
+// handleUnanswered fences the start commands of a delivery that got no answer. A delivery without
+// start commands needs no fence, so a hung machine costs one token rather than one per probe.
 func (a *agentController) handleUnanswered(session *agentSession, d DeliveryResult) {
 	session.unanswered = true
 	a.log(Info, "delivery got no answer", "machine", d.Machine, "commands", len(d.CommandBatch.Commands))
--- a/internal/core/deliveries_test.go
+++ b/internal/core/deliveries_test.go
@@ -9,8 +9,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// The reply to a delivery may be anything. A report that is outdated, belongs to another machine,
-// or refers to tokens, attempts or jobs that never existed changes nothing.
+// A controller must tolerate any reply to a delivery. A report in the reply that is outdated,
+// belongs to another machine, or refers to tokens, attempts or jobs that never existed changes
+// nothing.
 func TestMalformedDeliveryReportsChangeNothing(t *testing.T) {
 	for name, change := range map[string]func(r *protocol.Report, other *fakeWorker) *protocol.Report{
 		"no report": func(*protocol.Report, *fakeWorker) *protocol.Report { return nil },
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -58,11 +58,12 @@
 	return dependency.Estimate{Urgency: own, DurationMS: j.RunTimeMS()}, true
 }
 
-// track updates the dependency graph when the replica receives a job.
+// track updates the dependency graph when the replica receives a job, and blocks, unblocks or cancels
+// the job according to the states of its dependencies.
 func (d *dependencies) track(j *job.Job) {
 	if j.Attempt > 0 || len(j.Dependencies) == 0 {
 		d.RemoveDependencies(j.ID)
-		j.Blocked = false // no task is bound before all dependencies are done
+		j.Blocked = false // tasks are bound only after all dependencies are done
 		return
 	}
 	if j.WasUnblocked() {
@@ -126,9 +127,9 @@
 // interval.
 const dependencyChecksPerReport = 6
 
-// refresh looks up the dependencies that the replica does not hold, because they ended before this
+// refresh looks up the dependencies that the replica does not hold because they ended before this
 // controller loaded the stored state. Every controller does so for all teams, since it plans for all
-// of them and the fleet leader rents machines by its own plan. Dependencies of jobs that this
+// teams, and the fleet leader rents machines according to its own plan. Dependencies of jobs that this
 // controller leads are looked up immediately, the others within the background lookup rate.
 func (d *dependencies) refresh() {
 	interval := d.core.reportInterval() / dependencyChecksPerReport
--- a/internal/core/dependency/graph.go
+++ b/internal/core/dependency/graph.go
@@ -13,13 +13,14 @@
 
 func (s jobSet) sorted() []string { return slices.Sorted(maps.Keys(s)) }
 
-// Graph holds the remaining dependencies of blocked jobs: those that are not known to be done. A job
-// is blocked while it has any. The graph is acyclic because a job can only depend on jobs that were
-// accepted before it.
+// Graph holds the remaining dependencies of each job: the jobs that it depends on and that are not
+// known to be done. A job is blocked while it has any. The graph is acyclic because a job can only
+// depend on jobs that were accepted before it.
 type Graph struct {
 	// dependsOn maps each blocked job to its remaining dependencies. dependents is the inverse.
 	dependsOn, dependents map[string]jobSet
-	changed               bool
+	// changed is set if the graph has changed since the last call of TakeChanged.
+	changed bool
 }
 
 // New returns an empty Graph.
@@ -61,8 +62,8 @@
 	}
 }
 
-// Done removes a job that is done from the dependencies of other jobs and returns, sorted, those of
-// them that have no dependencies left.
+// Done removes a job that is done from the dependencies of its dependents. It returns the dependents
+// that have no dependencies left, sorted.
 func (g *Graph) Done(job string) (unblocked []string) {
 	for _, dependent := range g.dependents[job].sorted() {
 		delete(g.dependsOn[dependent], job)
@@ -107,7 +108,7 @@
 // JobsWithDependents returns the jobs that are a remaining dependency of another job, sorted.
 func (g *Graph) JobsWithDependents() []string { return slices.Sorted(maps.Keys(g.dependents)) }
 
-// TakeChanged reports whether the graph has changed since the previous call, and resets that.
+// TakeChanged reports whether the graph has changed since the previous call.
 func (g *Graph) TakeChanged() bool {
 	changed := g.changed
 	g.changed = false
--- a/internal/core/dependency/graph_test.go
+++ b/internal/core/dependency/graph_test.go
@@ -14,7 +14,7 @@
 // TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// A job is unblocked exactly when its last dependency is done, whatever the order in which its
+// A job is unblocked exactly when its last dependency is done, regardless of the order in which its
 // dependencies are done.
 func TestJobIsUnblockedWhenLastDependencyIsDone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A job inherits the highest priority and the earliest latest start among its dependents, less the
-// run times of the jobs in between.
+// A job inherits the highest priority among its dependents. Its latest start leaves time for its own
+// run and those of the jobs between it and a dependent with a deadline.
 func TestUrgencyPropagatesToDependencies(t *testing.T) {
 	const lowPriority, latestStart = 3, 90_000
 	jobs := map[string]Estimate{
--- a/internal/core/dependency/urgency.go
+++ b/internal/core/dependency/urgency.go
@@ -14,7 +14,7 @@
 // NoDeadline is the LatestStartMS of a job without a deadline.
 const NoDeadline = math.MaxInt64
 
-// lowestUrgency is the urgency of an unknown job without dependents.
+// lowestUrgency is the urgency of an unknown job, before any dependents raise it.
 var lowestUrgency = Urgency{Priority: math.MaxInt, LatestStartMS: NoDeadline}
 
 // withDependent returns u raised by the urgency of a dependent, which can't start before this job
@@ -34,10 +34,10 @@
 	DurationMS int64
 }
 
-// InheritUrgency returns the inherited urgency of every job that has dependents. A job inherits the
-// highest priority among its direct and transitive dependents, and its latest start precedes that of
-// each direct dependent by at least its own run time. estimate returns a job's own urgency and run
-// time, and whether the job is known.
+// InheritUrgency returns, for every job that has dependents, its own urgency raised by theirs. The
+// priority is the highest among the job and its direct and transitive dependents. The latest start
+// precedes that of each direct dependent by at least the job's run time. estimate returns a job's own
+// urgency and run time, and whether the job is known.
 func (g *Graph) InheritUrgency(estimate func(job string) (Estimate, bool)) map[string]Urgency {
 	resolver := urgencyResolver{graph: g, estimate: estimate, urgencies: map[string]Urgency{}}
 	inherited := map[string]Urgency{}
--- a/internal/core/dependencycancel_test.go
+++ b/internal/core/dependencycancel_test.go
@@ -103,7 +103,7 @@
 		}
 		return 0
 	}
-	cluster.watchLag = 4 * time.Second // so the leader learns of it from the outcome of its own write
+	cluster.watchLag = 4 * time.Second // so the leader learns of the user's cancellation from the outcome of its own write
 	cluster.disconnectLinks(everyLink)
 	cluster.cancelJob(leader, "req-free-1")
 	if !cluster.run(10*time.Second, func() bool { return raced }) {
--- a/internal/core/endedjobs.go
+++ b/internal/core/endedjobs.go
@@ -5,8 +5,8 @@
 // maxEndedJobs is the capacity of each cache in endedJobs.
 const maxEndedJobs = 8192
 
-// endedJobs caches the final states of jobs, which never change, and the revisions at which the
-// jobs ended. A cache is cleared when it is full: the store has all final states.
+// endedJobs caches the final states of jobs, which never change, and the revisions at which the heads
+// of ended jobs were deleted. A cache is cleared when it is full: the store has all final states.
 type endedJobs struct {
 	states    map[string]protocol.JobState
 	revisions map[string]uint64
@@ -34,7 +34,7 @@
 // isCancelled reports whether a job's cached final state is cancelled.
 func (e *endedJobs) isCancelled(id string) bool { return e.states[id].State == protocol.Cancelled }
 
-// revision returns the revision at which a job ended, or 0 if it is not cached.
+// revision returns the revision at which an ended job's head was deleted, or 0 if it is not cached.
 func (e *endedJobs) revision(id string) uint64 { return e.revisions[id] }
 
 // remember caches a final state and reports whether it is new.
@@ -49,7 +49,7 @@
 	return true
 }
 
-// rememberRevision caches the revision at which a job ended.
+// rememberRevision caches the revision at which an ended job's head was deleted.
 func (e *endedJobs) rememberRevision(id string, revision uint64) {
 	if len(e.revisions) >= maxEndedJobs {
 		clear(e.revisions)
@@ -57,8 +57,8 @@
 	e.revisions[id] = revision
 }
 
-// recordEnd records the revision at which a job ended, so that older messages about the job are
-// ignored, and stops announcing its cancellation.
+// recordEnd records the revision at which an ended job's head was deleted, so that older messages
+// about the job are ignored, and stops announcing the job's cancellation.
 func (c *Core) recordEnd(id string, revision uint64) {
 	c.ended.rememberRevision(id, revision)
 	c.announcements.remove(id)
--- a/internal/core/evacuate.go
+++ b/internal/core/evacuate.go
@@ -46,7 +46,7 @@
 }
 
 // isMovableServiceReplica reports whether a task is a service replica that needs no GPUs and has run
-// for longer than the timeout.
+// for longer than the timeout of the policy.
 func (r *round) isMovableServiceReplica(ref job.TaskRef, b *job.Binding) bool {
 	c := r.core
 	m := c.machines.Get(b.Machine)
--- a/internal/core/eviction.go
+++ b/internal/core/eviction.go
@@ -7,9 +7,10 @@
 	"pepperlever/internal/core/worker"
 )
 
-// evictBeforeReclaim stops tasks in time to save a checkpoint before their machine is reclaimed,
-// and tasks without checkpoints that would not be done by then. A gang that has lost a task is
-// stopped as a whole, so that its progress is saved, and starts again as a whole.
+// evictBeforeReclaim stops tasks in time for them to save a checkpoint before their machine is
+// reclaimed. It also stops tasks of array jobs without checkpoints that are unlikely to be done by
+// then. A gang that has lost a task, or is about to, is stopped as a whole, so that its progress is
+// saved, and starts again as a whole.
 func (r *reconciler) evictBeforeReclaim(j *job.Job) {
 	checker := reclaimChecker{machines: r.core.machines, now: r.now.Steady, reportInterval: r.reportInterval()}
 	stopAll := j.Kind == job.Gang && checker.mustRestartGang(j)
@@ -44,8 +45,8 @@
 // estimateTolerance is the factor by which users' run time estimates may be wrong.
 const estimateTolerance = 2
 
-// mustRestartElsewhere reports whether a task without checkpoints is unlikely to be done before its
-// machine is reclaimed, so that it should restart elsewhere immediately.
+// mustRestartElsewhere reports whether a task of an array job without checkpoints is unlikely to be
+// done before its machine is reclaimed, so that it should restart elsewhere immediately.
 func (c reclaimChecker) mustRestartElsewhere(j *job.Job, i int, b *job.Binding) bool {
 	m := c.machines.Get(b.Machine)
 	if m == nil || m.ReclaimAt == 0 || j.CheckpointS > 0 || j.Kind != job.Array {
@@ -55,8 +56,8 @@
 	return seconds(j.EstimateS)-ran > estimateTolerance*(m.ReclaimAt-c.now)
 }
 
-// mustCheckpointNow reports whether a task's machine is about to be reclaimed with just enough
-// time left to save a checkpoint.
+// mustCheckpointNow reports whether a task's machine will be reclaimed so soon that the task must save
+// a checkpoint now.
 func (c reclaimChecker) mustCheckpointNow(j *job.Job, b *job.Binding) bool {
 	m := c.machines.Get(b.Machine)
 	if m == nil || m.ReclaimAt <= 0 || j.CheckpointS <= 0 {
--- a/internal/core/failover_test.go
+++ b/internal/core/failover_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// All controllers crash while the store is down. Tasks that ran before must not run twice.
+// All controllers crash while the store is down. The job ends afterwards, and the simulation checks
+// that no task starts on a machine while it is still on another one.
 func TestNoTaskRunsTwiceAfterAllControllersCrashInAnOutage(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
@@ -43,7 +44,7 @@
 	}
 }
 
-// Leaders lose the store one after the other. The starts that they send late must do no harm.
+// Leaders lose the store one after the other. Start commands that they send late must do no harm.
 func TestLateStartsOfLeadersWithoutTheStoreAreHarmless(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-red-1", 12, ""))
@@ -101,7 +102,8 @@
 	cluster.checkStartedOnce()
 }
 
-// A new fleet leader keeps machines whose workers have not found it yet.
+// After all controllers have restarted, the new fleet leader keeps machines that have not reported
+// yet.
 func TestNewFleetLeaderKeepsMachinesThatHaveNotReportedToIt(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 12, ""))
--- a/internal/core/failures.go
+++ b/internal/core/failures.go
@@ -74,7 +74,8 @@
 	})
 }
 
-// delayCanary delays the next canary start of a suspected job with exponential backoff.
+// delayCanary delays the next canary start of a suspected job with exponential backoff. A canary is
+// the only task of such a job that may run at a time.
 func (c *Core) delayCanary(j *job.Job) {
 	if j.Suspected && len(j.Bound) <= 1 {
 		j.NotBefore = c.now.Steady + c.reportInterval()<<min(j.CanaryStarts, maxCanaryDoublings)
--- a/internal/core/failures_test.go
+++ b/internal/core/failures_test.go
@@ -56,8 +56,7 @@
 	}
 }
 
-// A job that is suspected although it is not faulty runs normally once one of its tasks has
-// succeeded.
+// A suspected job that is no longer faulty runs normally once one of its tasks has succeeded.
 func TestSuspicionEndsWithTheFirstSuccess(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	cluster.broken["req-blue-1"] = true
--- a/internal/core/fairness/fairness.go
+++ b/internal/core/fairness/fairness.go
@@ -16,13 +16,14 @@
 type Record struct {
 	// Window is the number of the tumbling window that the integrals cover.
 	Window int64 `json:"w"`
-	// Use is the integral of the resources in use over the seconds of the window. Baseline is that
-	// of the baseline: what the team would use without sharing, the lesser of demand and share.
+	// Use is the integral of the resources in use over the seconds of the window. Baseline is the
+	// integral of what the team would use without sharing: the lesser of its demand and its share.
 	Use      Vector `json:"u"`
 	Baseline Vector `json:"b"`
 }
 
-// Accumulate adds dt seconds of use and demand. It starts from zero if the window is another one.
+// Accumulate adds dt seconds of use and demand. If window differs from the record's window, it starts
+// from zero.
 func (r *Record) Accumulate(window int64, dt float64, use, demand, share Vector) {
 	if window != r.Window {
 		*r = Record{Window: window}
@@ -79,16 +80,17 @@
 
 const (
 	// tolerance is the difference up to which two degrees or uses count as equal, since sums
-	// are rounded.
+	// are rounded. It is also the minimum weight in divisions, since a weight may be 0.
 	tolerance = 1e-9
 	// notOverdueOffset is added to the degree of teams that are not overdue, so that they rank
 	// after all overdue ones.
 	notOverdueOffset = 1e12
 )
 
-// Next returns the index of the team to serve next, or -1 if there is none. Overdue teams come
-// first, then the team with the lowest sharing degree below 1, then the team with the least total
-// use, with ties broken by dominant use. Teams marked in skip are left out.
+// Next returns the index of the team to serve next, or -1 if there is none. Overdue teams come first,
+// the one with the lowest sharing degree before the others. Then comes the team with the lowest
+// sharing degree below 1, then the team with the least total use, with ties broken by dominant use.
+// Teams marked in skip are left out.
 func Next(teams []Team, skip []bool, capacity Vector) int {
 	if i := lowest(teams, skip, overdueDegree); i >= 0 && teams[i].Overdue {
 		return i
--- a/internal/core/fairness/fairness_test.go
+++ b/internal/core/fairness/fairness_test.go
@@ -48,7 +48,7 @@
 		"a degree below 1 comes before less use":                 {[]Team{a, lossBySharing}, 1},
 		"the lowest degree comes first":                          {[]Team{lossBySharing, largerLoss, a}, 1},
 		"an overdue team comes before lower degrees":             {[]Team{largerLoss, lossBySharing, overdue}, 2},
-		"a single team is next whatever its use":                 {[]Team{c}, 0},
+		"a single team is next regardless of its use":            {[]Team{c}, 0},
 		"a team that requested nothing does not lose by sharing": {[]Team{{Weight: 1}, lossBySharing}, 1},
 	} {
 		if got := Next(tc.teams, make([]bool, len(tc.teams)), capacity); got != tc.want {
@@ -76,9 +76,9 @@
 
 func TestSharesFollowWeightsOrAreEqual(t *testing.T) {
 	if got := Shares(Vector{80, 0, 40}, []float64{60, 20})[1]; got != (Vector{20, 0, 10}) {
-		t.Errorf("got %v", got)
+		t.Errorf("weights 60 and 20: got share %v of the second team, want a quarter", got)
 	}
 	if got := Shares(Vector{80, 0, 40}, []float64{0, 0})[0]; got != (Vector{40, 0, 20}) {
-		t.Errorf("all weights 0: got %v", got)
+		t.Errorf("all weights 0: got share %v of the first team, want half", got)
 	}
 }
--- a/internal/core/federation.go
+++ b/internal/core/federation.go
@@ -19,14 +19,14 @@
 	inputs      []federation.Input
 	// pendingWrites holds the IDs of the coordinator's writes that have no reply yet.
 	pendingWrites map[uint64]bool
-	// unattributedRevisions holds the revisions at which records changed, unless the change is
-	// known to come from a write of this coordinator.
+	// unattributedRevisions holds the revisions at which records changed, except those that replies
+	// to this coordinator's own writes account for.
 	unattributedRevisions map[uint64]bool
 	// reloadAt is the time at which all records are to be reloaded into the coordinator, 0 if no
 	// reload is scheduled.
 	reloadAt time.Duration
 	// nextStep is the next time at which the coordinator runs even without input. nextJobUpdate is
-	// the next time at which it gets the waiting and the ended jobs.
+	// the next time at which it is informed of waiting jobs and ended jobs.
 	nextStep, nextJobUpdate time.Duration
 	// pendingLookups holds the IDs of accepted jobs of other sites whose final state is being
 	// looked up.
--- a/internal/core/federation_test.go
+++ b/internal/core/federation_test.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// A controller without a federation configuration would run outgoing jobs. Nothing is handed off
-// while such a controller is live, and one that joins later leads no team.
+// A controller without a federation configuration would run outgoing jobs. So nothing is handed off
+// while such a controller is live, and one that joins after a hand-off leads no team.
 func TestControllerWithoutFederationPreventsHandOffs(t *testing.T) {
 	cluster, remote := newFederatedSimCluster(t)
 	config := cluster.federationConfigs["c"]
--- a/internal/core/federationjobs.go
+++ b/internal/core/federationjobs.go
@@ -11,12 +11,13 @@
 	"pepperlever/internal/mustjson"
 )
 
-// maxWaitingJobs is the maximum number of waiting jobs in one JobsWaiting input. The rest follow in
-// later inputs.
+// maxWaitingJobs is the maximum number of waiting jobs in one JobsWaiting input. Less urgent jobs
+// follow in later inputs, once more urgent ones no longer wait.
 const maxWaitingJobs = 64
 
-// waitingJobs returns the waiting jobs that may be handed off to another site, the most urgent first,
-// and the longest wait at this site.
+// waitingJobs returns the waiting jobs that may be offered to another site now, the most urgent first,
+// and the longest wait at this site (see handoffCandidates). It returns no jobs while any live
+// controller does not support federation.
 func (f *federationAdapter) waitingJobs() federation.JobsWaiting {
 	jobs, longestWait := f.handoffCandidates()
 	waiting := federation.JobsWaiting{LongestWaitS: longestWait.Seconds()}
--- a/internal/core/federationmessages.go
+++ b/internal/core/federationmessages.go
@@ -30,7 +30,7 @@
 	Reason   string `json:"why"`
 }
 
-// OperatorAction is the kind of an operator's request.
+// OperatorAction is the action that an operator requests.
 type OperatorAction string
 
 // Operator actions.
@@ -49,7 +49,8 @@
 	Body   []byte `json:"b"`
 }
 
-// SiteStatus is the status of the federation at this site, and the controller that leads it.
+// SiteStatus is the status of the federation at this site. Node is the controller that runs the
+// coordinator.
 type SiteStatus struct {
 	Node string `json:"node"`
 	federation.Status
--- a/internal/core/federationoperators.go
+++ b/internal/core/federationoperators.go
@@ -18,8 +18,8 @@
 	req  uint64
 }
 
-// operatorRequestTable holds the origins of operators' requests that the coordinator has not answered
-// yet, by the ID that the coordinator uses for them.
+// operatorRequestTable holds the origins of the operators' requests that the coordinator has not
+// answered yet, by the ID under which each request was passed to the coordinator.
 type operatorRequestTable struct {
 	pending map[uint64]requestOrigin
 	lastID  uint64
@@ -51,7 +51,7 @@
 }
 
 // handleOperatorRequest handles an operator's request, or forwards it to the controller that runs the
-// coordinator.
+// coordinator. Any controller with a federation configuration can list the hand-offs itself.
 func (c *Core) handleOperatorRequest(m OperatorRequest) {
 	f := c.federation
 	switch {
@@ -96,8 +96,8 @@
 	f.replyOperator(to, http.StatusOK, SiteStatus{Node: f.core.cfg.Node, Status: f.coordinator.Status()})
 }
 
-// handleAnswer replies to the operator's request that the coordinator has answered. Answers for which
-// no request is pending are dropped.
+// handleAnswer passes an answer of the coordinator on to the operator who sent the request. An answer
+// without a pending request is dropped.
 func (f *federationAdapter) handleAnswer(answer federation.Answer) {
 	from, pending := f.operators.take(answer.Req)
 	switch {
--- a/internal/core/federationstatus_test.go
+++ b/internal/core/federationstatus_test.go
@@ -10,9 +10,9 @@
 	"pepperlever/internal/federation"
 )
 
-// Guards against a panic: an operator requested the status of the federation in the same step in
-// which the controller became the federation's leader, before the coordinator had loaded its
-// records.
+// This test guards against a panic that occurred when an operator requested the status of the
+// federation in the same step in which the controller became the federation's leader, before the
+// coordinator had loaded its records.
 func TestOperatorStatusBeforeRecordsAreLoaded(t *testing.T) {
 	cluster, _ := newFederatedSimCluster(t)
 	former := cluster.cores["a"].federation.shard.leader
--- a/internal/core/federationstore.go
+++ b/internal/core/federationstore.go
@@ -5,8 +5,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// executeWrite executes a write of the coordinator as a transaction, on the condition that this
-// node still leads the federation shard and that the stored records are as the replica has them.
+// executeWrite executes a write of the coordinator as a transaction. Its conditions hold only if this
+// node still leads the federation shard and the records involved are unchanged since the replica last
+// saw them.
 func (f *federationAdapter) executeWrite(w federation.StoreWrite) {
 	txn, ok := f.handoffTxn(w.Write)
 	if !ok {
@@ -54,8 +55,8 @@
 	}
 }
 
-// broadcastAccepted announces a job that was just accepted from another site to the other
-// controllers, so that the leader of its team needn't wait for the watch.
+// broadcastAccepted announces a job that was just accepted from another site to this site's other
+// controllers, so that the leader of the job's team needn't wait for its watch.
 func (f *federationAdapter) broadcastAccepted(w federation.Write, revision uint64) {
 	decision, ok := w.(federation.DecideIncoming)
 	if !ok || !decision.Incoming.Accepted {
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -8,19 +8,23 @@
 	"pepperlever/internal/protocol"
 )
 
-// freshnessTracker tracks the time up to which this node knows every cancellation that any
-// controller has confirmed. There are two proofs: a reply from the store to a request from this
-// node, once the replica has reached its revision, and heartbeats from all other controllers that
-// acknowledge a heartbeat of this node and do not list this node among those that have yet to
-// acknowledge a cancellation. Neither compares clocks: the time that counts is the one at which
-// this node sent its own request or heartbeat.
+// freshnessTracker tracks the time up to which this node knows every cancellation that any controller
+// has confirmed. Two things prove this knowledge:
+//   - The store has replied to a request of this node, and the replica has reached the revision of the
+//     reply.
+//   - Every other controller has sent a heartbeat that acknowledges a heartbeat of this node and does
+//     not list this node among those that have yet to acknowledge a cancellation.
+//
+// Neither proof compares clocks: each is valid as of the time at which this node sent its own request
+// or heartbeat.
 type freshnessTracker struct {
 	*environment
 	peers *peerTable
-	// storeFreshUntil is the time at which the newest store request that serves as such a proof
-	// was sent.
+	// storeFreshUntil is the time at which this node sent the newest store request whose reply serves
+	// as a proof.
 	storeFreshUntil time.Duration
-	// pendingReply is an answered request whose revision the replica has not reached yet.
+	// pendingReply describes a reply of the store whose revision the replica has not reached yet:
+	// the time at which the request was sent, and that revision. A revision of 0 means none.
 	pendingReply struct {
 		sentAt   time.Duration
 		revision uint64
@@ -105,7 +109,8 @@
 	return changed
 }
 
-// recordStoreReply processes a reply from the store to a request that was sent at sentAt.
+// recordStoreReply passes the revision of a reply from the store, to a request that was sent at sentAt,
+// to the freshness tracker. It also counts transactions that were refused as oversized.
 func (c *Core) recordStoreReply(sentAt time.Duration, r StoreReply) {
 	if r.Oversized {
 		c.counters.OversizedTransactions++
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -5,8 +5,10 @@
 	"time"
 )
 
-// Store replies that the replica has reached, and peer heartbeats that acknowledge this node's
-// own, prove up to which time a controller knows all confirmed cancellations.
+// A controller knows every cancellation that was confirmed before it sent a request to the store,
+// once its replica has reached the revision of the reply. It also knows every one that was
+// confirmed before it sent a heartbeat, once all peers have acknowledged the heartbeat and report
+// no cancellation that this controller has yet to acknowledge.
 func TestFreshUntil(t *testing.T) {
 	const sent, later = 10 * time.Second, 20 * time.Second
 	heartbeat := func(b NodeHeartbeat) func(c *Core) {
--- a/internal/core/gangorder_test.go
+++ b/internal/core/gangorder_test.go
@@ -31,7 +31,7 @@
 	if first == second {
 		t.Fatal("one controller leads both teams, want two leaders")
 	}
-	// Each leader learns later than the other that its own gang may start.
+	// In each leader's replica, its own gang was unblocked later than the other gang.
 	for team, id := range gangs {
 		c := cluster.cores[cluster.leaderOf(team)]
 		c.jobs[id].Unblock(c.now.Steady, c.now.Wall+time.Second.Milliseconds())
--- a/internal/core/gangquota_test.go
+++ b/internal/core/gangquota_test.go
@@ -14,7 +14,7 @@
 	requireAccepted(t, cluster.submit("a", "req-red-1", 6, ""))
 	cluster.waitUntilStarted("req-red-1", 6)
 	requireAccepted(t, cluster.submit("a", "req-red-2", 6, `,"shape":"group","dueS":null`)) // six more tasks would exceed 16 CPUs
-	cluster.run(5*time.Minute, nil)                                                         // four timeouts
+	cluster.run(5*time.Minute, nil)                                                         // longer than the longest reservation delay of a gang, three timeouts
 	if cluster.onMachines("req-red-2") > 0 || cluster.cpusInUse("red") != 12 {
 		t.Fatal("team is not at its limit")
 	}
--- a/internal/core/gangreservations.go
+++ b/internal/core/gangreservations.go
@@ -16,9 +16,9 @@
 )
 
 // reserveForGangs reserves hosts for gangs that have waited long enough, by priority and then by
-// gangReservationOrder. Hosts that become free, in the zone with the most free hosts if the gang
-// must stay in one zone, are reserved until the gang fits. Otherwise jobs that need fewer hosts would
-// take each host as it becomes free, and a large gang would never find enough of them.
+// gangReservationOrder. Hosts with free resources are reserved until the gang fits. If the gang must
+// stay in one zone, the zone with the most such hosts is used. Without reservations, jobs that need
+// fewer hosts would take each host as it becomes free, and a large gang would never find enough.
 func (r *round) reserveForGangs() {
 	var eligible []*job.Job
 	for _, queue := range r.queues {
@@ -61,10 +61,10 @@
 	return j.EligibleSinceMS() + gangReservationDelay(j, timeoutS)
 }
 
-// gangReservationOrder is the sort key of the gangs that hosts are reserved for. It depends only
-// on the stored acceptance time: controllers learn at different moments that a gang's
-// dependencies are done, and two leaders that disagreed on the order would each leave the hosts
-// to the other's gang.
+// gangReservationOrder is the sort key of the gangs that hosts are reserved for. It depends only on
+// the stored job and the policy, not on when the gang's dependencies were done, because controllers
+// learn of that at different moments. Two leaders that disagreed on the order would each leave the
+// hosts to the other's gang.
 func gangReservationOrder(j *job.Job, timeoutS float64) int64 {
 	return j.Accepted + gangReservationDelay(j, timeoutS)
 }
--- a/internal/core/gangreservations_test.go
+++ b/internal/core/gangreservations_test.go
@@ -8,8 +8,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// TestLargeGangStartsDespiteStreamOfSmallGangs checks that a large gang starts within four
-// minutes although single-task gangs keep arriving, each of which fits on a machine as soon as it
+// TestLargeGangStartsDespiteStreamOfSmallGangs checks that a large gang starts within four minutes
+// although single-task gangs keep arriving, each of which fits on a machine as soon as that machine
 // becomes free.
 func TestLargeGangStartsDespiteStreamOfSmallGangs(t *testing.T) {
 	cluster := newGPUSimCluster(t, 4, 12)
--- a/internal/core/handoffs.go
+++ b/internal/core/handoffs.go
@@ -22,8 +22,8 @@
 	// unwatchedDeletions holds, by key, the revisions of deletions that were applied before the
 	// watch reported them.
 	unwatchedDeletions map[string]uint64
-	// unconfirmed holds the jobs that a failed write has shown to be handed off, but whose records
-	// have not arrived yet, and the time of the reply to that write.
+	// unconfirmed holds the jobs that are handed off, as a failed write has shown, but whose records
+	// have not arrived yet. The value is the time of the reply to that write.
 	unconfirmed map[string]time.Duration
 	// progress holds the progress of outgoing jobs as reported by other sites. It is only displayed.
 	progress map[string]Progress
@@ -60,8 +60,8 @@
 // cloneProgress returns a copy of the last known progress of all outgoing jobs.
 func (r *handoffReplica) cloneProgress() map[string]Progress { return maps.Clone(r.progress) }
 
-// lacksProgress reports whether the progress of an accepted job at another site is unknown. Any
-// answer about the job might then be older than one that its user has already received.
+// lacksProgress reports whether a job has been accepted by another site, but its progress there is
+// unknown. Any answer about the job might then be older than one that its user has already received.
 func (r *handoffReplica) lacksProgress(id string) bool {
 	_, known := r.progress[id]
 	return r.Outgoing[id].Accepted && !known
@@ -74,7 +74,8 @@
 	}
 }
 
-// isStale reports whether a stored record is not newer than what the replica reflects.
+// isStale reports whether the replica already reflects a stored record, a later version of it or its
+// deletion.
 func (r *handoffReplica) isStale(item protocol.KeyValue) bool {
 	return r.versions[item.Key] >= item.Version || r.unwatchedDeletions[item.Key] > item.Version
 }
@@ -161,7 +162,8 @@
 	return true
 }
 
-// isOutgoing reports whether a job is handed off to another site, which alone may run it.
+// isOutgoing reports whether a job is handed off to another site, so that it must not run here. If the
+// hand-off is known only from a failed write, the job counts as outgoing for one report interval.
 func (c *Core) isOutgoing(id string) bool {
 	if _, outgoing := c.handoffs.Outgoing[id]; outgoing {
 		return true
@@ -171,8 +173,8 @@
 }
 
 // notHandedOff returns the condition that a job is not handed off. A controller without a federation
-// configuration needs none: jobs are handed off only while the node keys of all live controllers
-// show that they have one.
+// configuration needs no condition: jobs are handed off only while the node key of every live
+// controller says that it has a federation configuration.
 func (c *Core) notHandedOff(id string) []protocol.Condition {
 	if c.federation == nil {
 		return nil
@@ -184,8 +186,9 @@
 // the node has no federation configuration, so that it would run jobs that were handed off.
 func (c *Core) mustNotLead() bool { return c.federation == nil && c.handoffs.hasRecords() }
 
-// onHandedOff ends the unstored bindings of a job after a write has failed because the job is handed
-// off. The watch has not delivered the hand-off's record yet.
+// onHandedOff handles a write that failed because the job is handed off. It removes the job's unstored
+// bindings. It also marks the job as outgoing, since the watch may not have delivered the hand-off's
+// record yet.
 func (c *Core) onHandedOff(j *job.Job) {
 	c.handoffs.unconfirmed[j.ID] = c.now.Steady
 	for i, b := range j.Bound {
--- a/internal/core/handofftxns.go
+++ b/internal/core/handofftxns.go
@@ -8,8 +8,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// handoffTxn returns the transaction for a write of the coordinator. ok is false if the replica shows
-// that the transaction would fail.
+// handoffTxn returns the transaction for a write of the coordinator. ok is false if the write is not
+// possible in the state that the replica shows.
 func (f *federationAdapter) handoffTxn(w federation.Write) (txn protocol.Txn, ok bool) {
 	switch w := w.(type) {
 	case federation.CreateOutgoing:
@@ -37,8 +37,8 @@
 }
 
 // createOutgoingTxn returns the transaction that hands a job off to another site. The condition that
-// the head is unchanged ensures that no task is bound. The write of a later binding fails because of
-// the hand-off's record.
+// the job's head is unchanged ensures that no task is bound. Afterwards the record of the hand-off
+// makes any write of a binding fail.
 func (f *federationAdapter) createOutgoingTxn(w federation.CreateOutgoing) (protocol.Txn, bool) {
 	out := w.Outgoing
 	out.HandedOffAt = f.core.now.Wall
@@ -118,14 +118,15 @@
 	return txn, true
 }
 
-// isOutgoingWithEpoch reports whether the replica shows that a job is handed off under a hand-off
-// epoch.
+// isOutgoingWithEpoch reports whether, according to the replica, a job is handed off under the given
+// hand-off epoch.
 func (r *handoffReplica) isOutgoingWithEpoch(id string, epoch federation.Epoch) bool {
 	outgoing, found := r.Outgoing[id]
 	return found && outgoing.Epoch == epoch
 }
 
-// unchangedConditions returns the conditions that stored records are as the replica has them.
+// unchangedConditions returns conditions that hold only if the records with the given keys have the
+// same versions in the store as in the replica. A record that the replica lacks must not exist.
 func (r *handoffReplica) unchangedConditions(keys ...string) []protocol.Condition {
 	var conditions []protocol.Condition
 	for _, key := range keys {
@@ -134,8 +135,8 @@
 	return conditions
 }
 
-// changeOutgoingTxn returns the transaction that changes the record of a job that is handed off under
-// a hand-off epoch.
+// changeOutgoingTxn returns the transaction that changes the record of an outgoing hand-off. Its second
+// result is false if the job is not handed off under the given hand-off epoch.
 func (r *handoffReplica) changeOutgoingTxn(id string, epoch federation.Epoch, change func(*federation.Outgoing)) (protocol.Txn, bool) {
 	outgoing := r.Outgoing[id]
 	change(&outgoing)
@@ -151,9 +152,9 @@
 	return protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, incoming)}}, found
 }
 
-// deleteIncomingTxn returns the transaction that deletes closed decisions. The final states of
-// their jobs are kept, like those of any job, so that tasks on workers that reconnect late are
-// stopped.
+// deleteIncomingTxn returns the transaction that raises the low-water mark of an origin site and
+// deletes the records of closed hand-offs. The final states of their jobs are kept, like those of any
+// job, so that tasks on workers that reconnect late are stopped.
 func (r *handoffReplica) deleteIncomingTxn(w federation.DeleteIncoming) protocol.Txn {
 	key := lowWaterMarkKey(w.Origin)
 	txn := protocol.Txn{If: r.unchangedConditions(key), Then: []protocol.Change{putJSON(key, w.LowWaterMark)}}
--- a/internal/core/headroom/headroom.go
+++ b/internal/core/headroom/headroom.go
@@ -1,6 +1,6 @@
 // Package headroom computes how much capacity to reserve: for services, which cannot wait for a
-// machine to boot and occupy their resources for a long time, and for tasks that fit nowhere else,
-// such as those that need GPUs.
+// machine to boot and occupy their resources for a long time, and for tasks that need GPUs, which fit
+// only on machines that have them.
 package headroom
 
 import (
--- a/internal/core/headroom/headroom_test.go
+++ b/internal/core/headroom/headroom_test.go
@@ -48,7 +48,7 @@
 		n, want int
 	}{{0, 3, 3}, {0, 8, 8}, {0, 1, 8}, {1, 2, 8}, {2, 1, 2}, {2, 5, 5}, {9, 1, 1}} {
 		if p.Observe(step.window, step.n); p.Max() != step.want {
-			t.Errorf("step %d: got %d, want %d", i, p.Max(), step.want)
+			t.Errorf("step %d: got maximum %d, want %d", i, p.Max(), step.want)
 		}
 	}
 }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -4,8 +4,8 @@
 
 // health answers a load balancer's health check. A controller that has not loaded the replica and
 // the catalog is unhealthy. A controller that cannot reach the store is unhealthy while most of its
-// peers can. It stays healthy in an outage that at least half of the peers with recent contact
-// report as well, because immediate errors serve users better than an empty list of controllers. A
+// peers can reach it. It stays healthy if at least half of the peers with recent contact report the
+// outage as well, because immediate errors serve users better than an empty list of controllers. A
 // controller that has peers but reaches neither the store nor any of them counts as partitioned and
 // is unhealthy. A controller without peers needs no contact to the store to be healthy.
 func (c *Core) health(m Health) {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -7,8 +7,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// handleHeartbeat answers a worker's report with the commands that are queued for the worker, or
-// redirects the worker to another controller.
+// handleHeartbeat answers a worker's report with the stop and forget commands that are queued for the
+// worker, or redirects the worker to another controller. If this node cannot serve the worker, it
+// refuses the report. If the worker has seen a newer token than this node's, the report waits until
+// this node has acquired a newer one.
 func (a *agentController) handleHeartbeat(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	if a.tokens.current == 0 || !a.core.replica.loaded || a.core.freshness.stale {
@@ -64,16 +66,16 @@
 	return session
 }
 
-// isStaleReport reports whether a report is a duplicate, or older than a known one. Reports may
-// arrive minutes late, at any controller.
+// isStaleReport reports whether a report is a duplicate, is older than a known one, or comes from a
+// terminated machine. Reports may arrive minutes late, at any controller.
 func (a *agentController) isStaleReport(report *protocol.Report) bool {
 	m := a.core.machines.Get(report.Machine)
 	return a.core.cordons.isTerminated(report.Machine) || m != nil && m.IsOutdated(report)
 }
 
 // answerStaleReport answers a report that contains nothing new. The worker may be waiting for the
-// answer, since its reply to a delivery can overtake its report. Nothing is concluded from the
-// report, and queued commands are kept for a newer one.
+// answer, since a report that its later reply to a delivery has overtaken is stale too. Nothing is
+// concluded from the report, and queued commands are kept for a newer one.
 func (a *agentController) answerStaleReport(heartbeat Heartbeat) {
 	report := &heartbeat.Report
 	session := a.session(report.Machine)
@@ -106,10 +108,10 @@
 // is shared again, in case the command to forget the tasks was lost.
 const exitReshareIntervals = 3
 
-// mustShare reports whether the other controllers need to see a report. For an unchanged report
-// this node's heartbeats suffice, as they show that the machine is alive. The first report of a
-// session is always shared: when a connection is restored, peers receive only the reports of
-// the sessions that exist then.
+// mustShare reports whether the other controllers need to see a report. An unchanged report is usually
+// not shared, because this node's heartbeats already show that the machine is alive. The first report
+// of a session is always shared: when a connection is restored, peers receive only the reports of the
+// sessions that exist then.
 func (a *agentController) mustShare(
 	session *agentSession, m *worker.Machine, report *protocol.Report, direct bool,
 ) bool {
@@ -126,8 +128,8 @@
 	}
 }
 
-// expireSessions removes the sessions of workers that report to another controller or have stopped
-// reporting, and probes workers whose reports are overdue.
+// expireSessions removes the sessions of workers that report to another controller, have stopped
+// reporting or ran on a terminated machine. It probes workers whose reports are overdue.
 func (a *agentController) expireSessions() {
 	for machine, session := range a.all() {
 		m := a.core.machines.Get(machine)
@@ -145,7 +147,7 @@
 }
 
 // isProbeDue reports whether a worker should be probed because its reports are overdue. It is probed
-// no more often than it would report.
+// no more often than it would report, and not between an unanswered delivery and its next report.
 func (a *agentController) isProbeDue(session *agentSession, m *worker.Machine) bool {
 	return a.reportOverdue(m) && !session.unanswered && a.now.Steady-session.lastProbeAt >= a.reportInterval()
 }
--- a/internal/core/heartbeats_test.go
+++ b/internal/core/heartbeats_test.go
@@ -20,8 +20,9 @@
 	}
 }
 
-// Leaders must not bind tasks to the machines of an unresponsive controller: the starts would be
-// lost, and each task would wait for a fence.
+// Leaders must not bind tasks to the machines of an unresponsive controller: the start commands
+// would be lost, and each task would have to wait until a report under a newer token rules out that
+// it runs.
 func TestMachinesOfAnUnresponsiveControllerAreNotSchedulable(t *testing.T) {
 	cluster := newBusySimCluster(t, 6)
 	var lost []string
@@ -45,7 +46,7 @@
 }
 
 // A worker that switches to another controller is probed immediately. Its report under the new
-// token proves what was lost with the previous controller.
+// token proves which start commands were lost with the previous controller.
 func TestWorkerIsProbedAfterSwitchingControllers(t *testing.T) {
 	cluster := newBusySimCluster(t, 1)
 	cluster.crash("c")
--- a/internal/core/hosts.go
+++ b/internal/core/hosts.go
@@ -57,9 +57,10 @@
 	return host
 }
 
-// isSchedulable reports whether new tasks may be placed on a machine: the machine and its
-// controller can be reached, its reports arrive in time, it is not cordoned, tasks do not fail on
-// it, and it has not rejected a start recently.
+// isSchedulable reports whether new tasks may be placed on a machine: it has a fencing token, the
+// machine and its controller can be reached, its reports arrive in time, it is neither cordoned nor
+// being cordoned, its failure score is below cordonThreshold, and no start on it was rejected
+// recently.
 func (c *Core) isSchedulable(m *worker.Machine) bool {
 	if c.cordons.has(m.Machine) || m.GrantedToken == 0 {
 		return false
@@ -98,8 +99,8 @@
 	return r.tasksByZone(j)
 }
 
-// excludeFailedHosts removes the hosts on which a job has failed since it last succeeded, unless
-// no other host could hold its tasks.
+// excludeFailedHosts removes the hosts on which a job has failed since it last succeeded, unless no
+// other host could hold a task of the job even if the host were empty.
 func excludeFailedHosts(j *job.Job, hosts []*placement.Host) []*placement.Host {
 	if len(j.FailedOn) == 0 {
 		return hosts
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -16,22 +16,23 @@
 	reasonSilent             = "silent"
 	reasonUnlisted           = "no longer listed"
 	reasonTasksFail          = "tasks fail on it"
-	// reasonUnknownMachine is given by another leader that knows the machine only from its
-	// bindings.
+	// reasonUnknownMachine is given by the leader of a job with a binding on the machine, if the
+	// leader has had no contact with the machine for too long. It may not know the machine at all.
 	reasonUnknownMachine = "unknown"
 )
 
 const (
 	// zoneOutageLeases is how long machines in a zone outage are kept, in worker leases.
 	zoneOutageLeases = 3
-	// unlistedListLags is the number of list lags after which a machine that is missing from the
-	// cloud's list counts as terminated.
+	// unlistedListLags is the number of list lags that a new machine may be missing from the cloud's
+	// list. A machine that is missing later counts as terminated.
 	unlistedListLags = 3
 )
 
-// reconcileInventory returns machines that failed, never booted, or stopped reporting. A new fleet
-// leader first waits for the silence timeout: workers may still be switching to a controller that
-// answers them, and after a restart of all controllers no machine has reported to it yet.
+// reconcileInventory returns machines that failed, never booted, stopped reporting, were reclaimed, are
+// no longer listed or fail their tasks. Until the silence timeout has passed, a new fleet leader only
+// returns machines that the cloud lists as failed: workers may still be switching to a controller that
+// answers them, and after a restart of all controllers no machine has reported to the leader yet.
 func (c *Core) reconcileInventory() {
 	settled := c.now.Steady-c.autoscaler.leaderSince > c.silenceTimeout()
 	c.autoscaler.deleteTerminatedTimes(c.cordons)
@@ -58,8 +59,8 @@
 }
 
 // reconcileListed returns a listed machine that the cloud reports as failed, or that has never
-// reported within its provisioning timeout. absenceConclusive is set if missing reports show that a
-// machine has failed.
+// reported within its provisioning timeout. absenceConclusive is set if the absence of reports shows
+// that a machine has failed.
 func (c *Core) reconcileListed(l protocol.ListedMachine, absenceConclusive bool) {
 	if l.State == protocol.Failed {
 		c.returnMachine(l.ID, reasonProvisioningFailed)
@@ -128,10 +129,11 @@
 	return outages
 }
 
-// isZoneOutage reports whether a zone is probably partitioned as a whole: there is no contact with
-// its machines or its controllers. Tasks in the zone keep running, since its controllers still answer
-// its workers, and are still there when the partition ends. If the machines were returned after the
-// usual silence timeout, all of these tasks would run again.
+// isZoneOutage reports whether a zone is probably partitioned as a whole: it is not this node's zone,
+// it has controllers, and there is no contact with any of them or with the zone's machines. Tasks in
+// the zone keep running, since its controllers still answer its workers, and are still there when the
+// partition ends. If the machines were returned after the usual silence timeout, all of these tasks
+// would run again.
 func (c *Core) isZoneOutage(zone string) bool {
 	if zone == c.cfg.Zone {
 		return false
@@ -160,13 +162,15 @@
 	return true
 }
 
-// listTolerance is the time by which the cloud's list of machines may lag behind.
+// listTolerance is the time for which a new machine may be missing from the cloud's list.
 func (c *Core) listTolerance() time.Duration {
 	return unlistedListLags * seconds(c.cfg.Params.Cloud.ListLagS)
 }
 
-// isUnlisted reports whether a machine has probably been terminated by the cloud. A list may be late
-// or older than the previous one, but a machine stays listed until it is terminated.
+// isUnlisted reports whether a machine has probably been terminated by the cloud: it is missing from a
+// list that was received more than the tolerance after the machine was rented. A list may be late or
+// older than the previous one, and so lack a new machine, but any other machine stays listed until it
+// is terminated.
 func (a *autoscaler) isUnlisted(name string, now, tolerance time.Duration) bool {
 	return !a.isListed(name) && a.inventoryAt-a.firstSeenAt(name, now) > tolerance
 }
@@ -183,9 +187,9 @@
 }
 
 // evaluatesMachine reports whether the fleet leader itself decides about a machine that another
-// controller does not know: one that has reported to the fleet leader, or that the cloud lists in
-// a zone outage. A controller that starts during an outage receives no reports of the zone's
-// machines, which is no reason to terminate them and their tasks.
+// controller has no contact with. It does so if it knows the machine from reports, or if the cloud
+// lists the machine in a zone with an outage: a controller that starts during the outage receives no
+// reports of the zone's machines, which is no reason to terminate them and their tasks.
 func (c *Core) evaluatesMachine(name string) bool {
 	listed, isListed := c.autoscaler.inventory[name]
 	return c.machines.Get(name) != nil || isListed && c.isZoneOutage(listed.Zone)
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -15,13 +15,13 @@
 	Done  Set
 	Bound map[int]*Binding
 	// Attempt is the highest attempt number in use, and StoredAttempt the highest that is known
-	// to be stored. Starts are sent only for stored bindings, so an attempt above StoredAttempt
-	// was started by another leader with newer state.
+	// to be stored. Start commands are sent only for stored bindings, so if a worker reports an
+	// attempt above StoredAttempt, another leader with newer state has started it.
 	Attempt, StoredAttempt uint64
 	chunkLayout
 	dependencyState
 
-	// InFlight is set while a transaction that writes the job is unanswered.
+	// InFlight is set while a transaction that writes the job awaits the store's reply.
 	InFlight bool
 	// Urgent requests that the job be stored without delay. StoredAt is when it was last
 	// written.
@@ -35,8 +35,9 @@
 	// failures, for example because of an error in the submission. TaskSucceeded is set once a task
 	// has succeeded.
 	Suspected, TaskSucceeded bool
-	// FailedOn lists the machines on which the job has failed since its last success, CanaryStarts
-	// counts its canary starts, and NotBefore is the earliest time of the next start.
+	// FailedOn lists the machines on which the job has failed since its last success. CanaryStarts
+	// counts how often its next start was delayed while it was suspected and started one task at a
+	// time. NotBefore is the earliest time of the next start.
 	FailedOn     []string
 	CanaryStarts int
 	NotBefore    time.Duration
@@ -107,9 +108,10 @@
 }
 
 // Claim records a claim: a binding that the job's leader has announced and not yet stored. It
-// replaces an earlier claim on the task and reports whether anything changed. Repeating the current
-// claim only renews it. A claim that is older than the known stored state is ignored. The next
-// stored state of the task replaces the claim.
+// replaces an earlier claim on the task and reports whether the binding changed. Repeating the
+// current claim only renews it. A claim is ignored if the task is done or has a stored binding, or if
+// the claim is older than the known stored state. The next stored state of the task replaces the
+// claim.
 func (j *Job) Claim(i int, b *Binding) bool {
 	if i >= j.Tasks || j.Done.Has(i) || b.Attempt <= j.Attempt {
 		return false
@@ -154,7 +156,7 @@
 	return n
 }
 
-// DropUnstored removes the bindings that a previous leader announced and did not store.
+// DropUnstored removes the bindings that are not stored, which a previous leader has announced.
 func (j *Job) DropUnstored() {
 	for i, b := range j.Bound {
 		if !b.Stored {
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// A claim announces a binding before it is stored. Claims that arrive after newer stored state must
-// not remain or be taken for bindings.
+// A claim announces a binding before it is stored. Loading newer stored state must replace or remove
+// the claim, and a claim older than the stored state must be ignored.
 func TestStoredStateSupersedesClaims(t *testing.T) {
 	leader, replica := New(Spec{ID: "req-1", Tasks: 4}, 16, 0), New(Spec{ID: "req-1", Tasks: 4}, 16, 0)
 	replicate := func() {
--- a/internal/core/job/layout.go
+++ b/internal/core/job/layout.go
@@ -20,7 +20,7 @@
 	hasExplicitSize bool
 	// previousSize is the chunk size before the chunks were split, 0 if they never were.
 	// migrated holds the chunks of the present size that are no longer read from keys of the
-	// previous one.
+	// previous size.
 	previousSize int
 	migrated     Set
 	// storedKeys holds the chunk keys that exist in the store, and dirty the chunks that have
@@ -124,8 +124,8 @@
 }
 
 // TakeChunkWrites returns at most maxWrites chunk writes that are due besides the head, and whether
-// more are left. The chunks no longer count as changed. RevertWrites undoes that if the write
-// fails.
+// more are left. The chunks that are written no longer count as changed, unless RevertWrites is
+// called because the transaction has failed.
 func (j *Job) TakeChunkWrites(maxWrites int) (writes []ChunkWrite, more bool) {
 	for _, c := range slices.Sorted(maps.Keys(j.dirty)) {
 		write, needed := j.chunkWrite(c)
@@ -162,8 +162,8 @@
 	return write, true
 }
 
-// recordWrite updates the layout for a chunk that is about to be stored under its own key, or in
-// the head.
+// recordWrite updates the layout for a chunk that is about to be stored in the head or under its own
+// key, or whose key is about to be deleted.
 func (j *Job) recordWrite(c int, w ChunkWrite) {
 	if j.previousSize > 0 {
 		j.migrated.Add(c)
@@ -204,7 +204,7 @@
 	return true
 }
 
-// RevertWrites marks the chunks of a failed transaction as changed again.
+// RevertWrites undoes TakeChunkWrites after a failed transaction: its chunks count as changed again.
 func (j *Job) RevertWrites(writes []ChunkWrite) {
 	j.dirty[0] = true
 	for _, w := range writes {
--- a/internal/core/job/set.go
+++ b/internal/core/job/set.go
@@ -95,7 +95,8 @@
 	return math.MaxInt
 }
 
-// Parse adds the ranges of text, which are relative to lo. It fails if they extend to hi or beyond.
+// Parse adds the ranges of text, which are relative to lo. It fails if a range is malformed or extends
+// to hi or beyond.
 func (s *Set) Parse(text string, lo, hi int) error {
 	if text == "" {
 		return nil
--- a/internal/core/job/spec.go
+++ b/internal/core/job/spec.go
@@ -12,7 +12,7 @@
 // MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
-// Kind determines how the tasks of a job are scheduled together.
+// Kind is the kind of a job. It determines how the tasks are scheduled relative to each other.
 type Kind uint8
 
 // Kinds of jobs. Tasks of an array run independently of each other, the tasks of a gang start
--- a/internal/core/job/stored.go
+++ b/internal/core/job/stored.go
@@ -220,8 +220,9 @@
 	return j.loadChunkRecord(k.Index*size, size, &record)
 }
 
-// loadChunkRecord loads a stored chunk of size tasks that begins at task lo. Bindings of tasks that
-// have migrated to a key of the present size are ignored in chunks of the previous size.
+// loadChunkRecord loads a stored chunk of size tasks that begins at task lo, and removes the known
+// bindings of these tasks that the chunk does not list. A chunk of the previous size has no effect on the
+// bindings of tasks that have migrated to a chunk of the present size.
 func (j *Job) loadChunkRecord(lo, size int, record *chunkRecord) error {
 	hi := min(j.Tasks, lo+size)
 	superseded := func(i int) bool { return size == j.previousSize && j.hasMigrated(i) }
@@ -259,8 +260,8 @@
 	j.setBinding(i, &Binding{Machine: machine, Attempt: attempt, Token: token, Epoch: epoch, Stored: true})
 }
 
-// Cancel marks the job as cancelled and all of its stored chunks as changed, so that each chunk is
-// deleted once none of its tasks is bound.
+// Cancel marks the job as cancelled. It also marks the head as changed, and the chunks under keys of
+// the present size, so that each of these keys is deleted once none of its tasks is bound.
 func (j *Job) Cancel() {
 	j.Cancelled = true
 	j.dirty[0] = true
--- a/internal/core/job/submission.go
+++ b/internal/core/job/submission.go
@@ -32,8 +32,8 @@
 const maxNumber = 1e12
 
 // Parse validates a submission and converts it to a Spec. The stored form of the spec without
-// dependencies may have up to maxBytes. The error is a single line that names the first invalid
-// field.
+// dependencies may have up to maxBytes. The error is a single line. It names the first field that is
+// missing or invalid, unless the submission as a whole is invalid.
 func Parse(body []byte, maxBytes int) (*Spec, error) {
 	if len(body) > protocol.MaxBody {
 		return nil, ErrBodyTooLarge
--- a/internal/core/job/submission_test.go
+++ b/internal/core/job/submission_test.go
@@ -10,7 +10,8 @@
 "accelerators":0.0,"memoryGb":2.0,"bundle":"i","pullGb":1.0,"builds":null,"yard":null,"samePlace":false,"spread":false,
 "loaners":true,"guessS":5.0,"markEveryS":0.0,"markCostS":0.0,"dueS":null,"unknown":[1]}`
 
-// Parse accepts a valid submission, and otherwise returns an error that names the invalid field.
+// Parse accepts a valid submission. Otherwise it returns an error that names the invalid field or the
+// problem of the whole submission.
 func TestParseNamesInvalidField(t *testing.T) {
 	if _, err := Parse([]byte(validSubmission), 1024); err != nil {
 		t.Fatalf("valid submission: %v", err)
--- a/internal/core/leaderchange_test.go
+++ b/internal/core/leaderchange_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// A team is at its limit when its leader crashes. Some of its machines cannot be probed, and
-// one of its jobs is cancelled meanwhile. Every later leader must count the cancelled tasks
-// until their end is proven, and the capacity must be used again soon after that.
+// A team is at its limit when its leader crashes. Some of its machines cannot be probed, and one of
+// its jobs is cancelled meanwhile. Every later leader must count the cancelled tasks until they are
+// known to have ended, and the capacity must be used again soon after that.
 func TestLeaderChangeAtTeamLimit(t *testing.T) {
 	for name, makeUnavailable := range map[string]func(cluster *simCluster, id string){
 		"hang":            func(cluster *simCluster, id string) { cluster.hang(id, 14*time.Second) },
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/settings"
 )
 
-// Full chunks of the size for the tightest limits fit into one value under the upcoming limits,
-// both in the head and under their own keys, even if every task is on a different machine.
+// Full chunks, whose size was chosen for the tightest limits, fit into one value under the upcoming
+// limits, both in the head and under their own keys, even if every task is on a different machine.
 func TestFullChunksFitTightestValueLimit(t *testing.T) {
 	for _, kb := range []float64{1, 2, 4} {
 		for _, name := range []string{"vm-%06d", "a-machine-with-a-rather-long-name-%06d"} {
--- a/internal/core/lookup/lookup.go
+++ b/internal/core/lookup/lookup.go
@@ -1,6 +1,6 @@
 // Package lookup queues requests for the stored states of jobs and batches them, so that one store
-// transaction answers as many requests as it may have conditions. One transaction per request would
-// exhaust the store's request rate when users poll frequently.
+// transaction looks up as many jobs as its limit on conditions allows. One transaction per request
+// would exhaust the store's request rate when users poll frequently.
 package lookup
 
 import (
--- a/internal/core/lookup/queue.go
+++ b/internal/core/lookup/queue.go
@@ -29,8 +29,8 @@
 	// all others. They are sent in separate transactions because one failed condition fails the
 	// whole transaction, and conditions on unknown jobs fail often.
 	accepted, unknown []Request
-	// budget is how many transactions may be sent now, a token bucket that was last refilled at
-	// refilledAt.
+	// budget is how many transactions may be sent now. It is a token bucket that was last refilled
+	// at refilledAt.
 	budget     float64
 	refilledAt time.Duration
 }
@@ -85,8 +85,8 @@
 // budget may become negative.
 func (q *Queue) ChargeBudget() { q.budget-- }
 
-// Next removes and returns the requests that the next transaction answers, oldest first. It returns
-// nil if no request is queued or the budget is exhausted.
+// Next removes and returns the batch of requests that the next transaction answers. It contains the
+// oldest request. Next returns nil if no request is queued or the budget is exhausted.
 func (q *Queue) Next(limits Limits) Batch {
 	if q.budget < 1 || len(q.accepted)+len(q.unknown) == 0 {
 		return nil
@@ -111,8 +111,8 @@
 // Each takes two conditions: that the job has no final state and that it is not active.
 func (l Limits) maxUnknownJobs() int { return l.Conditions / 2 }
 
-// TakeAcceptance removes and returns all requests with AcceptanceOnly, regardless of the budget,
-// and charges the budget for them.
+// TakeAcceptance removes and returns all requests with AcceptanceOnly for jobs that are not known to
+// have been accepted, regardless of the budget, and charges the budget for them.
 func (q *Queue) TakeAcceptance(limits Limits) []Batch {
 	var urgent, rest []Request
 	for _, request := range q.unknown {
--- a/internal/core/lookups_test.go
+++ b/internal/core/lookups_test.go
@@ -31,7 +31,8 @@
 	return received
 }
 
-// Guards against one store request for each poll, which would exhaust the store's request rate.
+// Simultaneous polls must not cause one store request each, which would exhaust the store's request
+// rate.
 func TestManyPollsShareFewStoreRequests(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	var ids []string
@@ -50,9 +51,9 @@
 	}
 }
 
-// Guards against a stale status from a controller whose replica lags. A failed transaction may name
-// only one of the keys whose conditions failed; the jobs of the others must be reported neither as
-// unknown nor as unfinished.
+// A controller whose replica lags must not report a stale status. A failed transaction may name
+// only one of the keys whose conditions failed; the jobs of the other keys must be reported neither
+// as unknown nor as unfinished.
 func TestStatusIsNotStale(t *testing.T) {
 	for _, nameOneKey := range []bool{false, true} {
 		cluster := newSimCluster(t).waitUntilReady()
@@ -106,8 +107,8 @@
 	}
 }
 
-// Guards against restoring a job that has ended: the message about its acceptance may be delayed
-// until after its end.
+// A message about the acceptance of a job may be delayed until after the job's end. It must not
+// restore the job in a replica.
 func TestDelayedAcceptanceMessageDoesNotRestoreEndedJob(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 1, ""))
--- a/internal/core/loweredlimits_test.go
+++ b/internal/core/loweredlimits_test.go
@@ -9,8 +9,9 @@
 	"pepperlever/internal/settings"
 )
 
-// The store's limits are lowered while a transaction on a job with large chunks has no reply. From
-// then on all writes observe the lower limits; the job ends and leaves no key behind.
+// The store's limits are lowered while a job with large chunks runs, in one case while some of its
+// writes are delayed. From then on all writes observe the lower limits; the job ends and leaves no
+// key behind.
 func TestLimitsLoweredDuringWrite(t *testing.T) {
 	const tasks = 150
 	for _, late := range []bool{false, true} {
--- a/internal/core/machinereturns_test.go
+++ b/internal/core/machinereturns_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against returning machines needlessly after an outage in which all controllers crashed.
-// Each finds in the stored state that a job was cancelled long ago but not that its tasks have
-// ended, and returns machines only once worker reports had time to arrive.
+// All controllers crash during an outage. After it, the stored state shows that a job was cancelled
+// long ago, but not that its tasks have ended. The controllers must give worker reports time to
+// arrive before they return machines because of these tasks.
 func TestRestartedControllersWaitForReportsBeforeReturningMachines(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
@@ -41,9 +41,8 @@
 	}
 }
 
-// Guards against returning machines needlessly after a partition: a leader that reconnects learns
-// of a job that was cancelled long ago, and its information about where the job's tasks are is
-// outdated.
+// After a partition, a leader that reconnects learns that a job was cancelled long ago, while its
+// information about where the job's tasks are is outdated. It must not return machines needlessly.
 func TestReconnectedLeaderReturnsNoMachines(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.allowRacingStarts, cluster.taskTime = true, 10*time.Minute
--- a/internal/core/outgoinghandoffs_test.go
+++ b/internal/core/outgoinghandoffs_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// The cancellation of an outgoing job is confirmed only once the other site has reported its end or
-// has refused the job.
+// The cancellation of an outgoing job is confirmed only once the other site has reported the job's
+// end or has refused the job.
 func TestOutgoingJobCancellationIsConfirmedByRemoteSite(t *testing.T) {
 	for _, accepted := range []bool{true, false} {
 		cluster, remote := newFederatedSimCluster(t)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -14,12 +14,12 @@
 	// maxReportBytes leaves an eighth of the maximum request size for the other fields of a
 	// report and for an unexpected task.
 	maxReportBytes = protocol.MaxBody * 7 / 8
-	// taskOverheadBytes is the length of the index, such as "/99999", that a task's name has after
-	// the job ID.
+	// taskOverheadBytes is the maximum length of what a task ID has after the job ID, such as
+	// "/99999".
 	taskOverheadBytes = 6
 	// maxReservedShare is the maximum fraction of the hosts of one size that may be reserved.
 	maxReservedShare = 1.0 / 2
-	// fitTolerance compensates for rounding errors, in tasks.
+	// fitTolerance compensates for rounding errors when tasks are counted, as a fraction of a task.
 	fitTolerance = 1e-6
 )
 
@@ -52,12 +52,12 @@
 	RemainingS float64
 	// Empty is set while no task is bound to the host.
 	Empty bool
-	// RelativeSize is the number of CPUs relative to the largest type. Tasks prefer small hosts, so
-	// that large hosts remain free for large tasks.
+	// RelativeSize is the number of CPUs divided by that of the largest type. Tasks prefer small
+	// hosts, so that large hosts remain free for large tasks.
 	RelativeSize float64
 	// PricePremium is the relative excess of the price per CPU over the cheapest kind, at most 1.
 	PricePremium float64
-	// GPUShare is the number of GPUs relative to the type with the most.
+	// GPUShare is the number of GPUs divided by that of the type with the most GPUs.
 	GPUShare float64
 	// PreemptionLoss is the least work, in CPU seconds, that is lost if one task on the host is
 	// preempted. PreemptionLossPerCPU is the least work lost per CPU freed.
@@ -126,7 +126,8 @@
 	return ZoneAllowance(s, zone, zones) > 0
 }
 
-// ZoneAllowance returns how many more tasks of a job may be placed in a zone.
+// ZoneAllowance returns how many more tasks of a job may be placed in a zone, or job.MaxTasks if their
+// number is not limited.
 func ZoneAllowance(s *job.Spec, zone string, zones Zones) int {
 	if s.OneZone {
 		for other, tasks := range zones {
@@ -164,9 +165,9 @@
 	return best
 }
 
-// score returns the preference for placing a task on a host; higher is better. It prefers hosts
-// that have the image, and then full, cheap and small ones, so that the others drain and can be
-// returned to the cloud.
+// score returns the preference for placing a task on a host; higher is better. Apart from Penalty and
+// GPUs that the task would waste, it prefers hosts that have the image, and then full, cheap and small
+// ones, so that the others drain and can be returned to the cloud.
 func score(s *job.Spec, h *Host) float64 {
 	remaining := h.Free.Plus(s.Need, -1)
 	score := -h.Penalty - h.PricePremium - sizePenalty*h.RelativeSize
@@ -221,7 +222,8 @@
 	}
 }
 
-// FitCount returns how many tasks with the given need fit into the free resources.
+// FitCount returns how many tasks with the given need fit into the free resources, at most
+// job.MaxTasks.
 func FitCount(need, free job.Resources) int {
 	count := float64(job.MaxTasks)
 	limitBy := func(need, free float64) {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -43,7 +43,7 @@
 		"possibly more than half":      {spread, host("m", "a", 4), Zones{"a": 2, UnknownZone: 1}, false},
 	} {
 		if got := Allowed(c.spec, c.host, c.zones); got != c.want {
-			t.Errorf("%s: got %v", name, got)
+			t.Errorf("%s: got allowed %v", name, got)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	s.OneZone = true
 	out := PlaceGang(s, 2, hosts, nil)
 	if len(out) != 2 || out[0].ID != "m2" || out[1].ID != "m2" {
-		t.Fatalf("got %v", out)
+		t.Fatalf("got hosts %v, want m2 for both tasks", out)
 	}
 	if out := PlaceGang(s, 2, hosts, nil); out != nil || hosts[0].Free.CPUs != 4 {
 		t.Errorf("gang was partly placed or its resources not released: %v", out)
@@ -68,15 +68,15 @@
 		t.Fatalf("reserved %v, want only m1: at most half of the hosts", reserved)
 	}
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
-		t.Errorf("small task went to %v", h)
+		t.Errorf("small task went to %v, want m2", h)
 	}
 	// In the next round the prior reservation keeps the host free for tasks of the same size.
 	hosts[0].Reserved, hosts[0].PriorReservation, hosts[0].Free = false, spec(8, 1).Need, hosts[0].Capacity
 	if h := Choose(spec(1, 1), hosts, nil); h == nil || h.ID != "m2" {
-		t.Errorf("small task went to %v", h)
+		t.Errorf("small task went to %v, want m2", h)
 	}
 	if h := Choose(spec(8, 1), hosts, nil); h == nil || h.ID != "m1" {
-		t.Errorf("large task went to %v", h)
+		t.Errorf("large task went to %v, want m1", h)
 	}
 }
 
@@ -96,7 +96,7 @@
 	hosts := []*Host{expensive, cheap}
 	DeprioritizeSurplus(hosts, 0.1)
 	if h := Choose(spec(1, 1), hosts, nil); h != cheap {
-		t.Errorf("task went to %s", h.ID)
+		t.Errorf("task went to %s, want the host that is not surplus", h.ID)
 	}
 	cheap.Free.CPUs = 0
 	if h := Choose(spec(1, 1), hosts, nil); h != expensive {
@@ -114,7 +114,7 @@
 		h.Allocate(s)
 	}
 	if n < 300 || n*len(`{"piece":"req-000001/99999","try":99999,"stance":"exited","cause":"done"}`) > protocol.MaxBody {
-		t.Errorf("host takes %d tasks", n)
+		t.Errorf("host takes %d tasks, want at least 300 whose report fits into one request", n)
 	}
 }
 
@@ -133,7 +133,7 @@
 		s := spec(1, 1)
 		s.Image, s.Priority = "i", slices.Index(protocol.Priorities, priority)
 		if h := Choose(s, []*Host{warm, cold}, nil); h == nil || h.ID != want {
-			t.Errorf("task of priority %s went to %v", priority, h)
+			t.Errorf("task of priority %s went to the wrong host %v", priority, h)
 		}
 	}
 }
--- a/internal/core/placement/reserve.go
+++ b/internal/core/placement/reserve.go
@@ -79,8 +79,9 @@
 	}
 }
 
-// hostsForGang returns the hosts with free resources for a task of a gang of n tasks. If the gang
-// has to be in one zone, these are the hosts of the zone with the most such hosts.
+// hostsForGang returns the hosts with free resources for a task of a gang of n tasks, or nil if the
+// gang would not fit even on empty hosts. If the gang has to be in one zone, all the hosts are in one:
+// of the zones that could hold the whole gang if empty, the one with the most such hosts.
 func hostsForGang(s *job.Spec, n int, hosts []*Host) []*Host {
 	usable := slices.DeleteFunc(slices.Clone(hosts), func(h *Host) bool {
 		return h.isBeingReclaimed() || !s.Allows(h.Type, h.Zone, h.Spot) || h.excludesKind(s)
--- a/internal/core/placement/reserve_test.go
+++ b/internal/core/placement/reserve_test.go
@@ -7,8 +7,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// TestGangReservesHostsOnlyWhereItFitsWhole guards against gangs that reserve hosts on which they
-// can never be placed together, so that the hosts stay idle while other jobs wait.
+// TestGangReservesHostsOnlyWhereItFitsWhole checks that a gang reserves no hosts on which it can never
+// be placed as a whole. Such hosts would stay idle while other jobs wait.
 func TestGangReservesHostsOnlyWhereItFitsWhole(t *testing.T) {
 	inZones := func(zones ...string) (hosts []*Host) {
 		for i, zone := range zones {
--- a/internal/core/provisioning_test.go
+++ b/internal/core/provisioning_test.go
@@ -8,8 +8,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// newFleetLeader returns a core that leads the fleet, with n machines that were rented age ago
-// and are still booting.
+// newFleetLeader returns a core that leads the fleet, with n machines of the given age that are
+// still booting.
 func newFleetLeader(t *testing.T, n int, age time.Duration) *Core {
 	t.Helper()
 	c := newSimCluster(t).waitUntilReady().cores[nodeNames[0]]
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestMachineThatFailsToBootIsReturnedOnceOthersAreUp checks that a late machine is given up once
+// TestMachineThatFailsToBootIsReturnedOnceOthersAreUp checks that a late machine is returned once
 // other machines of its type have booted in time.
 func TestMachineThatFailsToBootIsReturnedOnceOthersAreUp(t *testing.T) {
 	const boot = 5 * time.Second
@@ -65,7 +65,7 @@
 }
 
 // TestAllMachinesThatFailToBootAreReturned checks that machines that never boot are returned even
-// if there are more of them than provisioning samples are evaluated.
+// if they outnumber the provisioning samples that are evaluated.
 func TestAllMachinesThatFailToBootAreReturned(t *testing.T) {
 	c := newFleetLeader(t, 40, 2*(maxProvisioningFactor+1)*2*5*time.Second)
 	c.now.Steady += c.silenceTimeout() + time.Second
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestOfferIsBackedOffAfterFailedProvisioning checks that an offer is backed off after several
-// machines in a row have failed to boot.
+// TestOfferIsBackedOffAfterFailedProvisioning checks that an offer is in backoff, so that it is not
+// used for a while, after several of its machines in a row have failed to boot.
 func TestOfferIsBackedOffAfterFailedProvisioning(t *testing.T) {
 	c := newFleetLeader(t, 0, 0)
 	l := protocol.ListedMachine{Type: "small", Zone: "z1", Spot: true}
--- a/internal/core/randomchecks_test.go
+++ b/internal/core/randomchecks_test.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// checkNoneWaitsDespiteCapacity checks that no job whose dependencies are done waits longer than
-// within for its first task to start while machines have capacity for it and its team's limit
+// checkNoneWaitsDespiteCapacity checks that no job whose dependencies are done is without tasks on
+// machines for longer than within, while machines have capacity for the job and its team's limit
 // allows it.
 func (r *randomScenario) checkNoneWaitsDespiteCapacity(within time.Duration) {
 	waitingSince := map[string]time.Duration{}
@@ -82,8 +82,9 @@
 	}
 }
 
-// checkAnswer checks an answer against the final state that was reported before the request, and
-// records a final state that it contains.
+// checkAnswer checks that an answer does not contradict the final states that were reported to
+// users, and that a job is cancelled only if a user cancelled it or one of its dependencies. It
+// records the final state in the answer, if there is one.
 func (r *randomScenario) checkAnswer(id, reportedBefore string, a Answer) {
 	s, isState := a.Body.(protocol.JobState)
 	switch now := r.reportedFinalStates[id]; {
@@ -136,10 +137,11 @@
 	}
 }
 
-// checkAllStart checks that all jobs start within the given time. Jobs of team red wait for the
-// team's other tasks when it is at its limit, so it is only an error if they wait below the limit.
-// Team blue also has a limit, but its jobs vary in kind and size: checkNoneWaitsDespiteCapacity
-// checks them instead.
+// checkAllStart checks that all jobs of team free whose dependencies have long been done start
+// within the given time. Team red has a limit, at which its jobs wait for its other tasks to end,
+// so it is only an error if a job of team red waits for an eighth of that time while another task
+// is within the limit. Team blue also has a limit, but its jobs vary in kind and size:
+// checkNoneWaitsDespiteCapacity checks them instead.
 func (r *randomScenario) checkAllStart(within time.Duration) {
 	isWaiting := func(team string) bool {
 		return slices.ContainsFunc(r.openJobs, func(id string) bool {
--- a/internal/core/randomfaults_test.go
+++ b/internal/core/randomfaults_test.go
@@ -142,9 +142,9 @@
 	"all is well":          func(r *randomScenario, _, _ string) { r.recover() },
 }
 
-// cancelRunningJobs cancels running jobs, some of whose machines hang, while the store refuses one
-// controller. A second later the store becomes unavailable to all, for longer than a cancellation
-// may take.
+// cancelRunningJobs makes some machines of running jobs hang, cancels these jobs and makes the
+// store refuse one controller. A second later the store becomes unavailable to all controllers, for
+// longer than a cancellation may take.
 func (r *randomScenario) cancelRunningJobs(node string) {
 	hung := 0
 	for range 4 {
@@ -187,8 +187,8 @@
 	}
 }
 
-// sendInvalidRequests repeats submissions, also with changed fields, cancels jobs that are done, and
-// submits jobs that are malformed or can never run.
+// sendInvalidRequests repeats submissions, some of them with changed fields, cancels jobs that are
+// done, and submits jobs that are malformed or can never run.
 func (r *randomScenario) sendInvalidRequests() {
 	for range min(3, len(r.acceptedJobs)) {
 		id := r.acceptedJobs[r.rng.IntN(len(r.acceptedJobs))]
--- a/internal/core/randomscenarios_test.go
+++ b/internal/core/randomscenarios_test.go
@@ -45,8 +45,8 @@
 	Dependencies int
 }
 
-// drawScenarioStep returns a generator of steps. About one step in three has the fault in focus;
-// the others have a random fault.
+// drawScenarioStep returns a generator of steps. About one step in three has the fault named by
+// focus; the others have a random fault.
 func drawScenarioStep(focus string) *rapid.Generator[scenarioStep] {
 	names := slices.Sorted(maps.Keys(faults))
 	return rapid.Custom(func(t *rapid.T) scenarioStep {
@@ -89,7 +89,7 @@
 	openJobs, acceptedJobs []string
 	// reportedFinalStates holds the newest final state that was reported to any user of a job.
 	reportedFinalStates map[string]string
-	// replyHandlers holds the handlers of outstanding answers by request.
+	// replyHandlers holds, by request, the handlers of the answers that have not arrived yet.
 	replyHandlers map[uint64]func(Answer)
 	// cancelRequested holds the jobs whose cancellation a user has requested; firstCancelReports
 	// holds the times at which a user was first notified that a job is cancelled.
--- a/internal/core/randomusers_test.go
+++ b/internal/core/randomusers_test.go
@@ -67,8 +67,8 @@
 	return `,"awaits":["` + strings.Join(ids[:n], `","`) + `"]`
 }
 
-// pollRandomJobs requests the state of some jobs from a controller that may lag behind others, and
-// of a job that was never submitted.
+// pollRandomJobs requests the states of some jobs, and of a job that was never submitted, from a
+// controller that may lag behind others.
 func (r *randomScenario) pollRandomJobs() {
 	node := r.servingController()
 	if node == "" {
@@ -118,7 +118,7 @@
 }
 
 // expectCancelled records that a user requests the cancellation of a job. The job and all that
-// depend on it are no longer open: whatever the answer, they may end cancelled.
+// depend on it are no longer open: regardless of the answer, they may end cancelled.
 func (r *randomScenario) expectCancelled(id string) {
 	r.cancelRequested[id] = true
 	r.openJobs = slices.DeleteFunc(r.openJobs, func(openJob string) bool { return r.mayBeCancelled(openJob) })
--- a/internal/core/rebalancing_test.go
+++ b/internal/core/rebalancing_test.go
@@ -19,8 +19,9 @@
 	return cluster
 }
 
-// A controller that is partitioned from the workers alone has no workers and seems the least
-// loaded. Workers that fail to reach it must not be redirected there again and again.
+// A controller that is partitioned from the workers, but not from its peers, has no workers and
+// seems the least loaded. Workers that fail to reach it must not be redirected there again and
+// again.
 func TestRebalancingAvoidsControllersUnreachableFromWorkers(t *testing.T) {
 	cluster := newBusySimCluster(t, 12)
 	cluster.unreachableNodes["c"] = true
--- a/internal/core/relay/entry.go
+++ b/internal/core/relay/entry.go
@@ -12,8 +12,8 @@
 	Index   int
 	Attempt uint64
 	Machine string
-	// Reason is why the attempt exited. It is empty for an attempt that was never started and
-	// never will be.
+	// Reason is why the attempt exited. It is empty if no exit was reported but the attempt is not
+	// on the machine and can never start there, for example because its start was refused.
 	Reason string
 }
 
--- a/internal/core/relay/publication.go
+++ b/internal/core/relay/publication.go
@@ -98,7 +98,7 @@
 }
 
 // Observe records the value of a page in the store at a revision, or nil if the page does not exist.
-// It ignores revisions older than the known one.
+// It ignores revisions that are not newer than the last one recorded for the page.
 func (p *Publication) Observe(page string, value json.RawMessage, revision uint64) {
 	if p.stored == nil {
 		p.stored = map[string]storedPage{}
--- a/internal/core/relay/relay_test.go
+++ b/internal/core/relay/relay_test.go
@@ -18,8 +18,8 @@
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
 // TestPagesRoundTripWithinSizeLimit checks that all entries and machines are read back from pages
-// within the size limit. Whatever the batches of changes, delayed writes and lost replies, the store
-// ends up with exactly these pages.
+// within the size limit, and that the store ends up with exactly these pages regardless of batch
+// sizes, delayed writes and lost replies.
 func TestPagesRoundTripWithinSizeLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(512, 8192).Draw(t, "limit")
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestFrequentlyChangingPagesDoNotStarveOthers guards against pages that are never written. The page
-// with the heartbeat changes every time, and others may too. Since a transaction holds few pages,
-// these could always be written in place of the rest.
+// TestFrequentlyChangingPagesDoNotStarveOthers checks that every page is eventually written. A
+// transaction holds few pages, so those that change every time, such as the page with the heartbeat,
+// could always be written in place of the rest.
 func TestFrequentlyChangingPagesDoNotStarveOthers(t *testing.T) {
 	machines := map[MachineKind][]string{{Type: "t", Zone: "a"}: {"vm-000001"}, {Type: "t", Zone: "b"}: {"vm-000002"}}
 	var entries []Entry
--- a/internal/core/remotesite_test.go
+++ b/internal/core/remotesite_test.go
@@ -45,7 +45,8 @@
 	return cluster, f
 }
 
-// serveUntil runs the simulation, answering the messages to the remote site, until done or for d.
+// serveUntil runs the simulation, answering the messages to the remote site, until done returns
+// true or d has passed. It reports whether done did.
 func (f *remoteSite) serveUntil(d time.Duration, done func() bool) bool {
 	return f.cluster.run(d, func() bool {
 		for ; f.handled < len(f.cluster.sent); f.handled++ {
@@ -92,7 +93,7 @@
 	}
 }
 
-// putWithoutEvent writes a key in the store that the watch does not report.
+// putWithoutEvent writes a key in the store without an event, so no watch reports the change.
 func (cluster *simCluster) putWithoutEvent(key string, v any) {
 	cluster.revision++
 	cluster.kv[key] = protocol.KeyValue{Key: key, Value: mustjson.Marshal(v), Version: cluster.revision}
--- a/internal/core/replica_test.go
+++ b/internal/core/replica_test.go
@@ -8,7 +8,7 @@
 )
 
 // A watch may fall too far behind during a series of machine losses. The stored state is then read
-// again and must not replace the newer state of jobs that this node leads.
+// again and must not replace the newer state that leaders have of their own jobs.
 func TestSnapshotDuringMachineLossesKeepsLocalState(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	var ids []string
--- a/internal/core/reservations_test.go
+++ b/internal/core/reservations_test.go
@@ -11,7 +11,7 @@
 )
 
 // newGPUSimCluster returns a simulated cluster of five controllers and machines of two types: small
-// ones, and large ones with GPUs that each hold one task of a gang.
+// ones, and large ones with GPUs. One task with gangFields fits on a large machine.
 func newGPUSimCluster(t *testing.T, small, large int) *simCluster {
 	t.Helper()
 	cluster := newSimClusterOf(t, fiveNodes)
--- a/internal/core/reservedhosts_test.go
+++ b/internal/core/reservedhosts_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestControllersConvergeOnReservedHosts guards against controllers that keep reserving different
-// hosts, each leaving capacity to jobs of the other: the stored jobs must override the
-// reservations remembered from the previous round.
+// hosts, each leaving capacity to the other's jobs: the stored jobs must override the reservations
+// remembered from the previous round.
 func TestControllersConvergeOnReservedHosts(t *testing.T) {
 	cluster := newIdleSimCluster(t, 8)
 	cluster.allowRacingStarts, cluster.taskTime = true, 5*time.Minute
--- a/internal/core/restart_test.go
+++ b/internal/core/restart_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// The lease, leadership, starts and claims of a controller's former run still exist when the next
-// run begins, and messages that the former run had sent arrive after that.
+// The lease, leadership, start commands and claims of a controller's former run still exist when
+// the next run begins, and messages that the former run sent arrive after the restart.
 func TestRestartedControllerIgnoresStateOfFormerRun(t *testing.T) {
 	for _, pause := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(fmt.Sprint(pause), func(t *testing.T) {
--- a/internal/core/scaling/plan.go
+++ b/internal/core/scaling/plan.go
@@ -33,7 +33,7 @@
 	AtRisk
 )
 
-// Offer is a kind of machine in a zone that the cloud may be able to provide.
+// Offer is a machine type, spot or on-demand, that the cloud may be able to provide in a zone.
 type Offer struct {
 	Type protocol.MachineType
 	Zone string
@@ -94,8 +94,8 @@
 }
 
 // Plan returns the machines to order for demand that the pending machines cannot hold, from the
-// cheapest offers. Demand above BestEffort also counts on the resources of preemptible hosts, where
-// best-effort tasks are preempted for it. At most limit machines of each offer are ordered.
+// cheapest offers. Demand above BestEffort may also use the resources of preemptible hosts, where
+// best-effort tasks can be preempted for it. At most limit machines of each offer are ordered.
 func Plan(demands []Demand, pending, preemptible []*placement.Host, offers []Offer, limit int) []Order {
 	p := planner{
 		hosts:       slices.Clone(pending),
@@ -164,9 +164,9 @@
 	return orders
 }
 
-// preemptibleFor returns the hosts on which tasks would be preempted for a job. Where more work
-// would be lost than one of its tasks has, nothing is preempted, so the resources there must not
-// count. Services preempt regardless of the loss.
+// preemptibleFor returns the hosts on which tasks may be preempted for a job. A host does not count
+// if preemption there would lose more work than one task of the job has in total, since nothing is
+// preempted on it in that case. Services preempt regardless of the loss.
 func preemptibleFor(s *job.Spec, hosts []*placement.Host) []*placement.Host {
 	if s.Kind == job.Service {
 		return hosts
@@ -177,8 +177,9 @@
 	})
 }
 
-// zoneConstraint limits the zones of machines for the tasks of a job. Even the cheapest machines
-// are useless in a zone where the placement of the job's other tasks leaves no room for more.
+// zoneConstraint limits the zones in which machines are used or rented for the tasks of a job. Even
+// the cheapest machine is useless in a zone that may take no more tasks of the job, given where its
+// other tasks are.
 type zoneConstraint struct {
 	spec *job.Spec
 	// tasksByZone counts the bound and planned tasks of the job.
@@ -187,9 +188,9 @@
 	requiredZone string
 }
 
-// chooseZone returns the zone constraint of a demand. For tasks that have to share a zone and run
-// together, while none is bound yet, it requires the cheapest zone that may hold them all, or else
-// the zone that may hold the most.
+// chooseZone returns the zone constraint of a demand. If the tasks have to run together in one zone
+// and none is bound yet, the constraint requires a zone: the cheapest of those that may hold all the
+// tasks, or else the one that may hold the most.
 func (p *planner) chooseZone(d Demand, hosts []*placement.Host) *zoneConstraint {
 	constraint := &zoneConstraint{spec: d.Spec, tasksByZone: placement.Zones{}}
 	maps.Copy(constraint.tasksByZone, d.Zones)
@@ -260,9 +261,9 @@
 	return n
 }
 
-// byEntitlement sorts demand by descending entitlement: if other demand took the pending machines,
-// expensive ones would be rented for demand with a high entitlement. Among equals the largest tasks
-// come first, so that small ones fill the gaps.
+// byEntitlement sorts demand by descending entitlement. Otherwise demand with a low entitlement
+// could take the pending machines, and expensive ones would be rented for demand with a high one.
+// Among equals the largest tasks come first, so that small ones fill the gaps.
 func byEntitlement(demands []Demand) []Demand {
 	sorted := slices.Clone(demands)
 	slices.SortStableFunc(sorted, func(a, b Demand) int {
@@ -272,7 +273,7 @@
 }
 
 // cheapestOffer returns the index of the usable offer with the lowest price per task, or -1 if there
-// is none.
+// is none. largerTypePenalty raises the price of types larger than the best one found so far.
 func (p *planner) cheapestOffer(d Demand, tasks int, constraint *zoneConstraint) int {
 	best, bestPrice := -1, math.Inf(1)
 	for i, o := range p.offers {
--- a/internal/core/scaling/plan_test.go
+++ b/internal/core/scaling/plan_test.go
@@ -35,7 +35,7 @@
 	} {
 		got := Plan([]Demand{c.demand}, nil, nil, offers(), 9)
 		if len(got) != 1 || got[0].Offer.Type.Name != c.typ || got[0].Offer.Spot != c.spot || got[0].Count != c.count {
-			t.Errorf("%s: got %+v", name, got)
+			t.Errorf("%s: got orders %+v, want the cheapest allowed offer only", name, got)
 		}
 	}
 }
@@ -44,12 +44,13 @@
 	capacity := job.Resources{CPUs: 32, MemoryGB: 128}
 	pending := []*placement.Host{{Type: "large", Zone: "a", Spot: true, Free: capacity, Capacity: capacity, RemainingS: -1}}
 	if got := Plan([]Demand{demand(16, 2, true)}, pending, nil, offers(), 9); len(got) != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got orders %+v, want none", got)
 	}
 }
 
-// TestExpensiveOffersRequireEntitlement checks that while the backlog is short no on-demand machines
-// are rented for demand that can wait and may use spot machines.
+// TestExpensiveOffersRequireEntitlement checks that no machines of an offer are rented for demand
+// below its MinEntitlement, unless the job may not use spot machines. While the backlog is short,
+// on-demand offers have a MinEntitlement that demand that can wait does not reach.
 func TestExpensiveOffersRequireEntitlement(t *testing.T) {
 	expensive := offers()[:1]
 	expensive[0].MinEntitlement = Guaranteed
@@ -65,14 +66,14 @@
 		"may not use spot": {demand(2, 2, false), 1},
 	} {
 		if got := Plan([]Demand{c.demand}, nil, nil, expensive, 9); len(got) != c.orders {
-			t.Errorf("%s: got %+v", name, got)
+			t.Errorf("%s: got unexpected number of orders: %+v", name, got)
 		}
 	}
 }
 
 func TestPlanOrdersNothingForTasksThatFitNoType(t *testing.T) {
 	if got := Plan([]Demand{demand(64, 1, true)}, nil, nil, offers(), 9); len(got) != 0 {
-		t.Errorf("got %+v", got)
+		t.Errorf("got orders %+v, want none", got)
 	}
 }
 
--- a/internal/core/sharedreports_test.go
+++ b/internal/core/sharedreports_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Guards against a job that never ends: its tasks were lost when their worker's lease expired, and
-// the only controller that had seen this dropped the worker's agent session while it was
-// partitioned from all others. The next report contained nothing new for that controller and was
-// not shared, so the leader still considered the tasks running.
+// This test guards against a job that never ended: its tasks were lost when their worker's lease
+// expired, and the only controller that had learned of the worker's new epoch dropped the worker's
+// agent session while it was partitioned from all others. The worker's next report contained
+// nothing new for that controller and was not shared with its peers, so the leader still considered
+// the tasks running.
 func TestFirstReportOfASessionIsSharedEvenIfUnchanged(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.cloudDegraded, cluster.allowRacingStarts, cluster.taskTime = true, true, 10*time.Minute
@@ -40,8 +41,8 @@
 	}
 }
 
-// machineServedBy returns a controller that matches, and a machine with tasks that reports to
-// it.
+// machineServedBy returns a controller for which matches returns true, and a machine with tasks
+// that reports to it.
 func (cluster *simCluster) machineServedBy(matches func(node string) bool) (node, machine string) {
 	cluster.t.Helper()
 	for _, node := range cluster.names {
--- a/internal/core/silentmachines_test.go
+++ b/internal/core/silentmachines_test.go
@@ -19,8 +19,8 @@
 	return seconds(cluster.cfg[cluster.names[0]].Params.Workers.LeaseS)
 }
 
-// stopReportsOfEvery cuts every nth machine's reports off from all controllers, and returns these
-// machines.
+// stopReportsOfEvery keeps the reports of every nth machine from reaching any controller, and
+// returns these machines.
 func (cluster *simCluster) stopReportsOfEvery(nth int) []string {
 	cluster.t.Helper()
 	var out []string
@@ -53,8 +53,9 @@
 	return slices.ContainsFunc(machines, func(id string) bool { return cluster.workers[id] != nil && cluster.workers[id].WorkerEpoch > 1 })
 }
 
-// TestNonReportingMachineGetsNoNewTasks checks that a machine whose reports reach no controller, but
-// which answers deliveries, gets no starts: they would be lost when its lease expires.
+// TestNonReportingMachineGetsNoNewTasks checks that a machine whose reports reach no controller,
+// but which answers deliveries, gets no start commands: the tasks would be lost when its lease
+// expires.
 func TestNonReportingMachineGetsNoNewTasks(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.cloudDegraded, cluster.taskTime = true, 10*time.Minute
@@ -158,9 +159,9 @@
 	}
 }
 
-// TestTasksOfNonReportingMachinesAreRecovered checks that, whichever machines stop reporting, for
-// however long and in combination with other faults, no task runs twice, cancelled tasks stop in
-// time, and all jobs end soon afterwards.
+// TestTasksOfNonReportingMachinesAreRecovered checks that no task runs on two machines at the same
+// time, cancelled tasks stop in time, and all other jobs end soon afterwards, regardless of how
+// many machines stop reporting, for how long, and of other faults meanwhile.
 func TestTasksOfNonReportingMachinesAreRecovered(t *testing.T) {
 	nonReportingEveryNth := map[string]int{"all": 1, "half": 2, "a fifth": 5}
 	faults := map[string]func(cluster *simCluster, leader string){
--- a/internal/core/simchecks_test.go
+++ b/internal/core/simchecks_test.go
@@ -10,7 +10,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// checkStart checks the scheduling invariants when a task starts on a machine.
+// checkStart counts the start of a task on a machine and checks the scheduling invariants.
 func (cluster *simCluster) checkStart(f *fakeWorker, task string) {
 	cluster.starts[task]++
 	id, _, _ := job.ParseTaskID(task)
@@ -79,7 +79,8 @@
 	}
 }
 
-// tasksPerZone counts a job's tasks on machines by zone.
+// tasksPerZone counts, by zone, the tasks of a job that have not exited and are on machines that
+// are not dead.
 func (cluster *simCluster) tasksPerZone(id string) map[string]int {
 	out := map[string]int{}
 	for _, g := range cluster.workers {
--- a/internal/core/simcluster_test.go
+++ b/internal/core/simcluster_test.go
@@ -57,7 +57,8 @@
 	// redirects of workers to each controller.
 	unreachableNodes map[string]bool
 	redirected       map[string]int
-	// allowRacingStarts permits starts that were already in flight when their job was cancelled.
+	// allowRacingStarts permits tasks to start although their job has ended, as by a start command
+	// that was already in flight when the job was cancelled.
 	allowRacingStarts bool
 	// broken holds jobs whose tasks fail on any machine. faulty holds machines on which any task
 	// fails.
@@ -101,7 +102,7 @@
 	storeUnavailableSince map[string]time.Duration
 	storeLossReported     map[string]bool
 	// watchLag is the minimum interval between watch events for a controller. watchedAt holds the
-	// time of its last ones.
+	// time at which each controller last received some.
 	watchLag  time.Duration
 	watchedAt map[string]time.Duration
 	// blockedWatcher is a controller whose watch delivers no events.
@@ -118,8 +119,8 @@
 	// previousVersion lists the controllers that run the previous version, which does not know the
 	// newer message fields.
 	previousVersion []string
-	// unevenRunTimes makes every second task of a job run three times as long; recoveryCount
-	// counts the calls of recover.
+	// unevenRunTimes makes every second task of a job run three times as long, except in gangs;
+	// recoveryCount counts the calls of recover.
 	unevenRunTimes bool
 	recoveryCount  int
 	// tokenOwners maps each fencing token to the incarnation that acquired it.
@@ -127,7 +128,7 @@
 	// completed holds the tasks that ran to their end.
 	completed map[string]bool
 	// cancelConfirmedAt holds the time at which the cancellation of each job was confirmed to its
-	// user.
+	// user. checkCancelDeadlines removes the entry after the deadline.
 	cancelConfirmedAt map[string]time.Duration
 	// specs holds the spec of each submitted job.
 	specs map[string]*job.Spec
@@ -147,7 +148,7 @@
 	completeGangs map[taskAttempt]bool
 	// allRestarted is set once all controllers have stopped at the same time. From then on only the
 	// store knows which cancellations were confirmed to users. If the store is unavailable for
-	// longer than cancel_s, only the expiry of its lease ends the tasks of a hung machine.
+	// longer than cancel_s, only the expiry of the worker's lease ends the tasks on a hung machine.
 	allRestarted bool
 	// delayReports makes some reports get no answer and arrive much later, at any controller.
 	delayReports bool
@@ -356,7 +357,8 @@
 	}
 }
 
-// waitUntilReady runs the simulation until every controller can answer requests.
+// waitUntilReady runs the simulation until every controller has loaded the stored state and the
+// catalog, has acquired a fencing token and knows the fleet leader.
 func (cluster *simCluster) waitUntilReady() *simCluster {
 	cluster.t.Helper()
 	if !cluster.run(20*time.Second, func() bool {
--- a/internal/core/simfaults_test.go
+++ b/internal/core/simfaults_test.go
@@ -24,8 +24,9 @@
 	})
 }
 
-// changeLeaders repeatedly forces a leader change of a team: alternately it restarts the leader and
-// lets its lease expire.
+// changeLeaders repeatedly forces a leader change of a team: alternately it restarts the leader, or
+// cuts it off from the store for a quarter of the interval. In both cases the lease that the leader
+// held expires.
 func (cluster *simCluster) changeLeaders(team string, times int, interval time.Duration) {
 	for i := range times {
 		cluster.after(time.Duration(i)*interval, func() {
@@ -98,8 +99,8 @@
 	cluster.after(controllerLease, func() { cluster.endLeases(previousLeases) })
 }
 
-// recover ends all faults, except that hung machines resume at their own time and lowered limits
-// stay.
+// recover ends the faults that random scenarios inject, except that hung machines resume at their
+// own time and lowered limits stay.
 func (cluster *simCluster) recover() {
 	cluster.recoveryCount++
 	cluster.endOutage()
--- a/internal/core/simnetwork_test.go
+++ b/internal/core/simnetwork_test.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// twoZones assigns the last two controllers to zone z2 and the others to z1.
+// twoZones assigns the last two controllers to zone z2 and the others to z1, and limits each zone
+// to half of the cloud's machines.
 func (cluster *simCluster) twoZones() {
 	cluster.limitZoneCapacity, cluster.controllerZones = true, map[string]string{}
 	for i, n := range cluster.names {
--- a/internal/core/simpartitions_test.go
+++ b/internal/core/simpartitions_test.go
@@ -60,8 +60,9 @@
 	cluster.expire(node)
 }
 
-// heal ends the faults of links, workers and controllers. Those of the store, the cloud and zones
-// are ended by recover.
+// heal restores the links between controllers, restarts crashed controllers, resumes frozen ones
+// and reconnects those without the store. It clears workersReceivingNothing, nonReportingWorkers,
+// brokenWorkerLinks and replayReports; recover clears more faults.
 func (cluster *simCluster) heal() {
 	cluster.restoreLinks()
 	clear(cluster.workersReceivingNothing)
@@ -83,8 +84,9 @@
 // controllerLease is the time to live of a controller's lease, an eighth of a worker's.
 const controllerLease = 2 * time.Second
 
-// refuseStoreTo makes the store refuse requests of one controller only. Its lease expires after
-// its full time to live, which begins anew after an outage of the store, as for every lease.
+// refuseStoreTo makes the store refuse requests of one controller only. The controller's lease
+// expires after its full time to live, which begins anew after an outage of the store, as for every
+// lease.
 func (cluster *simCluster) refuseStoreTo(node string) {
 	cluster.withoutStore[node] = true
 	refusedAt := cluster.now
@@ -100,7 +102,8 @@
 	})
 }
 
-// endOutage makes the store available to all controllers.
+// endOutage makes the store available to all controllers, including those that had lost it
+// individually.
 func (cluster *simCluster) endOutage() {
 	cluster.outage = false
 	for _, node := range cluster.names {
--- a/internal/core/simusers_test.go
+++ b/internal/core/simusers_test.go
@@ -48,7 +48,8 @@
 	return cluster.request(node, func(req uint64) Command { return Status{Req: req, ID: id} })
 }
 
-// cancelJob requests the cancellation of a job from a controller and records when it was confirmed.
+// cancelJob requests the cancellation of a job from a controller and records the time if the status
+// of the answer is 200.
 func (cluster *simCluster) cancelJob(node, id string) Answer {
 	cluster.t.Helper()
 	a := cluster.request(node, func(req uint64) Command { return Cancel{Req: req, ID: id} })
--- a/internal/core/simworkers_test.go
+++ b/internal/core/simworkers_test.go
@@ -17,9 +17,9 @@
 	protocol.Report
 	node           int                           // the index of the controller it reports to, modulo their number
 	nextReportAt   time.Duration                 // when the next report is due
-	leaseRenewedAt time.Duration                 // when the last report that was answered was sent
+	leaseRenewedAt time.Duration                 // when an answer last renewed the lease, or when the epoch began
 	running        map[taskAttempt]time.Duration // when each attempt ends
-	dead           bool                          // the machine has stopped for good
+	dead           bool                          // the machine neither reports nor executes anything again
 	// missingPeerSince is when a gang's task first lacked one of its peers.
 	missingPeerSince map[taskAttempt]time.Duration
 }
@@ -63,7 +63,8 @@
 	}
 }
 
-// report sends a worker's report to its controller and handles the answer immediately.
+// report sends a worker's report to its controller and handles the answer immediately. Without a
+// valid answer the worker switches to the next controller.
 func (cluster *simCluster) report(f *fakeWorker) {
 	f.nextReportAt = cluster.now + 2*time.Second
 	node := cluster.names[f.node%len(cluster.names)]
@@ -239,7 +240,8 @@
 }
 
 // delayReport delivers a report to a random controller after the worker has stopped waiting for an
-// answer. It is still the newest from that machine, unless the machine has reported again since.
+// answer. The report is still the newest of its machine, unless the machine has reported again
+// since.
 func (cluster *simCluster) delayReport(heartbeat Heartbeat) {
 	at := cluster.now + time.Duration(2+cluster.rng.IntN(30))*time.Second
 	node := cluster.names[cluster.rng.IntN(len(cluster.names))]
@@ -256,8 +258,8 @@
 	})
 }
 
-// runTime returns how long a task runs. A service's task never ends, and one that completed in an
-// earlier attempt has nothing left to do.
+// runTime returns how long a task runs. A service's task never ends. A task that completed in an
+// earlier attempt ends immediately.
 func (cluster *simCluster) runTime(task string) time.Duration {
 	id, n, _ := job.ParseTaskID(task)
 	s := cluster.specs[id]
@@ -272,8 +274,10 @@
 	return cluster.taskTime
 }
 
-// exitGangTasksWithoutPeers makes gang tasks on a machine exit that have lacked a peer for too long:
-// gang_peer_s if the gang has been complete before, else gang_wait_s.
+// exitGangTasksWithoutPeers makes a machine's gang tasks exit if other tasks of their attempt have
+// been missing for too long: longer than gang_peer_s if all tasks of the attempt have been on
+// machines at the same time before, or else longer than gang_wait_s. If any task of an attempt has
+// completed, its other tasks complete instead. The result reports whether a task exited.
 func (cluster *simCluster) exitGangTasksWithoutPeers(f *fakeWorker) (changed bool) {
 	p := cluster.cfg[cluster.names[0]].Params.Workers
 	for i, t := range f.Tasks {
@@ -302,8 +306,8 @@
 	return changed
 }
 
-// recordCompletion records that a task ran to its end. The tasks of a gang complete together.
-// Results are kept, so a task that is started again has nothing left to do.
+// recordCompletion records that a task ran to its end, even if it then failed. The tasks of a gang
+// complete together. Results are kept, so a task that is started again has nothing left to do.
 func (cluster *simCluster) recordCompletion(task string) {
 	cluster.completed[task] = true
 	id, _, _ := job.ParseTaskID(task)
@@ -314,8 +318,8 @@
 	}
 }
 
-// attemptProgress counts the tasks of a job's attempt that are on machines, and reports whether any
-// of its tasks has completed.
+// attemptProgress counts the tasks of an attempt that are on machines and have not exited. It also
+// reports whether any task of the attempt has completed.
 func (cluster *simCluster) attemptProgress(id string, attempt uint64) (present int, anyCompleted bool) {
 	for _, f := range cluster.workers {
 		for _, t := range f.Tasks {
@@ -331,8 +335,8 @@
 	return present, anyCompleted
 }
 
-// rejectionReason returns why a worker rejects a start: the machine lacks free resources, or
-// another attempt of the task is on it. It returns "" if the start is accepted.
+// rejectionReason returns why a worker rejects a start command: the machine lacks free resources,
+// or another attempt of the task is on it. It returns "" if the worker accepts the command.
 func (cluster *simCluster) rejectionReason(f *fakeWorker, task string) string {
 	id, _, _ := job.ParseTaskID(task)
 	s := cluster.specs[id]
--- a/internal/core/spot_test.go
+++ b/internal/core/spot_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restartDelay starts a long task, lets loseMachine act on its machine, and returns how long it
-// took until the task was started again.
+// restartDelay runs a long task and calls loseMachine with the machine that the task is on. It
+// returns the time from this call until the task was started again, or a minute if it was not.
 func restartDelay(t *testing.T, loseMachine func(cluster *simCluster, f *fakeWorker)) time.Duration {
 	t.Helper()
 	cluster := newSimCluster(t).waitUntilReady()
--- a/internal/core/staleclaims_test.go
+++ b/internal/core/staleclaims_test.go
@@ -44,12 +44,13 @@
 	}
 	cluster.maxMachines = 20
 	if !cluster.run(2*time.Minute, cluster.allDone("req-red-1")) {
-		t.Errorf("job whose claims are void did not end: %d machines", len(cluster.workers))
+		t.Errorf("job whose claims were dropped did not end: %d machines", len(cluster.workers))
 	}
 }
 
-// TestUnrenewedClaimsExpire guards against the same failure when the leader keeps leading the
-// team but has dropped the bindings itself.
+// TestUnrenewedClaimsExpire guards against the failure described at
+// TestClaimsOfFormerLeaderAreDropped when the leader keeps leading the team but has dropped the
+// bindings itself.
 func TestUnrenewedClaimsExpire(t *testing.T) {
 	cluster, leader, fleetLeader := newSimClusterWithUnstoredClaims(t)
 	cluster.run(reportIntervals(claimLifetimeIntervals+2), nil)
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestNewerClaimReplacesOlderClaim guards against the same failure when the leader claims other
-// capacity for a task.
+// TestNewerClaimReplacesOlderClaim guards against the failure described at
+// TestClaimsOfFormerLeaderAreDropped when the leader claims other capacity for a task.
 func TestNewerClaimReplacesOlderClaim(t *testing.T) {
 	cluster, leader, fleetLeader := newSimClusterWithUnstoredClaims(t)
 	c, j := cluster.cores[fleetLeader], cluster.cores[fleetLeader].jobs["req-red-1"]
--- a/internal/core/stalereports_test.go
+++ b/internal/core/stalereports_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Controllers that have all restarted know nothing newer than a duplicate report. It must not
-// mislead them.
+// After all controllers have restarted, they know nothing newer than a duplicate of an earlier
+// report. Such duplicates must not mislead them: all jobs end.
 func TestDuplicateReportsAfterAllControllersRestarted(t *testing.T) {
 	cluster := newIdleSimCluster(t, 20)
 	cluster.replayReports = true
@@ -101,8 +101,9 @@
 	}
 }
 
-// A report is delayed until its machine has changed controllers, started a new epoch or been
-// returned. It is not a duplicate, and is newer than the reports that most controllers have.
+// A report is delayed while its machine changes controllers, starts a new epoch or is returned, or
+// while the job is cancelled or other controllers fail. The report is not a duplicate, and is newer
+// than the reports that most controllers have.
 func TestDelayedReportDoesNotRevertState(t *testing.T) {
 	for name, meanwhile := range map[string]func(cluster *simCluster, f *fakeWorker){
 		"its controller crashed": func(cluster *simCluster, f *fakeWorker) {
--- a/internal/core/startledger_test.go
+++ b/internal/core/startledger_test.go
@@ -7,7 +7,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// A leader's message arrives over a slow link after the machine's controller has already
+// A leader's start message arrives over a slow link after the machine's controller has already
 // started the task from the stored binding and the task has ended. The task must not be started
 // again.
 func TestLateStartIsNotForwardedAgain(t *testing.T) {
@@ -33,9 +33,9 @@
 	cluster.checkStartedOnce()
 }
 
-// If a job is cancelled while this node reloads the stored state, the decision on a forwarded
-// start is kept. Otherwise the leader's message would be refused if it arrived later, although
-// the task runs.
+// If a job is cancelled while this node reloads the stored state, the decision on a forwarded start
+// is kept. Otherwise the leader's start message would be refused if it arrived later, although the
+// task runs.
 func TestStartDecisionIsKeptWhileACancelledJobIsReloaded(t *testing.T) {
 	for name, test := range map[string]struct {
 		state string
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -9,7 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// A worker rejects a start that the network delays until the task has been started elsewhere.
+// A worker rejects a start command that the network delays until the task has been started
+// elsewhere.
 func TestDelayedStartIsRejectedAfterTaskStartedElsewhere(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	cluster.loseDeliveries = true
@@ -49,7 +50,8 @@
 	}
 }
 
-// Starts are refused from an unanswered delivery until the worker's next report.
+// After an unanswered delivery, a controller refuses start commands for the worker until the
+// worker's next report.
 func TestStartsAreRefusedWhileWorkerIsUnresponsive(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	c := cluster.cores["a"]
@@ -73,9 +75,10 @@
 	t.Fatal("no worker reports to a")
 }
 
-// A start that arrives after the token of its machine was raised, or after its epoch has ended, is
-// refused: a report has already proven the task absent, so it may run elsewhere. The worker would
-// not reject the start, because queued starts are delivered under the current epoch.
+// A start command that arrives after the token of its machine was raised, or after its epoch has
+// ended, is refused: a report of the worker has already proven that the task is not on the machine,
+// so the task may run elsewhere. The worker itself would not reject the command, because queued
+// start commands are delivered under the current epoch.
 func TestStartUnderAnotherTokenOrEpochIsRefused(t *testing.T) {
 	for name, s := range map[string]Start{
 		"as it is":                    {Token: 5, Epoch: 2},
--- a/internal/core/storerefusal_test.go
+++ b/internal/core/storerefusal_test.go
@@ -198,7 +198,8 @@
 	}
 }
 
-// As above, with a further fault at the refusal or the outage.
+// The same as TestConfirmedCancellationHoldsThroughStoreOutage, with a further fault before the
+// submission, at the refusal or at the outage, or with another job.
 func TestConfirmedCancellationHoldsUnderFurtherFaults(t *testing.T) {
 	eachWorkerOf := func(cluster *simCluster, refusedNode string, f func(*fakeWorker)) {
 		for _, g := range cluster.workers {
@@ -215,8 +216,8 @@
 			cluster.run(100*time.Millisecond, nil)
 			cluster.boot(confirmingNode)
 		}},
-		// Its last messages are lost, and no other controller's watch has delivered the
-		// cancellation.
+		// The crashed controller's last messages are lost, and no other controller's watch has
+		// delivered the cancellation.
 		"the confirming controller crashes immediately": {
 			refused: func(cluster *simCluster) {
 				cluster.watchLag, cluster.latency = 3*time.Second, true
--- a/internal/core/storerelay_test.go
+++ b/internal/core/storerelay_test.go
@@ -10,8 +10,8 @@
 )
 
 // The page with the heartbeat leaves room in a transaction for the pages that list machines,
-// whatever the limit on value sizes. Otherwise machines would be returned because no reports of
-// them seem to arrive while controllers have no connections (docs/incidents/pages.md).
+// regardless of the limit on value sizes. Otherwise machines would be returned because no reports
+// of them seem to arrive while controllers have no connections (docs/incidents/pages.md).
 func TestNoMachineIsReturnedWithoutLinksAtAnyValueLimit(t *testing.T) {
 	for _, kb := range []float64{4, 16, 32, 64} {
 		t.Run(fmt.Sprint(kb), func(t *testing.T) {
@@ -39,9 +39,9 @@
 	}
 }
 
-// Starts, outcomes and free capacity are relayed through the store while connections between
-// controllers fail. Otherwise teams could use only the machines that their leaders serve
-// themselves.
+// Start requests, their outcomes and the free capacity of machines are relayed through the store
+// while connections between controllers fail. Otherwise teams could use only the machines that
+// their leaders serve themselves.
 func TestJobsEndWithoutLinksBetweenControllers(t *testing.T) {
 	for name, cut := range map[string]func(cluster *simCluster){
 		"refused": func(cluster *simCluster) { cluster.disconnectLinks(everyLink) },
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -54,7 +54,7 @@
 }
 
 // A submission may be repeated at any time, and the validation rules may have changed since. A
-// submission of an accepted job is never answered 400 or 422, whatever its body contains.
+// submission of an accepted job is never answered 400 or 422, regardless of its body.
 func TestRepeatedSubmissionIsNeverRejected(t *testing.T) {
 	for name, body := range map[string]string{
 		"unchanged":        submission("req-blue-1", "blue", 2, ""),
--- a/internal/core/tokens_test.go
+++ b/internal/core/tokens_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// An unanswered probe leaves no start with an unknown outcome, so it needs no newer token.
+// An unanswered probe contains no start command whose outcome would be unknown, so the controller
+// needs no newer token for it.
 func TestHungMachineCostsOneTokenNotOnePerProbe(t *testing.T) {
 	cluster := newSimCluster(t).waitUntilReady()
 	requireAccepted(t, cluster.submit("a", "req-blue-1", 2, ""))
--- a/internal/core/unseenends_test.go
+++ b/internal/core/unseenends_test.go
@@ -9,9 +9,9 @@
 	"pepperlever/internal/protocol"
 )
 
-// Guards against an accepted job that never starts: the fleet leader, which does not lead the job's
-// team, has missed the end of its dependency, considers the job blocked and rents no machines for
-// it.
+// An accepted job must start even if the fleet leader, which does not lead the job's team, has
+// missed the end of the job's dependency. Otherwise the fleet leader would consider the job blocked
+// forever and rent no machines for it.
 func TestMachinesAreRentedForJobsWhoseDependencyEndedUnseen(t *testing.T) {
 	for name, missEnd := range map[string]func(cluster *simCluster, node string, end func()){
 		"state reloaded": func(cluster *simCluster, node string, end func()) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Guards against delayed answers to users: a controller that has reloaded the stored state must not
-// look up the dependencies of all teams in one burst.
+// A controller that has reloaded the stored state must not look up the dependencies of all teams in
+// one burst, which would delay answers to users.
 func TestMissedEndsOfOtherTeamsAreLookedUpWithinRateLimit(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.taskTime = 10 * time.Minute
--- a/internal/core/unseenstatistics_test.go
+++ b/internal/core/unseenstatistics_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against statistics that report an ended job as the oldest pending one: a controller
-// learned neither of the job's start nor of its end until it reloaded the stored state.
+// Statistics must not report an ended job as the oldest pending one, even if the controller learned
+// neither of the job's start nor of its end until it reloaded the stored state.
 func TestJobsWithMissedEndsAreNotCountedAsPending(t *testing.T) {
 	cluster := newIdleSimCluster(t, 10)
 	cluster.allowRacingStarts, cluster.taskTime = true, 20*time.Second
--- a/internal/core/worker/evidence_test.go
+++ b/internal/core/worker/evidence_test.go
@@ -29,7 +29,7 @@
 		m := &Machine{}
 		m.Update(c.report, 0)
 		if got, _ := m.Evidence("req-1/0", b); got != c.want {
-			t.Errorf("%s: got %d, want %d", name, got, c.want)
+			t.Errorf("%s: got evidence %d, want %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/core/worker/images.go
+++ b/internal/core/worker/images.go
@@ -12,7 +12,7 @@
 	sizeGB float64
 }
 
-// use records the use of an image. If the image is new, it evicts the least recently used ones
+// use records the use of an image. If the image is new, the least recently used ones are evicted
 // until the rest fits into the cache.
 func (c *imageCache) use(name string, sizeGB, cacheGB float64, now time.Duration) {
 	if c.images == nil {
--- a/internal/core/worker/machine.go
+++ b/internal/core/worker/machine.go
@@ -1,5 +1,5 @@
-// Package worker tracks the state of machines and derives from the reports of their workers what
-// is proven about the tasks on them.
+// Package worker tracks the state of machines. From the reports of their workers it derives whether
+// a task is certainly on a machine, has exited there, or can never start there.
 package worker
 
 import (
@@ -9,7 +9,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// Machine is the known state of a machine, mainly that of its latest report.
+// Machine holds what is known about a machine, mainly its latest report.
 type Machine struct {
 	protocol.Report
 	// Node is the controller that the machine reports to.
@@ -17,13 +17,13 @@
 	// GrantedToken is the fencing token that the controller has issued to the machine. The token
 	// in the report is the highest one that the worker had seen when it made the report.
 	GrantedToken uint64
-	// AnnouncedSeq is the highest sequence number that the controller has announced in a heartbeat.
-	// It covers reports without changes, which are not forwarded to the other controllers.
+	// AnnouncedSeq is the highest report sequence number that the controller has announced in a
+	// heartbeat. It covers reports without changes, which are not forwarded to the other controllers.
 	AnnouncedSeq uint64
-	// LastContact is when a report or a reply to a delivery of the machine was last received, by any
-	// controller.
+	// LastContact is when any controller last received a report of the machine or its reply to a
+	// delivery of commands.
 	LastContact time.Duration
-	// LastReport is the same without replies to deliveries.
+	// LastReport is when any controller last received a report, not counting replies to deliveries.
 	LastReport time.Duration
 	// ReclaimAt is when the cloud reclaims the machine. It is 0 without a reclaim notice.
 	ReclaimAt time.Duration
@@ -35,13 +35,15 @@
 	LastRefusedAt time.Duration
 	// ExitedTasks is the number of exited tasks in the latest report.
 	ExitedTasks int
-	// TaskListBytes is the approximate encoded size of the task list in the latest report.
+	// TaskListBytes is an approximate upper bound for the encoded size of the task list in the latest
+	// report.
 	TaskListBytes int
 
 	images   imageCache
 	answers  answerTracker
 	failures map[string]int
-	// runningSince is when each task of the report was first seen running.
+	// runningSince holds when each task of the report was first seen running, or 0 if the task is not
+	// running, in the order of the report.
 	runningSince []time.Duration
 	// positions is an index of the tasks in the report. It is nil for a short report.
 	positions map[attemptKey]int
@@ -64,8 +66,8 @@
 	return r.Seq > m.Seq
 }
 
-// IsOutdated reports whether r is a duplicate of a report that any controller has received, or
-// older than one.
+// IsOutdated reports whether r is no newer than the latest report that any controller is known to
+// have received.
 func (m *Machine) IsOutdated(r *protocol.Report) bool {
 	return !m.IsNewer(r) || r.WorkerEpoch == m.WorkerEpoch && r.Seq <= m.AnnouncedSeq
 }
--- a/internal/core/writebudget_test.go
+++ b/internal/core/writebudget_test.go
@@ -23,8 +23,8 @@
 	return out
 }
 
-// When the budget is short, starts are stored before tasks that are done, whose writes nothing
-// waits for.
+// When the budget is short, the bindings of tasks that are about to start are stored before
+// finished tasks, because nothing waits for the writes of the latter.
 func TestStartsAreStoredBeforeDoneTasks(t *testing.T) {
 	c := newBusyCore(100)
 	c.now.Steady = time.Hour
--- a/internal/core/zoneoutage_test.go
+++ b/internal/core/zoneoutage_test.go
@@ -10,8 +10,9 @@
 )
 
 // TestZonePartitionedWithItsControllers partitions a zone with workers and controllers for longer
-// than a worker lease. Its tasks must keep running without being restarted or lost, jobs
-// constrained to the zone must wait, and jobs cancelled from outside must end in time.
+// than a worker lease. Tasks in the zone must keep running without a restart, except on machines
+// that are returned because of a cancelled job. New jobs constrained to the zone must wait, and
+// jobs cancelled from outside must end in time.
 func TestZonePartitionedWithItsControllers(t *testing.T) {
 	for _, leases := range []float64{1.3, 2.5} {
 		t.Run(fmt.Sprint(leases, " leases"), func(t *testing.T) {
@@ -112,8 +113,8 @@
 }
 
 // TestReturnRequestForUnknownMachineInZoneOutage covers a controller that starts while a zone is
-// partitioned and knows the machines in it only from their bindings. The fleet leader must keep
-// those that it knows or that the cloud lists.
+// partitioned and knows the machines in it only from the bindings of tasks. The fleet leader must
+// keep those that it knows or that the cloud lists.
 func TestReturnRequestForUnknownMachineInZoneOutage(t *testing.T) {
 	c := fleetLeaderInZ1(t)
 	c.now.Steady += 32 * time.Second
