--- a/client/client.go
+++ b/client/client.go
@@ -250,8 +250,9 @@
 	return State{ID: s.ID, State: s.State, DoneTasks: s.Done, RunningTasks: s.Running, Awaits: s.Awaits}, nil
 }
 
-// attempt sends a request once. The error describes the failure or the response's status.
-// It is for use if the policy gives up, and is not nil even if the response is a success.
+// attempt sends a request once. The error describes the failure or the response's status and is
+// never nil, not even if the response reports success. The caller uses the error only if the
+// policy gives up.
 func (c *Client) attempt(ctx context.Context, timeout time.Duration, method, address string, body []byte) (retry.Outcome, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/cmd/pepperlever/lab.go
+++ b/cmd/pepperlever/lab.go
@@ -79,7 +79,8 @@
 	return &cfg, nil
 }
 
-// runSite runs one site until its job has ended or it is interrupted.
+// runSite runs one site until the job in the job file, if there is one, has ended or the command is
+// interrupted.
 func (f *labFlags) runSite(cmd *cobra.Command, cfg *emulator.Config) error {
 	site, err := emulator.Open(cfg, f.dataDir, f.imagesDir)
 	if err != nil {
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// runPair runs two sites until the requested test has ended or it is interrupted.
+// runPair runs two sites until the requested test, if there is one, has ended or the command is
+// interrupted.
 func (f *labFlags) runPair(cmd *cobra.Command, cfg *emulator.Config) error {
 	pair, err := emulator.OpenPair(cfg, f.dataDir, f.imagesDir, f.linkDelay)
 	if err != nil {
--- a/cmd/pepperlever/main.go
+++ b/cmd/pepperlever/main.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// checkCommand returns the command that validates the files as a controller would on startup.
+// checkCommand returns the command that validates the settings file and the operator's script as a
+// controller would on startup. It does not read the federation configuration.
 func checkCommand(f *filePaths) *cobra.Command {
 	return &cobra.Command{
 		Use: "check [FILE]", Short: "Check a settings file and the operator's script", Args: cobra.MaximumNArgs(1),
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxAnswerTime is below protocol.PollTimeout, so that a user who polls gets an answer.
+	// maxAnswerTime is below protocol.PollTimeout, so that a user who polls gets a response.
 	maxAnswerTime = 1900 * time.Millisecond
 	// readBufferBytes limits the size of a request header.
 	readBufferBytes = 4096
@@ -88,8 +88,8 @@
 	return min(maxAnswerTime, time.Duration(a.cfg.Params.Workers.ReportS*float64(time.Second)))
 }
 
-// handleMalformedRequest answers 400 to requests that cannot be parsed, including those with
-// an oversized body: after statuses such as 413, clients would retry the same request.
+// handleMalformedRequest responds with status 400 to requests that cannot be parsed, including
+// those with an oversized body: after statuses such as 413, clients would retry the same request.
 func handleMalformedRequest(ctx *fasthttp.RequestCtx, _ error) {
 	httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed request")
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -70,8 +70,9 @@
 	return nil
 }
 
-// The job metrics are always available. Without federation, its endpoints and metrics are
-// missing. With federation, operators' requests reach the core and its metrics are included.
+// The job metrics must always be available. Without federation, the endpoints and the metrics of
+// the federation must be missing. With federation, operators' requests must reach the core and
+// these metrics must be included.
 func TestFederationRequestsAndMetrics(t *testing.T) {
 	defer func() { federationEnabled = false }()
 	for _, c := range []struct {
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -14,7 +14,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// metrics counts answers by request kind and status, and records latencies by request kind.
+// metrics counts responses by request kind and status, and records latencies by request kind.
 type metrics struct {
 	mu      *sync.Mutex
 	answers map[string]int
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -30,7 +30,7 @@
 	unavailable bool
 }
 
-// New returns a Cloud that passes the cloud's answers to emit.
+// New returns a Cloud that passes the cloud's responses to emit.
 func New(cfg *settings.Settings, emit func(core.Command)) *Cloud {
 	return &Cloud{cfg: cfg, emit: emit, queue: make(chan func(), 256),
 		http:            httpclient.New(time.Duration(cfg.Params.Workers.LeaseS*float64(time.Second)/4), 2),
@@ -69,8 +69,8 @@
 }
 
 // updateAvailability notifies the core when the cloud starts or stops refusing requests because
-// of an outage. Rental requests are ignored, since they are also refused for lack of capacity, and
-// so are requests without an answer, since the network may be the cause.
+// of an outage. It is not called for rental requests, since they are also refused for lack of
+// capacity. Requests without an answer are ignored, since the network may be the cause.
 func (c *Cloud) updateAvailability(status int, err error) {
 	isUnavailable := status == fasthttp.StatusServiceUnavailable
 	if err == nil && isUnavailable != c.unavailable && (isUnavailable || status == fasthttp.StatusOK) {
@@ -132,7 +132,7 @@
 }
 
 // Rent requests machines. Unless the answer is definite, the outcome is OutcomeUnknown; the request
-// can then be retried safely, because its name makes it idempotent.
+// can then be retried safely, because Rental.Request makes it idempotent.
 func (c *Cloud) Rent(r protocol.Rental) {
 	reply := core.RentalResult{Rental: r, Outcome: core.OutcomeUnknown}
 	c.enqueue(func() {
--- a/internal/core/jobflush.go
+++ b/internal/core/jobflush.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// compareWriteOrder orders jobs by write rank, then by the time of their last write.
+// compareWriteOrder orders jobs by write rank, then by the time of their last write, then by ID.
 func compareWriteOrder(a, b *job.Job) int {
 	return cmp.Or(
 		cmp.Compare(writeRank(a), writeRank(b)),
@@ -71,8 +71,9 @@
 	return due
 }
 
-// warnBudgetExhausted logs, at a limited rate, that starts are delayed by the store's write rate
-// and not by a lack of capacity.
+// warnBudgetExhausted logs, at a limited rate, that urgent changes are delayed by the store's write
+// rate and not by a lack of capacity. waiting lists the jobs that are still to be written, the most
+// urgent first.
 func (w *jobWriter) warnBudgetExhausted(waiting []*job.Job) {
 	if waiting[0].Urgent && w.every(&w.budget.nextWarning, 10*w.reportInterval()) {
 		w.log(Info, "store write budget exhausted", "pending_jobs", len(waiting), "changes_per_second", w.budget.rate)
--- a/internal/core/jobupdatereply.go
+++ b/internal/core/jobupdatereply.go
@@ -10,7 +10,7 @@
 )
 
 // isObsolete reports whether the reply to an update no longer matters, because its job was dropped or
-// this node no longer leads its team. The replica then shows the outcome.
+// this node no longer leads its team. The watch then delivers the outcome.
 func (w *jobWriter) isObsolete(u *jobUpdate) bool {
 	return w.core.jobs[u.job.ID] != u.job || !u.team.leading
 }
@@ -78,8 +78,9 @@
 	w.core.forgetJob(j)
 }
 
-// handleConflict handles the conditions that failed. If the condition on the head failed, the head
-// was written either by another leader or by an earlier send of this same update.
+// handleConflict handles the conditions that failed. If the condition on the head or on the team's
+// leader failed, it reads the head: either another leader has written it, or an earlier send of this
+// same update.
 func (w *jobWriter) handleConflict(u *jobUpdate, r StoreReply) {
 	j, failed := u.job, r.Failed
 	head := jobKey(j.ID)
@@ -107,7 +108,8 @@
 	w.get(jobKey(u.job.ID), func(r StoreReply) { w.onHeadRead(u, r) })
 }
 
-// onHeadRead resolves a conflict on the head by comparing its nonce with that of the update.
+// onHeadRead resolves a conflict by comparing the nonce of the head with that of the update. If
+// another controller wrote or deleted the head, this node no longer leads the team.
 func (w *jobWriter) onHeadRead(u *jobUpdate, r StoreReply) {
 	if w.isObsolete(u) {
 		return
@@ -132,7 +134,7 @@
 }
 
 // readFinalState determines, for a job whose head has been deleted, whether the stored final state is
-// the one that the update writes.
+// the one that the update writes. If it is not, this node no longer leads the team.
 func (w *jobWriter) readFinalState(u *jobUpdate) {
 	w.get(keyState+u.job.ID, func(r StoreReply) {
 		if w.isObsolete(u) {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -50,7 +50,8 @@
 
 func cancelKey(id string) string { return keyCancel + id }
 
-// firstChunk is the key of the chunk that is stored in the job's head.
+// firstChunk identifies the first chunk of a job, which is part of the head and has no store key of
+// its own.
 var firstChunk = job.ChunkKey{}
 
 // parseJobKey splits the key of a job's head, or of a chunk under its own key, into job and chunk.
--- a/internal/core/leadership.go
+++ b/internal/core/leadership.go
@@ -48,9 +48,9 @@
 	return shards
 }
 
-// electLeaders claims shards without a live leader if this node is their preferred leader or
-// led them in an earlier incarnation. It transfers shards that it leads to their preferred
-// leaders, if those are connected.
+// electLeaders registers this node if necessary. It then claims shards without a live leader if this
+// node is their preferred leader or an earlier incarnation of it led them, and transfers the shards
+// that this node leads to their preferred leaders, if those are connected.
 func (c *Core) electLeaders() {
 	c.register()
 	members := &c.members
@@ -140,9 +140,10 @@
 	c.requestRound()
 }
 
-// recoverJobs takes over the jobs of a previous leader. That leader may or may not have sent
-// the starts of its bindings, so all starts count as sent and none is repeated. Only evidence from
-// the machines shows their outcome.
+// recoverJobs takes over the jobs of a previous leader. Bindings that it has not stored are dropped.
+// It may or may not have sent the start commands for the stored ones, so all of them count as sent
+// and none is repeated: only evidence from the machines shows whether the tasks were started. Jobs
+// that are complete or cancelled are marked to be written.
 func (c *Core) recoverJobs(jobs map[string]*job.Job) {
 	for _, j := range ordered(jobs) {
 		j.InFlight = false
@@ -156,8 +157,8 @@
 	}
 }
 
-// lostLeadership ends this node's work as the leader of a shard. Changes that were not stored
-// are void, so the jobs are dropped and the stored state is reloaded.
+// lostLeadership records that a shard has no known leader. If this node was the leader, its unstored
+// changes are discarded: the jobs are dropped and the stored state is reloaded.
 func (c *Core) lostLeadership(s *shard) {
 	wasLeading := s.leading
 	s.leading, s.leader, s.leaderIncarnation, s.version = false, "", "", 0
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -18,12 +18,14 @@
 
 // Sizes of stored jobs in bytes.
 const (
-	// bytesPerTask is the maximum encoded size of one task in chunks of the default size.
+	// bytesPerTask is the assumed maximum of the encoded size of one task in chunks of the default
+	// size.
 	bytesPerTask = 64
-	// bindingBytes is the maximum encoded size of a binding, which is five numbers, without the
-	// name of its machine.
+	// bindingBytes is the assumed maximum of the encoded size of a binding without the name of its
+	// machine: five numbers with at most 18 digits in total, and punctuation.
 	bindingBytes = 28
-	// headOverheadBytes is the maximum encoded size of a head without the spec and the first chunk.
+	// headOverheadBytes is the assumed maximum of the encoded size of a head without the spec and
+	// the first chunk.
 	headOverheadBytes = 160
 	// typicalNameBytes is the length of a typical machine name.
 	typicalNameBytes = len("vm-000000000")
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -9,7 +9,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// list answers a request for the jobs that have not ended. It reads the replica, which may lag
+// list responds to a request for the jobs that have not ended. It reads the replica, which may lag
 // behind the store: the list only informs operators.
 func (c *Core) list(m List) {
 	if !c.replica.loaded {
--- a/internal/core/lookups.go
+++ b/internal/core/lookups.go
@@ -24,7 +24,7 @@
 type lookupController struct {
 	core  *Core
 	queue lookup.Queue
-	// deferred holds the answers that wait until the replica has caught up.
+	// deferred holds the responses that wait until the replica has caught up.
 	deferred []deferredStatus
 }
 
@@ -42,8 +42,8 @@
 }
 
 // request looks up the state of a job: in memory if it is final, or else by a read that begins
-// after the request. A request that could not be answered before the user times out fails
-// immediately.
+// after the request. The request fails immediately if the store is unavailable, or if the queue is
+// so long that the user would time out first.
 func (l *lookupController) request(id string, resolve func(lookup.Result)) {
 	l.enqueue(lookup.Request{JobID: id, Resolve: resolve})
 }
@@ -123,8 +123,8 @@
 	})
 }
 
-// onReply handles the store's reply for one job. A failed transaction may not name every key whose
-// condition failed, so a job of which no key is named is looked up again.
+// onReply handles the store's reply for one job. If the transaction failed, the reply may not list
+// every key whose condition failed, so a job is looked up again if none of its keys is listed.
 func (l *lookupController) onReply(group lookup.Group, r StoreReply) {
 	switch {
 	case r.Outcome == OutcomeApplied:
@@ -152,8 +152,8 @@
 	}
 }
 
-// onAccepted resolves the lookups that only ask whether a job was accepted, which it was, and
-// queues the others again to look up its state.
+// onAccepted handles the lookups of a job that was found to be accepted. It resolves those that only
+// ask for that, and queues the others again to look up the job's state.
 func (l *lookupController) onAccepted(group lookup.Group) {
 	var unresolved []lookup.Request
 	for _, request := range group.Requests {
--- a/internal/core/machinereturns.go
+++ b/internal/core/machinereturns.go
@@ -3,8 +3,8 @@
 import "time"
 
 // machineReturns tracks the machines that this node wants to return to the cloud because a
-// cancelled task does not end on them, or because tasks are bound to them although they are unknown
-// or out of contact.
+// cancelled task does not end on them, or because tasks are bound to them although this node does
+// not know them or has not heard from them for a long time.
 type machineReturns struct {
 	*environment
 	core *Core
--- a/internal/core/machinetimeouts.go
+++ b/internal/core/machinetimeouts.go
@@ -15,9 +15,10 @@
 	return 2*c.reportInterval() + time.Duration(attempts)*(protocol.ReportTimeout+protocol.ReportRetryDelay)
 }
 
-// reportOverdue reports whether a machine's own reports have stopped arriving, even though it
-// may still answer deliveries. Such a machine is probed for the outcomes of its tasks, and gets
-// no new ones, since they would be lost when its worker lease ends (docs/incidents/mute.md).
+// reportOverdue reports whether the reports that a machine's worker sends on its own have stopped
+// arriving, even though the worker may still reply to deliveries. Such a machine is probed for the
+// outcomes of its tasks. It gets no new tasks, since these would be lost when its worker lease ends
+// (docs/incidents/mute.md).
 func (e *environment) reportOverdue(m *worker.Machine) bool {
 	return e.now.Steady-m.LastReport >= 2*e.reportInterval()+e.reportInterval()/2
 }
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// register writes this node's own key if the store does not show it yet, once the stored state
-// is loaded and a lease is granted.
+// register writes this node's own key if it is not in the replica yet, once the stored state is
+// loaded and a lease is granted. It also requests a fencing token for each new lease.
 func (c *Core) register() {
 	m := &c.members
 	if !c.replica.loaded || m.lease == 0 || m.registered() || m.registering || c.replica.revision < m.registeredAt {
--- a/internal/core/messenger.go
+++ b/internal/core/messenger.go
@@ -65,8 +65,8 @@
 }
 
 const (
-	// maxTasksPerMessage bounds the size of a message: the reports of machines with hundreds of
-	// small tasks each would exceed the longest line that a peer reads.
+	// maxTasksPerMessage bounds the size of a message: without a bound, the reports of several
+	// machines with hundreds of small tasks each would exceed the longest line that a peer reads.
 	maxTasksPerMessage = 1024
 	// reportOverheadTasks is the size of a report without tasks, in tasks.
 	reportOverheadTasks = 8
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -37,8 +37,8 @@
 	c.reconciler.reconcileMachine(m)
 }
 
-// applyNewerToken updates a machine whose report is already known but was answered under a
-// newer token.
+// applyNewerToken updates a machine whose report is already known, but whose worker has been granted
+// a newer token.
 func (c *Core) applyNewerToken(m *worker.Machine, o *Observation) {
 	if m.WorkerEpoch == o.Report.WorkerEpoch && o.Token > m.GrantedToken {
 		m.Node, m.GrantedToken = o.Node, o.Token
--- a/internal/core/peermessages.go
+++ b/internal/core/peermessages.go
@@ -8,9 +8,9 @@
 
 // PeerMessage is a message between controllers. Exactly one field besides the addresses is set. To
 // and From are set when the message passes through an intermediary. Any message may be lost. Most
-// are requests or hints, but the receiver relies on what Accepted, Heartbeat, Cancellations and
-// Acknowledged state, takes Observations as evidence of the tasks on a machine, and ends the
-// binding that a Refusal names.
+// are requests or hints, but some are facts for the receiver: it relies on Accepted, Heartbeat,
+// Cancellations and Acknowledged, takes Observations as evidence of the tasks on a machine, and
+// removes the binding that a Refusal names.
 type PeerMessage struct {
 	To            string             `json:"to,omitempty"`
 	From          string             `json:"from,omitempty"`
@@ -29,7 +29,8 @@
 	Acknowledged []string `json:"a,omitempty"`
 }
 
-// Observation forwards a worker's report with the fencing token under which it was answered.
+// Observation forwards a worker's report, with the fencing token that the controller of the machine
+// has granted to the worker.
 type Observation struct {
 	Node   string          `json:"n"`
 	Token  uint64          `json:"t"`
@@ -47,7 +48,7 @@
 	Attempt uint64 `json:"a"`
 }
 
-// Start asks the controller that serves a machine to start a bound task. It is sent once.
+// Start asks the controller that serves a machine to start a bound task. It is sent at most once.
 type Start struct {
 	Machine string        `json:"m"`
 	Task    string        `json:"t"`
@@ -59,7 +60,7 @@
 	Revision uint64 `json:"v,omitempty"`
 }
 
-// Refusal reports that a start was not forwarded and never will be.
+// Refusal reports that a start command was not forwarded to the worker and never will be.
 type Refusal struct {
 	Machine string `json:"m"`
 	Task    string `json:"t"`
@@ -73,7 +74,7 @@
 }
 
 // Fence asks the controller that serves a machine to raise the machine's fencing token above
-// Above, so that starts sent under that token have no effect from then on.
+// Above, so that start commands under that token or a lower one have no effect from then on.
 type Fence struct {
 	Machine string `json:"m"`
 	Above   uint64 `json:"k"`
@@ -120,7 +121,7 @@
 }
 
 // Cancellation states that the store holds the cancellation of a job. This is final, so the
-// receiver acts on it immediately, whatever its own replica shows.
+// receiver acts on it immediately, even if its own replica does not show the cancellation yet.
 type Cancellation struct {
 	Job string `json:"j"`
 	// Revision is a store revision at which the cancellation existed.
--- a/internal/core/peermessaging.go
+++ b/internal/core/peermessaging.go
@@ -9,7 +9,8 @@
 	c.route(node, m)
 }
 
-// peerConnected sends a reconnected controller all reports that it may have missed.
+// peerConnected records that a controller is connected, and sends it what it may have missed: the
+// newest reports of this node's machines, and the progress of the jobs handed off to other sites.
 func (c *Core) peerConnected(node string) {
 	c.peers.setConnected(node, true)
 	var observations []Observation
--- a/internal/core/peertable.go
+++ b/internal/core/peertable.go
@@ -15,7 +15,7 @@
 	// names lists the other controllers in the order of the settings.
 	names  []string
 	states map[string]*peerState
-	// contactTimeout is the time without messages after which a peer counts as out of contact.
+	// contactTimeout is the time without messages from a peer after which inContact is false for it.
 	contactTimeout time.Duration
 }
 
@@ -23,7 +23,7 @@
 type peerState struct {
 	// connected is set while messages can be sent to the peer.
 	connected bool
-	// storeOK is set while the store answers the peer.
+	// storeOK is set while the store replies to the peer.
 	storeOK     bool
 	lastContact time.Duration
 	// pendingWrites counts the peer's job changes that wait to be stored.
@@ -146,7 +146,7 @@
 }
 
 // reportStoreOutage reports whether at least half of the peers with recent contact, and at
-// least one, say that the store does not answer them. It is always true for a controller
+// least one, say that the store does not reply to them. It is always true for a controller
 // without peers.
 func (t *peerTable) reportStoreOutage(now time.Duration) bool {
 	recent, withoutStore := 0, 0
--- a/internal/core/pendingtasks.go
+++ b/internal/core/pendingtasks.go
@@ -12,7 +12,7 @@
 	Capacity int
 }
 
-// add returns the sums of both counts.
+// add returns the sum of two counts.
 func (p PendingTasks) add(other PendingTasks) PendingTasks {
 	return PendingTasks{
 		Dependencies: p.Dependencies + other.Dependencies,
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -92,9 +92,10 @@
 // than those on the machines of new bindings.
 const reservedConditions = 4
 
-// mayPlace reports whether an allocation is within the team's limit, which counts every binding
-// until its task has exited or is proven absent. It also bounds the number of machines with
-// unstored bindings by the number of conditions that one transaction may have.
+// mayPlace reports whether an allocation is within the team's limit. Every binding counts towards
+// the limit until it is removed, which requires proof that its task has exited or can no longer
+// start. mayPlace also bounds the number of machines with unstored bindings by the number of
+// conditions that one transaction may have.
 func (r *round) mayPlace(queue *teamQueue, j *job.Job, p *jobPlacement, need job.Resources) bool {
 	if j.Kind == job.Gang && len(j.Bound) > 0 {
 		return false // every binding of the previous attempt must have ended first
@@ -124,6 +125,7 @@
 }
 
 // bindAll binds the next pending tasks of a job to the chosen hosts if this node leads the team.
+// Otherwise it only counts the tasks as placed, since the team's leader binds them.
 func (r *round) bindAll(queue *teamQueue, j *job.Job, p *jobPlacement, chosen []*placement.Host) {
 	if !queue.team.leading {
 		p.leftToOtherLeaders += len(chosen)
@@ -210,7 +212,8 @@
 	return len(hosts)
 }
 
-// addUnplacedDemand adds unplaced tasks, up to the team's limit, to the demand for scaling out.
+// addUnplacedDemand adds unplaced tasks, up to the team's limit, to the demand for scaling out. If
+// this node leads the team, the job may also preempt others at the end of the round.
 func (r *round) addUnplacedDemand(queue *teamQueue, j *job.Job, tasks int) {
 	c := r.core
 	r.gpuStarved = r.gpuStarved || j.Need.GPUs > 0
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -37,11 +37,12 @@
 }
 
 // preempt stops running tasks to free capacity for jobs that could not be placed, where the
-// preemption rules allow it. Best-effort jobs are always preemptible, since their long tasks
-// would occupy the large machines that other jobs need. Arrays are preempted for services of
-// higher priority, which are long-running and do not wait for arrays to finish. Any other job is
-// preempted only if the operator has enabled preemption. Except for services, no preemption loses
-// more work than the new task contains.
+// preemption rules allow it. Only tasks of arrays are stopped. Best-effort arrays are preempted for
+// jobs of higher priority, since their long tasks would occupy the large machines that other jobs
+// need. Other arrays, up to normal priority, are preempted for services of higher priority: a
+// service runs for long and cannot wait for arrays to finish. Any other preemption needs the
+// operator's policy to enable it. Except for services, no preemption loses more work than the new
+// task contains.
 func (r *round) preempt() {
 	hosts := r.preemptibleHosts(r.hosts, func(victim *job.Job) bool {
 		return r.core.policy.Preemption || isBestEffort(victim)
@@ -67,7 +68,8 @@
 	}
 }
 
-// mayPreemptNow reports whether a job has been pending for long enough to preempt others.
+// mayPreemptNow reports whether a job may preempt others now: enough time has passed since it became
+// pending and since it last preempted others. Gangs never preempt.
 func (r *round) mayPreemptNow(j *job.Job) bool {
 	if j.Kind == job.Gang {
 		return false
@@ -225,8 +227,8 @@
 }
 
 // preemptibleBestEffortHosts lists the machines that run best-effort tasks, with the capacity
-// that is free once these are preempted and the work lost by preempting them. Other jobs get that
-// capacity through preemption, so machines rented for them would stand idle.
+// that is free once these are preempted and the least work lost by preempting one of them. Other
+// jobs get that capacity through preemption, so machines rented for them would be idle.
 func (c *Core) preemptibleBestEffortHosts() []*placement.Host {
 	var hosts []*placement.Host
 	for name, m := range c.machines.All() {
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -17,11 +17,11 @@
 	// maxProvisioningFactor bounds the typical provisioning time, in nominal boot times. Machines
 	// that take longer are assumed never to boot.
 	maxProvisioningFactor = 4
-	// maxProvisioningFailures is the number of machines of an offer that fail to boot in a row
-	// after which the offer is backed off.
+	// maxProvisioningFailures is the number of consecutive boot failures of an offer's machines
+	// after which nothing is rented from the offer for a while.
 	maxProvisioningFailures = 3
-	// maxBackoffBoots is the longest backoff of an offer whose machines fail to boot, in nominal
-	// boot times.
+	// maxBackoffBoots is the longest time, in nominal boot times, for which nothing is rented from
+	// an offer whose machines fail to boot.
 	maxBackoffBoots = 8
 )
 
@@ -60,7 +60,9 @@
 // has taken so far.
 type provisioningSample struct{ rentedAt, elapsed time.Duration }
 
-// recordProvisioned records the time from a machine's rental to its first report.
+// recordProvisioned records, on the fleet leader, the time from a machine's rental to its first
+// report, and resets the count of failures of its offer. Machines that were rented before this node
+// became the leader are ignored.
 func (c *Core) recordProvisioned(r *protocol.Report) {
 	a := &c.autoscaler
 	rentedAt, rented := a.firstSeen[r.Machine]
@@ -72,7 +74,7 @@
 }
 
 // updateProvisioningTimes sets the typical provisioning time of each type to the median of its
-// latest rentals, within limits.
+// latest rentals, but to at least the nominal boot time and at most maxProvisioningFactor times that.
 func (a *autoscaler) updateProvisioningTimes(now time.Duration, machines *worker.Registry, types catalog.Catalog) {
 	samples := a.provisioningSamples(now, machines, types)
 	for name := range types.All() {
@@ -130,8 +132,9 @@
 	return pendingTimeout + pendingTimeout/2 + c.silenceTimeout()
 }
 
-// recordProvisioningFailure records that a machine failed to boot. After several failures in a
-// row its offer is backed off, so that the next rental uses another zone, kind or type.
+// recordProvisioningFailure records that a machine failed to boot. After several consecutive
+// failures nothing is rented from the machine's offer for a while, so that the next rental uses
+// another type or zone, or switches between spot and on-demand machines.
 func (c *Core) recordProvisioningFailure(l protocol.ListedMachine) {
 	key := offerKey{l.Type, l.Zone, l.Spot}
 	if !c.autoscaler.provisioning.recordFailure(key) {
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -6,8 +6,8 @@
 	"pepperlever/internal/core/job"
 )
 
-// reachability determines which controllers this node is in contact with, directly or through
-// the store relay, and which it is partitioned from. It has no state of its own.
+// reachability determines which controllers this node hears from, as messages or through the store
+// relay, and which it is partitioned from. It has no state of its own.
 type reachability struct {
 	*environment
 	members *membership
@@ -16,8 +16,8 @@
 }
 
 // receivesMessagesFrom reports whether a message from a controller has arrived recently, over a
-// connection or through an intermediary. Starts for the machines of a controller that has stopped
-// sending are lost, and its workers need seconds to switch to another one.
+// connection or through an intermediary. If a controller has stopped sending messages, start
+// commands for its machines are lost, and its workers need seconds to switch to another controller.
 func (r *reachability) receivesMessagesFrom(node string) bool {
 	return r.peers.inContact(node, r.now.Steady)
 }
--- a/internal/core/rebalancing.go
+++ b/internal/core/rebalancing.go
@@ -118,9 +118,9 @@
 }
 
 // lessLoadedPeer returns the controller that a worker should report to instead, or an empty
-// string. It is a controller with less than its fair share of workers, while this node has more
-// than its own, and with workers in the same zone, so that it can be reached from there.
-// Workers with operations in progress stay, and only a part of the surplus is redirected at a
+// string. That controller has less than its fair share of workers, while this node has more. It
+// already has workers in the same zone, so it can be reached from there, or it has no workers at
+// all. Workers with operations in progress stay, and only a part of the surplus is redirected at a
 // time, because other controllers redirect theirs as well.
 func (c *Core) lessLoadedPeer(report *protocol.Report, session *agentSession) string {
 	now := c.now.Steady
@@ -148,9 +148,10 @@
 	return targets
 }
 
-// recordArrival records that a worker reports to a controller. A controller may be partitioned
-// from workers alone. It looks idle to the others, which would redirect their workers to it
-// again and again and leave each without a controller for seconds.
+// recordArrival records that a worker reports to a controller. If the worker was redirected to a
+// controller that it could not reach, no workers are redirected there for a while. Such a controller
+// may be partitioned from workers alone: it would look idle to the other controllers, which would
+// redirect workers to it again and again and leave each of them without a controller for seconds.
 func (c *Core) recordArrival(machine, node string) {
 	unreachable, backoff := c.rebalancer.recordArrival(machine, node, c.now.Steady, c.times.lease())
 	if unreachable != "" {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -9,8 +9,8 @@
 )
 
 // reconcileMachine compares the newest report of a machine with the bindings on it. It requests
-// that unwanted tasks be stopped or forgotten, and ends the bindings of tasks that have exited or
-// are proven absent.
+// that unwanted tasks be stopped or forgotten, and removes the bindings of tasks that have exited or
+// that the report proves to be absent.
 func (r *reconciler) reconcileMachine(m *worker.Machine) {
 	for _, t := range m.Tasks {
 		r.reconcileTask(m, t)
@@ -56,7 +56,7 @@
 }
 
 // eachLedBinding visits, in order, the stored bindings on a machine that match and whose jobs this
-// node leads. The visitor may end them.
+// node leads. The visitor may remove them.
 func (r *reconciler) eachLedBinding(machine string, matches worker.BindingFilter, visit worker.BindingVisitor) {
 	matchesAndLeads := func(ref job.TaskRef, b *job.Binding) bool {
 		return r.core.leads(ref.Job) && matches(ref, b)
@@ -101,7 +101,7 @@
 
 // reconcileAll periodically checks every binding of the teams that this node leads. It fences
 // bindings that the reports don't resolve, stops tasks that must end, and returns the machines of
-// tasks that don't end.
+// tasks that don't end. For the other teams it only stops the tasks of cancelled jobs.
 func (r *reconciler) reconcileAll() {
 	r.core.relay.reapplyEntries()
 	for _, t := range r.core.teams {
@@ -129,8 +129,9 @@
 	}
 }
 
-// checkBinding resolves one binding if there is evidence for it. Otherwise it fences the binding
-// once its start is overdue, so that a later report provides the evidence.
+// checkBinding updates one binding if there is evidence of its task. Otherwise, once the report of
+// the task's start is overdue, it fences the binding, so that a later report provides the evidence.
+// It also requests the return of a machine that has not been heard from for too long.
 func (r *reconciler) checkBinding(j *job.Job, i int, b *job.Binding) {
 	if r.core.cordons.isTerminated(b.Machine) {
 		r.core.unbind(j, i)
@@ -155,9 +156,9 @@
 	}
 }
 
-// isFenceDue reports whether a start has gone unreported for so long that the start, its reply or
-// the report of the task may be lost. Once the machine has a newer fencing token, its next report
-// proves whether the task is there.
+// isFenceDue reports whether a bound task has been missing from the machine's reports for so long
+// that the start command, its reply or a report may be lost. Once the machine has a newer fencing
+// token, its next report proves whether the task is there.
 func isFenceDue(m *worker.Machine, task string, b *job.Binding, now, reportInterval time.Duration) bool {
 	_, reported := m.Find(task, b.Attempt)
 	if reported && b.State != "" && m.WorkerEpoch == b.Epoch {
@@ -167,9 +168,9 @@
 	return b.Sent && waited > reportInterval
 }
 
-// isUnresponsive reports whether a binding's machine has been out of contact for so long that the
-// autoscaler must decide whether to return it. A node that became leader after the machine's last
-// report does not know the machine.
+// isUnresponsive reports whether a binding's machine has not been heard from for so long that the
+// autoscaler must decide whether to return it. The machine is nil if this node does not know it,
+// for example because no report of the machine has arrived since this node started.
 func (r *reconciler) isUnresponsive(m *worker.Machine, b *job.Binding) bool {
 	if m == nil {
 		return r.now.Steady-b.Since > r.core.silenceTimeout()
--- a/internal/core/reconciler.go
+++ b/internal/core/reconciler.go
@@ -1,13 +1,14 @@
 package core
 
 // reconciler reconciles the tasks that run on machines with the bindings of the jobs that this node
-// leads. It sends starts, ends the bindings of tasks that have exited or are proven absent, fences
-// bindings that the reports don't resolve, and stops tasks that must not run.
+// leads. It sends start commands, removes the bindings of tasks that have exited or that a report
+// proves to be absent, fences bindings that the reports don't resolve, and stops tasks that must not
+// run.
 type reconciler struct {
 	core *Core
 	*environment
-	// orphanLookups holds the IDs of jobs that are not known to be active, and are being looked up
-	// because a machine reports tasks of them.
+	// orphanLookups holds the IDs of jobs that this node does not know to be active and is looking
+	// up, because a machine reports tasks of them.
 	orphanLookups map[string]bool
 }
 
--- a/internal/core/records.go
+++ b/internal/core/records.go
@@ -39,7 +39,7 @@
 // rentalIntent is the intent to rent machines. It is stored before the cloud is asked for them.
 type rentalIntent struct {
 	Rental protocol.Rental `json:"r"`
-	// Machines lists the machines that the cloud has supplied. It is nil until the cloud answers.
+	// Machines lists the machines that the cloud has supplied. It is nil until the cloud replies.
 	Machines []string `json:"m,omitempty"`
 	version  uint64
 	// pending is set while a request to the cloud or the store for this intent is unanswered.
--- a/internal/core/relaypublish.go
+++ b/internal/core/relaypublish.go
@@ -39,7 +39,7 @@
 }
 
 // entries returns the outcomes of tasks on this node's machines that may not reach their
-// leaders otherwise, for as long as the store shows the tasks as bound.
+// leaders otherwise, for as long as the replica shows the tasks as bound.
 func (r *storeRelay) entries() []relay.Entry {
 	var outcomes []relay.Entry
 	for _, m := range r.core.agents.ownMachines() {
@@ -85,8 +85,8 @@
 	return machines
 }
 
-// publish writes changes to this node's pages. The pages are attached to its lease, so that
-// they expire with it.
+// publish writes changes to this node's pages. The pages are attached to this node's controller
+// lease, so that they expire with it.
 func (r *storeRelay) publish(changes []relay.Change) {
 	if len(changes) == 0 {
 		return
--- a/internal/core/relayread.go
+++ b/internal/core/relayread.go
@@ -33,8 +33,8 @@
 	return r.applyEntries(page)
 }
 
-// applyHeartbeat processes a heartbeat from another controller. It also counts as contact with
-// the machines on all of that controller's pages.
+// applyHeartbeat processes a heartbeat from another controller. The heartbeat also counts as contact
+// with the machines on all of that controller's pages.
 func (r *storeRelay) applyHeartbeat(node string, inbox *relayInbox, raw json.RawMessage) error {
 	var heartbeat relayHeartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil {
@@ -95,8 +95,8 @@
 	r.core.machines.RecordContact(m, false, r.now.Steady)
 }
 
-// applyEntries ends the bindings of this node's teams whose outcomes are on a page. If one
-// entry is malformed, none of the page is applied.
+// applyEntries applies the task outcomes that a page contains to the bindings of the teams that this
+// node leads. If one entry is malformed, no entry of the page is applied.
 func (r *storeRelay) applyEntries(p *relay.Page) error {
 	entries, err := p.Entries()
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// applyEntry ends the binding of one task with the outcome that an entry states.
+// applyEntry removes the binding of one task and records the outcome that an entry states.
 func (r *storeRelay) applyEntry(j *job.Job, binding *job.Binding, entry relay.Entry) {
 	m := r.core.machines.Get(entry.Machine)
 	if m == nil {
--- a/internal/core/relaystarts.go
+++ b/internal/core/relaystarts.go
@@ -15,9 +15,10 @@
 	}
 }
 
-// startForUnreachableLeaders starts the tasks that the store shows as bound to a machine, for
-// leaders whose messages may be lost. Each is started once, under exactly the token and epoch
-// of its binding, as if its leader had asked for it.
+// startForUnreachableLeaders starts the tasks that the replica shows as bound to a machine, for
+// leaders whose messages may be lost. Each is started at most once, under exactly the token and
+// epoch of its binding, as if its leader had asked for it. If it remains unknown whether a task was
+// started, the machine's token is raised to find out.
 func (r *storeRelay) startForUnreachableLeaders(session *agentSession, m *worker.Machine) {
 	if session.unanswered {
 		return
@@ -29,15 +30,16 @@
 			r.startForLeader(j, i, b)
 			return
 		}
-		// It is unknown whether the start has reached the worker. The leader would request a
-		// fence to find out, since a report under a newer token is conclusive.
+		// It is unknown whether the start command has reached the worker. The leader would request
+		// a fence to find out, since a report under a newer token is conclusive.
 		if !start.refused && r.now.Steady-start.at > 2*r.reportInterval() {
 			r.core.agents.fence(Fence{Machine: m.Machine, Above: b.Token})
 		}
 	})
 }
 
-// dueForUnreachableLeader reports whether this node should start a bound task for its leader.
+// dueForUnreachableLeader reports whether this node should act for the leader of a bound task whose
+// start is not confirmed yet.
 func (r *storeRelay) dueForUnreachableLeader(
 	ref job.TaskRef, b *job.Binding, session *agentSession, m *worker.Machine,
 ) bool {
@@ -55,7 +57,7 @@
 // start only once all of them are bound.
 func isIncompleteGang(j *job.Job) bool { return j.Kind == job.Gang && len(j.Bound) < j.Tasks }
 
-// startForLeader forwards the start of a task whose leader may not be able to request it.
+// startForLeader forwards the start command for a task whose leader may not be able to request it.
 func (r *storeRelay) startForLeader(j *job.Job, i int, b *job.Binding) {
 	r.log(Debug, "task started for an unreachable leader", "task", j.TaskID(i), "attempt", b.Attempt, "machine", b.Machine)
 	r.core.agents.forwardStart(r.core.teamsByName[j.Team].leader, Start{
--- a/internal/core/rentals.go
+++ b/internal/core/rentals.go
@@ -10,7 +10,7 @@
 // rentalIntents holds the intents of rentals that are not complete, by name.
 type rentalIntents map[string]*rentalIntent
 
-// hasUnanswered reports whether the cloud has yet to answer a rental.
+// hasUnanswered reports whether the cloud has not replied to a rental request yet.
 func (r rentalIntents) hasUnanswered() bool {
 	for _, intent := range r {
 		if intent.Machines == nil {
@@ -90,8 +90,8 @@
 // offerOf returns the offer that a rental is for.
 func offerOf(r protocol.Rental) offerKey { return offerKey{r.Type, r.Zone, r.Spot} }
 
-// recordRental logs a rental, and backs off the offer if the cloud supplied fewer machines than
-// requested.
+// recordRental logs a rental. If the cloud supplied fewer machines than requested, nothing is rented
+// from the offer for a while; otherwise the offer's backoff is reset.
 func (c *Core) recordRental(result RentalResult) {
 	key := offerOf(result.Rental)
 	c.log(Info, "machines rented",
@@ -108,7 +108,8 @@
 	}
 }
 
-// backOffOffer backs off an offer for which the cloud has no capacity.
+// backOffOffer starts a backoff of an offer for which the cloud has no capacity: nothing is rented
+// from the offer for a while.
 func (c *Core) backOffOffer(key offerKey) {
 	lag := seconds(c.cfg.Params.Cloud.ListLagS)
 	c.autoscaler.backOff(key, c.now.Steady, lag/2, 4*lag)
--- a/internal/core/replica.go
+++ b/internal/core/replica.go
@@ -99,7 +99,8 @@
 	c.freshness.replicaAdvanced(c.replica.revision)
 }
 
-// replicatedKeys returns the stored keys that the replica reflects.
+// replicatedKeys returns the keys in the replica whose deletion has to be applied if a snapshot lacks
+// them. Jobs with a write in flight are left out.
 func (c *Core) replicatedKeys() map[string]bool {
 	known := map[string]bool{}
 	for node := range c.members.live {
--- a/internal/core/replicajobs.go
+++ b/internal/core/replicajobs.go
@@ -106,7 +106,7 @@
 
 // finalStateAtDeletion returns the final state of a job whose head was deleted while this node knew
 // of no cancellation. A job that was still blocked on dependencies was never bound, so it can't be
-// done: its leader learned of a cancellation first.
+// done: it was cancelled, and its leader knew of that before this node did.
 func finalStateAtDeletion(j *job.Job) protocol.JobState {
 	if j.Blocked {
 		return protocol.JobState{ID: j.ID, State: protocol.Cancelled}
--- a/internal/core/reservations.go
+++ b/internal/core/reservations.go
@@ -58,7 +58,8 @@
 	return c.scheduler.reservations.update(jobs, c.catalog, int64(c.now.Steady/window))
 }
 
-// needsReservation reports whether a job is of a kind that capacity is reserved for.
+// needsReservation reports whether capacity is reserved for a job: the job needs GPUs or is a
+// service, and is neither cancelled nor suspected.
 func needsReservation(j *job.Job) bool {
 	return (j.Need.GPUs > 0 || j.Kind == job.Service) && !j.Cancelled && !j.Suspected
 }
@@ -95,10 +96,11 @@
 }
 
 // gpuNeedTolerance absorbs rounding errors, so that a whole number of machines is not rounded up,
-// whatever the order of summation.
+// regardless of the order of summation.
 const gpuNeedTolerance = 1e-6
 
-// updatePeaks records the number of machines of each type that GPU jobs currently need.
+// updatePeaks records the number of machines of each type that GPU jobs currently need, and updates
+// gpuMachines to the peaks.
 func (r *reservations) updatePeaks(need map[string]float64, types catalog.Catalog, window int64) {
 	r.gpuMachines = map[string]int{}
 	for name := range types.All() {
@@ -135,8 +137,9 @@
 	return demand
 }
 
-// reserveForGPUs reserves for GPU jobs the hosts of a type that other jobs use least. Otherwise
-// long-running tasks that need no GPUs would occupy the only machines on which gangs fit.
+// reserveForGPUs reserves hosts of a type for GPU jobs: first those whose GPUs are in use, then those
+// that other jobs use least. Without reservations, long-running tasks that need no GPUs would occupy
+// the only machines on which gangs fit.
 func (r *reservations) reserveForGPUs(typ string, machines int, hosts []*placement.Host) {
 	var usable []*placement.Host
 	for _, h := range hosts {
@@ -162,11 +165,12 @@
 	return h.Capacity.CPUs - h.Free.CPUs
 }
 
-// reserveForServices reserves capacity for the next service replicas of a class: for two of its
-// largest jobs, and for its largest job on hosts that cache each of its images, since a service
-// replica has no time to fetch one. Hosts occupied by arrays are used, and drained of them, only if
-// there is too little free capacity. It returns the number of service replicas for which there is
-// no free capacity now.
+// reserveForServices reserves capacity for the next service replicas of a class: for its headroom and
+// for its replicas on hosts reserved for GPU jobs. For each of the class's images, enough of
+// that capacity for the class's largest job is on hosts that cache the image, if there are any: a
+// service replica has no time to fetch an image. Hosts occupied by arrays are reserved, and drained
+// of them, only if there is too little free capacity. reserveForServices returns the number of
+// service replicas for which there is no free capacity now.
 func (r *reservations) reserveForServices(class *serviceClass, hosts []*placement.Host, machines *worker.Registry) int {
 	wanted := class.Headroom() + serviceReplicasOnGPUHosts(class.Spec.Class, hosts, machines)
 	usable := serviceHosts(class.Spec, hosts, machines)
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -59,8 +59,8 @@
 	placements map[string]*jobPlacement
 }
 
-// run applies reservations, places pending tasks, and preempts running tasks for jobs that could
-// not be placed.
+// run applies reservations, places pending tasks, moves services off hosts reserved for GPU jobs, and
+// preempts running tasks for jobs that could not be placed.
 func (r *round) run() {
 	r.prepareHosts()
 	c := r.core
@@ -135,7 +135,8 @@
 	return r.core.startAllowance(j) > 0 && r.core.now.Steady >= j.NotBefore && j.Version > 0
 }
 
-// isOverdue reports whether a job has been pending for longer than the policy's timeout.
+// isOverdue reports whether a job that is not suspected has been pending for longer than the policy's
+// timeout.
 func (r *round) isOverdue(j *job.Job) bool {
 	return !j.Suspected && r.core.now.Steady-j.PendingSince > seconds(r.core.policy.TimeoutS)
 }
@@ -151,8 +152,8 @@
 	})
 }
 
-// starvationTimeouts is the number of timeouts after which a job that has not started any task is
-// served first, so that wide arrays cannot starve small ones.
+// starvationTimeouts is the number of policy timeouts after which a job that has not started any
+// task is served first, so that wide arrays cannot starve small ones.
 const starvationTimeouts = 4
 
 // schedulingKey is the sort key among jobs of equal priority: the latest start time, or for gangs
--- a/internal/core/scalein.go
+++ b/internal/core/scalein.go
@@ -19,7 +19,8 @@
 // leases.
 const terminatedRetentionLeases = 100
 
-// cordonIdle cordons machines that have been idle for longer than their idle timeout.
+// cordonIdle cordons machines that have been idle for longer than their idle timeout and are not
+// reserved.
 func (c *Core) cordonIdle() {
 	for name, m := range c.machines.All() {
 		if !c.machines.UsedResources(m).Fits(job.Resources{}) {
@@ -34,7 +35,7 @@
 }
 
 // idleTimeout is how long a machine is kept idle: a fraction of the time that a replacement would
-// take to boot.
+// take to boot, but at least two report intervals.
 func (c *Core) idleTimeout(m *worker.Machine) time.Duration {
 	return max(c.catalog.BootTime(m.Type)/4, 2*c.reportInterval())
 }
@@ -59,10 +60,10 @@
 	})
 }
 
-// releaseCordoned releases cordoned machines that have no bindings, and machines that are being
-// returned regardless of their bindings. The latter need no cordon first: a binding made in the
-// meantime refers to a terminated machine and ends with it. A cancelled task is therefore stopped
-// in time even while the store is down.
+// releaseCordoned releases cordoned machines and machines that are being returned. Only machines that
+// were cordoned because they were idle must have no bindings first. Machines that are being returned
+// need no cordon first: a binding that is made in the meantime is removed once the machine is stored
+// as terminated. A cancelled task is therefore stopped in time even while the store is down.
 func (c *Core) releaseCordoned() {
 	candidates := maps.Clone(c.cordons)
 	for name := range c.autoscaler.returnReasons {
@@ -94,8 +95,8 @@
 	return !releasing || c.now.Steady-since >= c.silenceTimeout()
 }
 
-// handleRelease handles the cloud's reply to a release. A confirmed release ends everything that
-// was bound to the machines.
+// handleRelease handles the cloud's reply to a release. Once the release is confirmed, no task runs
+// on the machines any more, and the fleet leader stores them as terminated.
 func (c *Core) handleRelease(result ReleaseResult) {
 	for _, id := range result.Machines {
 		if result.OK {
@@ -142,8 +143,9 @@
 }
 
 // deleteTerminatedCordons deletes the cordons of machines that were terminated long ago, so that
-// the stored state does not grow without bound. A binding still made to such a machine would be
-// ended by another release, which the cloud also confirms for unknown machines.
+// the stored state does not grow without bound. If a task is bound to such a machine even after that,
+// the machine is released again: the cloud also confirms releases of machines that it does not know,
+// and the binding is then removed.
 func (c *Core) deleteTerminatedCordons() {
 	retention := terminatedRetentionLeases * seconds(c.cfg.Params.Workers.LeaseS)
 	txn := protocol.Txn{If: []protocol.Condition{c.fleet.leaderCondition()}}
--- a/internal/core/scaleout.go
+++ b/internal/core/scaleout.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// pendingCapacity lists the machines that are rented but do not report yet.
+// pendingCapacity lists the machines that are rented but do not report yet, except for those that
+// have taken too long to boot.
 func (c *Core) pendingCapacity() []*placement.Host {
 	pending := pendingMachines{core: c, seen: map[string]bool{}}
 	for _, l := range ordered(c.autoscaler.inventory) {
@@ -117,7 +118,7 @@
 	return seconds(work / cpus)
 }
 
-// mayOfferSpot reports whether any spot offer is not backed off.
+// mayOfferSpot reports whether any spot offer is not in backoff.
 func (a *autoscaler) mayOfferSpot(types catalog.Catalog, now time.Duration) bool {
 	for name, t := range types.All() {
 		for _, zone := range t.Zones {
@@ -129,7 +130,7 @@
 	return false
 }
 
-// offers lists the offers that are not backed off. On-demand machines cost several times as much
+// offers lists the offers that are not in backoff. On-demand machines cost several times as much
 // as spot machines, so they are rented only for jobs that would be late without them, or once the
 // backlog is several times their boot time. The threshold is lower for guaranteed jobs.
 func (c *Core) offers(backlog time.Duration) []scaling.Offer {
--- a/internal/core/staletasks.go
+++ b/internal/core/staletasks.go
@@ -7,9 +7,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// handleStaleAttempt handles a reported task that has no binding. The worker can forget it once its
-// outcome is stored. An attempt later than any that this leader has stored is another leader's: this
-// node has lost its leadership, but hasn't learned of it because it can't reach the store.
+// handleStaleAttempt handles a reported task attempt that has no binding. An attempt that runs is
+// stopped. One that has exited can be forgotten by the worker once its outcome is stored. An attempt
+// later than any that this leader has stored is left alone, because it is another leader's: this node
+// has lost its leadership, but does not know that because it can't reach the store.
 func (r *reconciler) handleStaleAttempt(j *job.Job, m *worker.Machine, t protocol.TaskReport) {
 	if t.Attempt > j.StoredAttempt {
 		return
@@ -21,7 +22,8 @@
 }
 
 // handleOrphanTask handles a task whose job is not known to be active. Only the machine's controller
-// acts on it, and only after confirming that the job has ended.
+// acts on it, and only once it knows that the job has ended. Until then it looks up the job's state,
+// and a later report of the task is handled with the result.
 func (r *reconciler) handleOrphanTask(m *worker.Machine, t protocol.TaskReport, id string) {
 	if m.Node != r.cfg.Node {
 		return
--- a/internal/core/startforwarding.go
+++ b/internal/core/startforwarding.go
@@ -46,9 +46,9 @@
 }
 
 // earlierDecision reports whether a start has been decided before, and the reason if it is
-// refused. Decisions under a superseded token or by an earlier incarnation are no longer known.
-// Then the start is refused only if a report proves the task absent, because a refusal makes
-// the leader start the task elsewhere, and it may be running here.
+// refused. A start under a superseded token, or one that this incarnation has not acquired, counts as
+// decided, although the decision is not known here. It is refused only if a report proves the task
+// absent: a refusal makes the leader start the task elsewhere, while it may be running here.
 func (a *agentController) earlierDecision(s *Start) (reason refusalReason, decided bool) {
 	if !a.tokens.acquired[s.Token] || a.startLedgers.isSuperseded(s.Machine, s.Token) {
 		if a.isProvenAbsent(s) {
@@ -75,9 +75,10 @@
 	return evidence == worker.Absent
 }
 
-// refusalReasonFor returns the reason to refuse a start, or an empty one. A start under another
-// token or epoch is refused permanently: late starts are safe only because a binding can be
-// started under no other token than its own.
+// refusalReasonFor returns the reason to refuse a start, or an empty one. A start is refused
+// permanently if its binding was made under another token or epoch than the worker has now: late
+// start commands are safe only because a bound task can be started under no other token than that of
+// its binding.
 func (a *agentController) refusalReasonFor(s *Start) refusalReason {
 	session, m := a.session(s.Machine), a.core.machines.Get(s.Machine)
 	switch {
--- a/internal/core/startledger.go
+++ b/internal/core/startledger.go
@@ -4,9 +4,9 @@
 
 // startLedger holds this node's decisions on the starts of tasks that were bound to a machine
 // under one fencing token. The token belongs to this incarnation alone, so no other controller
-// can forward these starts, and each is decided at most once: it is forwarded or refused, on
-// the leader's request or on behalf of an unreachable leader. A decision is kept for as long as
-// the start may arrive again.
+// can forward start commands for these tasks. Each start is decided at most once: its command is
+// forwarded or refused, at the leader's request or on behalf of an unreachable leader. A decision is
+// kept for as long as the request may arrive again.
 type startLedger struct {
 	token     uint64
 	decisions map[taskAttempt]startDecision
@@ -50,8 +50,8 @@
 	return decision, ok
 }
 
-// isSuperseded reports whether a start on a machine has come under a newer token, so that
-// decisions under this one are no longer known.
+// isSuperseded reports whether a start on a machine has been decided under a newer token than the
+// given one, so that decisions under the given one are no longer known.
 func (l *startLedgers) isSuperseded(machine string, token uint64) bool {
 	ledger := l.byMachine[machine]
 	return ledger != nil && ledger.token > token
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -8,8 +8,8 @@
 // to start the task. That controller either forwards the start to the machine's worker or refuses
 // it permanently.
 
-// sendStarts sends the starts of a job's stored bindings. The tasks of a gang start together, once
-// all their bindings are stored.
+// sendStarts sends the start commands for a job's stored bindings. The tasks of a gang start
+// together, once all their bindings are stored.
 func (r *reconciler) sendStarts(j *job.Job) {
 	if j.Cancelled || j.Kind == job.Gang && !allBindingsStored(j) {
 		return
@@ -30,8 +30,9 @@
 	return true
 }
 
-// sendStart sends one start to the controller of its machine, unless the machine has a newer token
-// or epoch than when the task was bound to it.
+// sendStart sends one start command to the controller of its machine, unless the machine is unknown
+// or its token or epoch has changed since the task was bound to it. The binding counts as sent in
+// any case.
 func (r *reconciler) sendStart(j *job.Job, i int, b *job.Binding) {
 	b.Sent, b.Since = true, r.now.Steady
 	m := r.core.machines.Get(b.Machine)
@@ -56,7 +57,8 @@
 	}})
 }
 
-// handleRefusal ends a binding whose start was refused: it was not forwarded and never will be.
+// handleRefusal removes a binding whose start command was refused: the command was not forwarded to
+// the worker and never will be.
 func (r *reconciler) handleRefusal(refusal Refusal) {
 	id, i, ok := job.ParseTaskID(refusal.Task)
 	j := r.core.jobs[id]
--- a/internal/core/statistics.go
+++ b/internal/core/statistics.go
@@ -6,11 +6,11 @@
 	"pepperlever/internal/core/jobstats"
 )
 
-// StatisticsReport answers JobStatistics.
+// StatisticsReport is the response to JobStatistics.
 type StatisticsReport struct {
 	Rows []jobstats.Row
-	// LongestUnanswered is the longest period during which this controller could not answer
-	// any request for the state of some job.
+	// LongestUnanswered is the longest period during which this controller could not respond to
+	// any request for the state of a particular job.
 	LongestUnanswered time.Duration
 	// Unacknowledged is the number of cancellations that at least one controller may not
 	// know of.
@@ -22,7 +22,7 @@
 	// those of all teams in this controller's plan, which should be the same on all controllers.
 	Pending, Planned PendingTasks
 	// UnstoredClaims is the number of bindings that other controllers have announced and that
-	// the store does not show yet.
+	// this controller's replica does not show as stored yet.
 	UnstoredClaims int
 	Counters       Counters
 }
@@ -31,7 +31,7 @@
 type Counters struct {
 	// CascadedCancellations is the number of jobs cancelled because a dependency was cancelled.
 	CascadedCancellations int
-	// SplitJobs is the number of stored jobs that were split into smaller chunks.
+	// SplitJobs counts how often the chunks of a stored job were split into smaller ones.
 	SplitJobs int
 	// OversizedTransactions is the number of transactions that the store rejected as malformed
 	// or too large.
@@ -56,8 +56,8 @@
 // reportIntervalsPerStatistics is the interval at which statistics are logged, in report intervals.
 const reportIntervalsPerStatistics = 15
 
-// logStatistics logs the job statistics. Only the fleet leader does so: the replica of every
-// controller holds the jobs of all teams, so one controller is enough.
+// logStatistics logs the pending tasks and the job statistics. Only the fleet leader does so: the
+// replica of every controller holds the jobs of all teams, so one controller is enough.
 func (c *Core) logStatistics() {
 	report := c.statisticsReport()
 	c.log(Info, "pending tasks",
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,7 +6,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// status answers a request for the state of a job. Only a final state may come from memory, since
+// status responds to a request for the state of a job. Only a final state may come from memory, since
 // it never changes; any other requires a read that begins after the request.
 func (c *Core) status(m Status) {
 	if !job.ValidID(m.ID) {
--- a/internal/core/storerelay.go
+++ b/internal/core/storerelay.go
@@ -49,7 +49,8 @@
 	return &storeRelay{environment: core.environment, core: core, inboxes: map[string]*relayInbox{}}
 }
 
-// interval returns the time between two writes of pages, of about pagesPerWrite pages each.
+// interval returns the time between two writes of this node's pages. With about pagesPerWrite pages
+// per write, all controllers together stay within relayWriteShare.
 func (r *storeRelay) interval() time.Duration {
 	share := relayWriteShare * r.core.limits.writeRate()
 	controllers := float64(r.core.members.size())
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -74,7 +74,7 @@
 	})
 }
 
-// replyToDuplicate answers the submission of a job that exists already with its current state.
+// replyToDuplicate responds to the submission of a job that exists already with its current state.
 func (c *Core) replyToDuplicate(req uint64, id string) {
 	c.lookups.request(id, func(result lookup.Result) {
 		if result.Outcome == lookup.Absent {
@@ -86,7 +86,7 @@
 	})
 }
 
-// accept stores a job and answers the user once the store has replied.
+// accept stores a job and responds to the user once the store has replied.
 func (c *Core) accept(req uint64, t *team, spec *job.Spec) {
 	spec.Accepted = c.now.Wall
 	head := c.chunks.newJob(*spec).Head()
--- a/internal/core/submitdependencies.go
+++ b/internal/core/submitdependencies.go
@@ -78,7 +78,7 @@
 	d.spec.Dependencies = slices.DeleteFunc(d.spec.Dependencies, func(dependency string) bool { return dependency == id })
 }
 
-// onResolved records the end of one lookup and answers the submission after the last one.
+// onResolved records the end of one lookup and handles the submission after the last one.
 func (d *dependencyCheck) onResolved() {
 	d.unresolved--
 	if d.unresolved > 0 {
--- a/internal/core/team.go
+++ b/internal/core/team.go
@@ -11,7 +11,7 @@
 	"pepperlever/internal/settings"
 )
 
-// team is the state of a team, whichever controller leads it.
+// team is the state of a team, regardless of which controller leads it.
 type team struct {
 	settings.Team
 	shard
--- a/internal/core/tokens.go
+++ b/internal/core/tokens.go
@@ -8,7 +8,7 @@
 
 // fencingTokens holds this node's fencing token and the requests that wait for a newer one. Tokens
 // come from a counter in the store. A worker obeys only commands under the highest token that it
-// has seen, so raising a worker's token voids all starts under lower ones.
+// has seen, so once a worker's token is raised, start commands under lower ones have no effect.
 type fencingTokens struct {
 	// current is the newest token of this node, or 0 before the first.
 	current uint64
--- a/internal/core/unstoppedtasks.go
+++ b/internal/core/unstoppedtasks.go
@@ -24,7 +24,7 @@
 	timeout := r.times.cancelDeadline() / 2
 	if unaware && !r.core.storeOK {
 		// Returning the machine is the only option left, and the cloud may fail next. While
-		// the store still answers this would be too early: a controller that is partitioned
+		// the store still replies, this would be too early: a controller that is partitioned
 		// redirects its workers first.
 		timeout = min(timeout, r.times.stalenessBound()*3/4)
 	}
@@ -42,10 +42,11 @@
 	}
 }
 
-// isOverdue reports whether a cancellation has taken longer than timeout. A controller counts from
-// when it learned of the cancellation, which starts over when it restarts. It therefore also
-// considers the wall-clock time since the user's request, once reports had time to arrive or
-// three quarters of the cancellation deadline have passed.
+// isOverdue reports whether a cancellation has taken longer than timeout since this node learned of
+// the cancellation. A restart of this node resets that time. The wall-clock time since the user's
+// request therefore counts too: the cancellation is also overdue once that exceeds timeout*3/2 and
+// reports have had time to arrive here, or once it exceeds three quarters of the cancellation
+// deadline.
 func (r *machineReturns) isOverdue(j *job.Job, timeout time.Duration) bool {
 	sinceKnown := r.now.Steady - j.CancelledAt
 	sinceRequested := time.Duration(0)
@@ -59,9 +60,9 @@
 
 // isResponsibleFor reports whether this node is responsible for returning a machine because of a
 // task of a cancelled job. The controller that serves the machine is, since it sees which tasks
-// remain there. The job's leader is responsible too if it is in contact with that controller, or
-// if no live controller serves the machine. It does not act on the machines of a live controller
-// that it has no contact with: their tasks may have ended long ago.
+// remain there. The leader of the job is responsible too if heartbeats of that controller arrive at
+// the leader, or if no live controller serves the machine. The leader does not act on the machines
+// of a live controller whose heartbeats do not arrive: their tasks may have ended long ago.
 func (r *machineReturns) isResponsibleFor(j *job.Job, machine string) bool {
 	m := r.core.machines.Get(machine)
 	if m == nil {
@@ -75,7 +76,7 @@
 }
 
 // fleetLeaderUnavailable reports whether the replica shows no fleet leader or the store does not
-// answer this node. Without the store the leader may have lost its leadership, and a cordon may not
+// reply to this node. Without the store the leader may have lost its leadership, and a cordon may not
 // be stored. In both cases every controller that knows of a cancellation releases machines itself.
 // To the other controllers this looks as if the cloud had reclaimed the machines without notice;
 // the fleet leader detects it from the inventory.
@@ -108,9 +109,10 @@
 	r.pendingReleases = nil
 }
 
-// request asks the fleet leader to return a machine with everything that runs on it. If the leader
-// cannot be reached, a cordon in the store replaces the request, except for an unknown machine. Any
-// controller may write a cordon: the most that an unnecessary one can cost is the machine.
+// request asks the fleet leader, at most once per report interval, to return a machine with
+// everything that runs on it. If this node does not hear from the leader, it stores a cordon instead,
+// unless the reason is reasonUnknownMachine. Any controller may write a cordon: the most that an
+// unnecessary one can cost is the machine.
 func (r *machineReturns) request(machine, reason string) {
 	if !recordIfDue(r.requestedAt, machine, r.now.Steady, r.reportInterval()) {
 		return
--- a/internal/core/writebudget.go
+++ b/internal/core/writebudget.go
@@ -7,10 +7,11 @@
 )
 
 // writeBudget is a token bucket that limits the rate of this controller's job writes. Submissions,
-// fencing tokens, cordons and rental intents are written immediately. The controllers divide a
-// fixed part of the store's write rate among them for changes of accepted jobs. The most urgent
-// changes of all controllers come first, and each controller gets a share in proportion to how many
-// of those it has, so that many small jobs of one team don't delay the urgent work of other teams.
+// fencing tokens, cordons and rental intents are written without regard to it. The controllers
+// divide a fixed part of the store's write rate among them for changes of accepted jobs. The most
+// urgent changes of all controllers come first, and each controller gets a share in proportion to
+// how many of those it has, so that many small jobs of one team don't delay the urgent work of other
+// teams.
 type writeBudget struct {
 	// rate is this controller's share in changes per second. available is the number of changes
 	// that may be written now.
@@ -70,7 +71,8 @@
 // share returns a controller's share of a write rate, in changes per second. The rate goes to the
 // ranks in order: each gets enough to store the due changes of all controllers within a second,
 // divided in proportion to the controllers' due changes. The remainder is divided equally, so that
-// each controller can store a start immediately.
+// each controller can store a start immediately. A controller gets at least guaranteedShare of an
+// equal share of the rate.
 func (due *changesByRank) share(all changesByRank, rate float64, controllers int) float64 {
 	remaining := rate
 	guaranteed := remaining * guaranteedShare / float64(controllers)
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -23,11 +23,11 @@
 	requests    tokenBucket
 }
 
-// instance is one rented machine, from the request until it has ended.
+// instance is a machine that has been rented. It is kept after it has ended.
 type instance struct {
 	protocol.ListedMachine
 	machineType                *MachineType
-	requestedAt, upAt, endedAt time.Duration // upAt may be in the future; never if no such time is set
+	requestedAt, upAt, endedAt time.Duration // upAt may be in the future, or never for a failed boot
 	reclaimedAt                time.Duration // when the cloud reclaims a spot machine, or never
 	noticeSent, endReported    bool          // whether Advance has returned the reclaim notice and the end
 }
@@ -53,7 +53,8 @@
 }
 
 // Rent rents up to the requested number of machines. It is idempotent: a repeated request
-// id returns the same names and rents nothing more. ok is false if no machine is available.
+// id returns the same names and rents nothing more. ok is false if no machine is available or if
+// the type or the zone is unknown.
 func (c *Cloud) Rent(now time.Duration, request protocol.Rental) (names protocol.MachineNames, ok bool) {
 	if names, found := c.rentals[request.Request]; found {
 		return names, true
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -19,7 +19,7 @@
 	// Controllers is the number of controllers, each of which runs as its own process.
 	Controllers int      `toml:"controllers" comment:"how many controllers run, each as a process of its own"`
 	Zones       []string `toml:"zones" comment:"controllers and machines are spread over these"`
-	// Speed divides the durations of tasks, image fetches and boots.
+	// Speed divides the durations of tasks, image fetches, boots and reclaim notices.
 	Speed   float64         `toml:"speed" comment:"divides the times that tasks, image fetches and boots take"`
 	Seed    uint64          `toml:"seed" comment:"of the boots, of the spot machines that are taken back, and of stale lists"`
 	Teams   []settings.Team `toml:"teams" comment:"cpus and gpus are guaranteed; a limit (max) of 0 means none"`
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -34,7 +34,7 @@
 	Start(machine string, job *protocol.Submission, task string, attempt uint64, done func(ok bool)) (stop func())
 }
 
-// machine is a machine with its worker.
+// machine is the state of a simulated machine and of the worker that runs on it.
 type machine struct {
 	protocol.Report
 	machineType   *MachineType
@@ -53,8 +53,8 @@
 	// stateSince is when the current state began. stateEndsAt is when it ends by itself, or 0
 	// if it does not.
 	stateSince, stateEndsAt time.Duration
-	// peerLossNoticedAt is when the task noticed that its gang had lost another task, or when
-	// the task began to save.
+	// peerLossNoticedAt is when the fleet first found that the gang of this running task had lost
+	// another task, or when this task began to save.
 	peerLossNoticedAt time.Duration
 	stop              func() // kills the task's program; nil if none is running
 }
--- a/internal/emulator/handoffbench.go
+++ b/internal/emulator/handoffbench.go
@@ -15,7 +15,7 @@
 
 // Measure prints the latency of local and of handed-off jobs and the state changes per job. For
 // each number of jobs in inFlight it prints how fast the jobs are handed off, and how long the
-// last result takes once a cut link is restored.
+// last result takes once the links work again after a disconnection.
 func (p *Pair) Measure(ctx context.Context, out io.Writer, inFlight []int) error {
 	c, err := client.New(p.Sites[0].FrontendAddress())
 	if err != nil {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// measureRecovery hands jobs off, cuts the links until the jobs are done at the other site, and
-// prints how long the last result takes once the links are restored.
+// measureRecovery hands jobs off and disconnects both links until five seconds after the jobs are
+// done at the other site. It prints how long the last result takes once the links are restored.
 func (p *Pair) measureRecovery(ctx context.Context, out io.Writer, c *client.Client, jobs int) error {
 	start := time.Now()
 	runSeconds := 3 + float64(jobs)/100 // long enough that no job is done before all are handed off
--- a/internal/emulator/keyvaluestore.go
+++ b/internal/emulator/keyvaluestore.go
@@ -71,8 +71,9 @@
 	return page
 }
 
-// Apply applies a transaction atomically. ok is false if a condition failed, and
-// leaseNotFound is true if the transaction writes under a lease that does not exist.
+// Apply applies a transaction atomically. ok is false if it was not applied, either because a
+// condition failed or because it writes under a lease that does not exist. leaseNotFound is true
+// in the second case.
 func (s *KeyValueStore) Apply(txn protocol.Txn) (result protocol.TxnResult, ok, leaseNotFound bool) {
 	for _, change := range txn.Then {
 		if change.Lease != 0 && s.leases[change.Lease] == nil {
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -46,8 +46,8 @@
 	return &Link{delay: delay, mode: Pass, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 }
 
-// SetMode changes the mode. Leaving Hang closes the connections, because data on them has
-// been lost.
+// SetMode changes the mode. Refuse closes all connections. Leaving Hang does so too, because data
+// on them has been lost.
 func (l *Link) SetMode(m LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,8 +73,9 @@
 // smaller.
 const minMessageBytes = 100
 
-// admit blocks while the link holds data, and reports whether a chunk of the given size may
-// be forwarded. Otherwise the chunk is dropped.
+// admit handles a chunk of the given size before it is forwarded. It first counts an outbound
+// message and calls the trigger if it is due. Then it waits while the mode is Hold, and reports
+// whether the mode is Pass. In any other mode the chunk is dropped.
 func (l *Link) admit(ctx context.Context, size int, outbound bool) bool {
 	l.mu.Lock()
 	if outbound && size >= minMessageBytes && l.trigger != nil {
@@ -134,7 +135,7 @@
 	var group errgroup.Group
 	group.Go(func() error { defer server.Close(); return l.copy(ctx, server, client, true) })
 	group.Go(func() error { defer client.Close(); return l.copy(ctx, client, server, false) })
-	_ = group.Wait() // errors are expected when the link is cut
+	_ = group.Wait() // errors are expected when a connection is closed
 	l.mu.Lock()
 	delete(l.conns, client)
 	delete(l.conns, server)
--- a/internal/emulator/site.go
+++ b/internal/emulator/site.go
@@ -33,8 +33,8 @@
 const tickInterval = 20 * time.Millisecond
 
 // Open returns a site whose listeners are open. The site keeps its state between runs in dir,
-// and tasks run the programs in imagesDir. Either may be empty: the state is then kept only in
-// memory, and tasks are simulated.
+// and tasks run the programs in imagesDir. If dir is empty, the state is kept only in memory. If
+// imagesDir is empty, all tasks are simulated.
 func Open(cfg *Config, dir, imagesDir string) (*Site, error) {
 	s := &Site{cfg: cfg, start: time.Now(), workerCancels: map[string]context.CancelFunc{}, outputRoot: outputRootOf(dir)}
 	var runner Runner
@@ -105,7 +105,7 @@
 	return s.fleet.completedRuns
 }
 
-// now returns the time since the site was opened, the clock of the fleet and the cloud.
+// now returns the time since the site was opened, which is the clock of the fleet and the cloud.
 func (s *Site) now() time.Duration { return time.Since(s.start) }
 
 // advance moves the fleet and the cloud to the current time, and starts and stops the workers
--- a/internal/emulator/stateservice.go
+++ b/internal/emulator/stateservice.go
@@ -93,7 +93,7 @@
 	return s.kv.changeCount
 }
 
-// now returns the time since the service was created, the clock of the store.
+// now returns the time since the service was created, which is the clock of the store.
 func (s *StateService) now() time.Duration { return time.Since(s.start) }
 
 // Run serves requests on ln and expires leases until ctx ends.
--- a/internal/emulator/tasks.go
+++ b/internal/emulator/tasks.go
@@ -9,8 +9,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// Advance moves all machines and tasks to now. A machine whose lease has expired kills its
-// tasks and begins a new epoch.
+// Advance moves all machines and tasks to now. A worker whose lease has expired kills its tasks
+// and begins a new epoch.
 func (f *Fleet) Advance(now time.Duration) {
 	leaseTTL := seconds(f.cfg.Workers.LeaseS)
 	for _, id := range slices.Sorted(maps.Keys(f.machines)) {
@@ -55,7 +55,8 @@
 }
 
 // runTask starts a task. If the image has a program, the task runs that program. Otherwise the
-// run is simulated: it takes the estimated duration, or never ends for a service.
+// run is simulated: it takes the estimated duration less the progress that can be resumed, or
+// never ends for a service.
 func (f *Fleet) runTask(m *machine, t *task, startedAt time.Duration) {
 	t.State, t.stateSince, t.stateEndsAt = protocol.Running, startedAt, 0
 	if f.runner != nil && f.runner.HasProgram(*t.job.Image) {
@@ -82,8 +83,9 @@
 	}
 }
 
-// resumableProgress returns the seconds of progress that a task does not have to repeat: what
-// it saved when it was stopped, or whole checkpoints. A task without checkpoints starts over.
+// resumableProgress returns the seconds of progress that a task does not have to repeat: its
+// saved progress, but no more than its estimated duration. A task without checkpoints starts
+// over.
 func (f *Fleet) resumableProgress(t *task) float64 {
 	saved := f.progressS[t.Task]
 	if *t.job.CheckpointS <= 0 {
@@ -140,8 +142,9 @@
 	}
 }
 
-// exitBrokenGang makes the remaining tasks of a gang that has lost one exit, after the time
-// that they take to notice. Their saved progress falls back to the last checkpoint.
+// exitBrokenGang handles a gang that has lost a task. The other tasks take the configured time
+// to notice the loss. Then the running ones exit, and the saved progress of all falls back to the
+// last checkpoint.
 func (f *Fleet) exitBrokenGang(now time.Duration, tasks []*task, owner map[*task]*machine) {
 	firstNoticedAt := time.Duration(math.MaxInt64)
 	for _, t := range tasks {
--- a/internal/federation/breaker.go
+++ b/internal/federation/breaker.go
@@ -3,10 +3,11 @@
 import "time"
 
 // circuitBreaker limits the attempts made to reach a peer that does not answer. It opens after
-// BreakerThreshold consecutive failures. A failure is a period of RetryS after an attempt in
-// which the peer sends nothing, however many attempts were made in it. Once the open interval
-// has passed, a single attempt is allowed as a probe, and the next open interval, twice as long,
-// starts with it. Any message from the peer closes the breaker.
+// BreakerThreshold consecutive failures. A failure is counted if the peer sends nothing for
+// RetryS after an attempt, however many attempts are made in that time. Once the open interval
+// has passed, a single attempt is allowed as a probe. The probe starts the next open interval,
+// which is twice as long, up to RetryMaxS. Any message from the peer closes the breaker, and so does
+// the input PeerReachable.
 type circuitBreaker struct {
 	// firstUnansweredAt is the time of the first attempt since the peer last sent anything or
 	// the last failure was counted; 0 if there was none.
--- a/internal/federation/compare.go
+++ b/internal/federation/compare.go
@@ -23,11 +23,11 @@
 	viewRequestDueAt time.Duration
 	// suspendedReason says why hand-offs are suspended; it is empty if they are not.
 	suspendedReason string
-	// lastEpochAtPeer is the highest epoch from this site in the peer's records if it is missing
-	// from this site's records, otherwise 0.
+	// lastEpochAtPeer is the highest epoch of this site in the peer's records, if it is above the
+	// last epoch in this site's own records; otherwise 0.
 	lastEpochAtPeer Epoch
-	// lostEpochs holds the epochs of the peer whose acceptance was reported to it but is missing
-	// from this site's records.
+	// lostEpochs holds the epochs of the peer that this site has accepted, according to the
+	// peer's view, although the acceptance is missing from this site's records.
 	lostEpochs map[Epoch]bool
 }
 
@@ -78,7 +78,8 @@
 	return highest
 }
 
-// handleView compares the peer's view with the records of this site.
+// handleView compares the peer's view with the records of this site, and suspends hand-offs with
+// the peer if these records are out of date.
 func (c *Coordinator) handleView(msg Message) {
 	peer := c.peer(msg.From)
 	if msg.View == nil || msg.Nonce != peer.nonce || peer.recordsCompared || peer.suspendedReason != "" {
@@ -141,7 +142,8 @@
 	}
 }
 
-// onHandOffsResumed ends the suspension after the last epoch has been stored.
+// onHandOffsResumed ends the suspension and answers the operator after the last epoch has been
+// stored.
 func (c *Coordinator) onHandOffsResumed(w SetLastEpoch, req uint64) {
 	c.records.LastEpochs[w.Site] = max(c.records.LastEpochs[w.Site], w.Epoch)
 	peer := c.peer(w.Site)
--- a/internal/federation/config.go
+++ b/internal/federation/config.go
@@ -13,17 +13,20 @@
 // Config is the configuration file of the federation. Times are in seconds.
 type Config struct {
 	Site Site `toml:"site"`
-	// RetryS is the first delay between two attempts to send a message. RetryMaxS is the longest.
+	// RetryS is the delay before a message is repeated for the first time. RetryMaxS is the
+	// longest delay. Jitter is applied to both.
 	RetryS    float64 `toml:"retry_s"`
 	RetryMaxS float64 `toml:"retry_max_s"`
-	// RetryRate is the number of retries per second that all hand-offs with one peer share.
+	// RetryRate is the number of retries per second that all hand-offs with one peer share. Each
+	// message from the peer allows further retries.
 	RetryRate float64 `toml:"retries_per_s"`
 	// BreakerThreshold is the number of consecutive failures that opens a peer's circuit breaker.
-	// A failure is a period of RetryS without an answer.
+	// A failure is counted if the peer sends no message for RetryS after an attempt.
 	BreakerThreshold int `toml:"break_after"`
-	// MaxHops is the maximum number of sites in the path of a job.
+	// MaxHops is the maximum number of sites that a job may have come through when it is offered,
+	// including the site that offers it.
 	MaxHops int `toml:"hops"`
-	// LoadMaxAgeS is how long the load that a peer has reported is used.
+	// LoadMaxAgeS is the age at which a load report from a peer is no longer used.
 	LoadMaxAgeS float64 `toml:"room_age_s"`
 	// Listen is the address on which this controller accepts streams from peers.
 	Listen string `toml:"listen"`
@@ -46,7 +49,8 @@
 	Site Site `toml:"site"`
 	// Addresses are the addresses of its controllers, tried in turn.
 	Addresses []string `toml:"addresses"`
-	// MaxOutgoing is the maximum number of jobs handed off to the peer at the same time.
+	// MaxOutgoing is the maximum number of jobs handed off to the peer at the same time; 0 hands
+	// off none.
 	MaxOutgoing int `toml:"at_once"`
 	// MaxIncoming is the maximum number of running jobs accepted from the peer; 0 accepts none.
 	MaxIncoming int `toml:"takes"`
@@ -63,7 +67,8 @@
 	Name string `toml:"name"`
 	// To lists the sites that jobs may be handed off to, in order of preference.
 	To []Site `toml:"to"`
-	// OfferAfterS is how long a job waits here before it is offered to another site.
+	// OfferAfterS is how long a job waits here before it is offered to another site. A job that can
+	// never run here is offered without waiting.
 	OfferAfterS float64 `toml:"after_s"`
 	// MaxOutgoing is the maximum number of jobs of the class at other sites at the same time; 0
 	// means no limit.
@@ -86,8 +91,8 @@
 	return &c, strictconfig.Load(path, &c)
 }
 
-// MaxJobsPerPeer limits the jobs handed off to one peer, so that a list of their epochs fits
-// into one message.
+// MaxJobsPerPeer limits the jobs handed off to one peer and those accepted from it, so that a list
+// of their epochs fits into one message.
 const MaxJobsPerPeer = 10_000
 
 // errInvalidLimits reports numeric settings that are out of range.
@@ -148,8 +153,9 @@
 // siteName matches valid site names. They become part of store keys and job IDs.
 var siteName = regexp.MustCompile(`^[A-Za-z0-9-]{1,32}$`)
 
-// CanRunElsewhere reports whether a job that needs a zone or machine types that this site lacks
-// may be handed off to a site that has them.
+// CanRunElsewhere reports whether jobs of a class may be handed off to a peer whose configuration
+// lists the given zone or one of the given machine types. It is called for jobs that can never run
+// at this site.
 func (c *Config) CanRunElsewhere(class, zone string, types []string) bool {
 	return slices.ContainsFunc(c.class(class).To, func(site Site) bool {
 		peer, _ := c.peer(site)
--- a/internal/federation/coordinator.go
+++ b/internal/federation/coordinator.go
@@ -25,9 +25,11 @@
 	peers   map[Site]*peerState
 	// waiting holds the pending jobs that may be handed off.
 	waiting []WaitingJob
-	// longestWaitS is the longest time in seconds that a job has been waiting at this site.
+	// longestWaitS is the LongestWaitS of the last JobsWaiting.
 	longestWaitS float64
-	// refusals records which sites have refused a job, until the job ends.
+	// refusals records which sites have refused a job for a reason that is not temporary. The
+	// entries of a job are removed when it ends at another site or when a cancellation reverts its
+	// hand-off.
 	refusals map[refusalKey]bool
 	// reloadAt is when to read the records again after a write with an unknown outcome, or 0 if
 	// no read is scheduled.
@@ -117,9 +119,10 @@
 	}
 }
 
-// handleMessage processes a message from a peer. Before this site has compared its records with
-// the peer's, only messages of the comparison itself are processed. A decision or result about an
-// epoch that is not outgoing changes no record.
+// handleMessage processes a message from a peer. Every message updates the state of the peer.
+// Before this site has compared its records with the peer's, the contents of a message are
+// processed only if it belongs to the comparison. A decision or result about an epoch that is not
+// outgoing changes no record.
 func (c *Coordinator) handleMessage(in MessageReceived) {
 	msg := in.Message
 	if _, known := c.cfg.peer(msg.From); !known || msg.To != c.cfg.Site {
@@ -151,8 +154,8 @@
 	c.handleClosed(msg)
 }
 
-// advance retries messages that are unanswered, within the limits of circuit breakers and retry
-// budgets, and hands off pending jobs.
+// advance requests a reload of the records if one is due, sends the messages that are due, within
+// the limits of circuit breakers and retry budgets, and hands off pending jobs.
 func (c *Coordinator) advance() {
 	if c.reloadAt > 0 && c.now >= c.reloadAt {
 		c.reloadAt = 0
--- a/internal/federation/effects.go
+++ b/internal/federation/effects.go
@@ -18,7 +18,7 @@
 	// CancelLocal cancels a job that this site has accepted from another site.
 	CancelLocal struct{ LocalID string }
 	// Answer completes a request of a user or operator. If State and Error are empty, the outcome
-	// is not known yet: the API answers 503 with Retry-After.
+	// is not known yet: the API responds with 503 and Retry-After.
 	Answer struct {
 		Req   uint64
 		State string
--- a/internal/federation/incoming.go
+++ b/internal/federation/incoming.go
@@ -1,6 +1,6 @@
 package federation
 
-// Reasons for refusing an offer. They are stored and sent to the origin.
+// Reasons for refusing an offer. They are sent to the origin and, except for reasonClosed, stored.
 const (
 	reasonUnknownSite      = "site is unknown"
 	reasonDrained          = "site is drained"
@@ -11,12 +11,13 @@
 	reasonBusy = "as many are here as may be"
 	// reasonRecordLost refuses an epoch whose record was lost when the store was restored.
 	reasonRecordLost = "its record was lost"
-	// reasonClosed refuses an epoch that its origin has closed, if the origin has lost its record
-	// of that.
+	// reasonClosed refuses an epoch that its origin has already closed. The refusal has an effect
+	// only if the origin has lost its record of closing the epoch.
 	reasonClosed = "its origin has closed it before"
 )
 
-// handleOffer decides on an offer. A decision is final: a repeated offer gets the stored one.
+// handleOffer decides on an offer. A decision is final: a repeated offer gets the stored one. An
+// undecided offer without a matching ticket is ignored.
 func (c *Coordinator) handleOffer(in MessageReceived) {
 	id := IncomingID{in.Message.From, in.Message.Epoch}
 	if c.isDecided(id) {
@@ -56,9 +57,9 @@
 	return decided || id.Epoch <= c.records.LowWaterMarks[id.Origin]
 }
 
-// sendDecision sends the origin the stored decision on an epoch. There is none for a closed
-// epoch; it is answered with reasonClosed, which matters only to an origin that has lost its
-// record of closing the epoch.
+// sendDecision sends the origin the stored decision on an epoch, or the final state of its job
+// once the job has ended. If the decision was deleted because the epoch is closed, it sends a
+// refusal with reasonClosed.
 func (c *Coordinator) sendDecision(id IncomingID) {
 	msg := Message{To: id.Origin, Kind: KindDecision, Epoch: id.Epoch}
 	incoming, found := c.records.Incoming[id]
@@ -92,8 +93,8 @@
 	c.sendDecision(id)
 }
 
-// handleLocalJobEnded stores the final state of an accepted job. It is then reported to the
-// origin until the origin has stored it.
+// handleLocalJobEnded stores the final state of an accepted job. Once stored, the state is
+// reported to the origin repeatedly until the origin closes the epoch.
 func (c *Coordinator) handleLocalJobEnded(in LocalJobEnded) {
 	id, found := c.index.byLocalID[in.LocalID]
 	if found && c.records.Incoming[id].FinalState == "" {
--- a/internal/federation/inputs.go
+++ b/internal/federation/inputs.go
@@ -13,8 +13,8 @@
 	// MessageReceived is a message from another site. The sender has been authenticated.
 	MessageReceived struct {
 		Message Message
-		// InfeasibleReason says why the offered job can never run at this site; it is empty if it
-		// can.
+		// InfeasibleReason says why the offered job can never run at this site; it is empty if the
+		// job can run here.
 		InfeasibleReason string
 	}
 	// PeerReachable reports that messages can be sent to a site again.
@@ -36,7 +36,8 @@
 	// JobsWaiting lists the pending jobs that may be handed off, most urgent first.
 	JobsWaiting struct {
 		Jobs []WaitingJob
-		// LongestWaitS is the longest time in seconds that a job has been waiting at this site.
+		// LongestWaitS is the longest time in seconds that a job has been waiting at this site,
+		// among the jobs that may be handed off and are neither suspected nor best-effort.
 		LongestWaitS float64
 	}
 	// LocalJobEnded reports that a job accepted from another site has reached its final state.
--- a/internal/federation/interleaving_test.go
+++ b/internal/federation/interleaving_test.go
@@ -15,10 +15,10 @@
 // extend the search.
 func TestMain(m *testing.M) { os.Exit(testseed.Run(m, nil)) }
 
-// TestInterleavingsKeepOneOwnerAndOneFinalState runs three sites with reordered messages, cut
-// links, coordinator restarts, store outages, unanswered and delayed writes, cancellations and
-// give-ups. At most one site may have the right to run a job, a job must have one final state, and
-// all jobs must end once the faults have ended.
+// TestInterleavingsKeepOneOwnerAndOneFinalState runs three sites with reordered messages,
+// disconnected links, coordinator restarts, store outages, unanswered and delayed writes,
+// cancellations and give-ups. At most one site may have the right to run a job unless its hand-off
+// was given up, a job must have one final state, and all jobs must end once the faults have ended.
 func TestInterleavingsKeepOneOwnerAndOneFinalState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t.Fatalf)
@@ -46,6 +46,8 @@
 			}
 			sim.deliver(rapid.IntRange(0, len(sim.inFlight)-1).Draw(t, "message"), rapid.Bool().Draw(t, "duplicate"), faultGen.Draw(t, "write fault"))
 		}
+		// rarely calls f for only one of eight drawn values, so that f runs less often than the other
+		// actions.
 		rarely := func(t *rapid.T, f func()) {
 			if rapid.IntRange(0, 7).Draw(t, "rarely") == 0 {
 				f()
--- a/internal/federation/lowwatermark.go
+++ b/internal/federation/lowwatermark.go
@@ -10,8 +10,9 @@
 	return c.records.LastEpochs[to]
 }
 
-// handleClosed records which epochs the origin has closed. The decisions on them are not reported
-// any more and are deleted after deletionDelay, so that one write deletes several.
+// handleClosed processes what a message says about the epochs that its sender has closed. The
+// result of the epoch in a KindClosed message is no longer repeated. The decisions up to the
+// low-water mark are deleted after deletionDelay, so that one write deletes several.
 func (c *Coordinator) handleClosed(msg Message) {
 	peer := c.peer(msg.From)
 	if msg.Kind == KindClosed && msg.Epoch > 0 {
--- a/internal/federation/operators.go
+++ b/internal/federation/operators.go
@@ -67,7 +67,7 @@
 	c.writeFor(in.Req, drainedSubject(in.Site), SetDrained{Site: in.Site, Drained: in.Drained})
 }
 
-// onDrained answers the operator once the drain setting of a site has been stored.
+// onDrained applies the stored drain setting of a site and answers the operator.
 func (c *Coordinator) onDrained(w SetDrained, req uint64) {
 	c.records.Drained[w.Site] = w.Drained
 	c.log("drain setting of peer changed", "peer", w.Site, "drained", w.Drained)
--- a/internal/federation/outgoing.go
+++ b/internal/federation/outgoing.go
@@ -84,8 +84,10 @@
 	return job, found
 }
 
-// handleDecision processes the receiver's decision. After a stored refusal the job may run here
-// again. After an acceptance this site only waits for its final state.
+// handleDecision processes the receiver's decision. After an acceptance this site only waits for
+// the job's final state. After a refusal the job may run here again. If the refusal does not prove
+// that the job never ran there, this also requires that its class allows a repeat; without that,
+// the hand-off stays open until the user cancels the job.
 func (c *Coordinator) handleDecision(msg Message) {
 	job, outgoing, found := c.findOutgoing(msg.Epoch, msg.From)
 	if !found {
@@ -107,7 +109,8 @@
 	c.write(outgoingSubject(job), RevertOutgoing{JobID: job, Epoch: msg.Epoch, Cancelled: outgoing.CancelRequested})
 }
 
-// onAccepted records an acceptance and schedules the next query of the job's state. The query is
+// onAccepted records an acceptance, resets the peer's backoff and schedules the next message about
+// the job: a query of its state, or a cancellation if its user has asked for one. The message is
 // repeated in case the result is lost.
 func (c *Coordinator) onAccepted(job string, outgoing Outgoing) {
 	peer := c.peer(outgoing.To)
@@ -123,15 +126,16 @@
 }
 
 // onRecordLost keeps waiting for a job whose record the receiver has lost. The job may have run
-// there and its class does not allow a repeat, so only its user can end it by cancelling it.
+// there and its class does not allow a repeat, so the hand-off stays open until its user cancels
+// the job.
 func (c *Coordinator) onRecordLost(job string, outgoing Outgoing) {
 	retryAt := c.now + seconds(c.cfg.RetryMaxS)
 	c.peer(outgoing.To).retries.schedule(retryKey{outgoing.Epoch, true}, retryAt, 0)
 	c.logError("record of job lost by peer, and its class does not allow a repeat", "job", job, "peer", outgoing.To)
 }
 
-// handleResult stores the final state that the receiver reports for a job. If the job is no
-// longer outgoing under the epoch, the epoch is closed and the receiver is notified.
+// handleResult stores the final state that the receiver reports for a job. If no job is outgoing
+// under the epoch any more, the epoch is already closed, and the receiver is notified again.
 func (c *Coordinator) handleResult(msg Message) {
 	if job, _, found := c.findOutgoing(msg.Epoch, msg.From); found {
 		c.write(outgoingSubject(job), FinishOutgoing{JobID: job, Epoch: msg.Epoch, FinalState: msg.State})
@@ -147,7 +151,8 @@
 	c.send(Message{To: to, Kind: KindClosed, Epoch: epoch})
 }
 
-// onReverted removes a reverted hand-off. The job may run here again, unless it is cancelled.
+// onReverted removes a reverted hand-off and notifies the receiver. The job may run here again,
+// unless it is cancelled. If an operator has given up the hand-off, the operator is answered.
 func (c *Coordinator) onReverted(w RevertOutgoing, req uint64) {
 	outgoing := c.removeOutgoing(w.JobID)
 	c.sendClosed(outgoing.To, outgoing.Epoch)
--- a/internal/federation/peers.go
+++ b/internal/federation/peers.go
@@ -10,17 +10,17 @@
 	retries retryQueue
 	// retryCount is the number of retries sent to the peer.
 	retryCount int
-	// backoff is the length of the period for which the peer has asked for no offers.
-	// backoffUntil is the end of that period.
+	// backoff is the length of the period in which the peer gets no offers, because it has asked
+	// for a backoff. backoffUntil is the end of that period.
 	backoff, backoffUntil time.Duration
-	// longestWaitS is the longest time in seconds that a job has been waiting at the peer, as
-	// reported at loadReceivedAt.
+	// longestWaitS is the LongestWaitS of the peer's last message, which was received at
+	// loadReceivedAt.
 	longestWaitS   float64
 	loadReceivedAt time.Duration
 	// loadDueAt is when to report the load of this site to the peer.
 	loadDueAt time.Duration
 	// lowWaterMark is the epoch up to which the peer has closed its hand-offs to this site.
-	// deleteAt is when to store it and to delete the decisions up to it.
+	// deleteAt is when to store that epoch and to delete the decisions up to it.
 	lowWaterMark Epoch
 	deleteAt     time.Duration
 	comparison
@@ -39,8 +39,9 @@
 }
 
 // onMessage updates the state of a peer from any message that it sends. If a peer asks for a
-// backoff again, the backoff at least doubles. Without this, a job that is offered repeatedly to
-// busy sites would never stay here long enough to start.
+// backoff again before it has accepted a job, the backoff at least doubles, up to RetryMaxS.
+// Without this, a job that is offered repeatedly to busy sites would never stay here long enough
+// to start.
 func (p *peerState) onMessage(msg Message, now time.Duration, cfg *Config) {
 	p.breaker.close()
 	p.budget.add(retriesPerAnswer)
--- a/internal/federation/protocol.go
+++ b/internal/federation/protocol.go
@@ -82,7 +82,8 @@
 	LowWaterMark Epoch `json:"floor,omitempty"`
 	// Backoff asks the peer to send no offers for this long.
 	Backoff time.Duration `json:"busy,omitempty"`
-	// LongestWaitS is the longest time in seconds that a job has been waiting at From.
+	// LongestWaitS is the longest time in seconds that a job has been waiting at From, among the
+	// jobs that may be handed off.
 	LongestWaitS float64 `json:"wait_s,omitempty"`
 	// Nonce identifies a KindViewRequest and is returned in its answer. View is the content of
 	// that answer.
--- a/internal/federation/recordwrites.go
+++ b/internal/federation/recordwrites.go
@@ -75,8 +75,8 @@
 }
 
 // load replaces all records with those read from the store. Pending writes are dropped, although
-// the store may still apply them. Their conditions ensure that either they fail or later writes
-// that contradict them do.
+// the store may still apply them. Their conditions ensure that of a dropped write and a later one
+// that contradicts it, only one can be applied.
 func (c *Coordinator) load(records Records) {
 	c.records = records.copy()
 	c.index = newIndex(&c.records)
@@ -89,7 +89,9 @@
 // write issues a write unless another write on the same subject is pending.
 func (c *Coordinator) write(s subject, write Write) { c.writeFor(0, s, write) }
 
-// writeFor issues a write that answers an operator's request, or any write if req is 0.
+// writeFor issues a write on behalf of an operator's request, or of none if req is 0. If another
+// write on the same subject is pending, it issues nothing and answers the request with
+// errWritePending.
 func (c *Coordinator) writeFor(req uint64, s subject, write Write) {
 	if c.writes.locked[s] {
 		if req != 0 {
--- a/internal/federation/retries.go
+++ b/internal/federation/retries.go
@@ -78,9 +78,9 @@
 // maxDoublings limits the exponent in retryDelay to prevent an overflow.
 const maxDoublings = 16
 
-// retryBudget is a token bucket for retries. It keeps many hand-offs in flight from overloading
-// a peer that has just become reachable again. Tokens are added at a fixed rate and with each
-// message from the peer, so that the retry rate adapts to the peer's pace.
+// retryBudget is a token bucket for retries. It prevents the retries of many open hand-offs from
+// overloading a peer that has just become reachable again. Tokens are added at a fixed rate and
+// with each message from the peer, so that the retry rate adapts to the peer's pace.
 type retryBudget struct {
 	tokens     float64
 	refilledAt time.Duration
--- a/internal/federation/retryqueue.go
+++ b/internal/federation/retryqueue.go
@@ -8,7 +8,7 @@
 
 // retryKey identifies a message that is repeated until the peer acknowledges it.
 type retryKey struct {
-	// epoch is an epoch of this site if outgoing is set, otherwise of the peer.
+	// epoch was assigned by this site if outgoing is set, otherwise by the peer.
 	epoch    Epoch
 	outgoing bool
 }
--- a/internal/federation/routing.go
+++ b/internal/federation/routing.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ineligibility is the reason why a job may not be handed off now. It is empty if the job may
-// be.
+// ineligibility is the reason why a job may not be handed off now. It is empty if the job may be
+// handed off.
 type ineligibility string
 
 // Reasons that rule out every site.
@@ -31,7 +31,8 @@
 	siteWaitLonger     ineligibility = "work waits for longer there"
 )
 
-// route selects the site to offer a job to. If there is none, it returns the reason.
+// route selects the site to offer a job to. If there is none, it returns a reason: one that rules
+// out every site, or the one that rules out the last site of the class.
 func (c *Coordinator) route(job WaitingJob) (Site, ineligibility) {
 	class := c.cfg.class(job.Class)
 	path := c.pathIncludingSelf(job)
@@ -87,7 +88,7 @@
 }
 
 // hasLongerWait reports whether jobs wait longer at a peer than the given job has waited here,
-// according to the peer's last load report. A report older than LoadMaxAgeS is ignored.
+// according to the peer's last message. A message older than LoadMaxAgeS is ignored.
 func (c *Coordinator) hasLongerWait(peer *peerState, job WaitingJob) bool {
 	recent := c.now-peer.loadReceivedAt < seconds(c.cfg.LoadMaxAgeS)
 	return recent && peer.longestWaitS > job.Waited.Seconds()
--- a/internal/federation/sim_test.go
+++ b/internal/federation/sim_test.go
@@ -102,7 +102,7 @@
 	sim.step(site, RecordsLoaded{s.records.copy()})
 }
 
-// writeFault is what happens to a write.
+// writeFault is a fault of a store while it handles a write.
 type writeFault int
 
 const (
@@ -150,7 +150,8 @@
 	sim.checkInvariants()
 }
 
-// executeWrite returns the outcome of a write under the given fault.
+// executeWrite applies a write as far as the given fault allows, and returns the outcome. While the
+// store of the site is unavailable, nothing is applied.
 func (sim *simulation) executeWrite(s *simSite, write Write, fault writeFault) Outcome {
 	if sim.failedStores[s.name] {
 		fault = notApplied
@@ -251,7 +252,8 @@
 	return true
 }
 
-// setFinalState sets the final state of a job at a site, which must not change afterwards.
+// setFinalState sets the final state of a job at a site. It fails the test if the job already has a
+// final state.
 func (sim *simulation) setFinalState(s *simSite, job, state string) {
 	j := s.jobs[job]
 	if j.finalState != "" {
@@ -371,7 +373,8 @@
 	}
 }
 
-// checkInvariants fails the test if a job may run twice or its final state contradicts its runs.
+// checkInvariants fails the test if a job may run twice or its final state contradicts its runs. It
+// skips jobs whose hand-off was given up, since these may run twice.
 func (sim *simulation) checkInvariants() {
 	holders := map[string][]string{}
 	for _, site := range siteNames {
--- a/internal/federation/stages_test.go
+++ b/internal/federation/stages_test.go
@@ -45,7 +45,8 @@
 }
 
 // TestHandOffSurvivesEveryFaultAtEveryMessage injects every fault at every message of a hand-off,
-// both for an accepted and for a refused job. Each job must get a final state and run at most once.
+// both for a job that a peer accepts and for one that all peers refuse. Each job must get a final
+// state and run at most once.
 func TestHandOffSurvivesEveryFaultAtEveryMessage(t *testing.T) {
 	cases, runs, finalStates := 0, 0, 0
 	for _, refused := range []bool{false, true} {
@@ -100,7 +101,7 @@
 }
 
 // The origin must acknowledge a result whose epoch it has already closed, even if an earlier
-// epoch is still open. The receiver must delete decisions below the stored low-water mark.
+// epoch is still open. The receiver must delete decisions at or below the stored low-water mark.
 func TestClosedHandOffsAreAcknowledgedAndDeleted(t *testing.T) {
 	coordinator := newRoutingCoordinator(nil, Outgoing{To: "b"}, Outgoing{To: "b"})
 	delete(coordinator.records.Outgoing, "req-away-b1")
@@ -168,7 +169,7 @@
 	}
 }
 
-// cutLinkFor cuts a link for the given duration and restores it.
+// cutLinkFor disconnects a link for the given duration.
 func (sim *simulation) cutLinkFor(from, to Site, duration time.Duration) {
 	sim.cutLinks[[2]Site{from, to}] = true
 	sim.runFor(duration)
@@ -182,7 +183,8 @@
 	delete(sim.failedStores, site)
 }
 
-// runFor runs the simulation for the given duration with the current cuts and outages.
+// runFor runs the simulation for the given duration. Links and stores that are out of service stay
+// so.
 func (sim *simulation) runFor(duration time.Duration) {
 	for end := sim.now + duration; sim.now < end; {
 		sim.now += time.Second
--- a/internal/federation/transport/authority.go
+++ b/internal/federation/transport/authority.go
@@ -28,10 +28,10 @@
 	ticketKeysFile   = "tickets.toml"
 )
 
-// IssueCredentials writes to dir a certificate authority, a certificate and key for each site that
-// are valid for the given duration, and a file with a ticket key. An existing authority and
-// existing ticket keys are kept. If rotate is set, a new ticket key is put in front of the existing
-// ones and signs from then on.
+// IssueCredentials writes to dir a certificate authority, a certificate and key for each site, and a
+// file with a ticket key. The certificates of the sites are valid for the given duration. An
+// existing authority and existing ticket keys are kept. If rotate is set, a new ticket key is put in
+// front of the existing ones and signs from then on.
 func IssueCredentials(dir string, sites []string, validity time.Duration, rotate bool) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
--- a/internal/federation/transport/dial.go
+++ b/internal/federation/transport/dial.go
@@ -54,7 +54,8 @@
 }
 
 // maintainStream keeps one stream open to a peer. It tries the addresses of the peer's
-// controllers in turn. Repeated failures to open the stream are logged only once.
+// controllers in turn. The end of a stream that was open is always logged, a failure to open one
+// only on the first attempt.
 func (l *Links) maintainStream(ctx context.Context, current generation, peer federation.Peer) {
 	failureLogged := false
 	for attempt := 0; ctx.Err() == nil; attempt++ {
--- a/internal/federation/transport/links.go
+++ b/internal/federation/transport/links.go
@@ -25,7 +25,7 @@
 	queueLength = 4096
 )
 
-// Links holds the streams to and from all peers.
+// Links maintains the streams to and from all peers.
 type Links struct {
 	// path is the path of the configuration file.
 	path string
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -10,7 +10,8 @@
 	"pepperlever/internal/protocol"
 )
 
-// DiscardLogger discards the server's log lines, which are about clients that disconnected.
+// DiscardLogger is a logger for a fasthttp server that discards every line, because the lines are
+// about clients that disconnected.
 type DiscardLogger struct{}
 
 // Printf discards a line.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,7 +28,7 @@
 	streamPath = "/stream"
 	nodeHeader = "Pepperlever-Node"
 	// queueLength limits the messages queued for a slow peer. When it is exceeded, the
-	// stream is reopened, which makes the core send its full state again.
+	// stream is reopened, which makes the core send all its current reports again.
 	queueLength  = 1024
 	maxLineBytes = 1 << 20
 )
@@ -66,7 +66,8 @@
 	}
 }
 
-// Run accepts streams from other controllers and keeps those to them open until ctx is done.
+// Run accepts streams from other controllers and keeps the streams to them open until ctx is
+// done.
 func (p *Peers) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp4", p.cfg.PeerListen)
 	if err != nil {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol defines the wire types of all external interfaces. The names used on the
-// wire appear only here; the rest of the program uses the terms job, task, attempt, gang,
-// lease, fencing token and spot machine.
+// Package protocol defines the wire types of the interfaces to users, workers, the cloud and
+// the key-value store. The names that these use on the wire appear only here; the rest of the
+// program uses the terms job, task, attempt, gang, lease, fencing token and spot machine.
 package protocol
 
 import "time"
@@ -32,7 +32,7 @@
 
 // Timeouts and delays of workers and users.
 const (
-	// ReportTimeout is how long a worker waits for the answer to a report.
+	// ReportTimeout is how long a worker waits for the response to a report.
 	ReportTimeout = 4 * time.Second
 	// ReportRetryDelay is how long a worker pauses before it tries the next controller.
 	ReportRetryDelay = time.Second
@@ -96,8 +96,8 @@
 	State   string `json:"stance"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
-	// Awaits lists the dependencies, jobs that must be done before this one starts, as far
-	// as the answering controller knows.
+	// Awaits lists the dependencies: the jobs that must be done before this one starts. It holds
+	// those that the responding controller knows.
 	Awaits []string `json:"awaits,omitempty"`
 }
 
@@ -182,8 +182,8 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// CommandBatch holds commands for a worker. It is the answer to a report and, with WorkerEpoch set,
-// the body of a delivery.
+// CommandBatch holds commands for a worker. It is the response to a report and, with WorkerEpoch
+// set, the body of a delivery.
 type CommandBatch struct {
 	Token       uint64    `json:"baton"`
 	WorkerEpoch uint64    `json:"shift,omitempty"`
@@ -224,7 +224,7 @@
 	Count   int    `json:"count"`
 }
 
-// MachineNames is both the answer to a rental and the body of a release.
+// MachineNames is both the response to a rental and the body of a release.
 type MachineNames struct {
 	Machines []string `json:"hands"`
 }
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -24,7 +24,7 @@
 	Then []Change    `json:"then,omitempty"`
 }
 
-// TxnResult is the answer to a transaction.
+// TxnResult is the reply to a transaction.
 type TxnResult struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"ledgerTick"`
@@ -55,7 +55,7 @@
 	Delete  string          `json:"drop,omitempty"`
 }
 
-// Changes is the answer to a watch request.
+// Changes is the reply to a watch request.
 type Changes struct {
 	Revision uint64  `json:"ledgerTick"`
 	Events   []Event `json:"events"`
@@ -66,7 +66,7 @@
 	TTLMillis int64 `json:"lifeMs"`
 }
 
-// LeaseGranted is the answer to a LeaseGrant.
+// LeaseGranted is the reply to a LeaseGrant.
 type LeaseGranted struct {
 	Lease uint64 `json:"hold"`
 }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -14,7 +14,8 @@
 	// WindowS is the length in seconds of the tumbling window over which the teams'
 	// resource usage is recorded.
 	WindowS float64
-	// TimeoutS is how many seconds a job waits before its team takes precedence over others.
+	// TimeoutS is how many seconds a job waits before it counts as overdue, so that its team
+	// takes precedence over others.
 	TimeoutS float64
 	// Spare is the share of the fleet's CPUs that is kept free for future tasks while
 	// expensive machines with little load are drained.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	if s.Params.Workers.LeaseS != 20 || s.Peers[0].Address != "127.0.0.1:3" {
-		t.Errorf("got settings %+v", s)
+		t.Errorf("got settings %+v, want lease_s 20 and the first peer at 127.0.0.1:3", s)
 	}
 	for name, c := range map[string]struct{ from, to, want string }{
 		"invalid TOML":                    {"[params]", "[params", "toml"},
@@ -88,7 +88,7 @@
 	}
 	p, err := LoadPolicy(writeFile(t, "p.star", "half = 0.5\nwindow_s = lease_s * 10\nspare = half\nspot = False\n"), s)
 	if err != nil || p.WindowS != 200 || p.Spare != 0.5 || p.Spot || p.TimeoutS != DefaultPolicy().TimeoutS {
-		t.Errorf("got %+v, %v", p, err)
+		t.Errorf("got policy %+v and error %v, want window_s 200, spare 0.5, spot off and the default timeout_s", p, err)
 	}
 	for name, c := range map[string]struct{ script, want string }{
 		"syntax":         {"x = 1\nwindow_s = (", "p.star:2"},
@@ -118,12 +118,12 @@
 	}
 	current := StateLimits{RPS: 100, WriteRPS: 10, ValueKB: 4, TxnOps: 8}
 	if s.Params.State.StateLimits != current {
-		t.Errorf("got current limits %+v", s.Params.State.StateLimits)
+		t.Errorf("got current limits %+v, want 100 requests, 10 changes, 4 KiB and 8 changes per transaction", s.Params.State.StateLimits)
 	}
 	lowest := current
 	lowest.ValueKB, lowest.TxnOps = 2, 5
 	if got := s.Params.State.LowestLimits(); got != lowest {
-		t.Errorf("got lowest limits %+v", got)
+		t.Errorf("got lowest limits %+v, want 100 requests, 10 changes, 2 KiB and 5 changes per transaction", got)
 	}
 	if _, err := Load(writeFile(t, "s.toml", validSettings+"[params.state.next]\nvalue_kb = -2.0\n")); err == nil || !strings.Contains(err.Error(), "state.next") {
 		t.Errorf("negative next limit: got %v, want an error on state.next", err)
