--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,4 +1,4 @@
-// Package api serves users, workers and health checks.
+// Package api serves the HTTP interface for users, operators, workers and health checks.
 package api
 
 import (
@@ -19,38 +19,40 @@
 )
 
 const (
-	// maxAnswerTime is less than the two seconds for which users wait for a poll's answer.
+	// maxAnswerTime is below protocol.PollTimeout, so that a user who polls gets an answer.
 	maxAnswerTime = 1900 * time.Millisecond
-	// readBufferBytes bounds the header of a request.
+	// readBufferBytes limits the size of a request header.
 	readBufferBytes = 4096
-	// maxMachineName bounds the name of a machine in a report, in bytes.
-	maxMachineName = 100
+	// maxMachineNameBytes limits the length of a machine name in a report, in bytes.
+	maxMachineNameBytes = 100
 )
 
-// API turns requests into commands and the core's answers into responses.
+// API translates HTTP requests into core commands and the core's answers into responses.
 type API struct {
 	cfg *settings.Settings
-	// offer hands a command to the core unless its queue is full.
-	offer   func(core.Command) bool
-	metrics metrics
-	// refusedBySites counts what was refused of other sites; nil without a gateway.
-	refusedBySites func() int64
+	// tryEnqueue passes a command to the core, and reports false if the core's queue is full.
+	tryEnqueue func(core.Command) bool
+	metrics    metrics
+	// refusedFromSites returns how many connections, streams and messages of other sites
+	// were rejected. It is nil without a gateway.
+	refusedFromSites func() int64
 
 	mu          sync.Mutex
 	lastRequest uint64
-	pending     map[uint64]chan core.Answer
+	// pending holds the channel that receives the answer to each open request.
+	pending map[uint64]chan core.Answer
 }
 
-// New makes an API that passes commands to offer.
-func New(cfg *settings.Settings, offer func(core.Command) bool) *API {
-	return &API{cfg: cfg, offer: offer, metrics: newMetrics(), pending: map[uint64]chan core.Answer{}}
+// New returns an API that passes commands to the core with tryEnqueue.
+func New(cfg *settings.Settings, tryEnqueue func(core.Command) bool) *API {
+	return &API{cfg: cfg, tryEnqueue: tryEnqueue, metrics: newMetrics(), pending: map[uint64]chan core.Answer{}}
 }
 
-// WithGateway adds the gateway to the metrics and to what operators may ask; refused
-// counts what was refused of other sites. It is called before Run.
-func (a *API) WithGateway(refused func() int64) { a.refusedBySites = refused }
+// WithGateway enables the gateway's metrics and operator endpoints; refused returns how many
+// connections, streams and messages of other sites were rejected. Call it before Run.
+func (a *API) WithGateway(refused func() int64) { a.refusedFromSites = refused }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (a *API) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp4", a.cfg.Listen)
 	if err != nil {
@@ -60,7 +62,7 @@
 	timeout := a.answerTimeout()
 	s := &fasthttp.Server{
 		Handler:               a.handle,
-		ErrorHandler:          badRequest,
+		ErrorHandler:          handleMalformedRequest,
 		Logger:                httpserver.DiscardLogger{},
 		MaxRequestBodySize:    protocol.MaxBody,
 		ReadBufferSize:        readBufferBytes,
@@ -81,14 +83,14 @@
 	return err
 }
 
-// answerTimeout is how long a worker or user is kept waiting for the core.
+// answerTimeout returns how long a request waits for the core's answer.
 func (a *API) answerTimeout() time.Duration {
 	return min(maxAnswerTime, time.Duration(a.cfg.Params.Workers.ReportS*float64(time.Second)))
 }
 
-// badRequest answers what is malformed, too long a body too: to any other status users
-// would only come back with the same.
-func badRequest(ctx *fasthttp.RequestCtx, _ error) {
+// handleMalformedRequest answers 400 to requests that cannot be parsed, including those with
+// an oversized body: on any other status clients would retry the same request.
+func handleMalformedRequest(ctx *fasthttp.RequestCtx, _ error) {
 	httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed request")
 }
 
@@ -105,14 +107,14 @@
 	case path == protocol.PathMetrics:
 		a.requireMethod(ctx, method, fasthttp.MethodGet, func(ctx *fasthttp.RequestCtx) {
 			ctx.SetContentType("text/plain; charset=utf-8")
-			ctx.SetBody(slices.Concat(a.metrics.text(), a.jobMetrics(), a.federationMetrics()))
+			ctx.SetBody(slices.Concat(a.metrics.exposition(), a.jobMetrics(), a.federationMetrics()))
 		})
 	case path == protocol.PathList:
 		a.requireMethod(ctx, method, fasthttp.MethodGet, func(ctx *fasthttp.RequestCtx) {
 			after := string(ctx.QueryArgs().Peek(protocol.ArgAfter))
 			a.forward(ctx, func(req uint64) core.Command { return core.List{Req: req, After: after} })
 		})
-	case a.refusedBySites != nil && strings.HasPrefix(path, protocol.PathGateway+"/"):
+	case a.refusedFromSites != nil && strings.HasPrefix(path, protocol.PathGateway+"/"):
 		a.handleOperator(ctx, method, core.OperatorAction(strings.TrimPrefix(path, protocol.PathGateway+"/")))
 	case path == protocol.PathJobs:
 		a.requireMethod(ctx, method, fasthttp.MethodPost, func(ctx *fasthttp.RequestCtx) {
@@ -153,34 +155,35 @@
 
 func (a *API) handleReport(ctx *fasthttp.RequestCtx) {
 	var r protocol.Report
-	if err := json.Unmarshal(ctx.PostBody(), &r); err != nil || !isValid(&r) {
+	if err := json.Unmarshal(ctx.PostBody(), &r); err != nil || !isValidReport(&r) {
 		httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed report")
 		return
 	}
 	a.forward(ctx, func(req uint64) core.Command { return core.Heartbeat{Req: req, Report: r} })
 }
 
-// isValid tells whether a report names its machine, by a name that may be part of a key, and
-// its address.
-func isValid(r *protocol.Report) bool {
-	named := r.Machine != "" && len(r.Machine) <= maxMachineName && !strings.ContainsAny(r.Machine, " /")
-	return named && r.Address != ""
+// isValidReport reports whether a report has an address and a machine name that can be part
+// of a store key.
+func isValidReport(r *protocol.Report) bool {
+	hasValidName := r.Machine != "" && len(r.Machine) <= maxMachineNameBytes && !strings.ContainsAny(r.Machine, " /")
+	return hasValidName && r.Address != ""
 }
 
-// forward hands a command to the core and waits for its answer. A core that falls
-// behind sheds new requests at once.
-func (a *API) forward(ctx *fasthttp.RequestCtx, command func(req uint64) core.Command) {
+// forward passes a command to the core, waits for its answer and writes the response. If the
+// core's queue is full, the request is rejected at once.
+func (a *API) forward(ctx *fasthttp.RequestCtx, newCommand func(req uint64) core.Command) {
 	start := time.Now()
-	ans := a.call(command)
+	ans := a.call(newCommand)
 	a.metrics.record(string(ctx.Path()), ans.Status, time.Since(start))
-	reply(ctx, ans)
+	writeAnswer(ctx, ans)
 }
 
-// call is the core's answer to a command, or a request to come back.
-func (a *API) call(command func(req uint64) core.Command) core.Answer {
-	id, ch := a.register()
-	if !a.offer(command(id)) {
-		a.Answer(unavailable(id))
+// call passes a command to the core and returns its answer. If the queue is full or the
+// answer is late, it returns one that asks the client to retry.
+func (a *API) call(newCommand func(req uint64) core.Command) core.Answer {
+	id, ch := a.registerRequest()
+	if !a.tryEnqueue(newCommand(id)) {
+		a.Answer(unavailableAnswer(id))
 	}
 	timer := time.NewTimer(a.answerTimeout())
 	defer timer.Stop()
@@ -188,18 +191,19 @@
 	case ans := <-ch:
 		return ans
 	case <-timer.C:
-		a.take(id)
-		return unavailable(id)
+		a.takePending(id)
+		return unavailableAnswer(id)
 	}
 }
 
-// unavailable asks the client to come back.
-func unavailable(req uint64) core.Answer {
+// unavailableAnswer returns an answer that asks the client to retry.
+func unavailableAnswer(req uint64) core.Answer {
 	return core.Answer{Req: req, Status: fasthttp.StatusServiceUnavailable, RetryAfter: 1,
 		Body: protocol.Problem{Error: "try again later"}}
 }
 
-func (a *API) register() (uint64, chan core.Answer) {
+// registerRequest returns a new request ID and the channel that receives the answer.
+func (a *API) registerRequest() (uint64, chan core.Answer) {
 	ch := make(chan core.Answer, 1)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -208,8 +212,9 @@
 	return a.lastRequest, ch
 }
 
-// take takes the channel that waits for a request's answer.
-func (a *API) take(id uint64) chan core.Answer {
+// takePending removes and returns the channel that waits for the answer to a request, or
+// returns nil if there is none.
+func (a *API) takePending(id uint64) chan core.Answer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ch := a.pending[id]
@@ -217,14 +222,14 @@
 	return ch
 }
 
-// Answer ends a request.
+// Answer delivers the core's answer to the request that waits for it.
 func (a *API) Answer(ans core.Answer) {
-	if ch := a.take(ans.Req); ch != nil {
+	if ch := a.takePending(ans.Req); ch != nil {
 		ch <- ans
 	}
 }
 
-func reply(ctx *fasthttp.RequestCtx, answer core.Answer) {
+func writeAnswer(ctx *fasthttp.RequestCtx, answer core.Answer) {
 	httpserver.SetRetryAfter(ctx, answer.RetryAfter)
 	httpserver.WriteJSON(ctx, answer.Status, answer.Body)
 }
--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -14,10 +14,10 @@
 	"pepperlever/internal/httpserver"
 )
 
-// handleOperator passes an operator's request about hand-offs on to the core.
-func (a *API) handleOperator(ctx *fasthttp.RequestCtx, method string, op core.OperatorAction) {
+// handleOperator forwards an operator's request about hand-offs to the core.
+func (a *API) handleOperator(ctx *fasthttp.RequestCtx, method string, action core.OperatorAction) {
 	want := fasthttp.MethodPost
-	switch op {
+	switch action {
 	case core.ActionStatus, core.ActionHandoffs:
 		want = fasthttp.MethodGet
 	case core.ActionGiveUp, core.ActionDrain, core.ActionRenew:
@@ -26,54 +26,54 @@
 		return
 	}
 	a.requireMethod(ctx, method, want, func(ctx *fasthttp.RequestCtx) {
-		var m core.OperatorRequest
-		if want == fasthttp.MethodPost && json.Unmarshal(ctx.PostBody(), &m) != nil {
+		var request core.OperatorRequest
+		if want == fasthttp.MethodPost && json.Unmarshal(ctx.PostBody(), &request) != nil {
 			httpserver.WriteProblem(ctx, fasthttp.StatusBadRequest, "malformed request")
 			return
 		}
-		m.Op = op
-		a.forward(ctx, func(req uint64) core.Command { m.Req = req; return m })
+		request.Op = action
+		a.forward(ctx, func(req uint64) core.Command { request.Req = req; return request })
 	})
 }
 
-// federationMetrics are the figures of the federation on the controller that leads it; the
-// others tell only what they have refused.
+// federationMetrics returns the metrics of the federation. Only the controller that leads the
+// federation has all of them; the others return just the number of rejections.
 func (a *API) federationMetrics() []byte {
-	if a.refusedBySites == nil {
+	if a.refusedFromSites == nil {
 		return nil
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "pepperlever_gateway_refused %d\n", a.refusedBySites())
+	fmt.Fprintf(&b, "pepperlever_gateway_refused %d\n", a.refusedFromSites())
 	ans := a.call(func(req uint64) core.Command { return core.OperatorRequest{Req: req, Op: core.ActionStatus} })
-	s, here := ans.Body.(core.SiteStatus)
-	if !here {
+	status, ok := ans.Body.(core.SiteStatus)
+	if !ok {
 		return []byte(b.String())
 	}
-	for _, p := range s.Peers {
+	for _, peer := range status.Peers {
 		for _, side := range []struct {
 			name  string
 			count map[string]int
-		}{{"away", p.Outgoing}, {"taken", p.Incoming}} {
+		}{{"away", peer.Outgoing}, {"taken", peer.Incoming}} {
 			for _, stage := range slices.Sorted(maps.Keys(side.count)) {
-				fmt.Fprintf(&b, "pepperlever_gateway_handoffs{peer=%q,side=%q,stage=%q} %d\n", p.Site, side.name, stage, side.count[stage])
+				fmt.Fprintf(&b, "pepperlever_gateway_handoffs{peer=%q,side=%q,stage=%q} %d\n", peer.Site, side.name, stage, side.count[stage])
 			}
 		}
 		age := 0.0
-		if p.OldestHandOffAt > 0 {
-			age = time.Since(time.UnixMilli(p.OldestHandOffAt)).Seconds()
+		if peer.OldestHandOffAt > 0 {
+			age = time.Since(time.UnixMilli(peer.OldestHandOffAt)).Seconds()
 		}
-		fmt.Fprintf(&b, "pepperlever_gateway_oldest_seconds{peer=%q} %.0f\n", p.Site, age)
-		fmt.Fprintf(&b, "pepperlever_gateway_retries{peer=%q} %d\n", p.Site, p.Retries)
+		fmt.Fprintf(&b, "pepperlever_gateway_oldest_seconds{peer=%q} %.0f\n", peer.Site, age)
+		fmt.Fprintf(&b, "pepperlever_gateway_retries{peer=%q} %d\n", peer.Site, peer.Retries)
 		for _, state := range []string{"closed", "half-open", "open"} {
-			fmt.Fprintf(&b, "pepperlever_gateway_breaker{peer=%q,state=%q} %d\n", p.Site, state, boolMetric(p.Breaker == state))
+			fmt.Fprintf(&b, "pepperlever_gateway_breaker{peer=%q,state=%q} %d\n", peer.Site, state, boolMetric(peer.Breaker == state))
 		}
-		fmt.Fprintf(&b, "pepperlever_gateway_stopped{peer=%q} %d\n", p.Site, boolMetric(p.SuspendedReason != ""))
+		fmt.Fprintf(&b, "pepperlever_gateway_stopped{peer=%q} %d\n", peer.Site, boolMetric(peer.SuspendedReason != ""))
 	}
 	return []byte(b.String())
 }
 
-func boolMetric(is bool) int {
-	if is {
+func boolMetric(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
--- a/internal/api/metrics.go
+++ b/internal/api/metrics.go
@@ -14,14 +14,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// metrics counts answers and keeps their latencies by kind of request.
+// metrics counts answers by request kind and status, and records latencies by request kind.
 type metrics struct {
 	mu      *sync.Mutex
 	answers map[string]int
 	latency map[string]*hdrhistogram.Histogram
 }
 
-// Range and precision of the latencies, in microseconds.
+// Range of the latency histograms in microseconds, and their precision in significant digits.
 const (
 	minLatencyMicros = 1
 	maxLatencyMicros = 60_000_000
@@ -32,7 +32,8 @@
 	return metrics{mu: &sync.Mutex{}, answers: map[string]int{}, latency: map[string]*hdrhistogram.Histogram{}}
 }
 
-// requestKind groups paths, so that the figures do not grow with the jobs.
+// requestKind maps a path to the kind of request. Labeling metrics by kind keeps the number of
+// time series independent of the number of jobs.
 func requestKind(path string) string {
 	switch {
 	case path == protocol.PathReport:
@@ -48,21 +49,21 @@
 }
 
 func (m metrics) record(path string, status int, took time.Duration) {
-	k := requestKind(path)
+	kind := requestKind(path)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.answers[fmt.Sprintf("answers{request=%q,status=\"%d\"}", k, status)]++
-	h := m.latency[k]
+	m.answers[fmt.Sprintf("answers{request=%q,status=\"%d\"}", kind, status)]++
+	h := m.latency[kind]
 	if h == nil {
 		h = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
-		m.latency[k] = h
+		m.latency[kind] = h
 	}
-	// Only values out of range fail, and the range is kept here.
+	// RecordValue fails only on values out of range, and the value is clamped.
 	_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
-// text writes the figures one a line.
-func (m metrics) text() []byte {
+// exposition returns the metrics in text exposition format, one per line.
+func (m metrics) exposition() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var b strings.Builder
@@ -77,37 +78,38 @@
 	return []byte(b.String())
 }
 
-// jobMetrics tells what has become of jobs since this controller began.
+// jobMetrics returns the metrics of jobs and pending tasks. Counters cover the time since this
+// controller started.
 func (a *API) jobMetrics() []byte {
 	ans := a.call(func(req uint64) core.Command { return core.JobStatistics{Req: req} })
-	s, ok := ans.Body.(core.StatisticsReport)
+	stats, ok := ans.Body.(core.StatisticsReport)
 	if !ok {
 		return nil
 	}
 	var b strings.Builder
-	for _, r := range s.Rows {
+	for _, row := range stats.Rows {
 		for _, f := range []struct {
 			state string
 			jobs  int
-		}{{"accepted", r.Accepted}, {"started", r.Started}, {"done", r.Done}, {"cancelled", r.Cancelled},
-			{"largest_accepted", r.LargestAccepted}, {"largest_started", r.LargestStarted}} {
-			fmt.Fprintf(&b, "pepperlever_jobs{%s=%q,state=%q} %d\n", r.Kind, r.Name, f.state, f.jobs)
+		}{{"accepted", row.Accepted}, {"started", row.Started}, {"done", row.Done}, {"cancelled", row.Cancelled},
+			{"largest_accepted", row.LargestAccepted}, {"largest_started", row.LargestStarted}} {
+			fmt.Fprintf(&b, "pepperlever_jobs{%s=%q,state=%q} %d\n", row.Kind, row.Name, f.state, f.jobs)
 		}
-		fmt.Fprintf(&b, "pepperlever_oldest_waiting_seconds{%s=%q} %.0f\n", r.Kind, r.Name, r.Oldest.Seconds())
+		fmt.Fprintf(&b, "pepperlever_oldest_waiting_seconds{%s=%q} %.0f\n", row.Kind, row.Name, row.Oldest.Seconds())
 	}
-	fmt.Fprintf(&b, "pepperlever_longest_unanswered_seconds %.0f\n", s.LongestUnanswered.Seconds())
-	fmt.Fprintf(&b, "pepperlever_cancellations_owed %d\n", s.Unacknowledged)
-	fmt.Fprintf(&b, "pepperlever_unsure_seconds %.0f\n", s.Staleness.Seconds())
-	writePendingTasks(&b, "pepperlever_waiting_tasks", s.Pending)
-	writePendingTasks(&b, "pepperlever_planned_tasks", s.Planned)
-	fmt.Fprintf(&b, "pepperlever_unstored_claims %d\n", s.UnstoredClaims)
-	fmt.Fprintf(&b, "pepperlever_cascaded_cancellations_total %d\n", s.Counters.CascadedCancellations)
-	fmt.Fprintf(&b, "pepperlever_split_jobs_total %d\n", s.Counters.SplitJobs)
-	fmt.Fprintf(&b, "pepperlever_oversized_transactions_total %d\n", s.Counters.OversizedTransactions)
+	fmt.Fprintf(&b, "pepperlever_longest_unanswered_seconds %.0f\n", stats.LongestUnanswered.Seconds())
+	fmt.Fprintf(&b, "pepperlever_cancellations_owed %d\n", stats.Unacknowledged)
+	fmt.Fprintf(&b, "pepperlever_unsure_seconds %.0f\n", stats.Staleness.Seconds())
+	writePendingTasks(&b, "pepperlever_waiting_tasks", stats.Pending)
+	writePendingTasks(&b, "pepperlever_planned_tasks", stats.Planned)
+	fmt.Fprintf(&b, "pepperlever_unstored_claims %d\n", stats.UnstoredClaims)
+	fmt.Fprintf(&b, "pepperlever_cascaded_cancellations_total %d\n", stats.Counters.CascadedCancellations)
+	fmt.Fprintf(&b, "pepperlever_split_jobs_total %d\n", stats.Counters.SplitJobs)
+	fmt.Fprintf(&b, "pepperlever_oversized_transactions_total %d\n", stats.Counters.OversizedTransactions)
 	return []byte(b.String())
 }
 
-// writePendingTasks writes how many tasks wait, by what they wait for.
+// writePendingTasks writes the number of pending tasks by the reason why they are pending.
 func writePendingTasks(b *strings.Builder, metric string, pending core.PendingTasks) {
 	fmt.Fprintf(b, "%s{reason=\"awaits\"} %d\n", metric, pending.Dependencies)
 	fmt.Fprintf(b, "%s{reason=\"limit\"} %d\n", metric, pending.TeamLimit)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud speaks to the cloud that rents machines.
+// Package cloud is the client of the cloud provider that rents out machines.
 package cloud
 
 import (
@@ -15,22 +15,21 @@
 	"pepperlever/internal/settings"
 )
 
-// pageSize is the largest page of machines that the cloud gives.
+// pageSize is the largest page of machines that the cloud returns.
 const pageSize = "500"
 
-// Cloud carries the core's requests out one after the other, within the
-// cloud's limit on requests.
+// Cloud sends the core's requests one at a time, within the cloud's request limit.
 type Cloud struct {
 	cfg             *settings.Settings
 	emit            func(core.Command)
 	http            *httpclient.Client
 	queue           chan func()
 	requestInterval time.Duration
-	// refusing is set while the cloud answers that it does not carry requests out.
-	refusing bool
+	// unavailable is set while the cloud refuses requests because of an outage.
+	unavailable bool
 }
 
-// New makes a Cloud that tells emit what it learns.
+// New returns a Cloud that passes the cloud's answers to emit.
 func New(cfg *settings.Settings, emit func(core.Command)) *Cloud {
 	return &Cloud{cfg: cfg, emit: emit, queue: make(chan func(), 256),
 		http:            httpclient.New(time.Duration(cfg.Params.Workers.LeaseS*float64(time.Second)/4), 2),
@@ -38,12 +37,12 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run sends queued requests until ctx is done.
 func (c *Cloud) Run(ctx context.Context) error {
 	for {
 		select {
-		case f := <-c.queue:
-			f()
+		case request := <-c.queue:
+			request()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -55,11 +54,12 @@
 	}
 }
 
-func (c *Cloud) enqueue(f, full func()) {
+// enqueue queues a request, or calls onQueueFull if the queue is full.
+func (c *Cloud) enqueue(request, onQueueFull func()) {
 	select {
-	case c.queue <- f:
+	case c.queue <- request:
 	default:
-		go full() // the core itself is the caller, and must not wait for its own queue
+		go onQueueFull() // not blocking: the caller is the core, which must not wait for its own queue
 	}
 }
 
@@ -67,47 +67,47 @@
 	return c.http.Call(method, c.cfg.Services.Cloud, path, body, out)
 }
 
-// noteAvailability tells the core when the cloud stops or starts to carry requests out. A rental that is refused
-// for want of machines says nothing of the kind, and no answer at all may be the
-// network's doing.
-func (c *Cloud) noteAvailability(status int, err error) {
-	refuses := status == fasthttp.StatusServiceUnavailable
-	if err == nil && refuses != c.refusing && (refuses || status == fasthttp.StatusOK) {
-		c.refusing = refuses
-		if refuses {
+// updateAvailability tells the core when the cloud starts or stops refusing requests because
+// of an outage. Rentals are not counted, since they are also refused for lack of capacity, nor
+// are requests without an answer, since the network may be the cause.
+func (c *Cloud) updateAvailability(status int, err error) {
+	isUnavailable := status == fasthttp.StatusServiceUnavailable
+	if err == nil && isUnavailable != c.unavailable && (isUnavailable || status == fasthttp.StatusOK) {
+		c.unavailable = isUnavailable
+		if isUnavailable {
 			slog.Info("cloud refuses requests")
 		} else {
 			slog.Info("cloud accepts requests again")
 		}
-		c.emit(core.CloudHealth{OK: !refuses})
+		c.emit(core.CloudHealth{OK: !isUnavailable})
 	}
 }
 
-// FetchCatalog reads the machine types.
+// FetchCatalog reads the catalog of machine types.
 func (c *Cloud) FetchCatalog() {
 	c.enqueue(func() {
-		var cat protocol.Catalogue
-		status, err := c.call(fasthttp.MethodGet, protocol.PathTypes, nil, &cat)
-		c.noteAvailability(status, err)
-		if err == nil && status == fasthttp.StatusOK && len(cat.Types) > 0 {
-			c.emit(core.CatalogReceived{Types: cat.Types})
+		var catalog protocol.Catalogue
+		status, err := c.call(fasthttp.MethodGet, protocol.PathTypes, nil, &catalog)
+		c.updateAvailability(status, err)
+		if err == nil && status == fasthttp.StatusOK && len(catalog.Types) > 0 {
+			c.emit(core.CatalogReceived{Types: catalog.Types})
 		}
 	}, func() {})
 }
 
-// FetchInventory reads the list of machines, page by page. A list that breaks off is not
-// passed on: a machine that is missing from it would be taken for terminated.
+// FetchInventory reads the list of rented machines, page by page. An incomplete list is not
+// passed on: the core would treat machines missing from it as terminated.
 func (c *Cloud) FetchInventory() {
 	c.enqueue(func() {
-		if all, whole := c.readAllPages(); whole {
+		if all, complete := c.readAllPages(); complete {
 			c.emit(core.InventoryReceived{Machines: all})
 		}
 	}, func() {})
 }
 
-// readAllPages reads all pages, and tells whether they reach the end of the list. Pages
-// that do not go on where the one before ended would be read for ever.
-func (c *Cloud) readAllPages() (all []protocol.ListedMachine, whole bool) {
+// readAllPages reads all pages and reports whether the list is complete. It gives up on a page
+// that does not advance past the previous one, since it could otherwise loop forever.
+func (c *Cloud) readAllPages() (all []protocol.ListedMachine, complete bool) {
 	after := ""
 	for {
 		args := []string{protocol.ArgLimit, pageSize}
@@ -130,8 +130,8 @@
 	}
 }
 
-// Rent asks for machines. An answer that is not clear is Unknown: the same
-// request may safely be repeated under its name.
+// Rent requests machines. Unless the answer is clear, the outcome is Unknown; the request can
+// then be retried safely, because its name makes it idempotent.
 func (c *Cloud) Rent(r protocol.Rental) {
 	reply := core.RentalResult{Rental: r, Outcome: core.Unknown}
 	c.enqueue(func() {
@@ -151,11 +151,11 @@
 	}, func() { c.emit(reply) })
 }
 
-// Release gives machines back.
+// Release returns machines to the cloud.
 func (c *Cloud) Release(machines []string) {
 	c.enqueue(func() {
 		status, err := c.call(fasthttp.MethodPost, protocol.PathRelease, protocol.MachineNames{Machines: machines}, nil)
-		c.noteAvailability(status, err)
+		c.updateAvailability(status, err)
 		c.emit(core.ReleaseResult{Machines: machines, OK: err == nil && status == fasthttp.StatusOK})
 	}, func() { c.emit(core.ReleaseResult{Machines: machines}) })
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs the core: one goroutine owns it and works through a queue
-// of commands in batches, the adapters round it do all input and output.
+// Package daemon runs the core: a single goroutine owns it and processes a queue of
+// commands in batches, while the adapters around it do all input and output.
 package daemon
 
 import (
@@ -23,38 +23,38 @@
 	"pepperlever/internal/workerclient"
 )
 
-// queueLength bounds the commands that wait for the core, batchLength those
-// that one step works through.
+// queueLength limits the commands that wait for the core, batchLength those that one
+// step processes.
 const (
 	queueLength = 8192
 	batchLength = 256
 )
 
-// Daemon is a running controller.
+// Daemon is a running controller: the core and its adapters.
 type Daemon struct {
-	queue chan core.Command
-	core  *core.Core
-	tick  time.Duration
-	start time.Time
+	queue        chan core.Command
+	core         *core.Core
+	tickInterval time.Duration
+	startedAt    time.Time
 
 	api     *api.API
 	store   *store.Store
 	cloud   *cloud.Cloud
 	workers *workerclient.Client
 	peers   *peer.Peers
-	// sites are the streams to other sites, nil without a gateway.
-	sites *transport.Links
+	// siteLinks holds the streams to other sites; it is nil without a gateway.
+	siteLinks *transport.Links
 }
 
-// Run serves until ctx ends. gatewayFile switches the gateway to other sites on; it
-// is empty without one.
+// Run runs a controller until ctx is done. gatewayFile is the configuration of the gateway
+// to other sites; if it is empty, the gateway is off.
 func Run(ctx context.Context, cfg *settings.Settings, policy settings.Policy, gatewayFile string) error {
-	limitMemory(cfg)
-	d := &Daemon{queue: make(chan core.Command, queueLength), start: time.Now()}
-	d.tick = time.Duration(cfg.Params.Workers.ReportS * float64(time.Second) / 30)
+	configureRuntime(cfg)
+	d := &Daemon{queue: make(chan core.Command, queueLength), startedAt: time.Now()}
+	d.tickInterval = time.Duration(cfg.Params.Workers.ReportS * float64(time.Second) / 30)
 	d.core = core.New(cfg, policy, strconv.FormatUint(rand.Uint64(), 36))
 	emit := func(c core.Command) { d.queue <- c }
-	d.api = api.New(cfg, d.offer)
+	d.api = api.New(cfg, d.tryEnqueue)
 	d.store = store.New(cfg, core.Root, emit)
 	d.cloud = cloud.New(cfg, emit)
 	d.workers = workerclient.New(cfg, emit)
@@ -64,25 +64,25 @@
 		if err != nil {
 			return err
 		}
-		d.sites = links
+		d.siteLinks = links
 		d.core.Join(config)
 		d.api.WithGateway(links.Refused.Load)
 	}
 
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return d.loop(ctx) })
+	g.Go(func() error { return d.runCore(ctx) })
 	g.Go(func() error { return d.api.Run(ctx) })
 	g.Go(func() error { return d.store.Run(ctx) })
 	g.Go(func() error { return d.cloud.Run(ctx) })
 	g.Go(func() error { return d.peers.Run(ctx) })
-	if d.sites != nil {
-		g.Go(func() error { return d.sites.Run(ctx) })
+	if d.siteLinks != nil {
+		g.Go(func() error { return d.siteLinks.Run(ctx) })
 	}
 	return g.Wait()
 }
 
-// offer queues a command unless the queue is full.
-func (d *Daemon) offer(c core.Command) bool {
+// tryEnqueue enqueues a command, and reports false if the queue is full.
+func (d *Daemon) tryEnqueue(c core.Command) bool {
 	select {
 	case d.queue <- c:
 		return true
@@ -91,17 +91,18 @@
 	}
 }
 
-// limitMemory keeps the process clear of the limit at which it would be killed.
-// The process stays on one core, so more threads would only take turns.
-func limitMemory(cfg *settings.Settings) {
+// configureRuntime keeps memory use below the limit at which the process would be killed.
+// The process has a single CPU core, so more threads would only compete for it.
+func configureRuntime(cfg *settings.Settings) {
 	debug.SetMemoryLimit(int64(cfg.Params.Limits.MemoryMB * (1 << 20) * 2 / 3))
 	debug.SetGCPercent(200)
 	runtime.GOMAXPROCS(1)
 }
 
-// loop owns the core.
-func (d *Daemon) loop(ctx context.Context) error {
-	ticker := time.NewTicker(d.tick)
+// runCore owns the core: it runs its steps and executes the effects. No other goroutine
+// uses the core.
+func (d *Daemon) runCore(ctx context.Context) error {
+	ticker := time.NewTicker(d.tickInterval)
 	defer ticker.Stop()
 	batch := make([]core.Command, 0, batchLength)
 	for {
@@ -116,13 +117,14 @@
 		for len(batch) < batchLength && len(d.queue) > 0 {
 			batch = append(batch, <-d.queue)
 		}
-		now := core.Now{Steady: time.Since(d.start), Wall: time.Now().UnixMilli()}
+		now := core.Now{Steady: time.Since(d.startedAt), Wall: time.Now().UnixMilli()}
 		for _, e := range d.core.Step(now, batch) {
 			d.execute(e)
 		}
 	}
 }
 
+// execute passes an effect that the core requested to its adapter.
 func (d *Daemon) execute(e core.Effect) {
 	switch e := e.(type) {
 	case core.Answer:
@@ -136,7 +138,7 @@
 	case core.SendPeer:
 		d.peers.Send(e)
 	case core.SendSite:
-		d.sites.Send(e.Message)
+		d.siteLinks.Send(e.Message)
 	case core.Deliver:
 		d.workers.Deliver(e)
 	case core.FetchCatalog:
@@ -148,10 +150,10 @@
 	case core.ReleaseMachines:
 		d.cloud.Release(e.Machines)
 	case core.Log:
-		slog.Log(context.Background(), levels[e.Level], e.Text, e.Attrs...)
+		slog.Log(context.Background(), slogLevels[e.Level], e.Text, e.Attrs...)
 	}
 }
 
-var levels = map[core.Level]slog.Level{
+var slogLevels = map[core.Level]slog.Level{
 	core.Debug: slog.LevelDebug, core.Info: slog.LevelInfo, core.Error: slog.LevelError,
 }
--- a/internal/httpclient/httpclient.go
+++ b/internal/httpclient/httpclient.go
@@ -1,5 +1,4 @@
-// Package httpclient is the HTTP client of the program: one request, JSON both
-// ways, never sent twice.
+// Package httpclient is an HTTP client for JSON requests. It sends each request at most once.
 package httpclient
 
 import (
@@ -12,13 +11,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrUnsent marks failures after which the request was certainly not sent.
+// ErrUnsent marks errors after which the request was certainly not sent.
 var ErrUnsent = errors.New("request was not sent")
 
-// Client speaks to any number of addresses.
+// Client sends requests to any number of addresses.
 type Client struct{ http *fasthttp.Client }
 
-// New makes a client whose requests take at most about timeout.
+// New returns a Client whose requests take at most about timeout, with at most connsPerHost
+// connections to each address.
 func New(timeout time.Duration, connsPerHost int) *Client {
 	return &Client{http: &fasthttp.Client{
 		Dial: func(addr string) (net.Conn, error) {
@@ -37,7 +37,8 @@
 	}}
 }
 
-// Call sends one request to addr and decodes the JSON answer into out.
+// Call sends one request to addr, decodes the JSON response into out and returns the status.
+// A body that cannot be decoded is an error only if the status is 200.
 func (c *Client) Call(method, addr, path string, body, out any) (int, error) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -63,7 +64,7 @@
 	return res.StatusCode(), nil
 }
 
-// Query builds a path with escaped arguments, given as names and values.
+// Query returns path with escaped query arguments, given as alternating names and values.
 func Query(path string, args ...string) string {
 	a := fasthttp.AcquireArgs()
 	defer fasthttp.ReleaseArgs(a)
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,4 +1,4 @@
-// Package httpserver holds what the HTTP servers of the program have in common.
+// Package httpserver holds helpers for the program's HTTP servers.
 package httpserver
 
 import (
@@ -10,14 +10,14 @@
 	"pepperlever/internal/protocol"
 )
 
-// DiscardLogger drops the server's lines on clients that went away.
+// DiscardLogger discards the server's log lines, which are about clients that disconnected.
 type DiscardLogger struct{}
 
-// Printf drops a line.
+// Printf discards a line.
 func (DiscardLogger) Printf(string, ...any) {}
 
-// WriteJSON answers with a JSON body. A body that has no JSON form is answered by 500
-// without one.
+// WriteJSON writes a response with a JSON body. If the body cannot be encoded, it writes 500
+// without a body.
 func WriteJSON(ctx *fasthttp.RequestCtx, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -28,12 +28,12 @@
 	ctx.SetBody(raw)
 }
 
-// WriteProblem answers with what is wrong.
+// WriteProblem writes a response that tells the client what is wrong.
 func WriteProblem(ctx *fasthttp.RequestCtx, status int, reason string) {
 	WriteJSON(ctx, status, protocol.Problem{Error: reason})
 }
 
-// SetRetryAfter asks the client to come back after some seconds, if that is more than 0.
+// SetRetryAfter sets the Retry-After header if seconds is positive.
 func SetRetryAfter(ctx *fasthttp.RequestCtx, seconds int) {
 	if seconds > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
--- a/internal/mustjson/mustjson.go
+++ b/internal/mustjson/mustjson.go
@@ -1,10 +1,10 @@
-// Package mustjson encodes values that always have a JSON form.
+// Package mustjson encodes values that can always be represented in JSON.
 package mustjson
 
 import "github.com/segmentio/encoding/json"
 
-// Marshal is the JSON form of plain data: values without channels, functions or cycles. Anything
-// else is a mistake in the program, so it panics.
+// Marshal returns the JSON encoding of plain data, that is, values without channels,
+// functions or cycles. Anything else is a programming error, so it panics.
 func Marshal(v any) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,11 +1,11 @@
-// Package protocol holds the wire types of every outside interface. Wire names
-// appear here and nowhere else; the rest of the program speaks of jobs, tasks,
-// attempts, gangs, leases, fencing tokens and spot machines.
+// Package protocol defines the wire types of all external interfaces. The names used on the
+// wire appear only here; the rest of the program uses the terms job, task, attempt, gang,
+// lease, fencing token and spot machine.
 package protocol
 
 import "time"
 
-// Paths of the interfaces.
+// Paths and path elements of the HTTP interfaces.
 const (
 	PathJobs     = "/work"
 	PathCancel   = "withdraw"
@@ -23,15 +23,15 @@
 	PathLeases   = "/holds"
 	PathRenew    = "renew"
 	PathWatch    = "/changes"
-	// JobPrefix starts every well-formed job id.
+	// JobPrefix is the prefix of every well-formed job ID.
 	JobPrefix = "req-"
 )
 
-// MaxBody is the largest request body any interface accepts.
+// MaxBody is the size in bytes of the largest request body that any interface accepts.
 const MaxBody = 64 << 10
 
-// ReportTimeout is how long a worker waits for the answer to a report, and
-// ReportPause for how long it pauses before it tries the next node.
+// ReportTimeout is how long a worker waits for the answer to a report, and ReportPause how
+// long it pauses before it tries the next controller.
 const (
 	ReportTimeout = 4 * time.Second
 	ReportPause   = time.Second
@@ -39,14 +39,14 @@
 	PollTimeout = 2 * time.Second
 )
 
-// MaxRental and MaxRelease bound the machines of one request to the cloud.
+// MaxRental and MaxRelease limit the number of machines in one request to the cloud.
 const (
 	MaxRental  = 50
 	MaxRelease = 100
 )
 
-// Submission is a job as its user describes it. Pointers tell a missing field
-// from a zero one.
+// Submission is a user's description of a job. Pointers distinguish a missing field from a
+// zero value.
 type Submission struct {
 	ID          *string   `json:"uid"`
 	Class       *string   `json:"leverClass"`
@@ -86,22 +86,21 @@
 	Cancelled = "cancelled"
 )
 
-// Priorities in falling order of urgency.
+// Priorities lists the priorities, the most urgent first.
 var Priorities = []string{"critical", "urgent", "normal", "low"}
 
-// JobState answers users.
+// JobState is the state of a job, as reported to users.
 type JobState struct {
 	ID      string `json:"uid"`
 	State   string `json:"stance"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
-	// Awaits names the jobs that have to be done before this one begins, as far as the
-	// controller that answers knows.
+	// Awaits lists the dependencies, jobs that must be done before this one starts, as far
+	// as the answering controller knows.
 	Awaits []string `json:"awaits,omitempty"`
 }
 
-// JobRow is a job in a list, and JobList a page of them; the protocol of the users
-// has none, this one is for operators.
+// JobRow is a job in a JobList. Lists are for operators; users have no such request.
 type JobRow struct {
 	JobState
 	Team     string `json:"crew"`
@@ -110,41 +109,41 @@
 	Tasks    int    `json:"pieces"`
 }
 
-// JobList is one page of the jobs that have not ended.
+// JobList is one page of the list of jobs that have not ended.
 type JobList struct {
 	Jobs []JobRow `json:"rows"`
 	More bool     `json:"truncated"`
 }
 
-// JobsPage is how many jobs a page has; it keeps the answer's line within bounds.
+// JobsPage is the maximum number of jobs on a page, which bounds the size of the response.
 const JobsPage = 200
 
-// PageAwaitsBytes is about how long the lists of awaited jobs of a page may be together.
+// PageAwaitsBytes is the approximate limit in bytes for all dependency lists on a page.
 const PageAwaitsBytes = MaxBody / 4
 
-// Problem tells what was wrong with a request.
+// Problem tells a client what was wrong with its request.
 type Problem struct {
 	Error string `json:"error"`
 }
 
-// TaskBytes is at most about how long a task's entry in a report is.
+// TaskBytes returns an approximate upper bound for the size of a task's entry in a report.
 func TaskBytes(task string) int { return len(task) + 80 }
 
-// Exited is the state of a task that has ended; Running is the other one that
-// matters here.
+// Exited is the state of a task that has ended. Of the other task states, only Running
+// matters to controllers.
 const Exited = "exited"
 
-// Reasons why a task exited. After all others it is simply started again.
+// Reasons why a task exited. A task that exited for any other reason is simply restarted.
 const (
 	WhyDone    = "done"
 	WhyStopped = "stopped"
 	WhyError   = "error"
-	WhyNoRoom  = "full"
-	WhyBusy    = "busy"
-	WhyUnknown = "no_such"
+	WhyNoRoom  = "full"    // the machine has too little free capacity
+	WhyBusy    = "busy"    // another attempt of the task has not ended on the machine
+	WhyUnknown = "no_such" // the worker does not know the job or task
 )
 
-// TaskReport is one task on a worker.
+// TaskReport is the state of one task on a worker.
 type TaskReport struct {
 	Task    string `json:"piece"`
 	Attempt uint64 `json:"try"`
@@ -153,7 +152,7 @@
 	Saved   bool   `json:"stored,omitempty"`
 }
 
-// Report is what a worker says of itself.
+// Report is a worker's heartbeat: the state of its machine and of its tasks.
 type Report struct {
 	Machine string       `json:"hand"`
 	Address string       `json:"address"`
@@ -167,14 +166,14 @@
 	Tasks   []TaskReport `json:"pieces"`
 }
 
-// Operations of a command.
+// Operations that a command can request.
 const (
 	OpStart  = "run"
 	OpStop   = "halt"
 	OpForget = "reap"
 )
 
-// Command is one order to a worker.
+// Command is an instruction to a worker concerning one task.
 type Command struct {
 	Op      string   `json:"call"`
 	Task    string   `json:"piece"`
@@ -182,19 +181,20 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// Orders is the answer to a report and, with Session, the body of a direct call.
+// Orders holds commands for a worker. It is the answer to a report and, with Session set, the
+// body of a direct request to the worker.
 type Orders struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"shift,omitempty"`
 	Commands []Command `json:"calls"`
 }
 
-// Redirect sends a worker to another node.
+// Redirect tells a worker to report to another controller.
 type Redirect struct {
 	ReportTo string `json:"foreman,omitempty"`
 }
 
-// MachineType is an entry of the cloud's catalogue.
+// MachineType is an entry of the cloud's catalog.
 type MachineType struct {
 	Name      string   `json:"name"`
 	CPUs      float64  `json:"vcpus"`
@@ -208,12 +208,13 @@
 	Zones     []string `json:"yards"`
 }
 
-// Catalogue lists the machine types.
+// Catalogue is the cloud's catalog of machine types.
 type Catalogue struct {
 	Types []MachineType `json:"builds"`
 }
 
-// Rental asks the cloud for machines.
+// Rental is a request to the cloud for machines. The cloud treats requests with the same
+// Request name as one.
 type Rental struct {
 	Request string `json:"hire"`
 	Type    string `json:"build"`
@@ -233,7 +234,7 @@
 	Failed  = "failed"
 )
 
-// ListedMachine is one row of the cloud's list.
+// ListedMachine is an entry of the cloud's list of rented machines.
 type ListedMachine struct {
 	ID      string  `json:"uid"`
 	Address string  `json:"address"`
@@ -244,7 +245,7 @@
 	AgeS    float64 `json:"ageS"`
 }
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's list of rented machines.
 type MachineList struct {
 	Machines []ListedMachine `json:"hands"`
 	More     bool            `json:"truncated"`
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -2,8 +2,8 @@
 
 import "github.com/segmentio/encoding/json"
 
-// Condition compares the version of a key in the state service; 0 means that
-// the key does not exist.
+// Condition requires that a key in the key-value store has a given version; version 0 means
+// that the key does not exist.
 type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"lastTick"`
@@ -17,20 +17,21 @@
 	Delete string          `json:"drop,omitempty"`
 }
 
-// Txn is an atomic transaction of the state service.
+// Txn is an atomic transaction of the key-value store: the changes in Then are applied if
+// all conditions in If hold.
 type Txn struct {
 	If   []Condition `json:"if"`
 	Then []Change    `json:"then,omitempty"`
 }
 
-// TxnResult answers a transaction.
+// TxnResult is the answer to a transaction.
 type TxnResult struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"ledgerTick"`
 	Error    string   `json:"error"`
 }
 
-// KeyValue is one stored key.
+// KeyValue is a stored key with its value.
 type KeyValue struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"value"`
@@ -39,14 +40,14 @@
 	Revision uint64          `json:"ledgerTick,omitempty"`
 }
 
-// KeyList is one page of keys.
+// KeyList is one page of a list of keys.
 type KeyList struct {
 	Items    []KeyValue `json:"rows"`
 	More     bool       `json:"truncated"`
 	Revision uint64     `json:"ledgerTick"`
 }
 
-// Event is one change seen by a watch.
+// Event is one change reported by a watch.
 type Event struct {
 	Put     string          `json:"write,omitempty"`
 	Value   json.RawMessage `json:"value,omitempty"`
@@ -54,18 +55,18 @@
 	Delete  string          `json:"drop,omitempty"`
 }
 
-// Changes answers a watch.
+// Changes is the answer to a watch request.
 type Changes struct {
 	Revision uint64  `json:"ledgerTick"`
 	Events   []Event `json:"events"`
 }
 
-// LeaseGrant asks for a lease.
+// LeaseGrant is a request for a lease.
 type LeaseGrant struct {
 	TTLMillis int64 `json:"lifeMs"`
 }
 
-// LeaseGranted answers it.
+// LeaseGranted is the answer to a LeaseGrant.
 type LeaseGranted struct {
 	Lease uint64 `json:"hold"`
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -13,10 +13,10 @@
 	"pepperlever/internal/protocol"
 )
 
-// maxConnections bounds the connections of a client.
+// maxConnections limits the connections of a client.
 const maxConnections = 32
 
-// client does single requests.
+// client sends single requests to the key-value store.
 type client struct {
 	http *httpclient.Client
 	addr string
@@ -30,7 +30,7 @@
 	return c.http.Call(method, c.addr, path, body, out)
 }
 
-// txn does a transaction.
+// txn sends a transaction and maps the response to an outcome.
 func (c *client) txn(t protocol.Txn) core.StoreReply {
 	var result protocol.TxnResult
 	if t.If == nil {
@@ -68,7 +68,7 @@
 		"largest_value", largestValue(t))
 }
 
-// largestValue is the length of the longest value that a transaction writes.
+// largestValue returns the length in bytes of the longest value that a transaction writes.
 func largestValue(t protocol.Txn) (n int) {
 	for _, change := range t.Then {
 		n = max(n, len(change.Value))
--- a/internal/store/health.go
+++ b/internal/store/health.go
@@ -8,7 +8,7 @@
 	"pepperlever/internal/core"
 )
 
-// health tells the core when the key-value store stops or starts to answer.
+// health tells the core when the key-value store becomes unreachable or reachable.
 type health struct {
 	emit func(core.Command)
 
@@ -17,9 +17,9 @@
 	lastAnswer time.Time
 }
 
-// note takes whether a request was answered. The key-value store is down once none was for
-// longer than the grace period.
-func (h *health) note(answered bool, grace time.Duration) {
+// record records whether a request was answered. The key-value store counts as down once no
+// request has been answered for longer than the grace period.
+func (h *health) record(answered bool, grace time.Duration) {
 	if !h.update(answered, grace) {
 		return
 	}
@@ -31,7 +31,7 @@
 	h.emit(core.StoreHealth{OK: answered})
 }
 
-// update reports whether the state has changed.
+// update updates the state and reports whether it has changed.
 func (h *health) update(answered bool, grace time.Duration) (changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/store/lease.go
+++ b/internal/store/lease.go
@@ -11,7 +11,7 @@
 	"pepperlever/internal/protocol"
 )
 
-// leaseID names a lease; 0 is none.
+// leaseID identifies a lease; 0 means that there is none.
 type leaseID uint64
 
 // renewal is the outcome of one renewal of a lease.
@@ -21,23 +21,23 @@
 	err    error
 }
 
-// failed tells whether the lease may not have been renewed.
+// failed reports whether the lease may not have been renewed.
 func (r renewal) failed() bool { return r.err != nil || r.status != fasthttp.StatusOK }
 
-// expired tells whether the lease has ended.
+// expired reports whether the lease has expired.
 func (r renewal) expired() bool { return r.err == nil && r.status == fasthttp.StatusNotFound }
 
-// keepLease holds a lease and tells the core when it is a new one. A renewal is sent
-// every third of the lease's time, whether the one before is answered or not: if each waited
-// for the answer to the one before, a slow store would let the lease end, and
-// with it all leaderships (docs/incidents/inc-5631.md).
+// keepLease holds a lease and tells the core of each new one. A renewal is sent every third
+// of the lease's time to live, even if the previous one has not been answered: waiting for
+// the answer of a slow store would let the lease expire, and this node would lose all its
+// leaderships (docs/incidents/inc-5631.md).
 func (s *Store) keepLease(ctx context.Context) error {
 	var lease leaseID
 	results := make(chan renewal, 1)
 	for ctx.Err() == nil {
 		interval := s.leaseTTL() / 3
 		if lease == 0 {
-			if lease = s.grantLease(); lease == 0 {
+			if lease = s.acquireLease(); lease == 0 {
 				interval = s.retryInterval()
 			}
 			sleep(ctx, interval)
@@ -49,11 +49,11 @@
 	return ctx.Err()
 }
 
-// grantLease gets a new lease, or 0.
-func (s *Store) grantLease() leaseID {
+// acquireLease requests a new lease. It returns 0 if none was granted.
+func (s *Store) acquireLease() leaseID {
 	var granted protocol.LeaseGranted
 	request := protocol.LeaseGrant{TTLMillis: s.leaseTTL().Milliseconds()}
-	status, err := s.requests.call(fasthttp.MethodPost, protocol.PathLeases, request, &granted)
+	status, err := s.requestClient.call(fasthttp.MethodPost, protocol.PathLeases, request, &granted)
 	if err != nil || status != fasthttp.StatusOK || granted.Lease == 0 {
 		return 0
 	}
@@ -61,19 +61,19 @@
 	return leaseID(granted.Lease)
 }
 
-// renew renews a lease once.
+// renew sends one renewal of a lease and passes its outcome to results.
 func (s *Store) renew(ctx context.Context, lease leaseID, results chan<- renewal) {
 	path := protocol.PathLeases + "/" + strconv.FormatUint(uint64(lease), 10) + "/" + protocol.PathRenew
-	status, err := s.requests.call(fasthttp.MethodPost, path, struct{}{}, nil)
-	s.health.note(err == nil && status < fasthttp.StatusTooManyRequests, s.reportInterval())
+	status, err := s.requestClient.call(fasthttp.MethodPost, path, struct{}{}, nil)
+	s.health.record(err == nil && status < fasthttp.StatusTooManyRequests, s.reportInterval())
 	select {
 	case results <- renewal{lease, status, err}:
 	case <-ctx.Done():
 	}
 }
 
-// awaitRenewals takes outcomes until the next renewal is due, sooner after one that
-// failed. It returns the lease, or 0 once it has ended.
+// awaitRenewals handles outcomes until the next renewal is due, which is sooner after a
+// failed one. It returns the lease, or 0 if it has expired.
 func (s *Store) awaitRenewals(ctx context.Context, lease leaseID, interval time.Duration, results <-chan renewal) leaseID {
 	due := time.NewTimer(interval)
 	defer due.Stop()
--- a/internal/store/limiter.go
+++ b/internal/store/limiter.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// limiter keeps requests and changes below the key-value store's limits. The
-// limits are for all controllers together, most of whom are quiet at any time;
-// each may use most of them, and the store's own refusals do the rest.
+// limiter keeps requests and changes below the key-value store's rate limits. The limits
+// apply to all controllers together, but most controllers are idle at any time. Each may
+// therefore use most of a limit; if they exceed it together, the store refuses requests.
 type limiter struct {
 	mu       sync.Mutex
 	requests tokenBucket
 	changes  tokenBucket
 }
 
-// ownShare is the part of a limit that one controller may use.
-const ownShare = 0.8
+// perControllerShare is the share of a limit that one controller may use.
+const perControllerShare = 0.8
 
-func newLimiter(rps, writes float64) *limiter {
+func newLimiter(requestsPerSecond, changesPerSecond float64) *limiter {
 	return &limiter{
-		requests: tokenBucket{rate: rps * ownShare},
-		changes:  tokenBucket{rate: writes * ownShare},
+		requests: tokenBucket{rate: requestsPerSecond * perControllerShare},
+		changes:  tokenBucket{rate: changesPerSecond * perControllerShare},
 	}
 }
 
-// setWrites changes the limit on changes.
-func (l *limiter) setWrites(writes float64) {
+// setChangeRate sets the limit on changes.
+func (l *limiter) setChangeRate(changesPerSecond float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.changes.rate = writes * ownShare
+	l.changes.rate = changesPerSecond * perControllerShare
 	l.changes.tokens = min(l.changes.tokens, l.changes.rate)
 }
 
-// wait takes room for one request with that many changes, or reports that
-// there will be none within the timeout.
+// wait waits until one request with that many changes may be sent. It reports false if that
+// is not possible within the timeout.
 func (l *limiter) wait(changes int, timeout time.Duration) bool {
 	for {
-		delay := l.take(float64(changes))
+		delay := l.reserve(float64(changes))
 		if delay == 0 {
 			return true
 		}
@@ -48,39 +48,39 @@
 	}
 }
 
-// take takes room for one request, or tells how long to wait for it.
-func (l *limiter) take(changes float64) (delay time.Duration) {
+// reserve takes the tokens for one request, or returns how long to wait for them.
+func (l *limiter) reserve(changes float64) (waitTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.requests.fill(now)
-	l.changes.fill(now)
-	if delay := max(l.requests.delay(1), l.changes.delay(changes)); delay > 0 {
-		return delay
+	l.requests.refill(now)
+	l.changes.refill(now)
+	if waitTime := max(l.requests.waitTime(1), l.changes.waitTime(changes)); waitTime > 0 {
+		return waitTime
 	}
 	l.requests.tokens--
-	l.changes.tokens -= changes
+	l.changes.tokens -= changes // negative if there are more changes than the bucket holds
 	return 0
 }
 
-// tokenBucket allows rate a second, and a second's worth at once.
+// tokenBucket allows rate tokens per second, and bursts of one second's worth.
 type tokenBucket struct {
 	rate, tokens float64
-	filledAt     time.Time
+	refilledAt   time.Time
 }
 
-// fill adds what the rate allows since the last call. A new bucket is full.
-func (b *tokenBucket) fill(now time.Time) {
-	if b.filledAt.IsZero() {
+// refill adds the tokens accrued since the last call. A new bucket is full.
+func (b *tokenBucket) refill(now time.Time) {
+	if b.refilledAt.IsZero() {
 		b.tokens = b.rate
 	} else {
-		b.tokens = min(b.rate, b.tokens+now.Sub(b.filledAt).Seconds()*b.rate)
+		b.tokens = min(b.rate, b.tokens+now.Sub(b.refilledAt).Seconds()*b.rate)
 	}
-	b.filledAt = now
+	b.refilledAt = now
 }
 
-// delay is how long to wait before n more may go.
-func (b *tokenBucket) delay(n float64) time.Duration {
+// waitTime returns how long to wait for n tokens, or for a full bucket if n exceeds it.
+func (b *tokenBucket) waitTime(n float64) time.Duration {
 	n = min(n, b.rate)
 	if b.tokens >= n {
 		return 0
--- a/internal/store/pressure.go
+++ b/internal/store/pressure.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// pressure notices that the key-value store takes fewer changes than its present limit
-// says. It reports that once.
-type pressure struct {
+// limitDetector detects that the key-value store's limits on changes or on the size of a
+// transaction have been lowered. It reports that once.
+type limitDetector struct {
 	mu     sync.Mutex
 	window time.Duration
-	// windowStart is when the present window began.
+	// windowStart is when the current window began.
 	windowStart time.Time
-	// accepted and refused count the changes of the window.
+	// accepted and refused count the changes in the window.
 	accepted, refused int
-	noticed           bool
+	reported          bool
 }
 
-// refusedShare is which share of the changes of a window has to be refused because of the
-// rate. Controllers that write at the same moment are refused now and then within the
-// limit, too, but each of them waits and tries again.
-const refusedShare = 0.5
+// minRefusedShare is the share of a window's changes above which rate-limit refusals show a
+// lower limit. Controllers that write at the same moment are occasionally refused within the
+// limit too, but they back off and retry.
+const minRefusedShare = 0.5
 
-// note takes the outcome of a transaction with changes, and reports whether it is the
-// first that shows the lower limits.
-func (p *pressure) note(now time.Time, changes int, refused, oversized bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.noticed || changes == 0 {
+// record records the outcome of a transaction, and reports whether it is the first to show
+// that lower limits are in force.
+func (d *limitDetector) record(now time.Time, changes int, refused, oversized bool) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.reported || changes == 0 {
 		return false
 	}
-	if now.Sub(p.windowStart) > p.window {
-		p.windowStart, p.accepted, p.refused = now, 0, 0
+	if now.Sub(d.windowStart) > d.window {
+		d.windowStart, d.accepted, d.refused = now, 0, 0
 	}
 	if refused {
-		p.refused += changes
+		d.refused += changes
 	} else {
-		p.accepted += changes
+		d.accepted += changes
 	}
-	full := now.Sub(p.windowStart) > p.window/2
-	mostRefused := float64(p.refused) > refusedShare*float64(p.accepted+p.refused)
-	p.noticed = oversized || full && mostRefused
-	return p.noticed
+	halfElapsed := now.Sub(d.windowStart) > d.window/2
+	mostRefused := float64(d.refused) > minRefusedShare*float64(d.accepted+d.refused)
+	d.reported = oversized || halfElapsed && mostRefused
+	return d.reported
 }
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -8,41 +8,42 @@
 	"pepperlever/internal/core"
 )
 
-// Txn queues a transaction; its reply goes to the core.
+// Txn queues a transaction. The reply is passed to the core.
 func (s *Store) Txn(t core.StoreTxn) {
 	changes := len(t.Txn.Then)
 	s.enqueue(t.Urgent || t.Quick, t.ID, func() core.StoreReply {
 		return s.retry(t.Quick, changes, func() core.StoreReply {
-			reply := s.requests.txn(t.Txn)
-			s.notePressure(changes, reply)
+			reply := s.requestClient.txn(t.Txn)
+			s.detectLowerLimit(changes, reply)
 			return reply
 		})
 	})
 }
 
-// Get queues a read; its reply goes to the core.
+// Get queues a read. The reply is passed to the core.
 func (s *Store) Get(g core.StoreGet) {
 	s.enqueue(true, g.ID, func() core.StoreReply {
-		return s.retry(g.Quick, 0, func() core.StoreReply { return s.requests.get(g.Key) })
+		return s.retry(g.Quick, 0, func() core.StoreReply { return s.requestClient.get(g.Key) })
 	})
 }
 
-// notePressure goes over to the limits that come into force at an unknown moment, as
-// soon as the key-value store shows that they have.
-func (s *Store) notePressure(changes int, reply core.StoreReply) {
+// detectLowerLimit switches to the limits in State.Next as soon as the replies of the
+// key-value store show that they are in force. The time of that change is not known.
+func (s *Store) detectLowerLimit(changes int, reply core.StoreReply) {
 	state := s.cfg.Params.State
 	if state.Tightest() == state.StateLimits {
 		return
 	}
-	if !s.pressure.note(time.Now(), changes, reply.RateLimited, reply.Oversized) {
+	if !s.limitDetector.record(time.Now(), changes, reply.RateLimited, reply.Oversized) {
 		return
 	}
-	s.limit.setWrites(state.Tightest().WriteRPS)
+	s.rateLimiter.setChangeRate(state.Tightest().WriteRPS)
 	s.emit(core.StoreLimitLowered{})
 }
 
-// enqueue queues a request whose reply goes to the core. The core itself is the caller, and must
-// not wait for its own queue: a request that finds the queue full is refused.
+// enqueue queues a request whose reply is passed to the core. It never blocks, because its
+// caller is the core, which must not wait for its own queue: if the request queue is full,
+// the request is refused.
 func (s *Store) enqueue(urgent bool, id uint64, request func() core.StoreReply) {
 	queue := s.normal
 	if urgent {
@@ -60,8 +61,8 @@
 	}
 }
 
-// work runs queued requests, urgent ones first.
-func (s *Store) work(ctx context.Context) error {
+// runQueued runs queued requests, urgent ones first.
+func (s *Store) runQueued(ctx context.Context) error {
 	for {
 		select {
 		case run := <-s.urgent:
@@ -80,25 +81,26 @@
 	}
 }
 
-// retry repeats a request that was not carried out, for a user only shortly, and not when the
-// key-value store is down: the user is asked to come back instead. The pause doubles each time.
+// retry retries a refused request with exponential backoff until the timeout. A quick request,
+// for which a user waits, has a shorter timeout and is not retried while the key-value store
+// is unavailable: the user is asked to retry instead.
 func (s *Store) retry(quick bool, changes int, request func() core.StoreReply) core.StoreReply {
 	timeout := s.reportInterval()
 	if quick {
 		timeout /= 4
 	}
 	start := time.Now()
-	pause := s.reportInterval() / 50
+	backoff := s.reportInterval() / 50
 	for {
-		if !s.limit.wait(changes, timeout-time.Since(start)) {
+		if !s.rateLimiter.wait(changes, timeout-time.Since(start)) {
 			return core.StoreReply{Outcome: core.Refused}
 		}
 		reply := request()
-		s.health.note(reply.Outcome != core.Refused && reply.Outcome != core.Unknown, s.reportInterval())
-		if reply.Outcome != core.Refused || quick && reply.Unavailable || time.Since(start)+pause > timeout {
+		s.health.record(reply.Outcome != core.Refused && reply.Outcome != core.Unknown, s.reportInterval())
+		if reply.Outcome != core.Refused || quick && reply.Unavailable || time.Since(start)+backoff > timeout {
 			return reply
 		}
-		time.Sleep(pause/2 + rand.N(pause))
-		pause *= 2
+		time.Sleep(backoff/2 + rand.N(backoff))
+		backoff *= 2
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,4 +1,5 @@
-// Package store carries out the core's requests to the consensus-backed key-value store.
+// Package store sends the core's requests to the consensus-backed key-value store, keeps
+// this node's lease alive and watches for changes.
 package store
 
 import (
@@ -12,48 +13,49 @@
 )
 
 const (
-	// workers is how many requests are carried out at the same time.
-	workers = 16
-	// queueLength is how many requests may wait, of the urgent ones and of the others.
+	// maxConcurrentRequests is how many queued requests run at the same time.
+	maxConcurrentRequests = 16
+	// queueLength is the capacity of each queue, the urgent and the normal one.
 	queueLength = 4096
-	// watchShare is the part of the requests that watches may take.
+	// watchShare is the share of the request limit that all watches together may use.
 	watchShare = 1.0 / 8
 )
 
-// Store runs the core's requests within the limits of the key-value store, keeps
-// the lease alive and follows the changes.
+// Store is the adapter between the core and the key-value store. It keeps requests within
+// the store's limits.
 type Store struct {
 	cfg *settings.Settings
-	// root is the prefix of all keys.
+	// root is the common prefix of all keys.
 	root string
 	emit func(core.Command)
-	// requests does single requests, watches those that stay open.
-	requests *client
-	watches  *client
-	reload   chan struct{}
-	health   health
-	limit    *limiter
-	// pressure notices limits that have become lower.
-	pressure pressure
-	// urgent and normal are the queued requests.
+	// requestClient sends transactions, reads and lease requests. watchClient lists keys and
+	// sends watch requests, which stay open until there are changes.
+	requestClient   *client
+	watchClient     *client
+	reloadRequested chan struct{}
+	health          health
+	rateLimiter     *limiter
+	// limitDetector detects that the store's limits have been lowered.
+	limitDetector limitDetector
+	// urgent and normal hold the queued requests.
 	urgent, normal chan func()
 }
 
-// New makes a Store that passes to emit what it learns.
+// New returns a Store that passes replies, changes and lease events to emit.
 func New(cfg *settings.Settings, root string, emit func(core.Command)) *Store {
 	s := &Store{
-		cfg:    cfg,
-		root:   root,
-		emit:   emit,
-		reload: make(chan struct{}, 1),
-		urgent: make(chan func(), queueLength),
-		normal: make(chan func(), queueLength),
+		cfg:             cfg,
+		root:            root,
+		emit:            emit,
+		reloadRequested: make(chan struct{}, 1),
+		urgent:          make(chan func(), queueLength),
+		normal:          make(chan func(), queueLength),
 	}
-	s.requests = newClient(cfg.Services.State, s.requestTimeout())
-	s.watches = newClient(cfg.Services.State, 2*s.watchTimeout())
-	s.limit = newLimiter(cfg.Params.State.RPS, cfg.Params.State.WriteRPS)
+	s.requestClient = newClient(cfg.Services.State, s.requestTimeout())
+	s.watchClient = newClient(cfg.Services.State, 2*s.watchTimeout())
+	s.rateLimiter = newLimiter(cfg.Params.State.RPS, cfg.Params.State.WriteRPS)
 	s.health.emit = emit
-	s.pressure.window = s.reportInterval()
+	s.limitDetector.window = s.reportInterval()
 	return s
 }
 
@@ -61,41 +63,41 @@
 	return time.Duration(s.cfg.Params.Workers.ReportS * float64(time.Second))
 }
 
-// requestTimeout is how long one request may take.
+// requestTimeout returns how long one request may take.
 func (s *Store) requestTimeout() time.Duration { return s.reportInterval() * 2 / 3 }
 
-// watchTimeout is how long a watch stays open.
+// watchTimeout returns how long a watch request stays open if there are no changes.
 func (s *Store) watchTimeout() time.Duration { return s.reportInterval() }
 
-// retryInterval is the pause after a watch or a lease request that failed.
+// retryInterval returns the pause after a failed watch or lease request.
 func (s *Store) retryInterval() time.Duration { return s.reportInterval() / 10 }
 
-// watchInterval is the pause between two watches: all controllers' watches together
-// take a small part of the requests that the key-value store allows. What is
-// urgent between controllers does not wait for a watch.
+// watchInterval returns the pause between two watch requests. It keeps the watches of all
+// controllers together within watchShare of the request limit. Urgent messages between
+// controllers are sent directly and do not wait for a watch.
 func (s *Store) watchInterval() time.Duration {
 	controllers := float64(len(s.cfg.Peers) + 1)
 	return time.Duration(controllers * float64(time.Second) / (watchShare * s.cfg.Params.State.RPS))
 }
 
-// leaseTTL is the time to live of this node's lease: short, since an early end costs
-// a change of leaders and nothing else.
+// leaseTTL returns the time to live of this node's lease. It is short, since an early expiry
+// costs no more than a change of leaders.
 func (s *Store) leaseTTL() time.Duration {
 	return time.Duration(s.cfg.Params.Workers.LeaseS * float64(time.Second) / 8)
 }
 
-// Run works until ctx ends.
+// Run keeps the lease, follows changes and sends queued requests until ctx is done.
 func (s *Store) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.keepLease(ctx) })
-	group.Go(func() error { return s.follow(ctx) })
-	for range workers {
-		group.Go(func() error { return s.work(ctx) })
+	group.Go(func() error { return s.followChanges(ctx) })
+	for range maxConcurrentRequests {
+		group.Go(func() error { return s.runQueued(ctx) })
 	}
 	return group.Wait()
 }
 
-// sleep waits for some time, or until ctx ends.
+// sleep pauses for the given time, or until ctx is done.
 func sleep(ctx context.Context, pause time.Duration) {
 	if pause <= 0 {
 		return
--- a/internal/store/watch.go
+++ b/internal/store/watch.go
@@ -13,30 +13,30 @@
 	"pepperlever/internal/protocol"
 )
 
-// errReload tells that the changes can't be followed from here on.
-var errReload = errors.New("watch cannot go on: stored state has to be read again")
+// errReload means that the watch cannot continue from its revision.
+var errReload = errors.New("watch cannot continue: stored state must be reloaded")
 
-// statusError is a list request that the key-value store refused.
+// statusError is the HTTP status of a list request that the key-value store rejected.
 type statusError struct{ status int }
 
-// Error tells the status.
+// Error returns a message with the status.
 func (e statusError) Error() string { return fmt.Sprintf("list keys: status %d", e.status) }
 
-// listPage is how many keys one request lists.
-const listPage = "500"
+// listPageSize is the number of keys that one request lists.
+const listPageSize = "500"
 
-// Reload asks for everything to be read again.
+// Reload requests that the stored state is loaded again.
 func (s *Store) Reload() {
 	select {
-	case s.reload <- struct{}{}:
+	case s.reloadRequested <- struct{}{}:
 	default:
 	}
 }
 
-// follow loads the stored state and then passes every change on.
-func (s *Store) follow(ctx context.Context) error {
+// followChanges loads the stored state and then passes on every change.
+func (s *Store) followChanges(ctx context.Context) error {
 	for ctx.Err() == nil {
-		revision, err := s.load()
+		revision, err := s.loadSnapshot()
 		if err == nil {
 			err = s.watch(ctx, revision)
 		}
@@ -47,13 +47,13 @@
 	return ctx.Err()
 }
 
-// load reads the stored state and passes it on. It returns the revision from which changes are
-// to be followed.
-func (s *Store) load() (uint64, error) {
+// loadSnapshot reads the stored state and passes it on. It returns the revision after which
+// to watch for changes.
+func (s *Store) loadSnapshot() (uint64, error) {
 	var snapshot core.SnapshotLoaded
 	after := ""
 	for {
-		page, err := s.list(after)
+		page, err := s.listKeys(after)
 		if err != nil {
 			return 0, err
 		}
@@ -69,30 +69,30 @@
 	}
 }
 
-// list reads one page of keys, those after a key if it is not empty.
-func (s *Store) list(after string) (page protocol.KeyList, err error) {
-	args := []string{protocol.ArgPrefix, s.root, protocol.ArgLimit, listPage}
+// listKeys reads one page of keys. The page starts after the given key, unless it is empty.
+func (s *Store) listKeys(after string) (page protocol.KeyList, err error) {
+	args := []string{protocol.ArgPrefix, s.root, protocol.ArgLimit, listPageSize}
 	if after != "" {
 		args = append(args, protocol.ArgAfter, after)
 	}
-	status, err := s.watches.call(fasthttp.MethodGet, httpclient.Query(protocol.PathKV, args...), nil, &page)
+	status, err := s.watchClient.call(fasthttp.MethodGet, httpclient.Query(protocol.PathKV, args...), nil, &page)
 	if err == nil && status != fasthttp.StatusOK {
 		err = statusError{status}
 	}
 	return page, err
 }
 
-// watch follows the changes until it has to start over. A short pause between
-// two requests lets changes gather into one answer.
+// watch passes on changes until the stored state has to be loaded again. The pause between
+// two requests batches changes into one response.
 func (s *Store) watch(ctx context.Context, revision uint64) error {
 	for ctx.Err() == nil {
 		select {
-		case <-s.reload:
+		case <-s.reloadRequested:
 			return errReload
 		default:
 		}
 		var changes protocol.Changes
-		status, err := s.watches.call(fasthttp.MethodGet, s.watchPath(revision), nil, &changes)
+		status, err := s.watchClient.call(fasthttp.MethodGet, s.watchPath(revision), nil, &changes)
 		switch {
 		case err == nil && status == fasthttp.StatusOK:
 			if len(changes.Events) > 0 || changes.Revision > revision {
@@ -109,7 +109,7 @@
 	return ctx.Err()
 }
 
-// watchPath is the request for the changes after a revision.
+// watchPath returns the path that requests the changes after a revision.
 func (s *Store) watchPath(revision uint64) string {
 	return httpclient.Query(protocol.PathWatch,
 		protocol.ArgPrefix, s.root,
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream writes lines into HTTP/2 streams: the part that streams between
-// controllers and those between sites have in common.
+// Package stream writes lines to HTTP/2 streams. It holds what the streams between
+// controllers and the streams between sites have in common.
 package stream
 
 import (
@@ -11,42 +11,43 @@
 )
 
 const (
-	// maxReasonBytes bounds what is read of an answer that refuses the stream.
+	// maxReasonBytes limits how much is read of a response that rejects the stream.
 	maxReasonBytes = 200
-	// maxWriteBytes is from which size on no further line is added to one write.
+	// maxWriteBytes is the size from which no more lines are added to a write.
 	maxWriteBytes = 64 << 10
 )
 
 // Errors that end a stream.
 var (
-	// ErrEnded means that the receiver has ended the stream.
+	// ErrEnded means that the receiver has closed the stream.
 	ErrEnded = errors.New("stream ended")
-	// ErrSlowReceiver means that more lines wait than the queue holds.
+	// ErrSlowReceiver means that the queue of lines has overflowed.
 	ErrSlowReceiver = errors.New("receiver is too slow")
 )
 
-// StatusError is an answer that does not accept the stream.
+// StatusError is a response that rejects the stream.
 type StatusError struct {
-	// Status is the HTTP status with its text, Reason the start of the answer's body.
+	// Status is the HTTP status with its text, Reason the start of the response body.
 	Status, Reason string
 }
 
-// Error tells the status and the receiver's reason.
+// Error returns the status and the receiver's reason.
 func (e *StatusError) Error() string { return e.Status + ": " + e.Reason }
 
-// Writer is a queue of lines for one receiver.
+// Writer queues lines for one receiver and writes them to a stream.
 type Writer struct {
 	queue    chan []byte
 	overflow chan struct{}
 }
 
-// NewWriter makes a Writer in which at most length lines wait; past that the stream is
-// opened anew.
+// NewWriter returns a Writer that queues up to length lines. If the queue overflows, Run
+// returns ErrSlowReceiver.
 func NewWriter(length int) *Writer {
 	return &Writer{queue: make(chan []byte, length), overflow: make(chan struct{}, 1)}
 }
 
-// Send queues a line with its end.
+// Send queues a line, which must end with a newline. If the queue is full, the line is
+// dropped and Run ends.
 func (w *Writer) Send(line []byte) {
 	select {
 	case w.queue <- line:
@@ -58,42 +59,42 @@
 	}
 }
 
-// Run makes one request whose body is the lines, until it breaks; the error tells
-// why. up and down are called when lines can be sent and no longer can; back, if not
-// nil, reads what the receiver says. What was queued for an earlier stream is
+// Run sends one request whose body is the queued lines, and returns the error that ended it.
+// onConnect is called when lines can be sent, onDisconnect when they no longer can;
+// readResponse, if not nil, reads the response body. Lines queued for an earlier stream are
 // dropped.
-func (w *Writer) Run(t http.RoundTripper, req *http.Request, up, down func(), back func(io.Reader)) error {
+func (w *Writer) Run(transport http.RoundTripper, req *http.Request, onConnect, onDisconnect func(), readResponse func(io.Reader)) error {
 	ctx, cancel := context.WithCancel(req.Context())
 	defer cancel()
-	body, out := io.Pipe()
-	defer out.Close()
+	body, bodyWriter := io.Pipe()
+	defer bodyWriter.Close()
 	req = req.WithContext(ctx)
 	req.Body = body
-	res, err := t.RoundTrip(req)
+	res, err := transport.RoundTrip(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		reason, _ := io.ReadAll(io.LimitReader(res.Body, maxReasonBytes)) // what could be read tells enough
+		reason, _ := io.ReadAll(io.LimitReader(res.Body, maxReasonBytes)) // a partial reason is enough
 		return &StatusError{Status: res.Status, Reason: string(bytes.TrimSpace(reason))}
 	}
 	closed := make(chan error, 1)
 	go func() {
-		if back != nil {
-			back(res.Body)
+		if readResponse != nil {
+			readResponse(res.Body)
 		}
 		_, err := io.Copy(io.Discard, res.Body)
 		closed <- errors.Join(ErrEnded, err)
-		out.Close()
+		bodyWriter.Close()
 	}()
-	w.drain()
-	up()
-	defer down()
-	return w.write(ctx, out, closed)
+	w.discardQueued()
+	onConnect()
+	defer onDisconnect()
+	return w.write(ctx, bodyWriter, closed)
 }
 
-func (w *Writer) drain() {
+func (w *Writer) discardQueued() {
 	for {
 		select {
 		case <-w.queue:
@@ -104,13 +105,13 @@
 	}
 }
 
-// write sends queued lines, as many as there are in one piece.
+// write writes queued lines, batching those that are already waiting.
 func (w *Writer) write(ctx context.Context, out io.Writer, closed <-chan error) error {
 	var buf []byte
 	for {
 		select {
-		case m := <-w.queue:
-			buf = append(buf[:0], m...)
+		case line := <-w.queue:
+			buf = append(buf[:0], line...)
 		case <-w.overflow:
 			return ErrSlowReceiver
 		case err := <-closed:
@@ -127,8 +128,8 @@
 	}
 }
 
-// WholeLines splits at line ends. What is left when a sender ends in the middle of
-// a line is no message.
+// WholeLines is a bufio.SplitFunc that returns complete lines only. It discards an incomplete
+// last line, which a sender leaves when it is terminated while writing.
 func WholeLines(data []byte, _ bool) (int, []byte, error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i], nil
--- a/internal/strictconfig/strictconfig.go
+++ b/internal/strictconfig/strictconfig.go
@@ -1,4 +1,4 @@
-// Package strictconfig reads TOML files in which a key that is not known is an error.
+// Package strictconfig reads TOML files and rejects unknown keys.
 package strictconfig
 
 import (
@@ -10,8 +10,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads a file over what v holds, and has it checked if it can Check itself.
-// Errors are one line, with the file and, for an unknown key, its line.
+// Load decodes a file into v; keys that the file omits keep their values in v. If v has a
+// Check method, Load calls it. Errors have one line, which names the file and, for an unknown
+// key, its line.
 func Load(path string, v any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,4 +1,4 @@
-// Package testseed lets property tests say the same in every run. Only tests import it.
+// Package testseed makes property tests reproducible. Only tests import it.
 package testseed
 
 import (
@@ -6,29 +6,30 @@
 	"maps"
 	"testing"
 
-	// Its flags are those that are set here.
+	// Registers the flags that this package sets.
 	_ "pgregory.net/rapid"
 )
 
-// Flags are values of the property tests' flags by name.
+// Flags maps names of property-test flags to values.
 type Flags map[string]string
 
-// fixed are the seed, and that no file is written of a failure.
-var fixed = Flags{"rapid.seed": "1", "rapid.nofailfile": "true"}
+// defaultFlags fixes the seed and disables the files that rapid writes for failed tests.
+var defaultFlags = Flags{"rapid.seed": "1", "rapid.nofailfile": "true"}
 
-// Run runs the tests of a package with a fixed seed and further flags, unless the command
-// line gives others, to search further. It is for TestMain, which exits with what it returns.
-func Run(m *testing.M, further Flags) int {
+// Run runs the tests of a package with a fixed seed and additional flags. Flags given on the
+// command line take precedence, so that a run can try other seeds. TestMain calls it and
+// exits with the returned status.
+func Run(m *testing.M, additional Flags) int {
 	flag.Parse()
-	flags := maps.Clone(fixed)
-	maps.Copy(flags, further)
+	flags := maps.Clone(defaultFlags)
+	maps.Copy(flags, additional)
 	for name, value := range flags {
 		f := flag.Lookup(name)
 		if f.Value.String() != f.DefValue {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // the flag is rapid's, and so is its type
+			panic(err) // rapid defines the flag and accepts the value
 		}
 	}
 	return m.Run()
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,4 +1,4 @@
-// Package workerclient sends commands straight to workers.
+// Package workerclient sends commands directly to workers.
 package workerclient
 
 import (
@@ -12,30 +12,31 @@
 	"pepperlever/internal/settings"
 )
 
-// Client delivers commands; each delivery is sent at most once.
+// Client delivers commands to workers. Each delivery is sent at most once.
 type Client struct {
-	emit       func(core.Command)
-	http       *httpclient.Client
-	concurrent chan struct{}
+	emit func(core.Command)
+	http *httpclient.Client
+	// semaphore limits concurrent deliveries.
+	semaphore chan struct{}
 }
 
-// New makes a Client that tells emit what came of deliveries.
+// New returns a Client that passes the result of each delivery to emit.
 func New(cfg *settings.Settings, emit func(core.Command)) *Client {
 	timeout := time.Duration(cfg.Params.Workers.ReportS * float64(time.Second) * 2 / 3)
-	return &Client{emit: emit, http: httpclient.New(timeout, 2), concurrent: make(chan struct{}, max(8, cfg.Params.Limits.MaxConnections/8))}
+	return &Client{emit: emit, http: httpclient.New(timeout, 2), semaphore: make(chan struct{}, max(8, cfg.Params.Limits.MaxConnections/8))}
 }
 
-// Deliver sends commands to a worker without waiting for the answer.
+// Deliver sends commands to a worker in the background.
 func (c *Client) Deliver(d core.Deliver) {
 	go func() {
-		c.concurrent <- struct{}{}
-		defer func() { <-c.concurrent }()
-		out := core.DeliveryResult{Machine: d.Machine, Orders: d.Orders}
-		var r protocol.Report
-		status, err := c.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.Orders, &r)
+		c.semaphore <- struct{}{}
+		defer func() { <-c.semaphore }()
+		result := core.DeliveryResult{Machine: d.Machine, Orders: d.Orders}
+		var report protocol.Report
+		status, err := c.http.Call(fasthttp.MethodPost, d.Address, protocol.PathCommands, d.Orders, &report)
 		if err == nil && (status == fasthttp.StatusOK || status == fasthttp.StatusConflict) {
-			out.Executed, out.Report = status == fasthttp.StatusOK, &r
+			result.Executed, result.Report = status == fasthttp.StatusOK, &report
 		}
-		c.emit(out)
+		c.emit(result)
 	}()
 }
